--- a/decision/src/main/java/cloverpulley/membership/Incarnation.java
+++ b/decision/src/main/java/cloverpulley/membership/Incarnation.java
@@ -7,7 +7,7 @@
  *
  * @param address in figures
  */
-record Incarnation(Srv srv, String address, Read text) {
+record Incarnation(SrvRecord srv, String address, Read text) {
 
   /** Target, port and boot or, without one, address: what another server under the same name differs in. */
   String identity() {
--- a/decision/src/main/java/cloverpulley/membership/Membership.java
+++ b/decision/src/main/java/cloverpulley/membership/Membership.java
@@ -114,7 +114,7 @@
     i.say(Why.HELD_LIST, -1);
     corroborated++;
     known++;
-    become(i, new Incarnation(new Srv(priority, 0, m.target(), m.port()), m.address(), text), now);
+    become(i, new Incarnation(new SrvRecord(priority, 0, m.target(), m.port()), m.address(), text), now);
     touch(i);
   }
 
@@ -175,7 +175,7 @@
       ignored++;
       return;
     }
-    List<Srv> before = views[s.resolver()].services.put(s.instance(), List.copyOf(s.records()));
+    List<SrvRecord> before = views[s.resolver()].services.put(s.instance(), List.copyOf(s.records()));
     if (s.records().equals(before)) {
       return;
     }
@@ -1031,7 +1031,7 @@
     suspects.remove(i);
     for (View v : views) {
       v.texts.remove(i.name);
-      List<Srv> services = v.services.remove(i.name);
+      List<SrvRecord> services = v.services.remove(i.name);
       if (services != null) {
         services.forEach(s -> unlink(s.target(), i.name));
       }
--- a/decision/src/main/java/cloverpulley/membership/Observation.java
+++ b/decision/src/main/java/cloverpulley/membership/Observation.java
@@ -23,7 +23,7 @@
   record ZoneSerial(int resolver, String domain, long serial) implements Observation {}
 
   /** The service records of an instance; none where it has none. */
-  record Service(int resolver, String instance, List<Srv> records) implements Observation {}
+  record Service(int resolver, String instance, List<SrvRecord> records) implements Observation {}
 
   /** The text record of an instance; empty where it has none. */
   record Text(int resolver, String instance, Map<String, String> pairs) implements Observation {}
--- a/decision/src/main/java/cloverpulley/membership/Srv.java
+++ b/decision/src/main/java/cloverpulley/membership/SrvRecord.java
@@ -9,9 +9,9 @@
  * @param weight part among those of the same priority; 0 where there is nothing to choose
  * @param target in lower case
  */
-public record Srv(int priority, int weight, String target, int port) {
+public record SrvRecord(int priority, int weight, String target, int port) {
 
   /** Of several for one instance every reader has to take the same one. */
-  static final Comparator<Srv> BEST = Comparator.comparingInt(Srv::priority).thenComparingInt(s -> -s.weight)
-      .thenComparing(Srv::target).thenComparingInt(Srv::port);
+  static final Comparator<SrvRecord> PREFERENCE_ORDER = Comparator.comparingInt(SrvRecord::priority).thenComparingInt(s -> -s.weight)
+      .thenComparing(SrvRecord::target).thenComparingInt(SrvRecord::port);
 }
--- a/decision/src/main/java/cloverpulley/membership/View.java
+++ b/decision/src/main/java/cloverpulley/membership/View.java
@@ -32,7 +32,7 @@
   }
 
   final Map<String, Domain> domains = new HashMap<>();
-  final Map<String, List<Srv>> services = new HashMap<>();
+  final Map<String, List<SrvRecord>> services = new HashMap<>();
   final Map<String, Read> texts = new HashMap<>();
   private final Map<String, List<String>> ipv4 = new HashMap<>();
   private final Map<String, List<String>> ipv6 = new HashMap<>();
@@ -58,7 +58,7 @@
 
   /** What it says an instance is; null while a service or address record is missing. */
   Incarnation incarnation(String instance, String addressInUse) {
-    Srv srv = services.getOrDefault(instance, List.of()).stream().min(Srv.BEST).orElse(null);
+    SrvRecord srv = services.getOrDefault(instance, List.of()).stream().min(SrvRecord.PREFERENCE_ORDER).orElse(null);
     String address = srv == null ? null : address(srv.target(), addressInUse);
     return address == null ? null : new Incarnation(srv, address, texts.getOrDefault(instance, TextKeys.NONE));
   }
--- a/decision/src/test/java/cloverpulley/membership/Bench.java
+++ b/decision/src/test/java/cloverpulley/membership/Bench.java
@@ -96,7 +96,7 @@
     }
     observe(new Browsed(resolver, domain, names, serial, 60_000));
     for (Said s : servers) {
-      observe(new Service(resolver, s.label + "." + domain, List.of(new Srv(s.priority, 0, s.target, s.port))));
+      observe(new Service(resolver, s.label + "." + domain, List.of(new SrvRecord(s.priority, 0, s.target, s.port))));
       observe(new Text(resolver, s.label + "." + domain, Map.copyOf(s.text)));
       observe(new Addresses(resolver, s.target, false, List.of(s.address)));
     }
--- a/decision/src/test/java/cloverpulley/membership/HistoriesTest.java
+++ b/decision/src/test/java/cloverpulley/membership/HistoriesTest.java
@@ -192,7 +192,7 @@
         if (m == Mode.GOOD || random.nextInt(10) > 0) { // Some records are lost on the way.
           String name = Bench.name(s.label);
           String target = s.label + ".hosts.example.";
-          bench.observe(new Service(r, name, List.of(new Srv(0, 0, target, s.port))));
+          bench.observe(new Service(r, name, List.of(new SrvRecord(0, 0, target, s.port))));
           bench.observe(new Text(r, name, s.draining ? Map.of("started", s.boot, "phase", "draining") : Map.of("started", s.boot)));
           bench.observe(new Addresses(r, target, false, List.of(s.address)));
         }
--- a/decision/src/test/java/cloverpulley/membership/MembershipTest.java
+++ b/decision/src/test/java/cloverpulley/membership/MembershipTest.java
@@ -486,9 +486,9 @@
   void anInstanceWithoutServiceOrAddressIsNotUsed() {
     Bench b = new Bench(1);
     b.observe(new Browsed(0, Bench.DOMAIN, Set.of(name("a"), name("b"), name("c")), 1, 60_000));
-    b.observe(new Service(0, name("a"), List.of(new Srv(0, 0, "a.example.", 80))));
+    b.observe(new Service(0, name("a"), List.of(new SrvRecord(0, 0, "a.example.", 80))));
     b.observe(new Addresses(0, "a.example.", false, List.of("10.0.0.1")));
-    b.observe(new Service(0, name("b"), List.of(new Srv(0, 0, "b.example.", 80))));
+    b.observe(new Service(0, name("b"), List.of(new SrvRecord(0, 0, "b.example.", 80))));
     b.settle();
     assertEquals(Set.of(name("a")), Set.copyOf(b.list.values().stream().map(Member::instance).toList()));
     assertTrue(b.module.explain(b.now, name("c")).get(0).contains("incomplete"));
@@ -501,8 +501,8 @@
   void ofTwoServiceRecordsEveryReaderTakesTheSame() {
     for (boolean turned : new boolean[] {false, true}) {
       Bench b = new Bench(1);
-      Srv x = new Srv(0, 10, "x.example.", 80);
-      Srv y = new Srv(0, 20, "y.example.", 80);
+      SrvRecord x = new SrvRecord(0, 10, "x.example.", 80);
+      SrvRecord y = new SrvRecord(0, 20, "y.example.", 80);
       b.observe(new Browsed(0, Bench.DOMAIN, Set.of(name("a")), 1, 60_000));
       b.observe(new Service(0, name("a"), turned ? List.of(y, x) : List.of(x, y)));
       b.observe(new Addresses(0, "x.example.", false, List.of("10.0.0.1")));
@@ -624,9 +624,9 @@
     int before = b.module.remembered();
     for (int i = 0; i < 1000; i++) {
       String target = "t" + i + ".example.";
-      b.observe(new Service(0, name("s1"), List.of(new Srv(0, 0, target, 80))));
+      b.observe(new Service(0, name("s1"), List.of(new SrvRecord(0, 0, target, 80))));
       b.observe(new Addresses(0, target, false, List.of("10.9.9." + i % 250)));
-      b.observe(new Service(0, name("nobody" + i), List.of(new Srv(0, 0, target, 80))));
+      b.observe(new Service(0, name("nobody" + i), List.of(new SrvRecord(0, 0, target, 80))));
       b.observe(new Text(1, name("nobody" + i), Map.of("phase", "draining")));
       b.settle();
       b.pass(10);
--- a/dnssd/src/main/java/cloverpulley/dnssd/Answer.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Answer.java
@@ -1,6 +1,6 @@
 package cloverpulley.dnssd;
 
-import cloverpulley.membership.Srv;
+import cloverpulley.membership.SrvRecord;
 import cloverpulley.membership.TextKeys;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -111,8 +111,8 @@
     return records.isEmpty() || !(records.get(0) instanceof SOARecord soa) ? -1 : soa.getSerial();
   }
 
-  List<Srv> services() {
-    List<Srv> services = new ArrayList<>();
+  List<SrvRecord> services() {
+    List<SrvRecord> services = new ArrayList<>();
     records.stream().limit(MOST_RECORDS).forEach(r -> {
       // A target that is the root says that the service is not there (RFC 2782).
       if (r instanceof SRVRecord s && !s.getTarget().equals(Name.root) && s.getPort() > 0) {
@@ -122,8 +122,8 @@
     return services;
   }
 
-  private static Srv srv(SRVRecord s) {
-    return new Srv(s.getPriority(), s.getWeight(), DnsSdConfig.text(s.getTarget()), s.getPort());
+  private static SrvRecord srv(SRVRecord s) {
+    return new SrvRecord(s.getPriority(), s.getWeight(), DnsSdConfig.text(s.getTarget()), s.getPort());
   }
 
   Map<String, String> pairs() {
@@ -143,7 +143,7 @@
   }
 
   /** What came beside a browse of one instance, all of it; null where a part is missing. */
-  record Beside(List<Srv> services, Map<String, String> pairs, Map<String, List<String>> ipv4, Map<String, List<String>> ipv6,
+  record Beside(List<SrvRecord> services, Map<String, String> pairs, Map<String, List<String>> ipv4, Map<String, List<String>> ipv6,
       long ttlMillis) {}
 
   /**
@@ -174,7 +174,7 @@
         continue;
       }
       long least = text.getTTL();
-      List<Srv> all = new ArrayList<>();
+      List<SrvRecord> all = new ArrayList<>();
       Map<String, List<String>> four = new HashMap<>();
       Map<String, List<String>> six = new HashMap<>();
       boolean complete = true;
--- a/dnssd/src/main/java/cloverpulley/dnssd/Reader.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Reader.java
@@ -16,7 +16,7 @@
 import cloverpulley.membership.Observation.ZoneSerial;
 import cloverpulley.membership.Refresh;
 import cloverpulley.membership.Serial;
-import cloverpulley.membership.Srv;
+import cloverpulley.membership.SrvRecord;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.util.ArrayDeque;
@@ -65,7 +65,7 @@
   private static final class Instance {
     final Set<String> browses = new HashSet<>();
     final String zone;
-    List<Srv> services;
+    List<SrvRecord> services;
     Map<String, String> pairs;
     int open;
     int failures;
@@ -419,7 +419,7 @@
     i.pairs = came.pairs();
     i.ttl = Math.max(config.leastTtlMillis(), came.ttlMillis());
     i.serial = serial;
-    for (Srv s : i.services) {
+    for (SrvRecord s : i.services) {
       Target t = targets.computeIfAbsent(s.target(), x -> new Target());
       t.users.add(name);
       t.ttl = i.ttl;
@@ -467,7 +467,7 @@
     }
     i.open = 2;
     i.asked = zones.get(i.zone).serial;
-    List<List<Srv>> services = new ArrayList<>();
+    List<List<SrvRecord>> services = new ArrayList<>();
     List<Map<String, String>> pairs = new ArrayList<>();
     long[] ttl = {Long.MAX_VALUE};
     ask(key.name(), Type.SRV, (a, why) -> {
@@ -490,7 +490,7 @@
     });
   }
 
-  private void part(Key key, Instance i, List<List<Srv>> services, List<Map<String, String>> pairs, long ttl) {
+  private void part(Key key, Instance i, List<List<SrvRecord>> services, List<Map<String, String>> pairs, long ttl) {
     if (--i.open > 0 || instances.get(key.name()) != i) {
       pump();
       return;
@@ -506,18 +506,18 @@
     i.serial = i.asked;
     i.ttl = Math.max(config.leastTtlMillis(), ttl);
     refresh.answered(now, key, i.ttl);
-    List<Srv> before = i.services == null ? List.of() : i.services;
+    List<SrvRecord> before = i.services == null ? List.of() : i.services;
     i.services = services.get(0);
     i.pairs = pairs.isEmpty() ? Map.of() : pairs.get(0);
     i.waitsFor.clear();
-    for (Srv s : i.services) {
+    for (SrvRecord s : i.services) {
       targets.computeIfAbsent(s.target(), t -> new Target()).users.add(key.name());
       refresh.want(now, Key.target(s.target()));
       if (refresh.isBusy(now, Key.target(s.target()))) {
         i.waitsFor.add(s.target());
       }
     }
-    for (Srv s : before) {
+    for (SrvRecord s : before) {
       if (i.services.stream().noneMatch(x -> x.target().equals(s.target()))) {
         unuse(key.name(), s.target());
       }
