--- a/decision/src/main/java/cloverpulley/membership/Membership.java
+++ b/decision/src/main/java/cloverpulley/membership/Membership.java
@@ -3,12 +3,12 @@
 import cloverpulley.membership.Instance.Word;
 import cloverpulley.membership.Member.Phase;
 import cloverpulley.membership.Observation.Addresses;
+import cloverpulley.membership.Observation.BrowseFailed;
 import cloverpulley.membership.Observation.Browsed;
-import cloverpulley.membership.Observation.Contact;
-import cloverpulley.membership.Observation.Failed;
+import cloverpulley.membership.Observation.ConnectionProbe;
 import cloverpulley.membership.Observation.Pushed;
-import cloverpulley.membership.Observation.Service;
-import cloverpulley.membership.Observation.Text;
+import cloverpulley.membership.Observation.ServiceRecords;
+import cloverpulley.membership.Observation.TextRecord;
 import cloverpulley.membership.Observation.Unchanged;
 import cloverpulley.membership.Observation.ZoneSerial;
 import java.util.ArrayList;
@@ -131,7 +131,7 @@
       onPushed(now, p);
     } else if (o instanceof Unchanged u) {
       onUnchanged(now, u);
-    } else if (o instanceof Failed f) {
+    } else if (o instanceof BrowseFailed f) {
       views[f.resolver()].domain(f.domain()).failed = true;
     } else if (o instanceof ZoneSerial z) {
       View.Domain d = views[z.resolver()].domain(z.domain());
@@ -139,9 +139,9 @@
         d.outdatedSince = -1;
         d.serial = z.serial();
       }
-    } else if (o instanceof Service s) {
+    } else if (o instanceof ServiceRecords s) {
       onService(s);
-    } else if (o instanceof Text t) {
+    } else if (o instanceof TextRecord t) {
       if (!instances.containsKey(t.instance())) {
         return; // Nothing is kept of what no list names.
       }
@@ -160,15 +160,15 @@
         ignored++;
         return;
       }
-      if (views[a.resolver()].addresses(a.target(), a.ipv6(), List.copyOf(a.figures()))) {
+      if (views[a.resolver()].addresses(a.target(), a.ipv6(), List.copyOf(a.addresses()))) {
         instancesOfTarget.getOrDefault(a.target(), Set.of()).forEach(n -> touch(instances.get(n)));
       }
-    } else if (o instanceof Contact c) {
+    } else if (o instanceof ConnectionProbe c) {
       onContact(now, c);
     }
   }
 
-  private void onService(Service s) {
+  private void onService(ServiceRecords s) {
     if (!instances.containsKey(s.instance())) {
       return; // Nothing is kept of what no list names.
     } else if (isFromOutdated(s.resolver(), s.instance())) {
@@ -413,7 +413,7 @@
 
   private void onPushed(long now, Pushed p) {
     View.Domain d = views[p.resolver()].domain(p.domain());
-    if (p.there()) {
+    if (p.added()) {
       boolean before = !d.names.add(p.instance());
       listed(now, p.resolver(), p.domain(), p.instance(), before);
     } else if (d.names.remove(p.instance()) && instances.containsKey(p.instance())) {
@@ -441,7 +441,7 @@
     waitingLooked = true;
   }
 
-  private void onContact(long now, Contact c) {
+  private void onContact(long now, ConnectionProbe c) {
     Instance i = instances.get(c.instance());
     if (i == null || i.now == null || !i.now.text().boot().isEmpty()) {
       return; // Who says when it started is believed in that.
--- a/decision/src/main/java/cloverpulley/membership/Observation.java
+++ b/decision/src/main/java/cloverpulley/membership/Observation.java
@@ -23,23 +23,23 @@
   record ZoneSerial(int resolver, String domain, long serial) implements Observation {}
 
   /** The service records of an instance; none where it has none. */
-  record Service(int resolver, String instance, List<SrvRecord> records) implements Observation {}
+  record ServiceRecords(int resolver, String instance, List<SrvRecord> records) implements Observation {}
 
   /** The text record of an instance; empty where it has none. */
-  record Text(int resolver, String instance, Map<String, String> pairs) implements Observation {}
+  record TextRecord(int resolver, String instance, Map<String, String> pairs) implements Observation {}
 
   /** Addresses of a target, in figures, of one family; none where it has none. */
-  record Addresses(int resolver, String target, boolean ipv6, List<String> figures) implements Observation {}
+  record Addresses(int resolver, String target, boolean ipv6, List<String> addresses) implements Observation {}
 
   /**
    * A push (RFC 8765): one instance came to a domain's list, or left it. Worth as much as an answer that says only that.
    *
-   * @param there whether it came
+   * @param added whether it came
    */
-  record Pushed(int resolver, String domain, String instance, boolean there) implements Observation {}
+  record Pushed(int resolver, String domain, String instance, boolean added) implements Observation {}
 
   /** No answer came to a browse of this domain, or one that is none. */
-  record Failed(int resolver, String domain) implements Observation {}
+  record BrowseFailed(int resolver, String domain) implements Observation {}
 
   /** The zone is as it was when it was last browsed: what was said then is said again. */
   record Unchanged(int resolver, String domain, long ttlMillis) implements Observation {}
@@ -49,8 +49,8 @@
    *
    * @param resolver none, -1
    */
-  record Contact(int resolver, String instance, boolean up) implements Observation {
-    public Contact(String instance, boolean up) {
+  record ConnectionProbe(int resolver, String instance, boolean up) implements Observation {
+    public ConnectionProbe(String instance, boolean up) {
       this(-1, instance, up);
     }
   }
--- a/decision/src/test/java/cloverpulley/membership/Bench.java
+++ b/decision/src/test/java/cloverpulley/membership/Bench.java
@@ -2,10 +2,10 @@
 
 import cloverpulley.membership.Member.Phase;
 import cloverpulley.membership.Observation.Addresses;
+import cloverpulley.membership.Observation.BrowseFailed;
 import cloverpulley.membership.Observation.Browsed;
-import cloverpulley.membership.Observation.Failed;
-import cloverpulley.membership.Observation.Service;
-import cloverpulley.membership.Observation.Text;
+import cloverpulley.membership.Observation.ServiceRecords;
+import cloverpulley.membership.Observation.TextRecord;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -96,15 +96,15 @@
     }
     observe(new Browsed(resolver, domain, names, serial, 60_000));
     for (Said s : servers) {
-      observe(new Service(resolver, s.label + "." + domain, List.of(new SrvRecord(s.priority, 0, s.target, s.port))));
-      observe(new Text(resolver, s.label + "." + domain, Map.copyOf(s.text)));
+      observe(new ServiceRecords(resolver, s.label + "." + domain, List.of(new SrvRecord(s.priority, 0, s.target, s.port))));
+      observe(new TextRecord(resolver, s.label + "." + domain, Map.copyOf(s.text)));
       observe(new Addresses(resolver, s.target, false, List.of(s.address)));
     }
     settle();
   }
 
   void fail(int resolver) {
-    observe(new Failed(resolver, DOMAIN));
+    observe(new BrowseFailed(resolver, DOMAIN));
     settle();
   }
 
--- a/decision/src/test/java/cloverpulley/membership/HistoriesTest.java
+++ b/decision/src/test/java/cloverpulley/membership/HistoriesTest.java
@@ -4,10 +4,10 @@
 
 import cloverpulley.membership.Member.Phase;
 import cloverpulley.membership.Observation.Addresses;
+import cloverpulley.membership.Observation.BrowseFailed;
 import cloverpulley.membership.Observation.Browsed;
-import cloverpulley.membership.Observation.Failed;
-import cloverpulley.membership.Observation.Service;
-import cloverpulley.membership.Observation.Text;
+import cloverpulley.membership.Observation.ServiceRecords;
+import cloverpulley.membership.Observation.TextRecord;
 import cloverpulley.membership.Observation.ZoneSerial;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -151,7 +151,7 @@
     void poll(int r, boolean calm) {
       Mode m = calm ? Mode.GOOD : mode[r];
       if (m == Mode.SILENT) {
-        bench.observe(new Failed(r, Bench.DOMAIN));
+        bench.observe(new BrowseFailed(r, Bench.DOMAIN));
         return;
       }
       emptied = m == Mode.EMPTY;
@@ -192,8 +192,8 @@
         if (m == Mode.GOOD || random.nextInt(10) > 0) { // Some records are lost on the way.
           String name = Bench.name(s.label);
           String target = s.label + ".hosts.example.";
-          bench.observe(new Service(r, name, List.of(new SrvRecord(0, 0, target, s.port))));
-          bench.observe(new Text(r, name, s.draining ? Map.of("started", s.boot, "phase", "draining") : Map.of("started", s.boot)));
+          bench.observe(new ServiceRecords(r, name, List.of(new SrvRecord(0, 0, target, s.port))));
+          bench.observe(new TextRecord(r, name, s.draining ? Map.of("started", s.boot, "phase", "draining") : Map.of("started", s.boot)));
           bench.observe(new Addresses(r, target, false, List.of(s.address)));
         }
       }
--- a/decision/src/test/java/cloverpulley/membership/MembershipTest.java
+++ b/decision/src/test/java/cloverpulley/membership/MembershipTest.java
@@ -13,10 +13,10 @@
 import cloverpulley.membership.Member.Phase;
 import cloverpulley.membership.Observation.Addresses;
 import cloverpulley.membership.Observation.Browsed;
-import cloverpulley.membership.Observation.Contact;
+import cloverpulley.membership.Observation.ConnectionProbe;
 import cloverpulley.membership.Observation.Pushed;
-import cloverpulley.membership.Observation.Service;
-import cloverpulley.membership.Observation.Text;
+import cloverpulley.membership.Observation.ServiceRecords;
+import cloverpulley.membership.Observation.TextRecord;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
@@ -439,8 +439,8 @@
     b.answer(0, 1, said("s0", 0), said("s1", 1).boot("b"));
     b.pass(10_000);
     for (String s : new String[] {"s0", "s1"}) {
-      b.observe(new Contact(name(s), false));
-      b.observe(new Contact(name(s), true));
+      b.observe(new ConnectionProbe(name(s), false));
+      b.observe(new ConnectionProbe(name(s), true));
     }
     b.settle();
     assertEquals(b.now, b.member("s0").upSince());
@@ -486,9 +486,9 @@
   void anInstanceWithoutServiceOrAddressIsNotUsed() {
     Bench b = new Bench(1);
     b.observe(new Browsed(0, Bench.DOMAIN, Set.of(name("a"), name("b"), name("c")), 1, 60_000));
-    b.observe(new Service(0, name("a"), List.of(new SrvRecord(0, 0, "a.example.", 80))));
+    b.observe(new ServiceRecords(0, name("a"), List.of(new SrvRecord(0, 0, "a.example.", 80))));
     b.observe(new Addresses(0, "a.example.", false, List.of("10.0.0.1")));
-    b.observe(new Service(0, name("b"), List.of(new SrvRecord(0, 0, "b.example.", 80))));
+    b.observe(new ServiceRecords(0, name("b"), List.of(new SrvRecord(0, 0, "b.example.", 80))));
     b.settle();
     assertEquals(Set.of(name("a")), Set.copyOf(b.list.values().stream().map(Member::instance).toList()));
     assertTrue(b.module.explain(b.now, name("c")).get(0).contains("incomplete"));
@@ -504,7 +504,7 @@
       SrvRecord x = new SrvRecord(0, 10, "x.example.", 80);
       SrvRecord y = new SrvRecord(0, 20, "y.example.", 80);
       b.observe(new Browsed(0, Bench.DOMAIN, Set.of(name("a")), 1, 60_000));
-      b.observe(new Service(0, name("a"), turned ? List.of(y, x) : List.of(x, y)));
+      b.observe(new ServiceRecords(0, name("a"), turned ? List.of(y, x) : List.of(x, y)));
       b.observe(new Addresses(0, "x.example.", false, List.of("10.0.0.1")));
       b.observe(new Addresses(0, "y.example.", false, List.of("10.0.0.3", "10.0.0.2")));
       b.settle();
@@ -591,7 +591,7 @@
     b.observe(new Pushed(0, Bench.DOMAIN, name("s1"), false));
     b.settle();
     assertNull(b.phase("s1"));
-    b.observe(new Text(0, name("s2"), Map.of("phase", "draining")));
+    b.observe(new TextRecord(0, name("s2"), Map.of("phase", "draining")));
     b.settle();
     assertEquals(Phase.DRAINING, b.phase("s2"));
   }
@@ -624,10 +624,10 @@
     int before = b.module.remembered();
     for (int i = 0; i < 1000; i++) {
       String target = "t" + i + ".example.";
-      b.observe(new Service(0, name("s1"), List.of(new SrvRecord(0, 0, target, 80))));
+      b.observe(new ServiceRecords(0, name("s1"), List.of(new SrvRecord(0, 0, target, 80))));
       b.observe(new Addresses(0, target, false, List.of("10.9.9." + i % 250)));
-      b.observe(new Service(0, name("nobody" + i), List.of(new SrvRecord(0, 0, target, 80))));
-      b.observe(new Text(1, name("nobody" + i), Map.of("phase", "draining")));
+      b.observe(new ServiceRecords(0, name("nobody" + i), List.of(new SrvRecord(0, 0, target, 80))));
+      b.observe(new TextRecord(1, name("nobody" + i), Map.of("phase", "draining")));
       b.settle();
       b.pass(10);
     }
--- a/dnssd/src/main/java/cloverpulley/dnssd/Contacts.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Contacts.java
@@ -44,9 +44,9 @@
       open.remove(m.instance());
       if (f.isSuccess()) {
         f.channel().close();
-        sink.accept(new Observation.Contact(m.instance(), true));
+        sink.accept(new Observation.ConnectionProbe(m.instance(), true));
       } else if (f.cause() instanceof ConnectException && !(f.cause() instanceof io.netty.channel.ConnectTimeoutException)) {
-        sink.accept(new Observation.Contact(m.instance(), false));
+        sink.accept(new Observation.ConnectionProbe(m.instance(), false));
       }
     });
   }
--- a/dnssd/src/main/java/cloverpulley/dnssd/Push.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Push.java
@@ -290,7 +290,7 @@
       if (r.type() == Type.TXT && !r.removed() && reader.knows(r.name())) {
         Map<String, String> pairs = TextKeys.pairs(r.strings());
         if (config.keys().read(pairs).draining()) {
-          sink.accept(new Observation.Text(number, r.name(), pairs));
+          sink.accept(new Observation.TextRecord(number, r.name(), pairs));
         }
       }
       reader.changedInstance(now, r.name());
--- a/dnssd/src/main/java/cloverpulley/dnssd/Reader.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Reader.java
@@ -8,10 +8,10 @@
 import cloverpulley.dnssd.DnsSdConfig.Browse;
 import cloverpulley.membership.Observation;
 import cloverpulley.membership.Observation.Addresses;
+import cloverpulley.membership.Observation.BrowseFailed;
 import cloverpulley.membership.Observation.Browsed;
-import cloverpulley.membership.Observation.Failed;
-import cloverpulley.membership.Observation.Service;
-import cloverpulley.membership.Observation.Text;
+import cloverpulley.membership.Observation.ServiceRecords;
+import cloverpulley.membership.Observation.TextRecord;
 import cloverpulley.membership.Observation.Unchanged;
 import cloverpulley.membership.Observation.ZoneSerial;
 import cloverpulley.membership.Refresh;
@@ -228,7 +228,7 @@
     Zone z = zoneOf(key);
     if (key.kind() != Key.Kind.SERIAL && isDown()) {
       if (key.kind() == Key.Kind.BROWSE) {
-        sink.accept(new Failed(number, key.name()));
+        sink.accept(new BrowseFailed(number, key.name()));
       }
       refresh.failed(now, key); // The serial tells when it is back.
     } else if (z != null && key.kind() != Key.Kind.SERIAL && isSame(z, key)) {
@@ -365,7 +365,7 @@
   private void onBrowse(Key key, Answer a, long serial) {
     Browse b = browses.get(key.name());
     if (a == null) {
-      sink.accept(new Failed(number, key.name()));
+      sink.accept(new BrowseFailed(number, key.name()));
       refresh.failed(now, key);
       pump();
       return;
@@ -432,8 +432,8 @@
         sink.accept(new Addresses(number, s.target(), six, figures));
       }
     }
-    sink.accept(new Service(number, name, i.services));
-    sink.accept(new Text(number, name, i.pairs));
+    sink.accept(new ServiceRecords(number, name, i.services));
+    sink.accept(new TextRecord(number, name, i.pairs));
     refresh.want(now, Key.instance(name));
     refresh.answered(now, Key.instance(name), i.ttl);
   }
@@ -483,7 +483,7 @@
         ttl[0] = Math.min(ttl[0], a.ttlMillis());
         // Rule 3: what says that it drains waits for nothing.
         if (config.keys().read(a.pairs()).draining() && instances.get(key.name()) == i && i.services != null) {
-          sink.accept(new Text(number, key.name(), a.pairs()));
+          sink.accept(new TextRecord(number, key.name(), a.pairs()));
         }
       }
       part(key, i, services, pairs, ttl[0]);
@@ -529,8 +529,8 @@
   }
 
   private void handOn(String name, Instance i) {
-    sink.accept(new Service(number, name, i.services));
-    sink.accept(new Text(number, name, i.pairs));
+    sink.accept(new ServiceRecords(number, name, i.services));
+    sink.accept(new TextRecord(number, name, i.pairs));
   }
 
   private void askTarget(Key key) {
