--- a/decision/src/main/java/cloverpulley/membership/Membership.java
+++ b/decision/src/main/java/cloverpulley/membership/Membership.java
@@ -99,13 +99,13 @@
    *
    * @param priority of its service record, which decides whether it is a reserve
    */
-  public void held(long now, Member m, String domain, int priority, String boot) {
+  public void held(long now, Member m, String domain, int priority, String bootId) {
     start(now);
     Instance i = instance(m.instance(), domain, now);
     if (i == null || i.believed) {
       return;
     }
-    TextKeys.Read text = new TextKeys.Read(m.zone(), "", m.cell(), m.size(), m.phase() == Phase.DRAINING, started(boot), boot, Map.of(), List.of());
+    TextKeys.Attributes text = new TextKeys.Attributes(m.zone(), "", m.cell(), m.size(), m.phase() == Phase.DRAINING, started(bootId), bootId, Map.of(), List.of());
     i.believed = true;
     heldOnly.add(i);
     i.upSince = m.upSince();
@@ -118,8 +118,8 @@
     touch(i);
   }
 
-  private static long started(String boot) {
-    return boot.matches("\\d{1,15}") ? Long.parseLong(boot) : 0;
+  private static long started(String bootId) {
+    return bootId.matches("\\d{1,15}") ? Long.parseLong(bootId) : 0;
   }
 
   /** Takes one observation in; {@link #settle} says what comes of it. */
@@ -145,7 +145,7 @@
       if (!instances.containsKey(t.instance())) {
         return; // Nothing is kept of what no list names.
       }
-      TextKeys.Read read = keys.read(t.pairs());
+      TextKeys.Attributes read = keys.parse(t.pairs());
       // Leaving is not taken back by a zone that is late; it may be late in saying it.
       if (!read.draining() && isFromOutdated(t.resolver(), t.instance())) {
         ignored++;
@@ -443,7 +443,7 @@
 
   private void onContact(long now, ConnectionProbe c) {
     Instance i = instances.get(c.instance());
-    if (i == null || i.now == null || !i.now.text().boot().isEmpty()) {
+    if (i == null || i.now == null || !i.now.text().bootId().isEmpty()) {
       return; // Who says when it started is believed in that.
     }
     if (c.up() && i.refused) {
@@ -771,7 +771,7 @@
     int by = -1;
     boolean said = false;
     for (int r = 0; r < views.length; r++) {
-      TextKeys.Read text = i.words[r].listed && !isForgotten(now, i, r) ? textOfNow(i, r) : null;
+      TextKeys.Attributes text = i.words[r].listed && !isForgotten(now, i, r) ? textOfNow(i, r) : null;
       if (text != null && text.draining()) {
         i.words[r].drains = true;
         by = by < 0 ? r : by;
@@ -808,7 +808,7 @@
   }
 
   /** What a resolver's text says of the present life; a text without a service record speaks of whoever bears the name now. */
-  private TextKeys.Read textOfNow(Instance i, int r) {
+  private TextKeys.Attributes textOfNow(Instance i, int r) {
     Incarnation its = views[r].incarnation(i.name, i.now.address());
     return its == null ? views[r].texts.get(i.name) : its.isSame(i.now) ? its.text() : null;
   }
@@ -995,7 +995,7 @@
     if (!i.draining) {
       i.say(why, by);
     }
-    if (i.now.text().boot().isEmpty() && !isFirst(i)) {
+    if (i.now.text().bootId().isEmpty() && !isFirst(i)) {
       i.upSince = now; // It may have started at any time since it was last heard of.
     }
     index(i);
@@ -1228,12 +1228,12 @@
     for (int r = 0; r < views.length; r++) {
       Word w = i.words[r];
       Incarnation said = views[r].incarnation(name, null);
-      TextKeys.Read text = views[r].texts.get(name);
+      TextKeys.Attributes text = views[r].texts.get(name);
       lines.add("  resolver " + r + (live(r, i, now) ? "" : " (silent)") + ": " + (w.listed ? "names it"
           : w.absentSince >= 0 ? "names it no more" + (w.suspect ? ", in an answer that is doubted" : "") : "has not named it")
           + (said == null ? ", no service or no address" : ", " + said.identity() + " at " + said.address())
           + (text != null && text.draining() ? ", draining" : "")
-          + (text == null || text.further().isEmpty() ? "" : ", further " + text.further()));
+          + (text == null || text.unknownKeys().isEmpty() ? "" : ", further " + text.unknownKeys()));
     }
     i.endedLives().forEach((identity, at) -> lines.add("  was " + identity + " until " + at));
     return lines;
@@ -1242,9 +1242,9 @@
   /** For a held list: the priority of the service record, the boot and the domain of a server on the list. */
   public Held heldFacts(Member m) {
     Instance i = instances.get(m.instance());
-    return i == null || i.now == null ? new Held("", 0, "") : new Held(i.domain, i.now.srv().priority(), i.now.text().boot());
+    return i == null || i.now == null ? new Held("", 0, "") : new Held(i.domain, i.now.srv().priority(), i.now.text().bootId());
   }
 
   /** What a held list needs beside the member. */
-  public record Held(String domain, int priority, String boot) {}
+  public record Held(String domain, int priority, String bootId) {}
 }
--- a/decision/src/main/java/cloverpulley/membership/TextKeys.java
+++ b/decision/src/main/java/cloverpulley/membership/TextKeys.java
@@ -17,7 +17,7 @@
  */
 public record TextKeys(String locality, String flavor, String cell, String size, String phase, String started) {
 
-  public static final TextKeys USUAL = new TextKeys("locality", "flavor", "cell", "size", "phase", "started");
+  public static final TextKeys DEFAULT = new TextKeys("locality", "flavor", "cell", "size", "phase", "started");
 
   private static final int MOST_VALUE = 64;
   private static final Pattern NUMBER = Pattern.compile("\\d{1,9}(\\.\\d{1,6})?");
@@ -30,15 +30,15 @@
    *
    * @param size 0 where it says none
    * @param started Unix milliseconds; 0 where it says none or a word
-   * @param boot the same as text, or the word; empty where it says none
-   * @param further keys that nobody here knows, for operators to see
+   * @param bootId the same as text, or the word; empty where it says none
+   * @param unknownKeys keys that nobody here knows, for operators to see
    * @param problems values that were ignored, and why
    */
-  public record Read(String locality, String flavor, int cell, double size, boolean draining, long started, String boot,
-      Map<String, String> further, List<String> problems) {}
+  public record Attributes(String locality, String flavor, int cell, double size, boolean draining, long started, String bootId,
+      Map<String, String> unknownKeys, List<String> problems) {}
 
   /** What an instance without a text is: ready, of the usual size, started nobody knows when. */
-  static final Read NONE = new Read("", "", 0, 0, false, 0, "", Map.of(), List.of());
+  static final Attributes NONE = new Attributes("", "", 0, 0, false, 0, "", Map.of(), List.of());
 
   /** The pairs of a record's strings (RFC 6763, 6.4): the first of several wins, one without a key is skipped. */
   public static Map<String, String> pairs(List<byte[]> strings) {
@@ -55,7 +55,7 @@
   }
 
   /** Reads the pairs; a value that is none is named and ignored. */
-  public Read read(Map<String, String> pairs) {
+  public Attributes parse(Map<String, String> pairs) {
     List<String> problems = new ArrayList<>();
     String at = word(pairs, locality, problems);
     String kind = word(pairs, flavor, problems);
@@ -77,12 +77,12 @@
       problems.add(phase + ": expected ready or draining, got \"" + cut(state) + "\", taken as draining");
     }
     String said = word(pairs, started, problems);
-    String boot = said.equals("0") ? "" : said; // 0 is how those who don't know write it.
-    long since = WHOLE.matcher(boot).matches() ? Long.parseLong(boot) : 0;
+    String bootId = said.equals("0") ? "" : said; // 0 is how those who don't know write it.
+    long since = WHOLE.matcher(bootId).matches() ? Long.parseLong(bootId) : 0;
     Set<String> known = new HashSet<>(List.of(lower(locality), lower(flavor), lower(cell), lower(size), lower(phase), lower(started)));
-    Map<String, String> further = new LinkedHashMap<>(pairs);
-    further.keySet().removeAll(known);
-    return new Read(at, kind, wrongCell || group.isEmpty() ? 0 : Integer.parseInt(group), factor, !ready, since, boot, further,
+    Map<String, String> unknownKeys = new LinkedHashMap<>(pairs);
+    unknownKeys.keySet().removeAll(known);
+    return new Attributes(at, kind, wrongCell || group.isEmpty() ? 0 : Integer.parseInt(group), factor, !ready, since, bootId, unknownKeys,
         problems);
   }
 
--- a/decision/src/main/java/cloverpulley/membership/View.java
+++ b/decision/src/main/java/cloverpulley/membership/View.java
@@ -1,6 +1,6 @@
 package cloverpulley.membership;
 
-import cloverpulley.membership.TextKeys.Read;
+import cloverpulley.membership.TextKeys.Attributes;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -33,7 +33,7 @@
 
   final Map<String, Domain> domains = new HashMap<>();
   final Map<String, List<SrvRecord>> services = new HashMap<>();
-  final Map<String, Read> texts = new HashMap<>();
+  final Map<String, Attributes> texts = new HashMap<>();
   private final Map<String, List<String>> ipv4 = new HashMap<>();
   private final Map<String, List<String>> ipv6 = new HashMap<>();
 
--- a/decision/src/test/java/cloverpulley/membership/Bench.java
+++ b/decision/src/test/java/cloverpulley/membership/Bench.java
@@ -28,7 +28,7 @@
 
   Bench(Rules rules) {
     this.rules = rules;
-    module = new Membership(rules, TextKeys.USUAL);
+    module = new Membership(rules, TextKeys.DEFAULT);
   }
 
   Bench(int resolvers) {
--- a/decision/src/test/java/cloverpulley/membership/MembershipTest.java
+++ b/decision/src/test/java/cloverpulley/membership/MembershipTest.java
@@ -567,7 +567,7 @@
     Bench next = new Bench(2);
     first.list.values().forEach(m -> {
       Membership.Held h = first.module.heldFacts(m);
-      next.module.held(next.now, m, h.domain(), h.priority(), h.boot());
+      next.module.held(next.now, m, h.domain(), h.priority(), h.bootId());
     });
     next.settle();
     assertEquals(first.list, next.list);
@@ -644,15 +644,15 @@
 
   @Test
   void textsAreReadWithWhatIsWrongNamed() {
-    TextKeys.Read r = TextKeys.USUAL.read(Map.of("locality", "a", "cell", "x", "size", "0", "phase", "draining", "started", "12", "rack", "7"));
+    TextKeys.Attributes r = TextKeys.DEFAULT.parse(Map.of("locality", "a", "cell", "x", "size", "0", "phase", "draining", "started", "12", "rack", "7"));
     assertEquals("a", r.locality());
     assertEquals(0, r.cell());
     assertEquals(0, r.size());
     assertTrue(r.draining());
     assertEquals(12, r.started());
-    assertEquals(Map.of("rack", "7"), r.further());
+    assertEquals(Map.of("rack", "7"), r.unknownKeys());
     assertEquals(2, r.problems().size(), r.problems().toString());
-    assertEquals("", TextKeys.USUAL.read(Map.of("started", "0")).boot(), "0 is no start");
+    assertEquals("", TextKeys.DEFAULT.parse(Map.of("started", "0")).bootId(), "0 is no start");
     assertEquals(Map.of("phase", "x=y", "flag", ""), TextKeys.pairs(List.of("Phase=x=y".getBytes(), "phase=z".getBytes(),
         "flag".getBytes(), "=lost".getBytes(), new byte[0])));
   }
--- a/dnssd/src/main/java/cloverpulley/dnssd/DnsSdConfig.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/DnsSdConfig.java
@@ -98,7 +98,7 @@
         millis(t, "lone_wait_ms", 0, u.loneWaitMillis()), (int) t.whole("reserve_below", 1, 100_000, u.reserveBelow()),
         (int) t.whole("instances", 1, 1_000_000, u.mostInstances()));
     Section k = s.table("text");
-    TextKeys d = TextKeys.USUAL;
+    TextKeys d = TextKeys.DEFAULT;
     TextKeys keys = new TextKeys(k.text("locality", d.locality()), k.text("flavor", d.flavor()), k.text("cell", d.cell()),
         k.text("size", d.size()), k.text("phase", d.phase()), k.text("started", d.started()));
     String file = s.text("records_file", "");
--- a/dnssd/src/main/java/cloverpulley/dnssd/DnsSdSource.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/DnsSdSource.java
@@ -131,7 +131,7 @@
 
   private void look() {
     for (Member m : membership.members()) {
-      if (membership.heldFacts(m).boot().isEmpty()) {
+      if (membership.heldFacts(m).bootId().isEmpty()) {
         contacts.look(m);
       }
     }
--- a/dnssd/src/main/java/cloverpulley/dnssd/Reader.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Reader.java
@@ -482,7 +482,7 @@
         pairs.add(a.pairs());
         ttl[0] = Math.min(ttl[0], a.ttlMillis());
         // Rule 3: what says that it drains waits for nothing.
-        if (config.keys().read(a.pairs()).draining() && instances.get(key.name()) == i && i.services != null) {
+        if (config.keys().parse(a.pairs()).draining() && instances.get(key.name()) == i && i.services != null) {
           sink.accept(new TextRecord(number, key.name(), a.pairs()));
         }
       }
