--- a/decision/src/main/java/cloverpulley/membership/Why.java
+++ b/decision/src/main/java/cloverpulley/membership/ChangeReason.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 
 /** Why something is believed, or not: the one list of words for records, tools and pages. */
-public enum Why {
+public enum ChangeReason {
   /** As many resolvers as have to name it do. */
   CORROBORATED,
   /** One resolver alone names it, within the part that its weight gives it. */
@@ -48,7 +48,7 @@
   TOO_MANY;
 
   /** As records and pages write it. */
-  public String word() {
+  public String code() {
     return name().toLowerCase(Locale.ROOT);
   }
 }
--- a/decision/src/main/java/cloverpulley/membership/Instance.java
+++ b/decision/src/main/java/cloverpulley/membership/Instance.java
@@ -56,7 +56,7 @@
   long timerAt = Long.MAX_VALUE;
 
   /** Why it is as it is, and on whose word. */
-  Why why;
+  ChangeReason why;
   int onWord = -1;
   /** As the list has it; null where it is not on it. */
   Member shown;
@@ -103,7 +103,7 @@
     return false;
   }
 
-  void say(Why reason, int resolver) {
+  void say(ChangeReason reason, int resolver) {
     why = reason;
     onWord = resolver;
   }
--- a/decision/src/main/java/cloverpulley/membership/Membership.java
+++ b/decision/src/main/java/cloverpulley/membership/Membership.java
@@ -111,7 +111,7 @@
     i.upSince = m.upSince();
     i.draining = m.phase() == Phase.DRAINING;
     i.lastDrainWordAt = now;
-    i.say(Why.HELD_LIST, -1);
+    i.say(ChangeReason.HELD_LIST, -1);
     corroborated++;
     known++;
     become(i, new Incarnation(new SrvRecord(priority, 0, m.target(), m.port()), m.address(), text), now);
@@ -236,7 +236,7 @@
     Instance i = instances.get(name);
     if (i == null) {
       if (instances.size() >= rules.mostInstances()) {
-        problem(name + " " + Why.TOO_MANY.word());
+        problem(name + " " + ChangeReason.TOO_MANY.code());
         return null;
       }
       i = new Instance(name, domain, views.length);
@@ -448,7 +448,7 @@
     }
     if (c.up() && i.refused) {
       i.upSince = now;
-      i.say(Why.RESTARTED, -1);
+      i.say(ChangeReason.RESTARTED, -1);
       touch(i);
     }
     i.refused = !c.up();
@@ -590,7 +590,7 @@
       return;
     }
     if (i.now == null) {
-      i.say(Why.INCOMPLETE, -1);
+      i.say(ChangeReason.INCOMPLETE, -1);
       return;
     }
     if (present != null) {
@@ -601,7 +601,7 @@
     } else if (present != null && !present.equals(i.now)) {
       boolean moved = !present.address().equals(i.now.address());
       if (i.believed && !i.withdrawn && !i.draining) {
-        i.say(moved ? Why.RENUMBERED : i.why == Why.HELD_LIST ? Why.CORROBORATED : Why.CHANGED, presentBy);
+        i.say(moved ? ChangeReason.RENUMBERED : i.why == ChangeReason.HELD_LIST ? ChangeReason.CORROBORATED : ChangeReason.CHANGED, presentBy);
       }
       become(i, present, now);
     }
@@ -666,7 +666,7 @@
     i.refused = false;
     i.upSince = next.text().started() > 0 ? upSince(now, i, next) : now;
     if (i.believed) {
-      i.say(Why.SUCCEEDED, by);
+      i.say(ChangeReason.SUCCEEDED, by);
       if (views.length > 1 && i.loneBy < 0 && agreeing(now, i, next) < rules.witnesses()) {
         corroborated--;
         lone[by]++;
@@ -789,7 +789,7 @@
       if (!i.draining) {
         i.draining = true;
         i.drainBy = by;
-        i.say(Why.DRAINING, by);
+        i.say(ChangeReason.DRAINING, by);
       }
     } else if (i.draining && agreeing(now, i, i.now) > 0) {
       // Guards against one that goes to and fro, and against others who haven't heard of it yet.
@@ -802,7 +802,7 @@
         w.drains = false;
       }
       i.draining = false;
-      i.say(Why.READY_AGAIN, i.drainBy);
+      i.say(ChangeReason.READY_AGAIN, i.drainBy);
       i.drainBy = -1;
     }
   }
@@ -829,7 +829,7 @@
           i.withdrawnAt = now;
           i.lastAbsentAt = now;
           i.withdrawnBy = r;
-          i.say(Why.WITHDRAWN, r);
+          i.say(ChangeReason.WITHDRAWN, r);
         }
       }
       if (!i.withdrawn) {
@@ -841,7 +841,7 @@
     boolean named = namedBy(i, now) > 0;
     if (by.listed) {
       if (now - i.lastAbsentAt >= rules.settleMillis()) {
-        restore(i, Why.RETURNED);
+        restore(i, ChangeReason.RETURNED);
       } else {
         timer(i, i.lastAbsentAt + rules.settleMillis());
       }
@@ -852,7 +852,7 @@
     } else if (now - i.withdrawnAt >= rules.longestTtlMillis()) {
       // No cache holds any more what was so before the withdrawal: who names it now has it from the zone.
       if (2 * namedBy(i, now) > namedBy(i, now) + missedBy(i, now)) {
-        restore(i, Why.OVERRULED);
+        restore(i, ChangeReason.OVERRULED);
         for (Word w : i.words) {
           w.absentSince = -1;
         }
@@ -864,7 +864,7 @@
     }
   }
 
-  private void restore(Instance i, Why why) {
+  private void restore(Instance i, ChangeReason why) {
     i.withdrawn = false;
     contested--;
     i.say(why, i.withdrawnBy);
@@ -895,7 +895,7 @@
         i.loneBy = -1;
         corroborated++;
         if (!i.withdrawn && !i.draining) {
-          i.say(Why.CORROBORATED, -1);
+          i.say(ChangeReason.CORROBORATED, -1);
         }
       }
       return;
@@ -906,7 +906,7 @@
     }
     if (views.length == 1 || named >= rules.witnesses()) {
       corroborated++;
-      enter(i, Why.CORROBORATED, -1, now);
+      enter(i, ChangeReason.CORROBORATED, -1, now);
       return;
     }
     int by = firstAgreeing(now, i);
@@ -914,13 +914,13 @@
     if (othersSilent && isSolo(now, i, by)) {
       lone[by]++;
       i.loneBy = by;
-      enter(i, Why.ONLY_VOICE, by, now);
+      enter(i, ChangeReason.ONLY_VOICE, by, now);
     } else if (isOpen(now, i) && lone[by] < cap(now, by, i)) {
       lone[by]++;
       i.loneBy = by;
-      enter(i, Why.LONE_VOICE, by, now);
+      enter(i, ChangeReason.LONE_VOICE, by, now);
     } else {
-      i.say(Why.TOO_FEW_WITNESSES, by);
+      i.say(ChangeReason.TOO_FEW_WITNESSES, by);
       waiting.add(i);
       timer(i, now + Math.max(1, othersSilent ? rules.loneWaitMillis() : rules.longestTtlMillis()));
     }
@@ -986,7 +986,7 @@
     return (int) Math.floor(rules.weights().get(by) * sure + 1e-9);
   }
 
-  private void enter(Instance i, Why why, int by, long now) {
+  private void enter(Instance i, ChangeReason why, int by, long now) {
     waiting.remove(i);
     i.believed = true;
     i.withdrawn = false;
@@ -1061,7 +1061,7 @@
     if (i.believed && isStale(now, i)) {
       unbelieve(i);
       i.goneAt = now;
-      i.say(Why.STALE_LIMIT, -1);
+      i.say(ChangeReason.STALE_LIMIT, -1);
       timer(i, now + rules.longestTtlMillis());
     }
     Member next = member(now, i);
@@ -1077,8 +1077,8 @@
     i.shown = next;
   }
 
-  private Why why(Instance i, Member next) {
-    return next.phase() != Phase.DRAINING || i.draining || i.withdrawn ? i.why : Why.RESERVE;
+  private ChangeReason why(Instance i, Member next) {
+    return next.phase() != Phase.DRAINING || i.draining || i.withdrawn ? i.why : ChangeReason.RESERVE;
   }
 
   private Member member(long now, Instance i) {
@@ -1111,8 +1111,8 @@
         best = other;
       }
     }
-    if (best != i && i.why != Why.DUPLICATE) {
-      i.say(Why.DUPLICATE, -1);
+    if (best != i && i.why != ChangeReason.DUPLICATE) {
+      i.say(ChangeReason.DUPLICATE, -1);
     }
     return best;
   }
@@ -1219,7 +1219,7 @@
     }
     List<String> lines = new ArrayList<>();
     lines.add(name + ": " + (i.shown == null ? "not on the list" : i.shown.phase().name().toLowerCase(java.util.Locale.ROOT)
-        + " at " + i.shown.address() + ":" + i.shown.port()) + (i.why == null ? "" : ", " + i.why.word())
+        + " at " + i.shown.address() + ":" + i.shown.port()) + (i.why == null ? "" : ", " + i.why.code())
         + (i.onWord < 0 ? "" : ", on the word of resolver " + i.onWord));
     if (i.shown != null) {
       lines.add("  id " + i.shown.id() + ", up since " + (i.shown.upSince() == 0 ? "long ago" : i.shown.upSince())
--- a/decision/src/test/java/cloverpulley/membership/MembershipTest.java
+++ b/decision/src/test/java/cloverpulley/membership/MembershipTest.java
@@ -58,7 +58,7 @@
     assertEquals(0, b.ready());
     b.pass(b.rules.firstWaitMillis());
     assertEquals(10, b.ready());
-    assertEquals(Why.ONLY_VOICE, b.last().why());
+    assertEquals(ChangeReason.ONLY_VOICE, b.last().reason());
   }
 
   @Test
@@ -67,7 +67,7 @@
     b.answer(0, 1, fleet(0, 10));
     b.answer(1, 1, fleet(0, 10));
     assertEquals(10, b.ready());
-    assertEquals(Why.CORROBORATED, b.last().why());
+    assertEquals(ChangeReason.CORROBORATED, b.last().reason());
   }
 
   @Test
@@ -91,8 +91,8 @@
     one[2].phase("draining");
     b.answer(1, 2, one);
     assertEquals(Phase.DRAINING, b.phase("s2"));
-    assertEquals(Why.DRAINING, b.last().why());
-    assertEquals(1, b.last().onWord());
+    assertEquals(ChangeReason.DRAINING, b.last().reason());
+    assertEquals(1, b.last().resolver());
     b.answer(0, 1, fleet(0, 5));
     b.answer(2, 1, fleet(0, 5));
     b.pass(b.rules.settleMillis() * 3);
@@ -112,7 +112,7 @@
     }
     b.pass(b.rules.settleMillis());
     assertEquals(Phase.READY, b.phase("s0"));
-    assertEquals(Why.READY_AGAIN, b.last().why());
+    assertEquals(ChangeReason.READY_AGAIN, b.last().reason());
   }
 
   @Test
@@ -140,7 +140,7 @@
     assertEquals(Phase.DRAINING, b.phase("s3"));
     b.answer(1, 2, without(fleet(0, 5), "s3"));
     assertNull(b.phase("s3"));
-    assertEquals(Why.WITHDRAWN, b.last().why());
+    assertEquals(ChangeReason.WITHDRAWN, b.last().reason());
   }
 
   @Test
@@ -252,7 +252,7 @@
     assertEquals(10, b.ready());
     b.pass(1);
     assertEquals(0, b.list.size());
-    assertEquals(Why.STALE_LIMIT, b.last().why());
+    assertEquals(ChangeReason.STALE_LIMIT, b.last().reason());
   }
 
   @Test
@@ -361,7 +361,7 @@
     Member now = b.member("s1");
     assertNotEquals(old.id(), now.id());
     assertEquals(b.now, now.upSince());
-    assertEquals(Why.SUCCEEDED, b.last().why());
+    assertEquals(ChangeReason.SUCCEEDED, b.last().reason());
     assertFalse(b.list.containsKey(old.id()));
   }
 
@@ -430,7 +430,7 @@
     assertEquals(before.id(), after.id());
     assertEquals(before.upSince(), after.upSince());
     assertEquals("10.7.7.7", after.address());
-    assertEquals(Why.RENUMBERED, b.last().why());
+    assertEquals(ChangeReason.RENUMBERED, b.last().reason());
   }
 
   @Test
@@ -553,8 +553,8 @@
     b.pass(b.rules.settleMillis());
     assertEquals(Phase.READY, b.phase("s0"));
     assertEquals(Phase.DRAINING, b.phase("r0"));
-    assertEquals(Why.RESERVE, b.changes.stream().filter(c -> c.member().instance().equals(name("r0"))).reduce((x, y) -> y)
-        .orElseThrow().why());
+    assertEquals(ChangeReason.RESERVE, b.changes.stream().filter(c -> c.member().instance().equals(name("r0"))).reduce((x, y) -> y)
+        .orElseThrow().reason());
   }
 
   // ---- The list held -------------------------------------------------------------------------------------
@@ -571,7 +571,7 @@
     });
     next.settle();
     assertEquals(first.list, next.list);
-    assertEquals(Why.HELD_LIST, next.last().why());
+    assertEquals(ChangeReason.HELD_LIST, next.last().reason());
     next.answer(0, -1);
     assertEquals(10, next.ready(), "an empty first answer takes nothing");
     next.answer(0, 3, without(and(fleet(0, 9), said("s9", 9).boot("b9")), "s4"));
--- a/dnssd/src/main/java/cloverpulley/dnssd/ChangeLog.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/ChangeLog.java
@@ -77,9 +77,9 @@
       g.writeStringField("address", m.address());
       g.writeNumberField("port", m.port());
       g.writeStringField("phase", m.phase().name().toLowerCase(java.util.Locale.ROOT));
-      g.writeStringField("why", c.why().word());
-      if (c.onWord() >= 0) {
-        g.writeNumberField("resolver", c.onWord());
+      g.writeStringField("why", c.reason().code());
+      if (c.resolver() >= 0) {
+        g.writeNumberField("resolver", c.resolver());
       }
       g.writeNumberField("up_since_ms", m.upSince());
       if (lost > 0) {
--- a/dnssd/src/main/java/cloverpulley/dnssd/DnsSdView.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/DnsSdView.java
@@ -90,7 +90,7 @@
     on(() -> {
       source.members().forEach(m -> line.accept(Instant.now() + " " + m.phase().name().toLowerCase(java.util.Locale.ROOT) + " " + m.id()));
       source.onChange(c -> line.accept(Instant.ofEpochMilli(c.at()) + " " + c.member().phase().name().toLowerCase(java.util.Locale.ROOT)
-          + " " + c.member().id() + " why=" + c.why().word() + (c.onWord() < 0 ? "" : " resolver=" + c.onWord())));
+          + " " + c.member().id() + " why=" + c.reason().code() + (c.resolver() < 0 ? "" : " resolver=" + c.resolver())));
       return null;
     });
     if (seconds > 0) {
