--- a/decision/src/main/java/cloverpulley/membership/Membership.java
+++ b/decision/src/main/java/cloverpulley/membership/Membership.java
@@ -235,7 +235,7 @@
   private Instance instance(String name, String domain, long now) {
     Instance i = instances.get(name);
     if (i == null) {
-      if (instances.size() >= rules.mostInstances()) {
+      if (instances.size() >= rules.maxInstances()) {
         problem(name + " " + ChangeReason.TOO_MANY.code());
         return null;
       }
@@ -692,7 +692,7 @@
    */
   private long upSince(long now, Instance i, Incarnation x) {
     if (x.text().started() > 0) {
-      return Math.min(now, x.text().started() + rules.skewMillis());
+      return Math.min(now, x.text().started() + rules.clockSkewMillis());
     }
     return isFirst(i) ? 0 : now;
   }
--- a/decision/src/main/java/cloverpulley/membership/Rules.java
+++ b/decision/src/main/java/cloverpulley/membership/Rules.java
@@ -13,15 +13,15 @@
  * @param settleMillis how long nobody may say that an instance drains or is gone before it serves again
  * @param longestTtlMillis the longest that a cache may keep a record, to which all TTLs are cut
  * @param staleMillis how long past its TTL a list is kept while all resolvers are silent
- * @param skewMillis the most by which the clocks of publisher and reader differ
+ * @param clockSkewMillis the most by which the clocks of publisher and reader differ
  * @param firstWaitMillis how long a first list waits for a second resolver
  * @param loneWaitMillis how long all others have to be silent for one resolver to be believed alone
  * @param reserveBelow the next priority serves once fewer than this many of the better ones can
- * @param mostInstances instances known at one time; further ones are not taken
+ * @param maxInstances instances known at one time; further ones are not taken
  */
 public record Rules(List<Double> weights, double floorShare, int witnesses, int emptyWitnesses, long confirmMillis,
-    long settleMillis, long longestTtlMillis, long staleMillis, long skewMillis, long firstWaitMillis, long loneWaitMillis,
-    int reserveBelow, int mostInstances) {
+    long settleMillis, long longestTtlMillis, long staleMillis, long clockSkewMillis, long firstWaitMillis, long loneWaitMillis,
+    int reserveBelow, int maxInstances) {
 
   /** Checks the figures; a rule that could never be met would hold the list for ever. */
   public Rules {
@@ -33,8 +33,8 @@
     } else if (witnesses < 1 || witnesses > weights.size() || emptyWitnesses < witnesses || emptyWitnesses > weights.size()) {
       throw new IllegalArgumentException("expected 1 <= witnesses <= empty witnesses <= resolvers, got " + witnesses + ", "
           + emptyWitnesses + ", " + weights.size());
-    } else if (Math.min(Math.min(Math.min(confirmMillis, settleMillis), Math.min(staleMillis, skewMillis)),
-        Math.min(firstWaitMillis, loneWaitMillis)) < 0 || longestTtlMillis < 1 || reserveBelow < 0 || mostInstances < 1) {
+    } else if (Math.min(Math.min(Math.min(confirmMillis, settleMillis), Math.min(staleMillis, clockSkewMillis)),
+        Math.min(firstWaitMillis, loneWaitMillis)) < 0 || longestTtlMillis < 1 || reserveBelow < 0 || maxInstances < 1) {
       throw new IllegalArgumentException("expected no negative time or count");
     }
   }
--- a/decision/src/test/java/cloverpulley/membership/MembershipTest.java
+++ b/decision/src/test/java/cloverpulley/membership/MembershipTest.java
@@ -277,7 +277,7 @@
   void aForgedFleetIsBelievedAsFarAsItsResolversWeight() {
     Rules usual = Rules.of(3);
     Rules rules = new Rules(List.of(0.2, 0.4, 0.4), usual.floorShare(), 2, 2, usual.confirmMillis(), usual.settleMillis(),
-        usual.longestTtlMillis(), usual.staleMillis(), usual.skewMillis(), usual.firstWaitMillis(), usual.loneWaitMillis(), 1, 20_000);
+        usual.longestTtlMillis(), usual.staleMillis(), usual.clockSkewMillis(), usual.firstWaitMillis(), usual.loneWaitMillis(), 1, 20_000);
     Bench b = new Bench(rules);
     for (int i = 0; i < 30; i++) {
       b.answer(0, 99, fleet(1000, 2000));
--- a/dnssd/src/main/java/cloverpulley/dnssd/DnsSdConfig.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/DnsSdConfig.java
@@ -94,9 +94,9 @@
     Rules rules = new Rules(weights, t.number("floor_share", 0, 1, u.floorShare()), witnesses, empty,
         millis(t, "confirm_ms", 0, u.confirmMillis()), millis(t, "settle_ms", 0, u.settleMillis()),
         millis(t, "longest_ttl_ms", 1000, u.longestTtlMillis()), t.whole("stale_ms", 0, 30 * DAY_MS, u.staleMillis()),
-        millis(t, "clock_skew_ms", 0, u.skewMillis()), millis(t, "first_wait_ms", 0, u.firstWaitMillis()),
+        millis(t, "clock_skew_ms", 0, u.clockSkewMillis()), millis(t, "first_wait_ms", 0, u.firstWaitMillis()),
         millis(t, "lone_wait_ms", 0, u.loneWaitMillis()), (int) t.whole("reserve_below", 1, 100_000, u.reserveBelow()),
-        (int) t.whole("instances", 1, 1_000_000, u.mostInstances()));
+        (int) t.whole("instances", 1, 1_000_000, u.maxInstances()));
     Section k = s.table("text");
     TextKeys d = TextKeys.DEFAULT;
     TextKeys keys = new TextKeys(k.text("locality", d.locality()), k.text("flavor", d.flavor()), k.text("cell", d.cell()),
--- a/dnssd/src/main/java/cloverpulley/dnssd/Reader.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Reader.java
@@ -384,7 +384,7 @@
     // The list before the parts: of what no list names nothing is kept.
     sink.accept(new Browsed(number, key.name(), names, z.authoritative ? serial : -1, Math.max(ttl, POLLS_SURE * config.pollMillis())));
     Map<String, Answer.Beside> beside = beside(a, names, b);
-    int most = config.rules().mostInstances();
+    int most = config.rules().maxInstances();
     for (String n : names) {
       Instance i = instances.get(n);
       if (i == null && instances.size() >= most) {
