--- a/decision/src/main/java/cloverpulley/membership/Membership.java
+++ b/decision/src/main/java/cloverpulley/membership/Membership.java
@@ -24,7 +24,7 @@
 import java.util.function.Consumer;
 
 /**
- * Decides which servers there are. Observations come in one by one; {@link #settle} then says what has changed. What an
+ * Decides which servers there are. Observations come in one by one; {@link #reconcile} then says what has changed. What an
  * observation costs grows with what it changes, not with the fleet; a browse costs as much as its answer is long.
  *
  * <ul>
@@ -99,7 +99,7 @@
    *
    * @param priority of its service record, which decides whether it is a reserve
    */
-  public void held(long now, Member m, String domain, int priority, String bootId) {
+  public void restoreCached(long now, Member m, String domain, int priority, String bootId) {
     start(now);
     Instance i = instance(m.instance(), domain, now);
     if (i == null || i.believed) {
@@ -122,7 +122,7 @@
     return bootId.matches("\\d{1,15}") ? Long.parseLong(bootId) : 0;
   }
 
-  /** Takes one observation in; {@link #settle} says what comes of it. */
+  /** Takes one observation in; {@link #reconcile} says what comes of it. */
   public void observe(long now, Observation o) {
     start(now);
     if (o instanceof Browsed b) {
@@ -203,7 +203,7 @@
   }
 
   /** Names, records and addresses that are kept, of all resolvers; for tests of its bounds. */
-  int remembered() {
+  int retainedEntries() {
     int n = instances.size() + instancesOfTarget.size();
     for (View v : views) {
       n += v.size();
@@ -457,12 +457,12 @@
   // ---- What comes of it ----------------------------------------------------------------------------------
 
   /** The next time at which something changes though nothing is said; {@link Long#MAX_VALUE} for none. */
-  public long nextAt() {
+  public long nextTimerAt() {
     return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().at;
   }
 
   /** Draws the conclusions of all that was observed, and of the time that has passed. */
-  public void settle(long now, Consumer<Change> out) {
+  public void reconcile(long now, Consumer<Change> out) {
     start(now);
     settledAt = now;
     while (!timers.isEmpty() && timers.peek().at <= now) {
@@ -1176,7 +1176,7 @@
   }
 
   /** Servers on the list that are ready. */
-  public int serving() {
+  public int readyCount() {
     return serving;
   }
 
@@ -1196,7 +1196,7 @@
   }
 
   /** Whether every resolver has spoken of every domain that was asked for, or has been waited for. */
-  public boolean hasSpoken(long now, Iterable<String> domains) {
+  public boolean hasInitialAnswers(long now, Iterable<String> domains) {
     if (startedAt >= 0 && now - startedAt >= rules.firstWaitMillis()) {
       return true;
     }
@@ -1240,11 +1240,11 @@
   }
 
   /** For a held list: the priority of the service record, the boot and the domain of a server on the list. */
-  public Held heldFacts(Member m) {
+  public CachedDetails cachedDetails(Member m) {
     Instance i = instances.get(m.instance());
-    return i == null || i.now == null ? new Held("", 0, "") : new Held(i.domain, i.now.srv().priority(), i.now.text().bootId());
+    return i == null || i.now == null ? new CachedDetails("", 0, "") : new CachedDetails(i.domain, i.now.srv().priority(), i.now.text().bootId());
   }
 
   /** What a held list needs beside the member. */
-  public record Held(String domain, int priority, String bootId) {}
+  public record CachedDetails(String domain, int priority, String bootId) {}
 }
--- a/decision/src/test/java/cloverpulley/membership/Bench.java
+++ b/decision/src/test/java/cloverpulley/membership/Bench.java
@@ -113,7 +113,7 @@
   }
 
   void settle() {
-    module.settle(now, c -> {
+    module.reconcile(now, c -> {
       changes.add(c);
       if (c.member().phase() == Phase.GONE) {
         list.remove(c.member().id());
@@ -126,8 +126,8 @@
   /** Lets time pass, with every conclusion drawn at its time. */
   void pass(long millis) {
     long until = now + millis;
-    while (module.nextAt() <= until) {
-      now = Math.max(now, module.nextAt());
+    while (module.nextTimerAt() <= until) {
+      now = Math.max(now, module.nextTimerAt());
       settle();
     }
     now = until;
--- a/decision/src/test/java/cloverpulley/membership/MembershipTest.java
+++ b/decision/src/test/java/cloverpulley/membership/MembershipTest.java
@@ -566,8 +566,8 @@
     first.answer(1, 1, and(fleet(0, 9), said("s9", 9).boot("b9")));
     Bench next = new Bench(2);
     first.list.values().forEach(m -> {
-      Membership.Held h = first.module.heldFacts(m);
-      next.module.held(next.now, m, h.domain(), h.priority(), h.bootId());
+      Membership.CachedDetails h = first.module.cachedDetails(m);
+      next.module.restoreCached(next.now, m, h.domain(), h.priority(), h.bootId());
     });
     next.settle();
     assertEquals(first.list, next.list);
@@ -621,7 +621,7 @@
     Bench b = new Bench(2);
     b.answer(0, 1, fleet(0, 4));
     b.answer(1, 1, fleet(0, 4));
-    int before = b.module.remembered();
+    int before = b.module.retainedEntries();
     for (int i = 0; i < 1000; i++) {
       String target = "t" + i + ".example.";
       b.observe(new ServiceRecords(0, name("s1"), List.of(new SrvRecord(0, 0, target, 80))));
@@ -631,7 +631,7 @@
       b.settle();
       b.pass(10);
     }
-    assertTrue(b.module.remembered() <= before + 4, before + " before, " + b.module.remembered() + " after");
+    assertTrue(b.module.retainedEntries() <= before + 4, before + " before, " + b.module.retainedEntries() + " after");
   }
 
   @Test
--- a/dnssd/src/main/java/cloverpulley/dnssd/DnsSdSource.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/DnsSdSource.java
@@ -80,7 +80,7 @@
     client = new DnsClient(loop, clock, config.client());
     long now = now();
     startedAt = now;
-    HeldMembers.read(held, config.names()).forEach(h -> membership.held(now, h.member(), h.domain(), 0, h.boot()));
+    HeldMembers.read(held, config.names()).forEach(h -> membership.restoreCached(now, h.member(), h.domain(), 0, h.boot()));
     ready = !held.members().isEmpty();
     for (int i = 0; i < config.resolvers().size(); i++) {
       ResolverAddress r = config.resolvers().get(i);
@@ -120,7 +120,7 @@
   private void turn() {
     long now = now();
     readers.forEach(r -> r.turn(now));
-    if (membership.nextAt() <= now || !ready) {
+    if (membership.nextTimerAt() <= now || !ready) {
       settle();
     }
   }
@@ -131,7 +131,7 @@
 
   private void look() {
     for (Member m : membership.members()) {
-      if (membership.heldFacts(m).bootId().isEmpty()) {
+      if (membership.cachedDetails(m).bootId().isEmpty()) {
         contacts.look(m);
       }
     }
@@ -146,14 +146,14 @@
     }
     long now = now();
     changes.clear();
-    membership.settle(now, changes::add);
+    membership.reconcile(now, changes::add);
     changes.forEach(c -> {
       log.add(c);
       watcher.accept(c);
     });
-    if (!ready && membership.serving() > 0 && membership.hasSpoken(now, config.names()) && isWhole(now)) {
+    if (!ready && membership.readyCount() > 0 && membership.hasInitialAnswers(now, config.names()) && isWhole(now)) {
       ready = true;
-      LOG.info(() -> "dns-sd: first list, " + membership.serving() + " servers ready of " + membership.instances() + " named");
+      LOG.info(() -> "dns-sd: first list, " + membership.readyCount() + " servers ready of " + membership.instances() + " named");
       if (watching) {
         tellAll();
       }
