--- a/bench/src/main/java/cloverpulley/bench/TimersBench.java
+++ b/bench/src/main/java/cloverpulley/bench/TimersBench.java
@@ -1,6 +1,6 @@
 package cloverpulley.bench;
 
-import cloverpulley.membership.Wheel;
+import cloverpulley.membership.TimingWheel;
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.PriorityQueue;
@@ -68,18 +68,18 @@
 
   private static long wheel(int things, int seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    Wheel<Due> wheel = new Wheel<>(0, TICK);
+    TimingWheel<Due> wheel = new TimingWheel<>(0, TICK);
     for (int i = 0; i < things; i++) {
       Due due = new Due(after(random, 0), i);
-      wheel.put(due.at, due);
+      wheel.schedule(due.at, due);
     }
     long[] handed = new long[1];
     for (long turn = 1; turn <= TURNS; turn++) {
       long now = turn * TICK;
-      wheel.turn(now, due -> {
+      wheel.advance(now, due -> {
         handed[0]++;
         Due next = new Due(after(random, now), due.thing);
-        wheel.put(next.at, next);
+        wheel.schedule(next.at, next);
       });
     }
     return handed[0];
--- a/decision/src/main/java/cloverpulley/membership/Refresh.java
+++ b/decision/src/main/java/cloverpulley/membership/Refresh.java
@@ -43,7 +43,7 @@
   private final long mostBackOffMillis;
   private final SplittableRandom random;
   private final Map<K, Entry<K>> entries = new HashMap<>();
-  private final Wheel<Due<K>> wheel;
+  private final TimingWheel<Due<K>> wheel;
 
   /** Bounds of the TTLs and of the delay after a failure, all in milliseconds. */
   public Refresh(long startMillis, long leastTtlMillis, long mostTtlMillis, long backOffMillis, long mostBackOffMillis, long seed) {
@@ -52,7 +52,7 @@
     this.backOffMillis = backOffMillis;
     this.mostBackOffMillis = mostBackOffMillis;
     random = new SplittableRandom(seed);
-    wheel = new Wheel<>(startMillis, TICK_MILLIS);
+    wheel = new TimingWheel<>(startMillis, TICK_MILLIS);
   }
 
   /** It is wanted: due at once, unless it is known already. */
@@ -134,7 +134,7 @@
 
   /** Hands out what is to be asked now; each once, until it is {@link #answered} or {@link #failed}. */
   public void due(long now, Consumer<K> ask) {
-    wheel.turn(now, d -> {
+    wheel.advance(now, d -> {
       if (d.entry.at == d.at && !d.entry.asked && entries.get(d.entry.key) == d.entry) {
         d.entry.asked = true;
         ask.accept(d.entry.key);
@@ -148,6 +148,6 @@
 
   private void put(Entry<K> e, long at) {
     e.at = at;
-    wheel.put(at, new Due<>(e, at));
+    wheel.schedule(at, new Due<>(e, at));
   }
 }
--- a/decision/src/main/java/cloverpulley/membership/Wheel.java
+++ b/decision/src/main/java/cloverpulley/membership/TimingWheel.java
@@ -9,7 +9,7 @@
  * costs the same however many there are, and so does finding those that are due. A thing comes due within a tick after its time,
  * never before.
  */
-public final class Wheel<T> {
+public final class TimingWheel<T> {
 
   private static final int BITS = 8;
   private static final int SLOTS = 1 << BITS;
@@ -27,7 +27,7 @@
    *
    * @param tickMillis how exact it is; times further off than 2^32 of them come due early and are put in again
    */
-  public Wheel(long startMillis, long tickMillis) {
+  public TimingWheel(long startMillis, long tickMillis) {
     this.tickMillis = tickMillis;
     tick = startMillis / tickMillis;
     for (int i = 0; i < LEVELS; i++) {
@@ -45,7 +45,7 @@
   }
 
   /** Puts one in; for a time that has passed it comes due at the next tick. */
-  public void put(long atMillis, T thing) {
+  public void schedule(long atMillis, T thing) {
     size++;
     place(new Entry<>(Math.max(tick + 1, (atMillis + tickMillis - 1) / tickMillis), thing));
   }
@@ -68,7 +68,7 @@
   }
 
   /** Turns it to a time and hands out what has come due, in the order of its ticks. */
-  public void turn(long nowMillis, Consumer<T> due) {
+  public void advance(long nowMillis, Consumer<T> due) {
     long until = nowMillis / tickMillis;
     while (tick < until) {
       if (size == 0) {
--- a/decision/src/test/java/cloverpulley/membership/RefreshTest.java
+++ b/decision/src/test/java/cloverpulley/membership/RefreshTest.java
@@ -17,7 +17,7 @@
     for (long seed = 1; seed <= 200; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
       long now = random.nextLong(1L << 41);
-      Wheel<Integer> wheel = new Wheel<>(now, 10);
+      TimingWheel<Integer> wheel = new TimingWheel<>(now, 10);
       TreeMap<Long, List<Integer>> sorted = new TreeMap<>();
       int things = 0;
       for (int step = 0; step < 200; step++) {
@@ -25,11 +25,11 @@
           long at = now + (long) Math.pow(10, random.nextDouble() * 7) - random.nextInt(20);
           long tick = Math.max(now / 10 + 1, (at + 9) / 10);
           sorted.computeIfAbsent(tick, t -> new ArrayList<>()).add(things);
-          wheel.put(at, things++);
+          wheel.schedule(at, things++);
         }
         now += (long) Math.pow(10, random.nextDouble() * 6);
         List<Integer> due = new ArrayList<>();
-        wheel.turn(now, due::add);
+        wheel.advance(now, due::add);
         List<Integer> wanted = new ArrayList<>();
         sorted.headMap(now / 10, true).values().forEach(wanted::addAll);
         sorted.headMap(now / 10, true).clear();
