--- a/decision/src/main/java/cloverpulley/membership/Refresh.java
+++ b/decision/src/main/java/cloverpulley/membership/RefreshScheduler.java
@@ -11,7 +11,7 @@
  *
  * @param <K> what is asked, whom
  */
-public final class Refresh<K> {
+public final class RefreshScheduler<K> {
 
   private static final double[] PARTS = {0.80, 0.85, 0.90, 0.95};
   private static final double JITTER = 0.02;
@@ -46,7 +46,7 @@
   private final TimingWheel<Due<K>> wheel;
 
   /** Bounds of the TTLs and of the delay after a failure, all in milliseconds. */
-  public Refresh(long startMillis, long leastTtlMillis, long mostTtlMillis, long backOffMillis, long mostBackOffMillis, long seed) {
+  public RefreshScheduler(long startMillis, long leastTtlMillis, long mostTtlMillis, long backOffMillis, long mostBackOffMillis, long seed) {
     this.leastTtlMillis = leastTtlMillis;
     this.mostTtlMillis = mostTtlMillis;
     this.backOffMillis = backOffMillis;
@@ -56,7 +56,7 @@
   }
 
   /** It is wanted: due at once, unless it is known already. */
-  public void want(long now, K key) {
+  public void addIfAbsent(long now, K key) {
     if (!entries.containsKey(key)) {
       Entry<K> e = new Entry<>(key);
       entries.put(key, e);
@@ -65,10 +65,10 @@
   }
 
   /** It is to be asked at once, whatever was heard: something has changed. */
-  public void hurry(long now, K key) {
+  public void refreshNow(long now, K key) {
     Entry<K> e = entries.get(key);
     if (e == null) {
-      want(now, key);
+      addIfAbsent(now, key);
     } else if (e.asked) {
       e.again = true;
     } else {
@@ -91,7 +91,7 @@
   }
 
   /** What was asked goes on well, and is not over: the next failure counts as the first. */
-  public void goesOn(K key) {
+  public void resetBackOff(K key) {
     Entry<K> e = entries.get(key);
     if (e != null) {
       e.failures = 0;
@@ -115,7 +115,7 @@
   }
 
   /** It is not wanted any more. */
-  public void drop(K key) {
+  public void cancel(K key) {
     Entry<K> e = entries.remove(key);
     if (e != null) {
       e.at = Long.MIN_VALUE;
@@ -123,7 +123,7 @@
   }
 
   /** Whether it is being asked, or is about to be. */
-  public boolean isBusy(long now, K key) {
+  public boolean isPending(long now, K key) {
     Entry<K> e = entries.get(key);
     return e != null && (e.asked || e.at <= now);
   }
@@ -133,7 +133,7 @@
   }
 
   /** Hands out what is to be asked now; each once, until it is {@link #answered} or {@link #failed}. */
-  public void due(long now, Consumer<K> ask) {
+  public void forEachDue(long now, Consumer<K> ask) {
     wheel.advance(now, d -> {
       if (d.entry.at == d.at && !d.entry.asked && entries.get(d.entry.key) == d.entry) {
         d.entry.asked = true;
--- a/decision/src/test/java/cloverpulley/membership/RefreshTest.java
+++ b/decision/src/test/java/cloverpulley/membership/RefreshSchedulerTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 
 /** The wheel against a sorted map, and when things are asked again. */
-class RefreshTest {
+class RefreshSchedulerTest {
 
   @Test
   void theWheelHandsOutWhatASortedMapDoes() {
@@ -41,11 +41,11 @@
     }
   }
 
-  private static List<Long> asked(Refresh<String> r, long from, long until, boolean fail, long ttl) {
+  private static List<Long> asked(RefreshScheduler<String> r, long from, long until, boolean fail, long ttl) {
     List<Long> at = new ArrayList<>();
     for (long now = from; now <= until; now += 10) {
       long present = now;
-      r.due(now, k -> {
+      r.forEachDue(now, k -> {
         at.add(present - from);
         if (fail) {
           r.failed(present, k);
@@ -59,8 +59,8 @@
 
   @Test
   void askedAgainAtFourFifthsOfTheTtl() {
-    Refresh<String> r = new Refresh<>(0, 1000, 100_000, 500, 60_000, 7);
-    r.want(0, "a");
+    RefreshScheduler<String> r = new RefreshScheduler<>(0, 1000, 100_000, 500, 60_000, 7);
+    r.addIfAbsent(0, "a");
     List<Long> at = asked(r, 0, 350_000, false, 100_000);
     assertEquals(5, at.size(), at.toString());
     for (int i = 2; i < 5; i++) {
@@ -71,9 +71,9 @@
 
   @Test
   void failuresAreRepeatedAtEachPartAndThenEverLater() {
-    Refresh<String> r = new Refresh<>(0, 1000, 100_000, 500, 8_000, 7);
-    r.want(0, "a");
-    r.due(10, k -> r.answered(0, k, 100_000));
+    RefreshScheduler<String> r = new RefreshScheduler<>(0, 1000, 100_000, 500, 8_000, 7);
+    r.addIfAbsent(0, "a");
+    r.forEachDue(10, k -> r.answered(0, k, 100_000));
     List<Long> at = asked(r, 0, 160_000, true, 0);
     assertTrue(at.get(0) >= 80_000 && at.get(1) >= 85_000 && at.get(2) >= 90_000 && at.get(3) >= 95_000, at.toString());
     for (int i = 10; i < at.size(); i++) {
@@ -83,28 +83,28 @@
 
   @Test
   void ttlsAreCutToTheirBounds() {
-    Refresh<String> r = new Refresh<>(0, 5000, 10_000, 500, 8_000, 7);
-    r.want(0, "a");
+    RefreshScheduler<String> r = new RefreshScheduler<>(0, 5000, 10_000, 500, 8_000, 7);
+    r.addIfAbsent(0, "a");
     assertTrue(asked(r, 0, 100_000, false, 0).size() <= 26);
     assertTrue(asked(r, 100_000, 200_000, false, Long.MAX_VALUE).size() >= 12);
   }
 
   @Test
   void whatIsDroppedIsNotAskedAndWhatIsHurriedIsAskedOnce() {
-    Refresh<String> r = new Refresh<>(0, 1000, 100_000, 500, 8_000, 7);
-    r.want(0, "a");
-    r.want(0, "b");
+    RefreshScheduler<String> r = new RefreshScheduler<>(0, 1000, 100_000, 500, 8_000, 7);
+    r.addIfAbsent(0, "a");
+    r.addIfAbsent(0, "b");
     List<String> asked = new ArrayList<>();
-    r.due(10, asked::add);
-    r.hurry(10, "a");
-    r.due(20, asked::add);
+    r.forEachDue(10, asked::add);
+    r.refreshNow(10, "a");
+    r.forEachDue(20, asked::add);
     assertEquals(2, asked.size(), "it is being asked already");
     r.answered(30, "a", 50_000);
     r.answered(30, "b", 50_000);
-    r.drop("b");
-    r.hurry(40, "a");
-    r.due(60, asked::add);
-    r.due(60_000, asked::add);
+    r.cancel("b");
+    r.refreshNow(40, "a");
+    r.forEachDue(60, asked::add);
+    r.forEachDue(60_000, asked::add);
     assertEquals(List.of("a", "a", "b"), asked.stream().sorted().toList());
     assertEquals(1, r.size());
   }
--- a/dnssd/src/main/java/cloverpulley/dnssd/Push.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Push.java
@@ -6,7 +6,7 @@
 import cloverpulley.dnssd.DnsSdConfig.PushMode;
 import cloverpulley.dnssd.DnsSdConfig.ResolverAddress;
 import cloverpulley.membership.Observation;
-import cloverpulley.membership.Refresh;
+import cloverpulley.membership.RefreshScheduler;
 import cloverpulley.membership.TextKeys;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -64,7 +64,7 @@
   private final Reader reader;
   private final Consumer<Observation> sink;
   private final LongSupplier clock;
-  private final Refresh<String> sessions;
+  private final RefreshScheduler<String> sessions;
   private final Future<?> tick;
   private final Map<Integer, Subject> pending = new HashMap<>();
   private final Map<Subject, Integer> subscribed = new HashMap<>();
@@ -87,8 +87,8 @@
     this.reader = reader;
     this.sink = sink;
     this.clock = clock;
-    sessions = new Refresh<>(clock.getAsLong(), 1, Long.MAX_VALUE, BACK_OFF_MILLIS, MOST_BACK_OFF_MILLIS, number);
-    sessions.want(clock.getAsLong(), SESSION);
+    sessions = new RefreshScheduler<>(clock.getAsLong(), 1, Long.MAX_VALUE, BACK_OFF_MILLIS, MOST_BACK_OFF_MILLIS, number);
+    sessions.addIfAbsent(clock.getAsLong(), SESSION);
     tick = loop.scheduleWithFixedDelay(this::turn, 0, TICK_MILLIS, TimeUnit.MILLISECONDS);
   }
 
@@ -99,7 +99,7 @@
 
   private void turn() {
     long now = clock.getAsLong();
-    sessions.due(now, s -> connect());
+    sessions.forEachDue(now, s -> connect());
     if (channel == null || connecting) {
       return;
     }
@@ -252,7 +252,7 @@
         subscribed.put(s, m.id());
         if (!established) {
           established = true;
-          sessions.goesOn(SESSION);
+          sessions.resetBackOff(SESSION);
           reader.zones().forEach(z -> reader.changed(clock.getAsLong(), z));
         }
       } else if (s != null) {
--- a/dnssd/src/main/java/cloverpulley/dnssd/Reader.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Reader.java
@@ -14,7 +14,7 @@
 import cloverpulley.membership.Observation.TextRecord;
 import cloverpulley.membership.Observation.Unchanged;
 import cloverpulley.membership.Observation.ZoneSerial;
-import cloverpulley.membership.Refresh;
+import cloverpulley.membership.RefreshScheduler;
 import cloverpulley.membership.Serial;
 import cloverpulley.membership.SrvRecord;
 import java.io.IOException;
@@ -101,7 +101,7 @@
   private final InetSocketAddress address;
   private final DnsSdConfig config;
   private final DnsClient client;
-  private final Refresh<Key> refresh;
+  private final RefreshScheduler<Key> refresh;
   private final Consumer<Observation> sink;
   private final Map<String, Zone> zones = new LinkedHashMap<>();
   private final Map<String, Browse> browses = new LinkedHashMap<>();
@@ -125,14 +125,14 @@
     this.client = client;
     this.sink = sink;
     now = startMillis;
-    refresh = new Refresh<>(startMillis, Math.min(config.leastTtlMillis(), config.pollMillis()), config.rules().longestTtlMillis(),
+    refresh = new RefreshScheduler<>(startMillis, Math.min(config.leastTtlMillis(), config.pollMillis()), config.rules().longestTtlMillis(),
         config.backOffMillis(), config.mostBackOffMillis(), seed);
     for (Browse b : config.browses()) {
       browses.put(b.name(), b);
       zones.computeIfAbsent(b.zone(), z -> new Zone()).browses.add(b);
     }
-    zones.keySet().forEach(z -> refresh.want(now, Key.serial(z)));
-    browses.keySet().forEach(b -> refresh.want(now, Key.browse(b)));
+    zones.keySet().forEach(z -> refresh.addIfAbsent(now, Key.serial(z)));
+    browses.keySet().forEach(b -> refresh.addIfAbsent(now, Key.browse(b)));
   }
 
   Counts counts() {
@@ -142,7 +142,7 @@
   /** Asks what is due. */
   void turn(long millis) {
     now = millis;
-    refresh.due(now, this::due);
+    refresh.forEachDue(now, this::due);
     pump();
   }
 
@@ -151,7 +151,7 @@
     now = millis;
     Zone z = zones.get(zone);
     if (z != null) {
-      refresh.hurry(now, Key.serial(zone));
+      refresh.refreshNow(now, Key.serial(zone));
       hurry(z);
       turn(millis);
     }
@@ -172,7 +172,7 @@
     now = millis;
     if (instances.containsKey(name)) {
       instances.get(name).serial = -1; // Asked for whatever the serial was.
-      refresh.hurry(now, Key.instance(name));
+      refresh.refreshNow(now, Key.instance(name));
       turn(millis);
     }
   }
@@ -182,7 +182,7 @@
     now = millis;
     if (targets.containsKey(name)) {
       targets.get(name).serial = -1;
-      refresh.hurry(now, Key.target(name));
+      refresh.refreshNow(now, Key.target(name));
       turn(millis);
     }
   }
@@ -192,7 +192,7 @@
     now = millis;
     if (browses.containsKey(browse)) {
       listSerials.put(browse, -1L);
-      refresh.hurry(now, Key.browse(browse));
+      refresh.refreshNow(now, Key.browse(browse));
       turn(millis);
     }
   }
@@ -209,12 +209,12 @@
 
   private void hurry(Zone z) {
     for (Browse b : z.browses) {
-      refresh.hurry(now, Key.browse(b.name()));
+      refresh.refreshNow(now, Key.browse(b.name()));
       for (String name : listed.getOrDefault(b.name(), Set.of())) {
-        refresh.hurry(now, Key.instance(name));
+        refresh.refreshNow(now, Key.instance(name));
         Instance i = instances.get(name);
         if (i != null && i.services != null) {
-          i.services.forEach(s -> refresh.hurry(now, Key.target(s.target())));
+          i.services.forEach(s -> refresh.refreshNow(now, Key.target(s.target())));
         }
       }
     }
@@ -398,7 +398,7 @@
       if (came != null && i.open == 0) {
         take(n, i, came, serial);
       } else {
-        refresh.want(now, Key.instance(n));
+        refresh.addIfAbsent(now, Key.instance(n));
       }
     }
     refresh.answered(now, key, z.authoritative ? ttl : Math.min(ttl, (long) (config.pollMillis() * POLL_TTL)));
@@ -424,7 +424,7 @@
       t.users.add(name);
       t.ttl = i.ttl;
       t.serial = serial;
-      refresh.want(now, Key.target(s.target()));
+      refresh.addIfAbsent(now, Key.target(s.target()));
       refresh.answered(now, Key.target(s.target()), i.ttl);
       for (boolean six : new boolean[] {false, true}) {
         List<String> figures = (six ? came.ipv6() : came.ipv4()).getOrDefault(s.target(), List.of());
@@ -434,7 +434,7 @@
     }
     sink.accept(new ServiceRecords(number, name, i.services));
     sink.accept(new TextRecord(number, name, i.pairs));
-    refresh.want(now, Key.instance(name));
+    refresh.addIfAbsent(now, Key.instance(name));
     refresh.answered(now, Key.instance(name), i.ttl);
   }
 
@@ -444,7 +444,7 @@
       return;
     }
     instances.remove(name);
-    refresh.drop(Key.instance(name));
+    refresh.cancel(Key.instance(name));
     if (i.services != null) {
       i.services.forEach(s -> unuse(name, s.target()));
     }
@@ -454,7 +454,7 @@
     Target t = targets.get(target);
     if (t != null && t.users.remove(name) && t.users.isEmpty()) {
       targets.remove(target);
-      refresh.drop(Key.target(target));
+      refresh.cancel(Key.target(target));
       sink.accept(new Addresses(number, target, false, List.of()));
       sink.accept(new Addresses(number, target, true, List.of()));
     }
@@ -512,8 +512,8 @@
     i.waitsFor.clear();
     for (SrvRecord s : i.services) {
       targets.computeIfAbsent(s.target(), t -> new Target()).users.add(key.name());
-      refresh.want(now, Key.target(s.target()));
-      if (refresh.isBusy(now, Key.target(s.target()))) {
+      refresh.addIfAbsent(now, Key.target(s.target()));
+      if (refresh.isPending(now, Key.target(s.target()))) {
         i.waitsFor.add(s.target());
       }
     }
