--- a/dnssd/src/main/java/cloverpulley/dnssd/Push.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Push.java
@@ -289,7 +289,7 @@
     } else {
       if (r.type() == Type.TXT && !r.removed() && reader.knows(r.name())) {
         Map<String, String> pairs = TextKeys.pairs(r.strings());
-        if (config.keys().read(pairs).draining()) {
+        if (config.keys().parse(pairs).draining()) {
           sink.accept(new Observation.TextRecord(number, r.name(), pairs));
         }
       }
