--- a/decision/src/main/java/cloverpulley/membership/Lease.java
+++ b/decision/src/main/java/cloverpulley/membership/RegistrationLease.java
@@ -7,52 +7,52 @@
  * so that many don't renew together; after a failure with a delay that doubles, and in any case before the lease ends once. A
  * withdrawal comes before all else and is tried for a stated time.
  */
-public final class Lease {
+public final class RegistrationLease {
 
   /** What is to be done now. */
-  public enum Todo { NOTHING, REGISTER, WITHDRAW }
+  public enum Action { NOTHING, REGISTER, WITHDRAW }
 
   private static final double RENEW_AT = 0.8;
   private static final double JITTER = 0.05;
-  private static final int MOST_DOUBLINGS = 16;
+  private static final int MAX_DOUBLINGS = 16;
 
-  private final long wantedMillis;
+  private final long requestedMillis;
   private final long backOffMillis;
-  private final long mostBackOffMillis;
+  private final long maxBackOffMillis;
   private final SplittableRandom random;
   private long nextAt;
   private long endsAt = -1;
   private int failures;
-  private Todo doing = Todo.NOTHING;
+  private Action pending = Action.NOTHING;
   private boolean withdrawing;
   private boolean registered;
-  private boolean over;
+  private boolean finished;
   private long withdrawUntil;
 
   /** Makes one that wants to be registered at once; times in milliseconds. */
-  public Lease(long now, long wantedMillis, long backOffMillis, long mostBackOffMillis, long seed) {
-    this.wantedMillis = wantedMillis;
+  public RegistrationLease(long now, long requestedMillis, long backOffMillis, long maxBackOffMillis, long seed) {
+    this.requestedMillis = requestedMillis;
     this.backOffMillis = backOffMillis;
-    this.mostBackOffMillis = mostBackOffMillis;
+    this.maxBackOffMillis = maxBackOffMillis;
     random = new SplittableRandom(seed);
     nextAt = now;
   }
 
   /** The lease that is asked for. */
-  public long wantedMillis() {
-    return wantedMillis;
+  public long requestedMillis() {
+    return requestedMillis;
   }
 
   /** What to do; whoever is told to do something says how that ended before being told again. */
-  public Todo todo(long now) {
+  public Action nextAction(long now) {
     if (withdrawing && now >= withdrawUntil) {
-      over = true;
+      finished = true;
     }
-    if (over || doing != Todo.NOTHING || now < nextAt && !(endsAt > 0 && now >= endsAt)) {
-      return Todo.NOTHING;
+    if (finished || pending != Action.NOTHING || now < nextAt && !(endsAt > 0 && now >= endsAt)) {
+      return Action.NOTHING;
     }
-    doing = withdrawing ? Todo.WITHDRAW : Todo.REGISTER;
-    return doing;
+    pending = withdrawing ? Action.WITHDRAW : Action.REGISTER;
+    return pending;
   }
 
   /**
@@ -60,26 +60,26 @@
    *
    * @param grantedMillis the lease that it gives; 0 where it knows of none, which is as if it gave the one wanted
    */
-  public void done(long now, long grantedMillis) {
-    boolean register = doing == Todo.REGISTER;
-    doing = Todo.NOTHING;
+  public void succeeded(long now, long grantedMillis) {
+    boolean register = pending == Action.REGISTER;
+    pending = Action.NOTHING;
     failures = 0;
     registered = register;
     if (withdrawing) {
       // What was on its way when it was to be withdrawn has registered it just now: withdrawn after that.
-      over |= !register;
+      finished |= !register;
       nextAt = now;
       return;
     }
-    long lease = grantedMillis <= 0 ? wantedMillis : grantedMillis;
+    long lease = grantedMillis <= 0 ? requestedMillis : grantedMillis;
     endsAt = now + lease;
     nextAt = now + (long) (lease * (RENEW_AT - random.nextDouble(JITTER)));
   }
 
   /** It has not been done, or nobody knows. */
   public void failed(long now) {
-    doing = Todo.NOTHING;
-    long delay = Math.min(mostBackOffMillis, backOffMillis << Math.min(MOST_DOUBLINGS, failures++));
+    pending = Action.NOTHING;
+    long delay = Math.min(maxBackOffMillis, backOffMillis << Math.min(MAX_DOUBLINGS, failures++));
     nextAt = now + delay / 2 + random.nextLong(delay / 2 + 1);
     endsAt = endsAt > 0 && now >= endsAt ? -1 : endsAt;
   }
@@ -107,7 +107,7 @@
   }
 
   /** Whether nothing more is to be done: it has been withdrawn, or the time for that is over. */
-  public boolean isOver() {
-    return over;
+  public boolean isFinished() {
+    return finished;
   }
 }
--- a/decision/src/test/java/cloverpulley/membership/LeaseTest.java
+++ b/decision/src/test/java/cloverpulley/membership/RegistrationLeaseTest.java
@@ -4,53 +4,53 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.membership.Lease.Todo;
+import cloverpulley.membership.RegistrationLease.Action;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
 /** When a registration is renewed and withdrawn. */
-class LeaseTest {
+class RegistrationLeaseTest {
 
   @Test
   void renewedBeforeItEnds() {
-    Lease l = new Lease(0, 60_000, 500, 8000, 3);
-    assertEquals(Todo.REGISTER, l.todo(0));
-    assertEquals(Todo.NOTHING, l.todo(0), "one at a time");
-    l.done(10, 30_000);
+    RegistrationLease l = new RegistrationLease(0, 60_000, 500, 8000, 3);
+    assertEquals(Action.REGISTER, l.nextAction(0));
+    assertEquals(Action.NOTHING, l.nextAction(0), "one at a time");
+    l.succeeded(10, 30_000);
     assertTrue(l.isRegistered());
-    assertEquals(Todo.NOTHING, l.todo(10 + 22_000));
-    assertEquals(Todo.REGISTER, l.todo(10 + 24_000), "at four fifths of what was granted, not of what was wanted");
+    assertEquals(Action.NOTHING, l.nextAction(10 + 22_000));
+    assertEquals(Action.REGISTER, l.nextAction(10 + 24_000), "at four fifths of what was granted, not of what was wanted");
   }
 
   @Test
   void withdrawnAfterWhatIsOnItsWay() {
-    Lease l = new Lease(0, 60_000, 500, 8000, 3);
-    l.todo(0);
+    RegistrationLease l = new RegistrationLease(0, 60_000, 500, 8000, 3);
+    l.nextAction(0);
     l.withdraw(5, 2000);
-    assertEquals(Todo.NOTHING, l.todo(5));
-    l.done(8, 0);
-    assertEquals(Todo.WITHDRAW, l.todo(8));
-    l.done(9, 0);
-    assertTrue(l.isOver());
+    assertEquals(Action.NOTHING, l.nextAction(5));
+    l.succeeded(8, 0);
+    assertEquals(Action.WITHDRAW, l.nextAction(8));
+    l.succeeded(9, 0);
+    assertTrue(l.isFinished());
     assertFalse(l.isRegistered());
-    assertEquals(Todo.NOTHING, l.todo(100_000));
+    assertEquals(Action.NOTHING, l.nextAction(100_000));
   }
 
   @Test
   void aWithdrawalThatFailsIsTriedUntilItsTimeIsOver() {
-    Lease l = new Lease(0, 60_000, 100, 400, 3);
-    l.todo(0);
-    l.done(0, 0);
+    RegistrationLease l = new RegistrationLease(0, 60_000, 100, 400, 3);
+    l.nextAction(0);
+    l.succeeded(0, 0);
     l.withdraw(1000, 3000);
     int tries = 0;
     for (long now = 1000; now < 5000; now += 10) {
-      if (l.todo(now) == Todo.WITHDRAW) {
+      if (l.nextAction(now) == Action.WITHDRAW) {
         tries++;
         l.failed(now);
       }
     }
     assertTrue(tries >= 5 && tries <= 15, "tries " + tries);
-    assertTrue(l.isOver());
+    assertTrue(l.isFinished());
   }
 
   /** Whatever fails: never two at a time, registered again soon after the primary is back, nothing after the end. */
@@ -58,7 +58,7 @@
   void anyHistory() {
     for (long seed = 1; seed <= 500; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
-      Lease l = new Lease(0, 10_000, 200, 2000, seed);
+      RegistrationLease l = new RegistrationLease(0, 10_000, 200, 2000, seed);
       boolean busy = false;
       long endsAt = 0;
       long downUntil = 0;
@@ -72,12 +72,12 @@
           if (now < downUntil) {
             l.failed(now);
           } else {
-            l.done(now, 0);
+            l.succeeded(now, 0);
             registeredUntil = now + 10_000;
           }
         }
-        Todo t = l.todo(now);
-        if (t != Todo.NOTHING) {
+        Action t = l.nextAction(now);
+        if (t != Action.NOTHING) {
           assertFalse(busy, "seed " + seed);
           busy = true;
           endsAt = now + 20 + random.nextInt(300);
--- a/dnssd/src/main/java/cloverpulley/dnssd/Publisher.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Publisher.java
@@ -7,8 +7,8 @@
 import cloverpulley.dns.wire.Question;
 import cloverpulley.dnssd.PublishConfig.Registration;
 import cloverpulley.engine.Clock;
-import cloverpulley.membership.Lease;
-import cloverpulley.membership.Lease.Todo;
+import cloverpulley.membership.RegistrationLease;
+import cloverpulley.membership.RegistrationLease.Action;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -25,7 +25,7 @@
 
 /**
  * Keeps servers registered with a zone's primary for as long as the program runs: updates go over TCP, signed where there is a key,
- * and an answer that is not signed by it counts as none. Has a thread of its own; when what is done is {@link Lease}'s.
+ * and an answer that is not signed by it counts as none. Has a thread of its own; when what is done is {@link RegistrationLease}'s.
  */
 public final class Publisher implements AutoCloseable {
 
@@ -42,7 +42,7 @@
   private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
   private final Clock clock = new Clock();
-  private final Lease lease;
+  private final RegistrationLease lease;
   private final CountDownLatch first = new CountDownLatch(1);
   private final CountDownLatch over = new CountDownLatch(1);
   private DnsClient client;
@@ -51,7 +51,7 @@
   private Publisher(PublishConfig config, List<Registration> servers, long seed) {
     this.config = config;
     this.servers = List.copyOf(servers);
-    lease = new Lease(now(), config.leaseMillis(), BACK_OFF_MILLIS, MOST_BACK_OFF_MILLIS, seed);
+    lease = new RegistrationLease(now(), config.leaseMillis(), BACK_OFF_MILLIS, MOST_BACK_OFF_MILLIS, seed);
   }
 
   /** Begins to register the program itself. */
@@ -82,16 +82,16 @@
   }
 
   private void turn() {
-    Todo todo = lease.todo(now());
-    if (lease.isOver()) {
+    Action todo = lease.nextAction(now());
+    if (lease.isFinished()) {
       over.countDown();
-    } else if (todo != Todo.NOTHING) {
+    } else if (todo != Action.NOTHING) {
       send(todo);
     }
   }
 
-  private void send(Todo todo) {
-    Message update = todo == Todo.REGISTER ? UpdateMessage.register(config, servers) : UpdateMessage.withdraw(config, servers);
+  private void send(Action todo) {
+    Message update = todo == Action.REGISTER ? UpdateMessage.register(config, servers) : UpdateMessage.withdraw(config, servers);
     if (config.key() != null) {
       config.key().apply(update, null);
     }
@@ -108,7 +108,7 @@
         failing = true;
         return;
       }
-      lease.done(now(), granted(answer.bytes()));
+      lease.succeeded(now(), granted(answer.bytes()));
       if (failing || first.getCount() > 0) {
         LOG.info(() -> "dns-sd: " + servers.size() + " servers registered at " + config.primary());
       }
