--- a/decision/src/main/java/cloverpulley/membership/RegistrationLease.java
+++ b/decision/src/main/java/cloverpulley/membership/RegistrationLease.java
@@ -3,13 +3,13 @@
 import java.util.SplittableRandom;
 
 /**
- * When a registration is made, renewed and withdrawn (RFC 9664): renewed at 80% of what was granted, with up to 5% of it taken off
- * so that many don't renew together; after a failure with a delay that doubles, and in any case before the lease ends once. A
- * withdrawal comes before all else and is tried for a stated time.
+ * Schedules the registration, renewal and withdrawal of a DNS-SD service (RFC 9664). A lease is renewed at 80% of the granted time,
+ * minus up to 5% of jitter so that many publishers do not renew at once. Failures are retried with exponential back-off, and once
+ * more when the lease expires, whatever the back-off. A withdrawal takes precedence and is retried until its deadline.
  */
 public final class RegistrationLease {
 
-  /** What is to be done now. */
+  /** The update to send next. */
   public enum Action { NOTHING, REGISTER, WITHDRAW }
 
   private static final double RENEW_AT = 0.8;
@@ -21,15 +21,15 @@
   private final long maxBackOffMillis;
   private final SplittableRandom random;
   private long nextAt;
-  private long endsAt = -1;
+  private long expiresAt = -1;
   private int failures;
   private Action pending = Action.NOTHING;
   private boolean withdrawing;
   private boolean registered;
   private boolean finished;
-  private long withdrawUntil;
+  private long withdrawDeadline;
 
-  /** Makes one that wants to be registered at once; times in milliseconds. */
+  /** Creates a schedule whose first registration is due at once; times are in milliseconds. */
   public RegistrationLease(long now, long requestedMillis, long backOffMillis, long maxBackOffMillis, long seed) {
     this.requestedMillis = requestedMillis;
     this.backOffMillis = backOffMillis;
@@ -38,17 +38,20 @@
     nextAt = now;
   }
 
-  /** The lease that is asked for. */
+  /** The lease time requested from the primary. */
   public long requestedMillis() {
     return requestedMillis;
   }
 
-  /** What to do; whoever is told to do something says how that ended before being told again. */
+  /**
+   * The update that is due. After REGISTER or WITHDRAW the caller reports {@link #succeeded} or {@link #failed} before the next one is
+   * returned.
+   */
   public Action nextAction(long now) {
-    if (withdrawing && now >= withdrawUntil) {
+    if (withdrawing && now >= withdrawDeadline) {
       finished = true;
     }
-    if (finished || pending != Action.NOTHING || now < nextAt && !(endsAt > 0 && now >= endsAt)) {
+    if (finished || pending != Action.NOTHING || now < nextAt && !(expiresAt > 0 && now >= expiresAt)) {
       return Action.NOTHING;
     }
     pending = withdrawing ? Action.WITHDRAW : Action.REGISTER;
@@ -56,9 +59,9 @@
   }
 
   /**
-   * The primary has done it.
+   * The primary has applied the pending update.
    *
-   * @param grantedMillis the lease that it gives; 0 where it knows of none, which is as if it gave the one wanted
+   * @param grantedMillis the lease time in its answer; 0 if it sent none, then the requested time applies
    */
   public void succeeded(long now, long grantedMillis) {
     boolean register = pending == Action.REGISTER;
@@ -66,47 +69,47 @@
     failures = 0;
     registered = register;
     if (withdrawing) {
-      // What was on its way when it was to be withdrawn has registered it just now: withdrawn after that.
+      // A registration in flight when the withdrawal was requested has just succeeded: the withdrawal is sent next.
       finished |= !register;
       nextAt = now;
       return;
     }
     long lease = grantedMillis <= 0 ? requestedMillis : grantedMillis;
-    endsAt = now + lease;
+    expiresAt = now + lease;
     nextAt = now + (long) (lease * (RENEW_AT - random.nextDouble(JITTER)));
   }
 
-  /** It has not been done, or nobody knows. */
+  /** The pending update failed, or its outcome is unknown. */
   public void failed(long now) {
     pending = Action.NOTHING;
     long delay = Math.min(maxBackOffMillis, backOffMillis << Math.min(MAX_DOUBLINGS, failures++));
     nextAt = now + delay / 2 + random.nextLong(delay / 2 + 1);
-    endsAt = endsAt > 0 && now >= endsAt ? -1 : endsAt;
+    expiresAt = expiresAt > 0 && now >= expiresAt ? -1 : expiresAt;
   }
 
-  /** It is to be withdrawn, first of all; tried until then. */
+  /** Requests the withdrawal, which is retried until {@code untilMillis}. */
   public void withdraw(long now, long untilMillis) {
     if (!withdrawing) {
       withdrawing = true;
-      withdrawUntil = untilMillis;
+      withdrawDeadline = untilMillis;
       nextAt = now;
       failures = 0;
     }
   }
 
-  /** What is registered has changed: it is registered anew at once. */
+  /** The registered records have changed: registers again at once. */
   public void changed(long now) {
     if (!withdrawing) {
       nextAt = now;
     }
   }
 
-  /** Whether the primary is known to hold it. */
+  /** Whether the last successful update was a registration. */
   public boolean isRegistered() {
     return registered;
   }
 
-  /** Whether nothing more is to be done: it has been withdrawn, or the time for that is over. */
+  /** Whether no further update is due: withdrawn, or past the withdrawal deadline. */
   public boolean isFinished() {
     return finished;
   }
--- a/decision/src/test/java/cloverpulley/membership/RegistrationLeaseTest.java
+++ b/decision/src/test/java/cloverpulley/membership/RegistrationLeaseTest.java
@@ -8,22 +8,22 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** When a registration is renewed and withdrawn. */
+/** Times of renewals, retries and the withdrawal. */
 class RegistrationLeaseTest {
 
   @Test
-  void renewedBeforeItEnds() {
+  void renewsAtEightyPercentOfTheGrantedLease() {
     RegistrationLease l = new RegistrationLease(0, 60_000, 500, 8000, 3);
     assertEquals(Action.REGISTER, l.nextAction(0));
-    assertEquals(Action.NOTHING, l.nextAction(0), "one at a time");
+    assertEquals(Action.NOTHING, l.nextAction(0), "one update in flight at a time");
     l.succeeded(10, 30_000);
     assertTrue(l.isRegistered());
     assertEquals(Action.NOTHING, l.nextAction(10 + 22_000));
-    assertEquals(Action.REGISTER, l.nextAction(10 + 24_000), "at four fifths of what was granted, not of what was wanted");
+    assertEquals(Action.REGISTER, l.nextAction(10 + 24_000), "at 80% of the granted lease, not of the requested one");
   }
 
   @Test
-  void withdrawnAfterWhatIsOnItsWay() {
+  void withdrawalFollowsARegistrationInFlight() {
     RegistrationLease l = new RegistrationLease(0, 60_000, 500, 8000, 3);
     l.nextAction(0);
     l.withdraw(5, 2000);
@@ -37,38 +37,38 @@
   }
 
   @Test
-  void aWithdrawalThatFailsIsTriedUntilItsTimeIsOver() {
+  void failingWithdrawalIsRetriedUntilItsDeadline() {
     RegistrationLease l = new RegistrationLease(0, 60_000, 100, 400, 3);
     l.nextAction(0);
     l.succeeded(0, 0);
     l.withdraw(1000, 3000);
-    int tries = 0;
+    int attempts = 0;
     for (long now = 1000; now < 5000; now += 10) {
       if (l.nextAction(now) == Action.WITHDRAW) {
-        tries++;
+        attempts++;
         l.failed(now);
       }
     }
-    assertTrue(tries >= 5 && tries <= 15, "tries " + tries);
+    assertTrue(attempts >= 5 && attempts <= 15, "attempts " + attempts);
     assertTrue(l.isFinished());
   }
 
-  /** Whatever fails: never two at a time, registered again soon after the primary is back, nothing after the end. */
+  /** Random outages of the primary: never two updates in flight, and registered again soon after the primary is back. */
   @Test
-  void anyHistory() {
+  void randomOutages() {
     for (long seed = 1; seed <= 500; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
       RegistrationLease l = new RegistrationLease(0, 10_000, 200, 2000, seed);
-      boolean busy = false;
-      long endsAt = 0;
+      boolean inFlight = false;
+      long answerAt = 0;
       long downUntil = 0;
       long registeredUntil = 0;
       for (long now = 0; now < 200_000; now += 20) {
         if (random.nextInt(2000) == 0) {
           downUntil = now + random.nextInt(30_000);
         }
-        if (busy && now >= endsAt) {
-          busy = false;
+        if (inFlight && now >= answerAt) {
+          inFlight = false;
           if (now < downUntil) {
             l.failed(now);
           } else {
@@ -78,11 +78,11 @@
         }
         Action t = l.nextAction(now);
         if (t != Action.NOTHING) {
-          assertFalse(busy, "seed " + seed);
-          busy = true;
-          endsAt = now + 20 + random.nextInt(300);
+          assertFalse(inFlight, "seed " + seed);
+          inFlight = true;
+          answerAt = now + 20 + random.nextInt(300);
         }
-        // Two seconds of delay, one try of a third of a second.
+        // At most 2 s of back-off and 320 ms for one attempt.
         assertTrue(now < downUntil + 2400 || registeredUntil >= now || now < 400, "seed " + seed + " at " + now);
       }
     }
