--- a/decision/src/main/java/cloverpulley/membership/Change.java
+++ b/decision/src/main/java/cloverpulley/membership/Change.java
@@ -1,10 +1,10 @@
 package cloverpulley.membership;
 
 /**
- * A change of the list, or of what is held back.
+ * A change of the published member list.
  *
- * @param member as it is now, {@link Member.Phase#GONE} where it has left
- * @param resolver which resolver's word brought it; -1 for none's
+ * @param member its new state; {@link Member.Phase#GONE} if it was removed
+ * @param resolver index of the resolver whose report caused it; -1 for none
  */
 public record Change(long at, Member member, ChangeReason reason, int resolver) {
 
--- a/decision/src/main/java/cloverpulley/membership/ChangeReason.java
+++ b/decision/src/main/java/cloverpulley/membership/ChangeReason.java
@@ -2,52 +2,52 @@
 
 import java.util.Locale;
 
-/** Why something is believed, or not: the one list of words for records, tools and pages. */
+/** Why an instance is in its state; one vocabulary for change records, tools and reports. */
 public enum ChangeReason {
-  /** As many resolvers as have to name it do. */
+  /** Listed by as many resolvers as are required. */
   CORROBORATED,
-  /** One resolver alone names it, within the part that its weight gives it. */
+  /** Listed by one resolver alone, within the share that its weight allows. */
   LONE_VOICE,
-  /** One resolver alone names it, and no other has said anything for long. */
+  /** Listed by one resolver alone while all others have been unresponsive for long. */
   ONLY_VOICE,
-  /** From the list held over a restart; nobody has spoken of it yet. */
+  /** From the list cached over a restart; not yet confirmed by a resolver. */
   HELD_LIST,
-  /** A resolver that named it names it no more. */
+  /** No longer listed by a resolver that listed it. */
   WITHDRAWN,
-  /** Its withdrawal was overruled by a majority that still names it past every cache's life. */
+  /** Its withdrawal was overruled: a majority still lists it after every cache must have expired. */
   OVERRULED,
-  /** Named again by who had withdrawn it. */
+  /** Listed again by the resolver that withdrew it. */
   RETURNED,
-  /** A text record says that it drains. */
+  /** A TXT record reports that it is draining. */
   DRAINING,
-  /** Nobody says any more that it drains. */
+  /** No resolver reports it as draining any more. */
   READY_AGAIN,
-  /** Another server has taken its name. */
+  /** Replaced by another server under the same name. */
   SUCCEEDED,
-  /** The same start at another address. */
+  /** Same boot ID, new address. */
   RENUMBERED,
-  /** It refused connections, and takes them again: started anew. */
+  /** It refused connections and now accepts them: taken as a restart. */
   RESTARTED,
-  /** Its records have changed in what does not make it another server. */
+  /** Its records changed without making it another server. */
   CHANGED,
-  /** Waits until better ones can't serve (RFC 2782, priority). */
+  /** In reserve: serves only if too few servers of a better priority can (RFC 2782). */
   RESERVE,
-  /** The same address and port is known under another name. */
+  /** The same address and port is listed under another name. */
   DUPLICATE,
-  /** Nobody has spoken of it for longer than a list may be stale. */
+  /** All resolvers have been unresponsive for longer than a list may be stale. */
   STALE_LIMIT,
-  /** Not believed: too few name it. */
+  /** Not accepted: listed by too few resolvers. */
   TOO_FEW_WITNESSES,
-  /** Not believed: an answer that would take away too much of the fleet needs a second witness. */
+  /** Not accepted: an answer that would remove too much of the fleet needs a second witness. */
   SHRUNKEN_ANSWER,
-  /** Not believed: the zone is older than one that is known. */
+  /** Not accepted: the answer is from a zone older than a known one. */
   OUTDATED_ZONE,
-  /** Not usable: a service or address record is missing. */
+  /** Not usable: no SRV or address record. */
   INCOMPLETE,
-  /** Not taken: as many instances as there may be are known. */
+  /** Rejected: the maximum number of instances is known. */
   TOO_MANY;
 
-  /** As records and pages write it. */
+  /** The code written to change records and reports. */
   public String code() {
     return name().toLowerCase(Locale.ROOT);
   }
--- a/decision/src/main/java/cloverpulley/membership/Incarnation.java
+++ b/decision/src/main/java/cloverpulley/membership/Incarnation.java
@@ -3,26 +3,26 @@
 import cloverpulley.membership.TextKeys.Attributes;
 
 /**
- * One life of an instance: what its records say it is. Two with the same identity are the same server.
+ * One incarnation of an instance, as its records describe it. Equal identities mean the same server process.
  *
- * @param address in figures
+ * @param address a numeric IP address
  */
-record Incarnation(SrvRecord srv, String address, Attributes text) {
+record Incarnation(SrvRecord srv, String address, Attributes attributes) {
 
-  /** Target, port and boot or, without one, address: what another server under the same name differs in. */
+  /** Target, port and boot ID or, without one, address: these tell another server under the same name apart. */
   String identity() {
-    return srv.target() + ":" + srv.port() + "|" + (text.bootId().isEmpty() ? address : text.bootId());
+    return srv.target() + ":" + srv.port() + "|" + (attributes.bootId().isEmpty() ? address : attributes.bootId());
   }
 
   boolean isSame(Incarnation other) {
-    // As the identities are equal, without making them.
-    return srv.port() == other.srv.port() && srv.target().equals(other.srv.target()) && text.bootId().equals(other.text.bootId())
-        && (!text.bootId().isEmpty() || address.equals(other.address));
+    // Compares the identities without building the strings.
+    return srv.port() == other.srv.port() && srv.target().equals(other.srv.target()) && attributes.bootId().equals(other.attributes.bootId())
+        && (!attributes.bootId().isEmpty() || address.equals(other.address));
   }
 
-  /** Whether it has started before the other, as far as both say when. */
+  /** Whether it started before the other; false unless both report a start time. */
   boolean isOlder(Incarnation other) {
-    return text.started() > 0 && other.text.started() > 0 && text.started() < other.text.started();
+    return attributes.started() > 0 && other.attributes.started() > 0 && attributes.started() < other.attributes.started();
   }
 
   String addressAndPort() {
--- a/decision/src/main/java/cloverpulley/membership/Member.java
+++ b/decision/src/main/java/cloverpulley/membership/Member.java
@@ -1,21 +1,21 @@
 package cloverpulley.membership;
 
 /**
- * A server as it is believed to be.
+ * A server on the member list.
  *
- * @param id the same at every reader: instance, target, port, and boot or, without one, address
- * @param address in figures
- * @param size relative to a usual one
- * @param upSince when it started, on the reader's clock; 0 for long ago
+ * @param id the same at every reader: instance, target, port, and boot ID or, without one, address
+ * @param address a numeric IP address
+ * @param size capacity relative to a server of size 1
+ * @param upSince its start time on the reader's clock; 0 if it was running before this reader started
  */
 public record Member(String id, String instance, String target, String address, int port, String zone, int cell, double size,
     Phase phase, long upSince) {
 
-  /** What a server is good for. */
+  /** Whether a server accepts new work. */
   public enum Phase { READY, DRAINING, GONE }
 
-  /** The same with another phase. */
-  Member as(Phase next) {
-    return new Member(id, instance, target, address, port, zone, cell, size, next, upSince);
+  /** A copy with another phase. */
+  Member withPhase(Phase newPhase) {
+    return new Member(id, instance, target, address, port, zone, cell, size, newPhase, upSince);
   }
 }
--- a/decision/src/main/java/cloverpulley/membership/Membership.java
+++ b/decision/src/main/java/cloverpulley/membership/Membership.java
@@ -443,7 +443,7 @@
 
   private void onContact(long now, ConnectionProbe c) {
     Instance i = instances.get(c.instance());
-    if (i == null || i.now == null || !i.now.text().bootId().isEmpty()) {
+    if (i == null || i.now == null || !i.now.attributes().bootId().isEmpty()) {
       return; // Who says when it started is believed in that.
     }
     if (c.up() && i.refused) {
@@ -664,7 +664,7 @@
       w.turned = false;
     }
     i.refused = false;
-    i.upSince = next.text().started() > 0 ? upSince(now, i, next) : now;
+    i.upSince = next.attributes().started() > 0 ? upSince(now, i, next) : now;
     if (i.believed) {
       i.say(ChangeReason.SUCCEEDED, by);
       if (views.length > 1 && i.loneBy < 0 && agreeing(now, i, next) < rules.witnesses()) {
@@ -691,8 +691,8 @@
    * the publisher's clock may be behind, and never as in the future.
    */
   private long upSince(long now, Instance i, Incarnation x) {
-    if (x.text().started() > 0) {
-      return Math.min(now, x.text().started() + rules.clockSkewMillis());
+    if (x.attributes().started() > 0) {
+      return Math.min(now, x.attributes().started() + rules.clockSkewMillis());
     }
     return isFirst(i) ? 0 : now;
   }
@@ -810,7 +810,7 @@
   /** What a resolver's text says of the present life; a text without a service record speaks of whoever bears the name now. */
   private TextKeys.Attributes textOfNow(Instance i, int r) {
     Incarnation its = views[r].incarnation(i.name, i.now.address());
-    return its == null ? views[r].texts.get(i.name) : its.isSame(i.now) ? its.text() : null;
+    return its == null ? views[r].texts.get(i.name) : its.isSame(i.now) ? its.attributes() : null;
   }
 
   /** Whether it has been silent for so long that its word counts for nothing beside those who speak. */
@@ -995,7 +995,7 @@
     if (!i.draining) {
       i.say(why, by);
     }
-    if (i.now.text().bootId().isEmpty() && !isFirst(i)) {
+    if (i.now.attributes().bootId().isEmpty() && !isFirst(i)) {
       i.upSince = now; // It may have started at any time since it was last heard of.
     }
     index(i);
@@ -1068,7 +1068,7 @@
     count(i, next);
     Member last = i.shown;
     if (last != null && (next == null || !next.id().equals(last.id()))) {
-      out.accept(new Change(now, last.as(Phase.GONE), i.why, i.onWord));
+      out.accept(new Change(now, last.withPhase(Phase.GONE), i.why, i.onWord));
     }
     if (next != null && !next.equals(last)) {
       out.accept(new Change(now, next, why(i, next), i.onWord));
@@ -1091,13 +1091,13 @@
     }
     Incarnation x = i.now;
     boolean reserve = x.srv().priority() > activePriority;
-    return new Member(i.name + "|" + x.identity(), i.name, x.srv().target(), x.address(), x.srv().port(), x.text().locality(),
-        x.text().cell(), size(x), drains || reserve ? Phase.DRAINING : Phase.READY, i.upSince);
+    return new Member(i.name + "|" + x.identity(), i.name, x.srv().target(), x.address(), x.srv().port(), x.attributes().locality(),
+        x.attributes().cell(), size(x), drains || reserve ? Phase.DRAINING : Phase.READY, i.upSince);
   }
 
   /** The text's; else the weight of the service record, of which 100 is usual and 0 says nothing (RFC 2782). */
   private static double size(Incarnation x) {
-    return x.text().size() > 0 ? x.text().size() : x.srv().weight() > 0 ? Math.min(MOST_SIZE, x.srv().weight() / USUAL_WEIGHT) : 1;
+    return x.attributes().size() > 0 ? x.attributes().size() : x.srv().weight() > 0 ? Math.min(MOST_SIZE, x.srv().weight() / USUAL_WEIGHT) : 1;
   }
 
   /**
@@ -1242,7 +1242,7 @@
   /** For a held list: the priority of the service record, the boot and the domain of a server on the list. */
   public CachedDetails cachedDetails(Member m) {
     Instance i = instances.get(m.instance());
-    return i == null || i.now == null ? new CachedDetails("", 0, "") : new CachedDetails(i.domain, i.now.srv().priority(), i.now.text().bootId());
+    return i == null || i.now == null ? new CachedDetails("", 0, "") : new CachedDetails(i.domain, i.now.srv().priority(), i.now.attributes().bootId());
   }
 
   /** What a held list needs beside the member. */
--- a/decision/src/main/java/cloverpulley/membership/RefreshScheduler.java
+++ b/decision/src/main/java/cloverpulley/membership/RefreshScheduler.java
@@ -6,91 +6,91 @@
 import java.util.function.Consumer;
 
 /**
- * When what was asked is asked again: at 80, 85, 90 and 95% of its TTL (RFC 6762, 5.2, which DNS-SD readers follow), each with up to
- * 2% of it more, so that readers don't ask together; after a failure with a delay that doubles.
+ * Schedules the refresh of cached records: at 80, 85, 90 and 95% of the TTL (RFC 6762, 5.2, which DNS-SD readers follow), each plus
+ * up to 2% of jitter so that readers do not query at once. Once these are used up, failures are retried with exponential back-off.
  *
- * @param <K> what is asked, whom
+ * @param <K> identifies a query and the server it goes to
  */
 public final class RefreshScheduler<K> {
 
-  private static final double[] PARTS = {0.80, 0.85, 0.90, 0.95};
+  private static final double[] TTL_FRACTIONS = {0.80, 0.85, 0.90, 0.95};
   private static final double JITTER = 0.02;
   private static final long TICK_MILLIS = 10;
-  private static final int MOST_DOUBLINGS = 20;
+  private static final int MAX_DOUBLINGS = 20;
 
   private static final class Entry<K> {
     final K key;
-    long heardAt;
+    long answeredAt;
     long ttl;
-    int part;
+    int fraction;
     int failures;
-    /** The latest time it was put at: what comes due for another has been put again since. */
-    long at;
-    boolean asked;
-    /** Something changed while it was being asked: that answer may be from before. */
-    boolean again;
+    /** The time of its latest timer; a timer that fires for another time has been replaced. */
+    long dueAt;
+    boolean inFlight;
+    /** A change was notified while a query was in flight: its answer may predate the change. */
+    boolean refreshAgain;
 
     Entry(K key) {
       this.key = key;
     }
   }
 
-  private record Due<K>(Entry<K> entry, long at) {}
+  private record Due<K>(Entry<K> entry, long dueAt) {}
 
-  private final long leastTtlMillis;
-  private final long mostTtlMillis;
+  private final long minTtlMillis;
+  private final long maxTtlMillis;
   private final long backOffMillis;
-  private final long mostBackOffMillis;
+  private final long maxBackOffMillis;
   private final SplittableRandom random;
   private final Map<K, Entry<K>> entries = new HashMap<>();
   private final TimingWheel<Due<K>> wheel;
 
-  /** Bounds of the TTLs and of the delay after a failure, all in milliseconds. */
-  public RefreshScheduler(long startMillis, long leastTtlMillis, long mostTtlMillis, long backOffMillis, long mostBackOffMillis, long seed) {
-    this.leastTtlMillis = leastTtlMillis;
-    this.mostTtlMillis = mostTtlMillis;
+  /** Bounds of the TTL, and initial and maximum back-off, all in milliseconds. */
+  public RefreshScheduler(long startMillis, long minTtlMillis, long maxTtlMillis, long backOffMillis, long maxBackOffMillis, long seed) {
+    this.minTtlMillis = minTtlMillis;
+    this.maxTtlMillis = maxTtlMillis;
     this.backOffMillis = backOffMillis;
-    this.mostBackOffMillis = mostBackOffMillis;
+    this.maxBackOffMillis = maxBackOffMillis;
     random = new SplittableRandom(seed);
     wheel = new TimingWheel<>(startMillis, TICK_MILLIS);
   }
 
-  /** It is wanted: due at once, unless it is known already. */
+  /** Adds a key that is due at once; does nothing if it is known already. */
   public void addIfAbsent(long now, K key) {
     if (!entries.containsKey(key)) {
       Entry<K> e = new Entry<>(key);
       entries.put(key, e);
-      put(e, now);
+      scheduleAt(e, now);
     }
   }
 
-  /** It is to be asked at once, whatever was heard: something has changed. */
+  /** Makes a key due at once, whatever its TTL; if a query is in flight, right after its answer. */
   public void refreshNow(long now, K key) {
     Entry<K> e = entries.get(key);
     if (e == null) {
       addIfAbsent(now, key);
-    } else if (e.asked) {
-      e.again = true;
+    } else if (e.inFlight) {
+      e.refreshAgain = true;
     } else {
-      put(e, now);
+      scheduleAt(e, now);
     }
   }
 
-  /** An answer has come that is good for this long. */
+  /** Records an answer with this TTL and schedules the next refresh. */
   public void answered(long now, K key, long ttlMillis) {
     Entry<K> e = entries.get(key);
     if (e != null) {
-      e.heardAt = now;
-      e.ttl = Math.max(leastTtlMillis, Math.min(mostTtlMillis, ttlMillis));
-      e.part = 0;
+      e.answeredAt = now;
+      e.ttl = Math.max(minTtlMillis, Math.min(maxTtlMillis, ttlMillis));
+      e.fraction = 0;
       e.failures = 0;
-      e.asked = false;
-      put(e, e.again ? now : partAt(e));
-      e.again = false;
+      e.inFlight = false;
+      scheduleAt(e, e.refreshAgain ? now : refreshTime(e));
+      e.refreshAgain = false;
     }
   }
 
-  /** What was asked goes on well, and is not over: the next failure counts as the first. */
+  /** A long-lived query, such as a session, is making progress: the next failure starts at the initial back-off. */
   public void resetBackOff(K key) {
     Entry<K> e = entries.get(key);
     if (e != null) {
@@ -98,56 +98,56 @@
     }
   }
 
-  /** No answer has come: asked again at the next part of its TTL, or once that is over with ever longer delays. */
+  /** Records that no answer came: retries at the next fraction of the TTL, then with exponential back-off. */
   public void failed(long now, K key) {
     Entry<K> e = entries.get(key);
     if (e == null) {
       return;
     }
-    e.asked = false;
-    e.again = false;
-    if (e.ttl > 0 && ++e.part < PARTS.length && partAt(e) > now) {
-      put(e, partAt(e));
+    e.inFlight = false;
+    e.refreshAgain = false;
+    if (e.ttl > 0 && ++e.fraction < TTL_FRACTIONS.length && refreshTime(e) > now) {
+      scheduleAt(e, refreshTime(e));
     } else {
-      long delay = Math.min(mostBackOffMillis, backOffMillis << Math.min(MOST_DOUBLINGS, e.failures++));
-      put(e, now + delay / 2 + random.nextLong(delay / 2 + 1));
+      long delay = Math.min(maxBackOffMillis, backOffMillis << Math.min(MAX_DOUBLINGS, e.failures++));
+      scheduleAt(e, now + delay / 2 + random.nextLong(delay / 2 + 1));
     }
   }
 
-  /** It is not wanted any more. */
+  /** Removes a key. */
   public void cancel(K key) {
     Entry<K> e = entries.remove(key);
     if (e != null) {
-      e.at = Long.MIN_VALUE;
+      e.dueAt = Long.MIN_VALUE;
     }
   }
 
-  /** Whether it is being asked, or is about to be. */
+  /** Whether a query is in flight or due. */
   public boolean isPending(long now, K key) {
     Entry<K> e = entries.get(key);
-    return e != null && (e.asked || e.at <= now);
+    return e != null && (e.inFlight || e.dueAt <= now);
   }
 
   public int size() {
     return entries.size();
   }
 
-  /** Hands out what is to be asked now; each once, until it is {@link #answered} or {@link #failed}. */
-  public void forEachDue(long now, Consumer<K> ask) {
+  /** Passes every due key to {@code query}, once each until {@link #answered} or {@link #failed} is called for it. */
+  public void forEachDue(long now, Consumer<K> query) {
     wheel.advance(now, d -> {
-      if (d.entry.at == d.at && !d.entry.asked && entries.get(d.entry.key) == d.entry) {
-        d.entry.asked = true;
-        ask.accept(d.entry.key);
+      if (d.entry.dueAt == d.dueAt && !d.entry.inFlight && entries.get(d.entry.key) == d.entry) {
+        d.entry.inFlight = true;
+        query.accept(d.entry.key);
       }
     });
   }
 
-  private long partAt(Entry<K> e) {
-    return e.heardAt + (long) (e.ttl * (PARTS[Math.min(e.part, PARTS.length - 1)] + random.nextDouble(JITTER)));
+  private long refreshTime(Entry<K> e) {
+    return e.answeredAt + (long) (e.ttl * (TTL_FRACTIONS[Math.min(e.fraction, TTL_FRACTIONS.length - 1)] + random.nextDouble(JITTER)));
   }
 
-  private void put(Entry<K> e, long at) {
-    e.at = at;
-    wheel.schedule(at, new Due<>(e, at));
+  private void scheduleAt(Entry<K> e, long dueAt) {
+    e.dueAt = dueAt;
+    wheel.schedule(dueAt, new Due<>(e, dueAt));
   }
 }
--- a/decision/src/main/java/cloverpulley/membership/TimingWheel.java
+++ b/decision/src/main/java/cloverpulley/membership/TimingWheel.java
@@ -5,9 +5,8 @@
 import java.util.function.Consumer;
 
 /**
- * Things that come due, in a hierarchy of wheels (Varghese and Lauck, "Hashed and Hierarchical Timing Wheels", 1987): putting one in
- * costs the same however many there are, and so does finding those that are due. A thing comes due within a tick after its time,
- * never before.
+ * A hierarchical timing wheel (Varghese and Lauck, "Hashed and Hierarchical Timing Wheels", 1987): scheduling a timer and finding
+ * those that are due cost the same however many there are. A timer fires within one tick after its time, never before.
  */
 public final class TimingWheel<T> {
 
@@ -15,7 +14,7 @@
   private static final int SLOTS = 1 << BITS;
   private static final int LEVELS = 4;
 
-  private record Entry<T>(long tick, T thing) {}
+  private record Entry<T>(long tick, T value) {}
 
   private final long tickMillis;
   private final List<List<ArrayList<Entry<T>>>> levels = new ArrayList<>();
@@ -23,9 +22,9 @@
   private int size;
 
   /**
-   * Makes one.
+   * Creates an empty wheel.
    *
-   * @param tickMillis how exact it is; times further off than 2^32 of them come due early and are put in again
+   * @param tickMillis the resolution; timers more than 2^32 ticks ahead are re-inserted when the top wheel reaches their slot
    */
   public TimingWheel(long startMillis, long tickMillis) {
     this.tickMillis = tickMillis;
@@ -39,35 +38,35 @@
     }
   }
 
-  /** How many are in it. */
+  /** The number of timers that have not fired. */
   public int size() {
     return size;
   }
 
-  /** Puts one in; for a time that has passed it comes due at the next tick. */
-  public void schedule(long atMillis, T thing) {
+  /** Schedules a timer; one whose time has passed fires at the next tick. */
+  public void schedule(long atMillis, T value) {
     size++;
-    place(new Entry<>(Math.max(tick + 1, (atMillis + tickMillis - 1) / tickMillis), thing));
+    insert(new Entry<>(Math.max(tick + 1, (atMillis + tickMillis - 1) / tickMillis), value));
   }
 
-  private void place(Entry<T> e) {
-    // The level is that of the highest digit in which its tick differs from the present one.
-    long differs = e.tick ^ tick;
+  private void insert(Entry<T> e) {
+    // The level is that of the highest base-256 digit in which its tick differs from the current one.
+    long difference = e.tick ^ tick;
     int level = 0;
-    while (level < LEVELS - 1 && differs >>> BITS * (level + 1) != 0) {
+    while (level < LEVELS - 1 && difference >>> BITS * (level + 1) != 0) {
       level++;
     }
     int slot = (int) (e.tick >>> BITS * level) & SLOTS - 1;
     List<ArrayList<Entry<T>>> slots = levels.get(level);
-    ArrayList<Entry<T>> there = slots.get(slot);
-    if (there == null) {
-      there = new ArrayList<>(4);
-      slots.set(slot, there);
+    ArrayList<Entry<T>> entries = slots.get(slot);
+    if (entries == null) {
+      entries = new ArrayList<>(4);
+      slots.set(slot, entries);
     }
-    there.add(e);
+    entries.add(e);
   }
 
-  /** Turns it to a time and hands out what has come due, in the order of its ticks. */
+  /** Advances to a time and passes the timers that are due to {@code due}, in order of their ticks. */
   public void advance(long nowMillis, Consumer<T> due) {
     long until = nowMillis / tickMillis;
     while (tick < until) {
@@ -76,30 +75,30 @@
         return;
       }
       tick++;
-      // Where a lower wheel has gone round, what waits in the one above is dealt out.
+      // A lower wheel has wrapped around: the current slot of the wheel above is redistributed to it.
       for (int level = 1; level < LEVELS && (tick & (1L << BITS * level) - 1) == 0; level++) {
-        List<Entry<T>> down = take(level, (int) (tick >>> BITS * level) & SLOTS - 1);
-        for (Entry<T> e : down) {
-          place(e);
+        List<Entry<T>> cascaded = removeSlot(level, (int) (tick >>> BITS * level) & SLOTS - 1);
+        for (Entry<T> e : cascaded) {
+          insert(e);
         }
       }
-      for (Entry<T> e : take(0, (int) tick & SLOTS - 1)) {
+      for (Entry<T> e : removeSlot(0, (int) tick & SLOTS - 1)) {
         if (e.tick > tick) {
-          place(e); // Further off than the wheels reach.
+          insert(e); // Beyond the range of the wheels.
         } else {
           size--;
-          due.accept(e.thing);
+          due.accept(e.value);
         }
       }
     }
   }
 
-  private List<Entry<T>> take(int level, int slot) {
-    ArrayList<Entry<T>> there = levels.get(level).get(slot);
-    if (there == null) {
+  private List<Entry<T>> removeSlot(int level, int slot) {
+    ArrayList<Entry<T>> entries = levels.get(level).get(slot);
+    if (entries == null) {
       return List.of();
     }
     levels.get(level).set(slot, null);
-    return there;
+    return entries;
   }
 }
--- a/decision/src/main/java/cloverpulley/membership/package-info.java
+++ b/decision/src/main/java/cloverpulley/membership/package-info.java
@@ -1,8 +1,7 @@
 /**
- * Which servers there are, when those who say so are late, silent, outdated, contradict one another or lie. Pure: observations and
- * a time in, changes of a list out; no sockets, no clock, no threads, and no randomness but a seed.
+ * Member discovery through DNS-SD resolvers that may be late, unresponsive, outdated, contradictory or malicious. Pure: observations and
+ * clock readings in, changes of the member list out; no sockets, clock or threads, and randomness only from a seed.
  *
- * <p>Times are milliseconds of one clock that never steps back and reads about as Unix time does: the reader takes the distance to
- * the wall clock once.
+ * <p>Times are milliseconds of a monotonic clock close to Unix time: the reader determines the offset to the wall clock once, at start.
  */
 package cloverpulley.membership;
