--- a/decision/src/main/java/cloverpulley/membership/ChangeReason.java
+++ b/decision/src/main/java/cloverpulley/membership/ChangeReason.java
@@ -22,17 +22,17 @@
   DRAINING,
   /** No resolver reports it as draining any more. */
   READY_AGAIN,
-  /** Replaced by another server under the same name. */
+  /** Another server has taken its name. */
   SUCCEEDED,
-  /** Same boot ID, new address. */
+  /** The same start at another address. */
   RENUMBERED,
   /** It refused connections and now accepts them: taken as a restart. */
   RESTARTED,
-  /** Its records changed without making it another server. */
+  /** Its records have changed in what does not make it another server. */
   CHANGED,
   /** In reserve: serves only if too few servers of a better priority can (RFC 2782). */
   RESERVE,
-  /** The same address and port is listed under another name. */
+  /** The same address and port is known under another name. */
   DUPLICATE,
   /** All resolvers have been unresponsive for longer than a list may be stale. */
   STALE_LIMIT,
@@ -42,7 +42,7 @@
   SHRUNKEN_ANSWER,
   /** Not accepted: the answer is from a zone older than a known one. */
   OUTDATED_ZONE,
-  /** Not usable: no SRV or address record. */
+  /** Not usable: a service or address record is missing. */
   INCOMPLETE,
   /** Rejected: the maximum number of instances is known. */
   TOO_MANY;
--- a/decision/src/main/java/cloverpulley/membership/Instance.java
+++ b/decision/src/main/java/cloverpulley/membership/Instance.java
@@ -3,108 +3,108 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** What is known of one instance, and what is believed of it. */
+/** What the resolvers report about one instance, and the state derived from it. */
 final class Instance {
 
-  /** Superseded lives that are remembered, so that an old record does not bring one back. */
-  private static final int MOST_LIVES = 8;
+  /** Bound on past incarnations, which are kept so that a stale record does not restore one. */
+  private static final int MAX_PAST_INCARNATIONS = 8;
 
-  /** What one resolver's latest list says of it. */
-  static final class Word {
+  /** What one resolver last reported about it. */
+  static final class Report {
     boolean listed;
     long listedAt = -1;
-    /** Since when its list lacks what it, or the list held, named before; -1 where that is not so. */
+    /** Since when the resolver's list omits this instance, which it or the cached list had named; -1 otherwise. */
     long absentSince = -1;
-    /** The answer that lacked it would have taken away too much, or all. */
-    boolean suspect;
-    boolean empty;
-    /** It has said that the present life drains, and not that it doesn't any more. */
-    boolean drains;
-    /** The identity that it said before, when that was the present one. */
-    String said;
-    /** It says another identity now. */
-    boolean turned;
+    /** The answer that omitted it would take the fleet below its floor, or had none of the accepted instances: it needs corroboration. */
+    boolean needsCorroboration;
+    boolean emptyAnswer;
+    /** It reported the current incarnation as draining and has not reported otherwise since. */
+    boolean reportsDraining;
+    /** The identity of the current incarnation, if it reported that one. */
+    String reportedIdentity;
+    /** It has reported another identity since. */
+    boolean switched;
   }
 
   final String name;
   final String domain;
-  final Word[] words;
-  /** Identities that were and are no more, with when they ended. */
-  private final LinkedHashMap<String, Long> lives = new LinkedHashMap<>();
+  final Report[] reports;
+  /** Identities of replaced incarnations and when they ended. */
+  private final LinkedHashMap<String, Long> pastIncarnations = new LinkedHashMap<>();
 
-  boolean believed;
-  /** The one resolver by whose word alone it is believed; -1 where there are more. */
-  int loneBy = -1;
-  Incarnation now;
+  boolean accepted;
+  /** The resolver on whose report alone it is accepted; -1 if it is corroborated. */
+  int soleResolver = -1;
+  Incarnation current;
   long upSince;
-  long firstHeardAt;
-  /** When the present life was last named by anybody. */
-  long incarnationNamedAt;
-  /** It has left the list before. */
-  boolean wasGone;
+  long firstSeenAt;
+  /** When any resolver last reported the current incarnation. */
+  long currentSeenAt;
+  /** It was removed from the list before. */
+  boolean wasRemoved;
 
   boolean draining;
-  long lastDrainWordAt;
-  int drainBy = -1;
+  long lastDrainReportAt;
+  int drainingResolver = -1;
   boolean withdrawn;
   long withdrawnAt;
   long lastAbsentAt;
-  int withdrawnBy = -1;
-  boolean refused;
-  /** When nobody named it any more; it is kept for a while so that what was said of it is not forgotten. */
-  long goneAt = -1;
+  int withdrawingResolver = -1;
+  boolean connectionRefused;
+  /** When it was removed from the list, -1 if it was not; its state is kept for the longest TTL so that earlier reports still apply. */
+  long removedAt = -1;
   long timerAt = Long.MAX_VALUE;
 
-  /** Why it is as it is, and on whose word. */
-  ChangeReason why;
-  int onWord = -1;
-  /** As the list has it; null where it is not on it. */
-  Member shown;
+  /** Why it is in its state, and the resolver whose report decided; -1 for none. */
+  ChangeReason reason;
+  int reasonResolver = -1;
+  /** Its entry on the published list; null if there is none. */
+  Member published;
   String addressKey;
-  /** As it is counted among those that could serve. */
-  int countedAble;
+  /** How it was last counted in the available servers by priority: 1 or 0, and at which priority. */
+  int countedAvailable;
   int countedPriority;
 
   Instance(String name, String domain, int resolvers) {
     this.name = name;
     this.domain = domain;
-    words = new Word[resolvers];
+    reports = new Report[resolvers];
     for (int i = 0; i < resolvers; i++) {
-      words[i] = new Word();
+      reports[i] = new Report();
     }
   }
 
-  void supersede(String identity, long at) {
-    lives.put(identity, at);
-    if (lives.size() > MOST_LIVES) {
-      lives.remove(lives.keySet().iterator().next());
+  void recordEnded(String identity, long at) {
+    pastIncarnations.put(identity, at);
+    if (pastIncarnations.size() > MAX_PAST_INCARNATIONS) {
+      pastIncarnations.remove(pastIncarnations.keySet().iterator().next());
     }
   }
 
-  /** When a life with this identity ended; -1 where none did. */
-  long ended(String identity) {
-    return lives.getOrDefault(identity, -1L);
+  /** When the incarnation with this identity ended; -1 if none did. */
+  long endedAt(String identity) {
+    return pastIncarnations.getOrDefault(identity, -1L);
   }
 
-  void forgetEnd(String identity) {
-    lives.remove(identity);
+  void removeEnded(String identity) {
+    pastIncarnations.remove(identity);
   }
 
-  Map<String, Long> endedLives() {
-    return lives;
+  Map<String, Long> endedIncarnations() {
+    return pastIncarnations;
   }
 
   boolean isListed() {
-    for (Word w : words) {
-      if (w.listed) {
+    for (Report r : reports) {
+      if (r.listed) {
         return true;
       }
     }
     return false;
   }
 
-  void say(ChangeReason reason, int resolver) {
-    why = reason;
-    onWord = resolver;
+  void setReason(ChangeReason newReason, int resolver) {
+    reason = newReason;
+    reasonResolver = resolver;
   }
 }
--- a/decision/src/main/java/cloverpulley/membership/Membership.java
+++ b/decision/src/main/java/cloverpulley/membership/Membership.java
@@ -1,6 +1,6 @@
 package cloverpulley.membership;
 
-import cloverpulley.membership.Instance.Word;
+import cloverpulley.membership.Instance.Report;
 import cloverpulley.membership.Member.Phase;
 import cloverpulley.membership.Observation.Addresses;
 import cloverpulley.membership.Observation.BrowseFailed;
@@ -24,105 +24,108 @@
 import java.util.function.Consumer;
 
 /**
- * Decides which servers there are. Observations come in one by one; {@link #reconcile} then says what has changed. What an
- * observation costs grows with what it changes, not with the fleet; a browse costs as much as its answer is long.
+ * Derives the member list from the reports of several DNS-SD resolvers. {@link #observe} takes in one observation;
+ * {@link #reconcile} emits the resulting changes. The cost of an observation grows with the number of instances that it changes, not
+ * with the fleet; that of a browse grows with the length of its answer.
  *
  * <ul>
- * <li>A word that an instance drains or is gone counts at once, from whoever says it first, and against all who say otherwise.
- * <li>An answer that takes away more of the fleet than {@link Rules#floorShare} allows counts once enough others say the same.
- * <li>What one resolver alone adds stays within its weight while others speak.
- * <li>Silence changes nothing until {@link Rules#staleMillis}.
+ * <li>The first report that an instance is draining or withdrawn takes effect at once, whatever the other resolvers report.
+ * <li>An answer that would take the fleet below {@link Rules#floorShare} takes effect once enough other resolvers agree.
+ * <li>Instances added by one resolver alone are limited by its weight while other resolvers respond.
+ * <li>Unresponsive resolvers change nothing until {@link Rules#staleMillis}.
  * </ul>
  */
 public final class Membership {
 
-  /** The fleet's size is compared with the most that served within one to two of these. */
-  private static final long REFERENCE_MILLIS = 30_000;
+  /** The size of the fleet is compared with its maximum over the last one to two of these windows. */
+  private static final long REFERENCE_WINDOW_MILLIS = 30_000;
 
-  /** A guard against a fault here: a change of one server bears on those at its address, and they on nobody else. */
-  private static final int MOST_ROUNDS = 10_000;
-  private static final long AGAIN_MILLIS = 1000;
-  private static final double USUAL_WEIGHT = 100;
-  private static final double MOST_SIZE = 1000;
+  /** Detects a fault in this class: a changed instance makes those at its address dirty, and these make no others dirty. */
+  private static final int MAX_ROUNDS = 10_000;
+  private static final long RECHECK_MILLIS = 1000;
+  private static final double DEFAULT_WEIGHT = 100;
+  private static final double MAX_SIZE = 1000;
 
   private record Timer(long at, String instance) {}
 
   private final Rules rules;
   private final TextKeys keys;
-  private final View[] views;
+  private final ResolverView[] views;
   private final Map<String, Instance> instances = new HashMap<>();
-  private final Map<String, Set<String>> instancesOfTarget = new HashMap<>();
+  private final Map<String, Set<String>> instancesByTarget = new HashMap<>();
   private final Map<String, List<Instance>> byAddress = new HashMap<>();
   private final TreeMap<Integer, LinkedHashSet<Instance>> byPriority = new TreeMap<>();
-  private final Map<Integer, Integer> ableByPriority = new HashMap<>();
+  private final Map<Integer, Integer> availableByPriority = new HashMap<>();
   private final LinkedHashSet<Instance> dirty = new LinkedHashSet<>();
-  /** Named by too few for now, first come first. */
-  private final LinkedHashSet<Instance> waiting = new LinkedHashSet<>();
-  /** Of the list held over a restart, until every resolver has spoken of them. */
-  private final LinkedHashSet<Instance> heldOnly = new LinkedHashSet<>();
-  /** Missed by an answer that is not believed. */
-  private final LinkedHashSet<Instance> suspects = new LinkedHashSet<>();
+  /** Instances listed by too few resolvers so far, in order of arrival. */
+  private final LinkedHashSet<Instance> awaitingCorroboration = new LinkedHashSet<>();
+  /** Instances of the cached list that not every resolver has listed or omitted yet. */
+  private final LinkedHashSet<Instance> cachedUnconfirmed = new LinkedHashSet<>();
+  /** Instances omitted by an answer that needs corroboration. */
+  private final LinkedHashSet<Instance> disputedAbsences = new LinkedHashSet<>();
   private final PriorityQueue<Timer> timers = new PriorityQueue<>(Comparator.comparingLong(Timer::at));
-  private final int[] lone;
-  /** When each domain was first listed by all who are asked. */
-  private final Map<String, Long> firstLists = new HashMap<>();
+  /** Per resolver: instances that are accepted on its report alone. */
+  private final int[] uncorroborated;
+  /** When all resolvers had first responded for a domain, and at least one with a list. */
+  private final Map<String, Long> firstListedAt = new HashMap<>();
   private final Set<String> problems = new LinkedHashSet<>();
   private long startedAt = -1;
-  private long settledAt = -1;
-  private boolean waitingLooked;
-  private int known;
-  private int corroborated;
-  /** Withdrawn on the word of some while others still name them. */
-  private int contested;
-  private int capBase = -1;
-  private int serving;
+  private long reconciledAt = -1;
+  private boolean recheckAwaiting;
+  private int acceptedCount;
+  private int corroboratedCount;
+  /** Withdrawn by one resolver while others still list them. */
+  private int contestedCount;
+  private int limitBase = -1;
+  private int readyCount;
   private int activePriority = Integer.MAX_VALUE;
-  private long referenceAt;
-  private int referenceNow;
-  private int referenceBefore;
-  private long ignored;
+  private long windowStartedAt;
+  private int windowMax;
+  private int previousWindowMax;
+  private long ignoredAnswers;
 
   public Membership(Rules rules, TextKeys keys) {
     this.rules = rules;
     this.keys = keys;
-    views = new View[rules.resolvers()];
+    views = new ResolverView[rules.resolvers()];
     for (int i = 0; i < views.length; i++) {
-      views[i] = new View();
+      views[i] = new ResolverView();
     }
-    lone = new int[views.length];
+    uncorroborated = new int[views.length];
   }
 
-  // ---- What has been seen --------------------------------------------------------------------------------
+  // ---- Observations --------------------------------------------------------------------------------------
 
   /**
-   * A server of the list held over a restart: believed until somebody who should know it says otherwise.
+   * Restores a server from the list cached over a restart; it is accepted until a resolver reports otherwise.
    *
-   * @param priority of its service record, which decides whether it is a reserve
+   * @param priority of its SRV record, which decides whether it is a reserve
    */
   public void restoreCached(long now, Member m, String domain, int priority, String bootId) {
     start(now);
-    Instance i = instance(m.instance(), domain, now);
-    if (i == null || i.believed) {
+    Instance i = getOrCreate(m.instance(), domain, now);
+    if (i == null || i.accepted) {
       return;
     }
-    TextKeys.Attributes text = new TextKeys.Attributes(m.zone(), "", m.cell(), m.size(), m.phase() == Phase.DRAINING, started(bootId), bootId, Map.of(), List.of());
-    i.believed = true;
-    heldOnly.add(i);
+    TextKeys.Attributes attributes = new TextKeys.Attributes(m.zone(), "", m.cell(), m.size(), m.phase() == Phase.DRAINING, started(bootId),
+        bootId, Map.of(), List.of());
+    i.accepted = true;
+    cachedUnconfirmed.add(i);
     i.upSince = m.upSince();
     i.draining = m.phase() == Phase.DRAINING;
-    i.lastDrainWordAt = now;
-    i.say(ChangeReason.HELD_LIST, -1);
-    corroborated++;
-    known++;
-    become(i, new Incarnation(new SrvRecord(priority, 0, m.target(), m.port()), m.address(), text), now);
-    touch(i);
+    i.lastDrainReportAt = now;
+    i.setReason(ChangeReason.HELD_LIST, -1);
+    corroboratedCount++;
+    acceptedCount++;
+    setCurrent(i, new Incarnation(new SrvRecord(priority, 0, m.target(), m.port()), m.address(), attributes), now);
+    markDirty(i);
   }
 
   private static long started(String bootId) {
     return bootId.matches("\\d{1,15}") ? Long.parseLong(bootId) : 0;
   }
 
-  /** Takes one observation in; {@link #reconcile} says what comes of it. */
+  /** Records one observation; {@link #reconcile} emits the resulting changes. */
   public void observe(long now, Observation o) {
     start(now);
     if (o instanceof Browsed b) {
@@ -134,272 +137,273 @@
     } else if (o instanceof BrowseFailed f) {
       views[f.resolver()].domain(f.domain()).failed = true;
     } else if (o instanceof ZoneSerial z) {
-      View.Domain d = views[z.resolver()].domain(z.domain());
+      ResolverView.Domain d = views[z.resolver()].domain(z.domain());
       if (z.serial() >= 0 && !isOutdated(now, z.domain(), z.serial(), d)) {
         d.outdatedSince = -1;
         d.serial = z.serial();
       }
     } else if (o instanceof ServiceRecords s) {
-      onService(s);
+      onServiceRecords(s);
     } else if (o instanceof TextRecord t) {
       if (!instances.containsKey(t.instance())) {
-        return; // Nothing is kept of what no list names.
+        return; // Records of unlisted instances are not stored.
       }
-      TextKeys.Attributes read = keys.parse(t.pairs());
-      // Leaving is not taken back by a zone that is late; it may be late in saying it.
-      if (!read.draining() && isFromOutdated(t.resolver(), t.instance())) {
-        ignored++;
+      TextKeys.Attributes parsed = keys.parse(t.pairs());
+      // An outdated zone cannot cancel a drain, but it may report one.
+      if (!parsed.draining() && isFromOutdatedZone(t.resolver(), t.instance())) {
+        ignoredAnswers++;
         return;
       }
-      if (!read.equals(views[t.resolver()].texts.put(t.instance(), read))) {
-        read.problems().forEach(p -> problem(t.instance() + " " + p));
-        touch(instances.get(t.instance()));
+      if (!parsed.equals(views[t.resolver()].attributes.put(t.instance(), parsed))) {
+        parsed.problems().forEach(p -> addProblem(t.instance() + " " + p));
+        markDirty(instances.get(t.instance()));
       }
     } else if (o instanceof Addresses a) {
-      if (instancesOfTarget.getOrDefault(a.target(), Set.of()).stream().anyMatch(n -> isFromOutdated(a.resolver(), n))) {
-        ignored++;
+      if (instancesByTarget.getOrDefault(a.target(), Set.of()).stream().anyMatch(n -> isFromOutdatedZone(a.resolver(), n))) {
+        ignoredAnswers++;
         return;
       }
-      if (views[a.resolver()].addresses(a.target(), a.ipv6(), List.copyOf(a.addresses()))) {
-        instancesOfTarget.getOrDefault(a.target(), Set.of()).forEach(n -> touch(instances.get(n)));
+      if (views[a.resolver()].updateAddresses(a.target(), a.ipv6(), List.copyOf(a.addresses()))) {
+        instancesByTarget.getOrDefault(a.target(), Set.of()).forEach(n -> markDirty(instances.get(n)));
       }
     } else if (o instanceof ConnectionProbe c) {
-      onContact(now, c);
+      onConnectionProbe(now, c);
     }
   }
 
-  private void onService(ServiceRecords s) {
+  private void onServiceRecords(ServiceRecords s) {
     if (!instances.containsKey(s.instance())) {
-      return; // Nothing is kept of what no list names.
-    } else if (isFromOutdated(s.resolver(), s.instance())) {
-      ignored++;
+      return; // Records of unlisted instances are not stored.
+    } else if (isFromOutdatedZone(s.resolver(), s.instance())) {
+      ignoredAnswers++;
       return;
     }
-    List<SrvRecord> before = views[s.resolver()].services.put(s.instance(), List.copyOf(s.records()));
+    List<SrvRecord> before = views[s.resolver()].srvRecords.put(s.instance(), List.copyOf(s.records()));
     if (s.records().equals(before)) {
       return;
     }
-    s.records().forEach(r -> instancesOfTarget.computeIfAbsent(r.target(), t -> new HashSet<>()).add(s.instance()));
+    s.records().forEach(r -> instancesByTarget.computeIfAbsent(r.target(), t -> new HashSet<>()).add(s.instance()));
     if (before != null) {
       before.forEach(r -> unlink(r.target(), s.instance()));
     }
-    touch(instances.get(s.instance()));
+    markDirty(instances.get(s.instance()));
   }
 
-  /** Guards memory against targets that come and go under one name: one that no resolver gives it any more is forgotten. */
+  /** Bounds memory when the target of an instance keeps changing: removes a target that no resolver reports for it any more. */
   private void unlink(String target, String instance) {
-    for (View v : views) {
-      if (v.services.getOrDefault(instance, List.of()).stream().anyMatch(r -> r.target().equals(target))) {
+    for (ResolverView v : views) {
+      if (v.srvRecords.getOrDefault(instance, List.of()).stream().anyMatch(r -> r.target().equals(target))) {
         return;
       }
     }
-    Set<String> users = instancesOfTarget.get(target);
+    Set<String> users = instancesByTarget.get(target);
     if (users != null && users.remove(instance) && users.isEmpty()) {
-      instancesOfTarget.remove(target);
-      for (View v : views) {
-        v.forgetAddresses(target);
+      instancesByTarget.remove(target);
+      for (ResolverView v : views) {
+        v.removeAddresses(target);
       }
     }
   }
 
-  /** Names, records and addresses that are kept, of all resolvers; for tests of its bounds. */
+  /** The number of instances, targets and records in memory; for tests of its bounds. */
   int retainedEntries() {
-    int n = instances.size() + instancesOfTarget.size();
-    for (View v : views) {
+    int n = instances.size() + instancesByTarget.size();
+    for (ResolverView v : views) {
       n += v.size();
     }
     return n;
   }
 
-  /** Whether a resolver answers from an outdated zone, as far as an instance that is known is concerned. */
-  private boolean isFromOutdated(int resolver, String instance) {
+  /** Whether a resolver answers from an outdated zone in the domain of a known instance. */
+  private boolean isFromOutdatedZone(int resolver, String instance) {
     Instance i = instances.get(instance);
-    View.Domain d = i == null ? null : views[resolver].domains.get(i.domain);
+    ResolverView.Domain d = i == null ? null : views[resolver].domains.get(i.domain);
     return d != null && d.outdatedSince >= 0;
   }
 
   private void start(long now) {
     if (startedAt < 0) {
       startedAt = now;
-      referenceAt = now;
+      windowStartedAt = now;
       timers.add(new Timer(now + rules.firstWaitMillis(), null));
     }
   }
 
-  private void problem(String text) {
+  private void addProblem(String description) {
     if (problems.size() < 1000) {
-      problems.add(text);
+      problems.add(description);
     }
   }
 
-  private Instance instance(String name, String domain, long now) {
+  private Instance getOrCreate(String name, String domain, long now) {
     Instance i = instances.get(name);
     if (i == null) {
       if (instances.size() >= rules.maxInstances()) {
-        problem(name + " " + ChangeReason.TOO_MANY.code());
+        addProblem(name + " " + ChangeReason.TOO_MANY.code());
         return null;
       }
       i = new Instance(name, domain, views.length);
-      i.firstHeardAt = now;
+      i.firstSeenAt = now;
       instances.put(name, i);
     }
     return i;
   }
 
-  private void touch(Instance i) {
+  private void markDirty(Instance i) {
     if (i != null) {
       dirty.add(i);
     }
   }
 
-  /** Looks at it again then; what should have come about by now and hasn't is looked at in a while. */
-  private void timer(Instance i, long wanted) {
-    long at = wanted > settledAt ? wanted : settledAt + AGAIN_MILLIS;
+  /** Schedules a check of an instance. A time that has passed already is replaced by one a little later, to avoid a busy loop. */
+  private void scheduleCheck(Instance i, long checkAt) {
+    long at = checkAt > reconciledAt ? checkAt : reconciledAt + RECHECK_MILLIS;
     if (at < i.timerAt) {
       i.timerAt = at;
       timers.add(new Timer(at, i.name));
     }
   }
 
-  private long clamp(long ttl) {
+  private long capTtl(long ttl) {
     return Math.max(1, Math.min(ttl, rules.longestTtlMillis()));
   }
 
   private void onBrowsed(long now, Browsed b) {
-    View.Domain d = views[b.resolver()].domain(b.domain());
+    ResolverView.Domain d = views[b.resolver()].domain(b.domain());
     d.failed = false;
     if (b.serial() >= 0 && isOutdated(now, b.domain(), b.serial(), d)) {
-      ignored++;
+      ignoredAnswers++;
       return;
     }
     boolean wasLive = d.isLive(now);
     d.outdatedSince = -1;
     d.serial = b.serial() >= 0 ? b.serial() : d.serial;
-    d.at = now;
-    d.expires = now + clamp(b.ttlMillis());
+    d.answeredAt = now;
+    d.expiresAt = now + capTtl(b.ttlMillis());
     Set<String> before = d.names;
     Set<String> names = new HashSet<>(b.names());
-    List<Instance> missed = new ArrayList<>();
+    List<Instance> omitted = new ArrayList<>();
     before.forEach(n -> {
       if (!names.contains(n) && instances.containsKey(n)) {
-        missed.add(instances.get(n));
+        omitted.add(instances.get(n));
       }
     });
-    for (Instance i : heldOnly) {
-      if (i.domain.equals(b.domain()) && !names.contains(i.name) && i.words[b.resolver()].absentSince < 0
+    for (Instance i : cachedUnconfirmed) {
+      if (i.domain.equals(b.domain()) && !names.contains(i.name) && i.reports[b.resolver()].absentSince < 0
           && !before.contains(i.name)) {
-        missed.add(i);
+        omitted.add(i);
       }
     }
-    // What was doubted is judged anew with each answer that still lacks it: beside fewer others it may be believed.
-    for (Instance i : suspects) {
-      if (i.domain.equals(b.domain()) && i.words[b.resolver()].absentSince >= 0 && !names.contains(i.name)) {
-        missed.add(i);
+    // An absence that needed corroboration is checked again with each answer that repeats it: with fewer others omitted it may take effect.
+    for (Instance i : disputedAbsences) {
+      if (i.domain.equals(b.domain()) && i.reports[b.resolver()].absentSince >= 0 && !names.contains(i.name)) {
+        omitted.add(i);
       }
     }
-    // An answer that has none of those who serve is as empty as one that has nobody.
-    boolean empty = names.stream().noneMatch(n -> isSure(n, b.resolver()));
-    boolean suspect = isTooMuch(now, missed, empty);
-    for (Instance i : missed) {
-      absent(now, i, b.resolver(), suspect, empty);
+    // An answer with none of the accepted instances counts as an empty one.
+    boolean emptyAnswer = names.stream().noneMatch(n -> isAcceptedIndependently(n, b.resolver()));
+    boolean needsCorroboration = isBelowFloor(now, omitted, emptyAnswer);
+    for (Instance i : omitted) {
+      onAbsent(now, i, b.resolver(), needsCorroboration, emptyAnswer);
     }
     d.names = names;
-    List<String> fresh = new ArrayList<>();
+    List<String> added = new ArrayList<>();
     for (String n : names) {
       if (before.contains(n) && instances.containsKey(n)) {
-        listed(now, b.resolver(), b.domain(), n, wasLive);
+        onListed(now, b.resolver(), b.domain(), n, wasLive);
       } else {
-        fresh.add(n);
+        added.add(n);
       }
     }
-    // In order: which of too many get in has to be the same at every reader.
-    fresh.sort(Comparator.naturalOrder());
-    fresh.forEach(n -> listed(now, b.resolver(), b.domain(), n, false));
-    noteFirstList(now, b.domain());
-    onLists();
+    // Sorted, so that all readers accept the same instances when there are too many.
+    added.sort(Comparator.naturalOrder());
+    added.forEach(n -> onListed(now, b.resolver(), b.domain(), n, false));
+    recordFirstList(now, b.domain());
+    requestAwaitingRecheck();
   }
 
-  private void listed(long now, int resolver, String domain, String name, boolean before) {
-    Instance i = instance(name, domain, now);
+  private void onListed(long now, int resolver, String domain, String name, boolean wasListed) {
+    Instance i = getOrCreate(name, domain, now);
     if (i == null) {
       return;
     }
-    Word w = i.words[resolver];
-    if (!before || !w.listed) {
-      w.listedAt = w.listed ? w.listedAt : now;
-      w.listed = true;
-      w.absentSince = -1;
-      w.suspect = false;
-      if (i.goneAt >= 0 && !i.believed) {
-        i.goneAt = -1;
+    Report report = i.reports[resolver];
+    if (!wasListed || !report.listed) {
+      report.listedAt = report.listed ? report.listedAt : now;
+      report.listed = true;
+      report.absentSince = -1;
+      report.needsCorroboration = false;
+      if (i.removedAt >= 0 && !i.accepted) {
+        i.removedAt = -1;
       }
-      touch(i);
+      markDirty(i);
     } else if (i.withdrawn || i.draining) {
-      touch(i);
+      markDirty(i);
     }
   }
 
-  private void absent(long now, Instance i, int resolver, boolean suspect, boolean empty) {
-    Word w = i.words[resolver];
-    w.listed = false;
-    if (i.now != null && i.now.identity().equals(w.said)) {
-      i.incarnationNamedAt = now;
+  private void onAbsent(long now, Instance i, int resolver, boolean needsCorroboration, boolean emptyAnswer) {
+    Report report = i.reports[resolver];
+    report.listed = false;
+    if (i.current != null && i.current.identity().equals(report.reportedIdentity)) {
+      i.currentSeenAt = now;
     }
-    w.absentSince = w.absentSince < 0 ? now : w.absentSince;
-    w.suspect = suspect;
-    w.empty = empty;
-    i.lastAbsentAt = suspect ? i.lastAbsentAt : now;
-    if (suspect) {
-      suspects.add(i);
+    report.absentSince = report.absentSince < 0 ? now : report.absentSince;
+    report.needsCorroboration = needsCorroboration;
+    report.emptyAnswer = emptyAnswer;
+    i.lastAbsentAt = needsCorroboration ? i.lastAbsentAt : now;
+    if (needsCorroboration) {
+      disputedAbsences.add(i);
     }
-    touch(i);
+    markDirty(i);
   }
 
-  /** Whether an answer that lacks these leaves less than the fleet may shrink to on one word. */
-  private boolean isTooMuch(long now, List<Instance> missed, boolean empty) {
-    int lost = able(missed);
-    // What is contested counts as there: else one resolver could take the fleet away bit by bit.
-    int most = Math.max(reference(now), able() + contested);
-    return lost > 0 && (empty || able() - lost < Math.ceil(rules.floorShare() * most));
+  /** Whether an answer that omits these instances would take the fleet below the floor that one resolver may reduce it to. */
+  private boolean isBelowFloor(long now, List<Instance> omitted, boolean emptyAnswer) {
+    int lost = countAvailable(omitted);
+    // Contested instances count as available, or one resolver could remove the fleet in small steps.
+    int reference = Math.max(referenceSize(now), countAvailable() + contestedCount);
+    return lost > 0 && (emptyAnswer || countAvailable() - lost < Math.ceil(rules.floorShare() * reference));
   }
 
-  /** Whether an instance is believed on more than this resolver's word. */
-  private boolean isSure(String name, int resolver) {
+  /** Whether an instance is accepted without depending on this resolver's report. */
+  private boolean isAcceptedIndependently(String name, int resolver) {
     Instance i = instances.get(name);
-    return i != null && i.believed && (views.length == 1 || i.loneBy != resolver);
+    return i != null && i.accepted && (views.length == 1 || i.soleResolver != resolver);
   }
 
-  private static int able(List<Instance> some) {
+  private static int countAvailable(List<Instance> candidates) {
     int n = 0;
-    for (Instance i : some) {
-      n += i.believed && !i.withdrawn && !i.draining ? 1 : 0;
+    for (Instance i : candidates) {
+      n += i.accepted && !i.withdrawn && !i.draining ? 1 : 0;
     }
     return n;
   }
 
-  private int able() {
-    return ableByPriority.values().stream().mapToInt(n -> n).sum();
+  private int countAvailable() {
+    return availableByPriority.values().stream().mapToInt(n -> n).sum();
   }
 
-  private int reference(long now) {
-    if (now - referenceAt >= REFERENCE_MILLIS) {
-      referenceBefore = now - referenceAt >= 2 * REFERENCE_MILLIS ? able() : referenceNow;
-      referenceNow = able();
-      referenceAt = now;
+  private int referenceSize(long now) {
+    if (now - windowStartedAt >= REFERENCE_WINDOW_MILLIS) {
+      previousWindowMax = now - windowStartedAt >= 2 * REFERENCE_WINDOW_MILLIS ? countAvailable() : windowMax;
+      windowMax = countAvailable();
+      windowStartedAt = now;
     }
-    referenceNow = Math.max(referenceNow, able());
-    return Math.max(referenceNow, referenceBefore);
+    windowMax = Math.max(windowMax, countAvailable());
+    return Math.max(windowMax, previousWindowMax);
   }
 
   /**
-   * Guards against a resolver that has lost touch with its primary: a zone older than one that as many have shown as have to
-   * agree is no news. Who shows an old one for longer than any cache lives has a zone that was made anew.
+   * Guards against a resolver that has lost contact with its primary: answers from a zone older than its own last one, or than that of
+   * as many resolvers as have to agree, are ignored. An old serial that persists for longer than any cache lives belongs to a zone that
+   * was recreated, unless enough others still have a newer one.
    */
-  private boolean isOutdated(long now, String domain, long serial, View.Domain d) {
+  private boolean isOutdated(long now, String domain, long serial, ResolverView.Domain d) {
     boolean older = d.serial >= 0 && Serial.isOlder(serial, d.serial);
     int newer = 0;
-    for (View v : views) {
-      View.Domain other = v.domain(domain);
+    for (ResolverView v : views) {
+      ResolverView.Domain other = v.domain(domain);
       newer += other != d && other.serial >= 0 && other.outdatedSince < 0 && Serial.isOlder(serial, other.serial) ? 1 : 0;
     }
     if (!older && newer < Math.max(rules.witnesses(), 2)) {
@@ -412,351 +416,354 @@
   }
 
   private void onPushed(long now, Pushed p) {
-    View.Domain d = views[p.resolver()].domain(p.domain());
+    ResolverView.Domain d = views[p.resolver()].domain(p.domain());
     if (p.added()) {
       boolean before = !d.names.add(p.instance());
-      listed(now, p.resolver(), p.domain(), p.instance(), before);
+      onListed(now, p.resolver(), p.domain(), p.instance(), before);
     } else if (d.names.remove(p.instance()) && instances.containsKey(p.instance())) {
       Instance i = instances.get(p.instance());
-      absent(now, i, p.resolver(), isTooMuch(now, List.of(i), d.names.isEmpty()), d.names.isEmpty());
+      onAbsent(now, i, p.resolver(), isBelowFloor(now, List.of(i), d.names.isEmpty()), d.names.isEmpty());
     }
-    onLists();
+    requestAwaitingRecheck();
   }
 
   private void onUnchanged(long now, Unchanged u) {
-    View.Domain d = views[u.resolver()].domain(u.domain());
-    if (d.at >= 0 && d.outdatedSince < 0) {
+    ResolverView.Domain d = views[u.resolver()].domain(u.domain());
+    if (d.answeredAt >= 0 && d.outdatedSince < 0) {
       d.failed = false;
       if (!d.isLive(now)) {
-        d.names.forEach(n -> touch(instances.get(n)));
+        d.names.forEach(n -> markDirty(instances.get(n)));
       }
-      d.at = now;
-      d.expires = now + clamp(u.ttlMillis());
-      suspects.forEach(this::touch);
+      d.answeredAt = now;
+      d.expiresAt = now + capTtl(u.ttlMillis());
+      disputedAbsences.forEach(this::markDirty);
     }
   }
 
-  /** Whether instances wait for a second word depends on who has spoken at all. */
-  private void onLists() {
-    waitingLooked = true;
+  /** Which instances have to wait for a second resolver depends on the resolvers that have responded at all. */
+  private void requestAwaitingRecheck() {
+    recheckAwaiting = true;
   }
 
-  private void onContact(long now, ConnectionProbe c) {
+  private void onConnectionProbe(long now, ConnectionProbe c) {
     Instance i = instances.get(c.instance());
-    if (i == null || i.now == null || !i.now.attributes().bootId().isEmpty()) {
-      return; // Who says when it started is believed in that.
+    if (i == null || i.current == null || !i.current.attributes().bootId().isEmpty()) {
+      return; // A reported boot ID takes precedence over probes.
     }
-    if (c.up() && i.refused) {
+    if (c.up() && i.connectionRefused) {
       i.upSince = now;
-      i.say(ChangeReason.RESTARTED, -1);
-      touch(i);
+      i.setReason(ChangeReason.RESTARTED, -1);
+      markDirty(i);
     }
-    i.refused = !c.up();
+    i.connectionRefused = !c.up();
   }
 
-  // ---- What comes of it ----------------------------------------------------------------------------------
+  // ---- Reconciliation ------------------------------------------------------------------------------------
 
-  /** The next time at which something changes though nothing is said; {@link Long#MAX_VALUE} for none. */
+  /** The next time at which the list may change without an observation; {@link Long#MAX_VALUE} for none. */
   public long nextTimerAt() {
     return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().at;
   }
 
-  /** Draws the conclusions of all that was observed, and of the time that has passed. */
+  /** Applies all observations and expired timers, and passes the changes of the published list to {@code out}. */
   public void reconcile(long now, Consumer<Change> out) {
     start(now);
-    settledAt = now;
+    reconciledAt = now;
     while (!timers.isEmpty() && timers.peek().at <= now) {
       Timer t = timers.poll();
       Instance i = t.instance == null ? null : instances.get(t.instance);
       if (t.instance == null) {
-        waitingLooked = true;
+        recheckAwaiting = true;
       } else if (i != null) {
         i.timerAt = i.timerAt <= now ? Long.MAX_VALUE : i.timerAt;
-        touch(i);
+        markDirty(i);
       }
     }
-    reference(now);
+    referenceSize(now);
     int rounds = 0;
-    // It ends: each round lets in some that waited, or has nothing more to look at.
+    // Terminates: each iteration accepts some of the waiting instances, or leaves none dirty.
     do {
       while (!dirty.isEmpty()) {
-        List<Instance> round = List.copyOf(dirty);
+        List<Instance> batch = List.copyOf(dirty);
         dirty.clear();
-        if (++rounds > MOST_ROUNDS) {
-          throw new IllegalStateException("no end of conclusions on " + round.get(0).name + ": " + explain(now, round.get(0).name)
-              + (round.size() > 1 ? " and " + explain(now, round.get(1).name) : ""));
+        if (++rounds > MAX_ROUNDS) {
+          throw new IllegalStateException("reconciliation does not terminate at " + batch.get(0).name + ": " + explain(now, batch.get(0).name)
+              + (batch.size() > 1 ? " and " + explain(now, batch.get(1).name) : ""));
         }
-        round.forEach(i -> evaluate(now, i));
-        round.forEach(i -> show(now, i, out));
+        batch.forEach(i -> evaluate(now, i));
+        batch.forEach(i -> publish(now, i, out));
       }
-      if (waitingLooked || capBase != corroborated) {
-        waitingLooked = false;
-        capBase = corroborated;
-        for (Instance i : List.copyOf(waiting)) {
-          believe(now, i);
-          if (i.believed) {
-            touch(i);
+      if (recheckAwaiting || limitBase != corroboratedCount) {
+        recheckAwaiting = false;
+        limitBase = corroboratedCount;
+        for (Instance i : List.copyOf(awaitingCorroboration)) {
+          updateAcceptance(now, i);
+          if (i.accepted) {
+            markDirty(i);
           }
         }
       }
-      rank(now, out);
+      updateActivePriority(now, out);
     } while (!dirty.isEmpty());
   }
 
   private void evaluate(long now, Instance i) {
-    if (i.goneAt >= 0 && !i.isListed()) {
-      if (now - i.goneAt >= rules.longestTtlMillis()) {
-        forget(i);
+    if (i.removedAt >= 0 && !i.isListed()) {
+      if (now - i.removedAt >= rules.longestTtlMillis()) {
+        removeInstance(i);
       } else {
-        timer(i, i.goneAt + rules.longestTtlMillis());
+        scheduleCheck(i, i.removedAt + rules.longestTtlMillis());
       }
       return;
     }
-    incarnate(now, i);
-    drain(now, i);
-    if (i.believed) {
-      withdraw(now, i);
+    updateIncarnation(now, i);
+    updateDraining(now, i);
+    if (i.accepted) {
+      updateWithdrawal(now, i);
     }
-    believe(now, i);
-    if (heldOnly.contains(i) && spokenOf(i)) {
-      heldOnly.remove(i);
+    updateAcceptance(now, i);
+    if (cachedUnconfirmed.contains(i) && isReportedByAll(i)) {
+      cachedUnconfirmed.remove(i);
     }
   }
 
-  private boolean spokenOf(Instance i) {
-    for (Word w : i.words) {
-      if (!w.listed && w.absentSince < 0) {
+  private boolean isReportedByAll(Instance i) {
+    for (Report report : i.reports) {
+      if (!report.listed && report.absentSince < 0) {
         return false;
       }
     }
     return true;
   }
 
-  private boolean live(int resolver, Instance i, long now) {
-    View.Domain d = views[resolver].domains.get(i.domain);
+  private boolean hasLiveList(int resolver, Instance i, long now) {
+    ResolverView.Domain d = views[resolver].domains.get(i.domain);
     return d != null && d.isLive(now);
   }
 
-  private int namedBy(Instance i, long now) {
+  private int countListing(Instance i, long now) {
     int n = 0;
     for (int r = 0; r < views.length; r++) {
-      n += i.words[r].listed && live(r, i, now) ? 1 : 0;
+      n += i.reports[r].listed && hasLiveList(r, i, now) ? 1 : 0;
     }
     return n;
   }
 
-  /** Resolvers whose latest list, still good, lacks it. */
-  private int missedBy(Instance i, long now) {
+  /** The number of resolvers whose live list omits it. */
+  private int countOmitting(Instance i, long now) {
     int n = 0;
     for (int r = 0; r < views.length; r++) {
-      n += !i.words[r].listed && live(r, i, now) ? 1 : 0;
+      n += !i.reports[r].listed && hasLiveList(r, i, now) ? 1 : 0;
     }
     return n;
   }
 
-  // ---- Which life ----------------------------------------------------------------------------------------
+  // ---- Incarnations --------------------------------------------------------------------------------------
 
-  private void incarnate(long now, Instance i) {
-    Incarnation present = null;
+  private void updateIncarnation(long now, Instance i) {
+    Incarnation currentReport = null;
     Incarnation next = null;
-    int presentBy = -1;
-    int nextBy = -1;
+    int currentResolver = -1;
+    int nextResolver = -1;
     for (int r = 0; r < views.length; r++) {
-      Incarnation said = i.words[r].listed ? views[r].incarnation(i.name, i.now == null ? null : i.now.address()) : null;
-      if (said == null) {
+      Incarnation reported = i.reports[r].listed ? views[r].incarnation(i.name, i.current == null ? null : i.current.address()) : null;
+      if (reported == null) {
         continue;
-      } else if (i.now != null && said.isSame(i.now)) {
-        if (i.words[r].said == null || i.words[r].turned) {
-          i.words[r].said = i.now.identity();
-          i.words[r].turned = false;
+      } else if (i.current != null && reported.isSame(i.current)) {
+        if (i.reports[r].reportedIdentity == null || i.reports[r].switched) {
+          i.reports[r].reportedIdentity = i.current.identity();
+          i.reports[r].switched = false;
         }
-        if (present == null) {
-          present = said;
-          presentBy = r;
+        if (currentReport == null) {
+          currentReport = reported;
+          currentResolver = r;
         }
         continue;
-      } else if (next == null || isBetter(now, i, said, next)) {
-        next = said;
-        nextBy = r;
+      } else if (next == null || isPreferred(now, i, reported, next)) {
+        next = reported;
+        nextResolver = r;
       }
-      if (i.now != null && !i.words[r].turned && i.now.identity().equals(i.words[r].said)) {
-        i.words[r].turned = true;
-        i.incarnationNamedAt = now;
+      if (i.current != null && !i.reports[r].switched && i.current.identity().equals(i.reports[r].reportedIdentity)) {
+        i.reports[r].switched = true;
+        i.currentSeenAt = now;
       }
     }
-    if (i.now == null && next != null) {
+    if (i.current == null && next != null) {
       i.upSince = upSince(now, i, next);
-      become(i, next, now);
+      setCurrent(i, next, now);
       return;
     }
-    if (i.now == null) {
-      i.say(ChangeReason.INCOMPLETE, -1);
+    if (i.current == null) {
+      i.setReason(ChangeReason.INCOMPLETE, -1);
       return;
     }
-    if (present != null) {
-      i.incarnationNamedAt = now;
+    if (currentReport != null) {
+      i.currentSeenAt = now;
     }
-    if (next != null && isNews(now, i, present, next, nextBy)) {
-      succeed(now, i, next, nextBy);
-    } else if (present != null && !present.equals(i.now)) {
-      boolean moved = !present.address().equals(i.now.address());
-      if (i.believed && !i.withdrawn && !i.draining) {
-        i.say(moved ? ChangeReason.RENUMBERED : i.why == ChangeReason.HELD_LIST ? ChangeReason.CORROBORATED : ChangeReason.CHANGED, presentBy);
+    if (next != null && shouldReplace(now, i, currentReport, next, nextResolver)) {
+      replaceIncarnation(now, i, next, nextResolver);
+    } else if (currentReport != null && !currentReport.equals(i.current)) {
+      boolean moved = !currentReport.address().equals(i.current.address());
+      if (i.accepted && !i.withdrawn && !i.draining) {
+        i.setReason(moved ? ChangeReason.RENUMBERED : i.reason == ChangeReason.HELD_LIST ? ChangeReason.CORROBORATED : ChangeReason.CHANGED,
+            currentResolver);
       }
-      become(i, present, now);
+      setCurrent(i, currentReport, now);
     }
   }
 
-  /** Of two lives that aren't the present one: not one that has ended, the newer start, else the first heard. */
-  private boolean isBetter(long now, Instance i, Incarnation said, Incarnation best) {
-    boolean saidEnded = hasEnded(now, i, said);
-    return saidEnded == hasEnded(now, i, best) ? best.isOlder(said) : !saidEnded;
+  /** Of two candidates for the next incarnation: one that has not ended is preferred, then the later start, then the first found. */
+  private boolean isPreferred(long now, Instance i, Incarnation reported, Incarnation best) {
+    boolean reportedEnded = endedRecently(now, i, reported);
+    return reportedEnded == endedRecently(now, i, best) ? best.isOlder(reported) : !reportedEnded;
   }
 
-  /** Whether it is a life that is over, of which some cache may still speak. */
-  private boolean hasEnded(long now, Instance i, Incarnation x) {
-    long ended = i.ended(x.identity());
-    return ended >= 0 && now - ended < rules.longestTtlMillis();
+  /** Whether an incarnation has ended so recently that a cache may still report it. */
+  private boolean endedRecently(long now, Instance i, Incarnation x) {
+    long endedAt = i.endedAt(x.identity());
+    return endedAt >= 0 && now - endedAt < rules.longestTtlMillis();
   }
 
-  /** Whether another life than the present one is to be believed. */
-  private boolean isNews(long now, Instance i, Incarnation present, Incarnation next, int by) {
-    long past = i.incarnationNamedAt + rules.longestTtlMillis();
-    if (hasEnded(now, i, next) || next.isOlder(i.now)) {
-      // Guards against a stale cache: an older life comes back only once nobody can know of the newer one any more.
-      if (present == null && now < past) {
-        timer(i, past);
+  /** Whether another incarnation replaces the current one. */
+  private boolean shouldReplace(long now, Instance i, Incarnation currentReport, Incarnation next, int resolver) {
+    long cacheExpiry = i.currentSeenAt + rules.longestTtlMillis();
+    if (endedRecently(now, i, next) || next.isOlder(i.current)) {
+      // Guards against a stale cache: an older incarnation returns only once no cache can hold the newer one.
+      if (currentReport == null && now < cacheExpiry) {
+        scheduleCheck(i, cacheExpiry);
       }
-      return present == null && now >= past;
+      return currentReport == null && now >= cacheExpiry;
     }
-    int witnesses = agreeing(now, i, next);
-    boolean newer = present == null || i.now.isOlder(next) || hasTurned(i, next) || witnesses > agreeing(now, i, present);
-    if (!newer || !i.believed || views.length == 1 || witnesses >= rules.witnesses()) {
+    int witnesses = countAgreeing(now, i, next);
+    boolean newer = currentReport == null || i.current.isOlder(next) || hasSwitched(i, next) || witnesses > countAgreeing(now, i, currentReport);
+    if (!newer || !i.accepted || views.length == 1 || witnesses >= rules.witnesses()) {
       return newer;
     }
-    // One resolver says so: within what its word may change alone, or where no other speaks.
-    boolean alone = i.loneBy == by || lone[by] < cap(now, by, i) || othersSilent(now, i, by) && isSolo(now, i, by);
-    if (!alone) {
-      timer(i, now + rules.loneWaitMillis() + 1);
+    // Reported by one resolver: allowed within its uncorroborated limit, or if no other resolver responds.
+    boolean allowedAlone = i.soleResolver == resolver || uncorroborated[resolver] < uncorroboratedLimit(now, resolver, i)
+        || othersUnresponsive(now, i, resolver) && isSoleResolverTrusted(now, i, resolver);
+    if (!allowedAlone) {
+      scheduleCheck(i, now + rules.loneWaitMillis() + 1);
     }
-    return alone;
+    return allowedAlone;
   }
 
-  /** Whether somebody who named the present life now names this one: it knows of both. */
-  private boolean hasTurned(Instance i, Incarnation next) {
+  /** Whether a resolver that reported the current incarnation now reports this one, so that it must be the later of the two. */
+  private boolean hasSwitched(Instance i, Incarnation next) {
     for (int r = 0; r < views.length; r++) {
-      Incarnation said = i.words[r].listed && i.now.identity().equals(i.words[r].said) ? views[r].incarnation(i.name, next.address()) : null;
-      if (said != null && said.isSame(next)) {
+      Incarnation reported = i.reports[r].listed && i.current.identity().equals(i.reports[r].reportedIdentity)
+          ? views[r].incarnation(i.name, next.address()) : null;
+      if (reported != null && reported.isSame(next)) {
         return true;
       }
     }
     return false;
   }
 
-  private void succeed(long now, Instance i, Incarnation next, int by) {
-    i.supersede(i.now.identity(), now);
-    i.forgetEnd(next.identity());
+  private void replaceIncarnation(long now, Instance i, Incarnation next, int resolver) {
+    i.recordEnded(i.current.identity(), now);
+    i.removeEnded(next.identity());
     i.draining = false;
-    i.drainBy = -1;
-    for (Word w : i.words) {
-      w.drains = false;
-      w.said = null;
-      w.turned = false;
+    i.drainingResolver = -1;
+    for (Report report : i.reports) {
+      report.reportsDraining = false;
+      report.reportedIdentity = null;
+      report.switched = false;
     }
-    i.refused = false;
+    i.connectionRefused = false;
     i.upSince = next.attributes().started() > 0 ? upSince(now, i, next) : now;
-    if (i.believed) {
-      i.say(ChangeReason.SUCCEEDED, by);
-      if (views.length > 1 && i.loneBy < 0 && agreeing(now, i, next) < rules.witnesses()) {
-        corroborated--;
-        lone[by]++;
-        i.loneBy = by;
+    if (i.accepted) {
+      i.setReason(ChangeReason.SUCCEEDED, resolver);
+      if (views.length > 1 && i.soleResolver < 0 && countAgreeing(now, i, next) < rules.witnesses()) {
+        corroboratedCount--;
+        uncorroborated[resolver]++;
+        i.soleResolver = resolver;
       }
     }
-    become(i, next, now);
+    setCurrent(i, next, now);
   }
 
-  /** Resolvers that speak and say that it is this server. */
-  private int agreeing(long now, Instance i, Incarnation x) {
+  /** The number of resolvers with a live list that report this incarnation. */
+  private int countAgreeing(long now, Instance i, Incarnation x) {
     int n = 0;
     for (int r = 0; r < views.length; r++) {
-      Incarnation said = i.words[r].listed && live(r, i, now) ? views[r].incarnation(i.name, x.address()) : null;
-      n += said != null && said.isSame(x) ? 1 : 0;
+      Incarnation reported = i.reports[r].listed && hasLiveList(r, i, now) ? views[r].incarnation(i.name, x.address()) : null;
+      n += reported != null && reported.isSame(x) ? 1 : 0;
     }
     return n;
   }
 
   /**
-   * When a server counts as started on the reader's clock. Guards rule 4 against clocks that differ: a start is taken as late as
-   * the publisher's clock may be behind, and never as in the future.
+   * The start time of a server on the reader's clock. Guards rule 4 (slow start) against clock skew: the reported start is moved later
+   * by the largest skew, as the publisher's clock may be behind, but never into the future.
    */
   private long upSince(long now, Instance i, Incarnation x) {
     if (x.attributes().started() > 0) {
       return Math.min(now, x.attributes().started() + rules.clockSkewMillis());
     }
-    return isFirst(i) ? 0 : now;
+    return mayPredateReader(i) ? 0 : now;
   }
 
-  /** Whether it was there when this reader began to look, as far as anybody knows. */
-  private boolean isFirst(Instance i) {
-    long until = firstLists.getOrDefault(i.domain, Long.MAX_VALUE);
-    return !i.wasGone && i.firstHeardAt <= Math.min(until, startedAt + rules.firstWaitMillis());
+  /** Whether it may have been running before this reader started. */
+  private boolean mayPredateReader(Instance i) {
+    long until = firstListedAt.getOrDefault(i.domain, Long.MAX_VALUE);
+    return !i.wasRemoved && i.firstSeenAt <= Math.min(until, startedAt + rules.firstWaitMillis());
   }
 
-  /** Notes when a domain has been listed by all who are asked, those aside who can't say: what comes later has come since. */
-  private void noteFirstList(long now, String domain) {
-    if (firstLists.containsKey(domain)) {
+  /** Records when all resolvers have listed a domain or failed to: instances that appear later count as started since. */
+  private void recordFirstList(long now, String domain) {
+    if (firstListedAt.containsKey(domain)) {
       return;
     }
     boolean answered = false;
-    for (View v : views) {
-      View.Domain d = v.domains.get(domain);
-      if (d == null || !d.hasSpoken()) {
+    for (ResolverView v : views) {
+      ResolverView.Domain d = v.domains.get(domain);
+      if (d == null || !d.hasResponded()) {
         return;
       }
-      answered |= d.at >= 0;
+      answered |= d.answeredAt >= 0;
     }
     if (answered) {
-      firstLists.put(domain, now);
+      firstListedAt.put(domain, now);
     }
   }
 
-  private void become(Instance i, Incarnation next, long now) {
-    boolean same = i.now != null && i.now.isSame(next);
+  private void setCurrent(Instance i, Incarnation next, long now) {
+    boolean sameIdentity = i.current != null && i.current.isSame(next);
     unindex(i);
-    if (!same) {
-      i.incarnationNamedAt = now;
+    if (!sameIdentity) {
+      i.currentSeenAt = now;
     }
-    i.now = next;
+    i.current = next;
     index(i);
   }
 
   private void index(Instance i) {
-    if (i.now != null && i.believed) {
-      i.addressKey = i.now.addressAndPort();
-      List<Instance> same = byAddress.computeIfAbsent(i.addressKey, k -> new ArrayList<>(1));
-      same.add(i);
-      same.forEach(other -> {
+    if (i.current != null && i.accepted) {
+      i.addressKey = i.current.addressAndPort();
+      List<Instance> sharing = byAddress.computeIfAbsent(i.addressKey, k -> new ArrayList<>(1));
+      sharing.add(i);
+      sharing.forEach(other -> {
         if (other != i) {
-          touch(other);
+          markDirty(other);
         }
       });
-      byPriority.computeIfAbsent(i.now.srv().priority(), p -> new LinkedHashSet<>()).add(i);
+      byPriority.computeIfAbsent(i.current.srv().priority(), p -> new LinkedHashSet<>()).add(i);
     }
   }
 
   private void unindex(Instance i) {
     if (i.addressKey != null) {
-      List<Instance> same = byAddress.get(i.addressKey);
-      same.remove(i);
-      same.forEach(this::touch);
-      if (same.isEmpty()) {
+      List<Instance> sharing = byAddress.get(i.addressKey);
+      sharing.remove(i);
+      sharing.forEach(this::markDirty);
+      if (sharing.isEmpty()) {
         byAddress.remove(i.addressKey);
       }
-      LinkedHashSet<Instance> equals = byPriority.get(i.now.srv().priority());
-      equals.remove(i);
-      if (equals.isEmpty()) {
-        byPriority.remove(i.now.srv().priority());
+      LinkedHashSet<Instance> samePriority = byPriority.get(i.current.srv().priority());
+      samePriority.remove(i);
+      if (samePriority.isEmpty()) {
+        byPriority.remove(i.current.srv().priority());
       }
       i.addressKey = null;
     }
@@ -764,388 +771,388 @@
 
   // ---- Drains and withdrawals ----------------------------------------------------------------------------
 
-  private void drain(long now, Instance i) {
-    if (i.now == null) {
+  private void updateDraining(long now, Instance i) {
+    if (i.current == null) {
       return;
     }
-    int by = -1;
-    boolean said = false;
+    int resolver = -1;
+    boolean stillReported = false;
     for (int r = 0; r < views.length; r++) {
-      TextKeys.Attributes text = i.words[r].listed && !isForgotten(now, i, r) ? textOfNow(i, r) : null;
-      if (text != null && text.draining()) {
-        i.words[r].drains = true;
-        by = by < 0 ? r : by;
-      } else if (text != null && i.words[r].drains) {
-        i.words[r].drains = false; // Who said so says otherwise, from now on.
-        i.lastDrainWordAt = now;
+      TextKeys.Attributes attributes = i.reports[r].listed && !isDisregarded(now, i, r) ? currentAttributes(i, r) : null;
+      if (attributes != null && attributes.draining()) {
+        i.reports[r].reportsDraining = true;
+        resolver = resolver < 0 ? r : resolver;
+      } else if (attributes != null && i.reports[r].reportsDraining) {
+        i.reports[r].reportsDraining = false; // The resolver that reported the drain now reports it as ready.
+        i.lastDrainReportAt = now;
       }
-      said |= i.words[r].drains;
+      stillReported |= i.reports[r].reportsDraining;
     }
-    if (by >= 0) {
-      i.lastDrainWordAt = now;
-      if (!live(by, i, now)) {
-        timer(i, views[by].domain(i.domain).expires + rules.longestTtlMillis());
+    if (resolver >= 0) {
+      i.lastDrainReportAt = now;
+      if (!hasLiveList(resolver, i, now)) {
+        scheduleCheck(i, views[resolver].domain(i.domain).expiresAt + rules.longestTtlMillis());
       }
       if (!i.draining) {
         i.draining = true;
-        i.drainBy = by;
-        i.say(ChangeReason.DRAINING, by);
+        i.drainingResolver = resolver;
+        i.setReason(ChangeReason.DRAINING, resolver);
       }
-    } else if (i.draining && agreeing(now, i, i.now) > 0) {
-      // Guards against one that goes to and fro, and against others who haven't heard of it yet.
-      long until = i.lastDrainWordAt + (said ? rules.longestTtlMillis() : rules.settleMillis());
+    } else if (i.draining && countAgreeing(now, i, i.current) > 0) {
+      // Guards against flapping, and against other resolvers that have not seen the drain yet.
+      long until = i.lastDrainReportAt + (stillReported ? rules.longestTtlMillis() : rules.settleMillis());
       if (now < until) {
-        timer(i, until);
+        scheduleCheck(i, until);
         return;
       }
-      for (Word w : i.words) {
-        w.drains = false;
+      for (Report report : i.reports) {
+        report.reportsDraining = false;
       }
       i.draining = false;
-      i.say(ChangeReason.READY_AGAIN, i.drainBy);
-      i.drainBy = -1;
+      i.setReason(ChangeReason.READY_AGAIN, i.drainingResolver);
+      i.drainingResolver = -1;
     }
   }
 
-  /** What a resolver's text says of the present life; a text without a service record speaks of whoever bears the name now. */
-  private TextKeys.Attributes textOfNow(Instance i, int r) {
-    Incarnation its = views[r].incarnation(i.name, i.now.address());
-    return its == null ? views[r].texts.get(i.name) : its.isSame(i.now) ? its.attributes() : null;
+  /** A resolver's attributes of the current incarnation; a TXT record without an SRV record applies to the current one. */
+  private TextKeys.Attributes currentAttributes(Instance i, int r) {
+    Incarnation reported = views[r].incarnation(i.name, i.current.address());
+    return reported == null ? views[r].attributes.get(i.name) : reported.isSame(i.current) ? reported.attributes() : null;
   }
 
-  /** Whether it has been silent for so long that its word counts for nothing beside those who speak. */
-  private boolean isForgotten(long now, Instance i, int resolver) {
-    View.Domain d = views[resolver].domains.get(i.domain);
-    return (d == null || now - d.expires >= rules.longestTtlMillis()) && namedBy(i, now) > 0;
+  /** Whether a resolver has been unresponsive for so long that its reports are ignored, while others still list the instance. */
+  private boolean isDisregarded(long now, Instance i, int resolver) {
+    ResolverView.Domain d = views[resolver].domains.get(i.domain);
+    return (d == null || now - d.expiresAt >= rules.longestTtlMillis()) && countListing(i, now) > 0;
   }
 
-  private void withdraw(long now, Instance i) {
+  private void updateWithdrawal(long now, Instance i) {
     if (!i.withdrawn) {
       for (int r = 0; r < views.length && !i.withdrawn; r++) {
-        Word w = i.words[r];
-        if (w.absentSince >= 0 && (!w.suspect || isWitnessed(now, i, w, r))) {
+        Report report = i.reports[r];
+        if (report.absentSince >= 0 && (!report.needsCorroboration || isCorroborated(now, i, report, r))) {
           i.withdrawn = true;
-          contested++;
+          contestedCount++;
           i.withdrawnAt = now;
           i.lastAbsentAt = now;
-          i.withdrawnBy = r;
-          i.say(ChangeReason.WITHDRAWN, r);
+          i.withdrawingResolver = r;
+          i.setReason(ChangeReason.WITHDRAWN, r);
         }
       }
       if (!i.withdrawn) {
         return;
       }
     }
-    suspects.remove(i);
-    Word by = i.words[i.withdrawnBy];
-    boolean named = namedBy(i, now) > 0;
-    if (by.listed) {
+    disputedAbsences.remove(i);
+    Report withdrawing = i.reports[i.withdrawingResolver];
+    boolean stillListed = countListing(i, now) > 0;
+    if (withdrawing.listed) {
       if (now - i.lastAbsentAt >= rules.settleMillis()) {
-        restore(i, ChangeReason.RETURNED);
+        cancelWithdrawal(i, ChangeReason.RETURNED);
       } else {
-        timer(i, i.lastAbsentAt + rules.settleMillis());
+        scheduleCheck(i, i.lastAbsentAt + rules.settleMillis());
       }
-    } else if (!named) {
-      unbelieve(i);
-      i.goneAt = now;
-      timer(i, now + rules.longestTtlMillis());
+    } else if (!stillListed) {
+      revokeAcceptance(i);
+      i.removedAt = now;
+      scheduleCheck(i, now + rules.longestTtlMillis());
     } else if (now - i.withdrawnAt >= rules.longestTtlMillis()) {
-      // No cache holds any more what was so before the withdrawal: who names it now has it from the zone.
-      if (2 * namedBy(i, now) > namedBy(i, now) + missedBy(i, now)) {
-        restore(i, ChangeReason.OVERRULED);
-        for (Word w : i.words) {
-          w.absentSince = -1;
+      // No cache can hold records from before the withdrawal: a resolver that still lists it has it from the zone.
+      if (2 * countListing(i, now) > countListing(i, now) + countOmitting(i, now)) {
+        cancelWithdrawal(i, ChangeReason.OVERRULED);
+        for (Report report : i.reports) {
+          report.absentSince = -1;
         }
       } else {
-        timer(i, now + rules.longestTtlMillis());
+        scheduleCheck(i, now + rules.longestTtlMillis());
       }
     } else {
-      timer(i, i.withdrawnAt + rules.longestTtlMillis());
+      scheduleCheck(i, i.withdrawnAt + rules.longestTtlMillis());
     }
   }
 
-  private void restore(Instance i, ChangeReason why) {
+  private void cancelWithdrawal(Instance i, ChangeReason reason) {
     i.withdrawn = false;
-    contested--;
-    i.say(why, i.withdrawnBy);
-    i.withdrawnBy = -1;
+    contestedCount--;
+    i.setReason(reason, i.withdrawingResolver);
+    i.withdrawingResolver = -1;
   }
 
-  /** Whether enough say the same as an answer that is not believed by itself. */
-  private boolean isWitnessed(long now, Instance i, Word w, int resolver) {
-    int needed = w.empty ? rules.emptyWitnesses() : rules.witnesses();
-    View.Domain d = views[resolver].domain(i.domain);
-    // Nobody else speaks: it has to go on saying so.
-    if (views.length == 1 || othersSilent(now, i, resolver) && isSolo(now, i, resolver)) {
-      return d.isLive(now) && d.at - w.absentSince >= rules.confirmMillis();
+  /** Whether enough resolvers agree with an absence that needs corroboration. */
+  private boolean isCorroborated(long now, Instance i, Report report, int resolver) {
+    int needed = report.emptyAnswer ? rules.emptyWitnesses() : rules.witnesses();
+    ResolverView.Domain d = views[resolver].domain(i.domain);
+    // No other resolver responds: it has to repeat the answer for a time.
+    if (views.length == 1 || othersUnresponsive(now, i, resolver) && isSoleResolverTrusted(now, i, resolver)) {
+      return d.isLive(now) && d.answeredAt - report.absentSince >= rules.confirmMillis();
     }
-    return missedBy(i, now) >= Math.max(2, needed);
+    return countOmitting(i, now) >= Math.max(2, needed);
   }
 
-  // ---- Who is believed -----------------------------------------------------------------------------------
+  // ---- Acceptance ----------------------------------------------------------------------------------------
 
-  private void believe(long now, Instance i) {
-    if (i.now == null) {
+  private void updateAcceptance(long now, Instance i) {
+    if (i.current == null) {
       return;
     }
-    int named = agreeing(now, i, i.now);
-    if (i.believed) {
-      if (i.loneBy >= 0 && named >= rules.witnesses()) {
-        lone[i.loneBy]--;
-        i.loneBy = -1;
-        corroborated++;
+    int agreeing = countAgreeing(now, i, i.current);
+    if (i.accepted) {
+      if (i.soleResolver >= 0 && agreeing >= rules.witnesses()) {
+        uncorroborated[i.soleResolver]--;
+        i.soleResolver = -1;
+        corroboratedCount++;
         if (!i.withdrawn && !i.draining) {
-          i.say(ChangeReason.CORROBORATED, -1);
+          i.setReason(ChangeReason.CORROBORATED, -1);
         }
       }
       return;
     }
-    if (!i.isListed() || named == 0) {
-      waiting.remove(i);
+    if (!i.isListed() || agreeing == 0) {
+      awaitingCorroboration.remove(i);
       return;
     }
-    if (views.length == 1 || named >= rules.witnesses()) {
-      corroborated++;
-      enter(i, ChangeReason.CORROBORATED, -1, now);
+    if (views.length == 1 || agreeing >= rules.witnesses()) {
+      corroboratedCount++;
+      acceptInstance(i, ChangeReason.CORROBORATED, -1, now);
       return;
     }
-    int by = firstAgreeing(now, i);
-    boolean othersSilent = othersSilent(now, i, by);
-    if (othersSilent && isSolo(now, i, by)) {
-      lone[by]++;
-      i.loneBy = by;
-      enter(i, ChangeReason.ONLY_VOICE, by, now);
-    } else if (isOpen(now, i) && lone[by] < cap(now, by, i)) {
-      lone[by]++;
-      i.loneBy = by;
-      enter(i, ChangeReason.LONE_VOICE, by, now);
+    int resolver = firstAgreeingResolver(now, i);
+    boolean othersUnresponsive = othersUnresponsive(now, i, resolver);
+    if (othersUnresponsive && isSoleResolverTrusted(now, i, resolver)) {
+      uncorroborated[resolver]++;
+      i.soleResolver = resolver;
+      acceptInstance(i, ChangeReason.ONLY_VOICE, resolver, now);
+    } else if (isInitialWaitOver(now, i) && uncorroborated[resolver] < uncorroboratedLimit(now, resolver, i)) {
+      uncorroborated[resolver]++;
+      i.soleResolver = resolver;
+      acceptInstance(i, ChangeReason.LONE_VOICE, resolver, now);
     } else {
-      i.say(ChangeReason.TOO_FEW_WITNESSES, by);
-      waiting.add(i);
-      timer(i, now + Math.max(1, othersSilent ? rules.loneWaitMillis() : rules.longestTtlMillis()));
+      i.setReason(ChangeReason.TOO_FEW_WITNESSES, resolver);
+      awaitingCorroboration.add(i);
+      scheduleCheck(i, now + Math.max(1, othersUnresponsive ? rules.loneWaitMillis() : rules.longestTtlMillis()));
     }
   }
 
-  private int firstAgreeing(long now, Instance i) {
+  private int firstAgreeingResolver(long now, Instance i) {
     for (int r = 0; r < views.length; r++) {
-      Incarnation said = i.words[r].listed && live(r, i, now) ? views[r].incarnation(i.name, i.now.address()) : null;
-      if (said != null && said.isSame(i.now)) {
+      Incarnation reported = i.reports[r].listed && hasLiveList(r, i, now) ? views[r].incarnation(i.name, i.current.address()) : null;
+      if (reported != null && reported.isSame(i.current)) {
         return r;
       }
     }
-    throw new IllegalStateException(i.name + " is named by nobody");
+    throw new IllegalStateException(i.name + " is listed by no resolver");
   }
 
-  /** Whether everybody has spoken, or has been waited for. */
-  private boolean isOpen(long now, Instance i) {
+  /** Whether every resolver has responded for the instance's domain, or the first wait is over. */
+  private boolean isInitialWaitOver(long now, Instance i) {
     if (now - startedAt >= rules.firstWaitMillis()) {
       return true;
     }
-    for (View v : views) {
-      View.Domain d = v.domains.get(i.domain);
-      if (d == null || !d.hasSpoken()) {
+    for (ResolverView v : views) {
+      ResolverView.Domain d = v.domains.get(i.domain);
+      if (d == null || !d.hasResponded()) {
         return false;
       }
     }
     return true;
   }
 
-  private boolean othersSilent(long now, Instance i, int by) {
+  private boolean othersUnresponsive(long now, Instance i, int resolver) {
     for (int r = 0; r < views.length; r++) {
-      if (r != by && live(r, i, now)) {
+      if (r != resolver && hasLiveList(r, i, now)) {
         return false;
       }
     }
-    return isOpen(now, i);
+    return isInitialWaitOver(now, i);
   }
 
-  /** Whether all others have been silent for so long that one alone is believed. */
-  private boolean isSolo(long now, Instance i, int by) {
+  /** Whether all other resolvers have been unresponsive for so long that one is trusted alone. */
+  private boolean isSoleResolverTrusted(long now, Instance i, int resolver) {
     for (int r = 0; r < views.length; r++) {
-      View.Domain d = views[r].domains.get(i.domain);
-      if (r != by && d != null && d.at >= 0 && now < d.expires + rules.loneWaitMillis()) {
+      ResolverView.Domain d = views[r].domains.get(i.domain);
+      if (r != resolver && d != null && d.answeredAt >= 0 && now < d.expiresAt + rules.loneWaitMillis()) {
         return false;
       }
     }
-    // Where there is a list, a new one on one word can wait.
-    return now - startedAt >= rules.firstWaitMillis() + (corroborated > 0 ? rules.loneWaitMillis() : 0);
+    // While there is a corroborated list, additions by one resolver can wait.
+    return now - startedAt >= rules.firstWaitMillis() + (corroboratedCount > 0 ? rules.loneWaitMillis() : 0);
   }
 
-  /** How many instances one resolver's word alone may add: its weight's part of those that are beyond doubt. */
-  private int cap(long now, int by, Instance i) {
-    int sure = corroborated;
-    if (sure == 0) {
-      // Nothing is agreed on: the shortest list is the least that somebody could have made up.
-      sure = Integer.MAX_VALUE;
+  /** How many instances one resolver may add on its report alone: its weight times the number of corroborated instances. */
+  private int uncorroboratedLimit(long now, int resolver, Instance i) {
+    int base = corroboratedCount;
+    if (base == 0) {
+      // Nothing is corroborated yet: the shortest live list counts, so that a long forged one does not raise the limit.
+      base = Integer.MAX_VALUE;
       for (int r = 0; r < views.length; r++) {
-        if (live(r, i, now)) {
-          sure = Math.min(sure, views[r].domain(i.domain).names.size());
+        if (hasLiveList(r, i, now)) {
+          base = Math.min(base, views[r].domain(i.domain).names.size());
         }
       }
     }
-    return (int) Math.floor(rules.weights().get(by) * sure + 1e-9);
+    return (int) Math.floor(rules.weights().get(resolver) * base + 1e-9);
   }
 
-  private void enter(Instance i, ChangeReason why, int by, long now) {
-    waiting.remove(i);
-    i.believed = true;
+  private void acceptInstance(Instance i, ChangeReason reason, int resolver, long now) {
+    awaitingCorroboration.remove(i);
+    i.accepted = true;
     i.withdrawn = false;
-    i.goneAt = -1;
-    known++;
+    i.removedAt = -1;
+    acceptedCount++;
     if (!i.draining) {
-      i.say(why, by);
+      i.setReason(reason, resolver);
     }
-    if (i.now.attributes().bootId().isEmpty() && !isFirst(i)) {
-      i.upSince = now; // It may have started at any time since it was last heard of.
+    if (i.current.attributes().bootId().isEmpty() && !mayPredateReader(i)) {
+      i.upSince = now; // Without a boot ID it may have restarted at any time since it was last seen.
     }
     index(i);
   }
 
-  private void unbelieve(Instance i) {
+  private void revokeAcceptance(Instance i) {
     unindex(i);
-    if (i.loneBy >= 0) {
-      lone[i.loneBy]--;
-      i.loneBy = -1;
+    if (i.soleResolver >= 0) {
+      uncorroborated[i.soleResolver]--;
+      i.soleResolver = -1;
     } else {
-      corroborated--;
+      corroboratedCount--;
     }
-    contested -= i.withdrawn ? 1 : 0;
-    known--;
-    i.believed = false;
-    i.wasGone = true;
+    contestedCount -= i.withdrawn ? 1 : 0;
+    acceptedCount--;
+    i.accepted = false;
+    i.wasRemoved = true;
     i.withdrawn = false;
-    i.withdrawnBy = -1;
-    heldOnly.remove(i);
-    for (Word w : i.words) {
-      w.absentSince = -1;
+    i.withdrawingResolver = -1;
+    cachedUnconfirmed.remove(i);
+    for (Report report : i.reports) {
+      report.absentSince = -1;
     }
-    if (i.now != null) {
-      i.supersede(i.now.identity(), i.lastAbsentAt);
-      i.forgetEnd(i.now.identity());
+    if (i.current != null) {
+      i.recordEnded(i.current.identity(), i.lastAbsentAt);
+      i.removeEnded(i.current.identity());
     }
   }
 
-  private void forget(Instance i) {
+  private void removeInstance(Instance i) {
     instances.remove(i.name);
-    waiting.remove(i);
-    suspects.remove(i);
-    for (View v : views) {
-      v.texts.remove(i.name);
-      List<SrvRecord> services = v.services.remove(i.name);
-      if (services != null) {
-        services.forEach(s -> unlink(s.target(), i.name));
+    awaitingCorroboration.remove(i);
+    disputedAbsences.remove(i);
+    for (ResolverView v : views) {
+      v.attributes.remove(i.name);
+      List<SrvRecord> removed = v.srvRecords.remove(i.name);
+      if (removed != null) {
+        removed.forEach(s -> unlink(s.target(), i.name));
       }
     }
   }
 
-  /** All resolvers have been silent past the limit: what they said is not kept for ever. */
+  /** Whether all resolvers have been unresponsive for longer than the stale limit, so that their last list no longer counts. */
   private boolean isStale(long now, Instance i) {
     long last = -1;
     for (int r = 0; r < views.length; r++) {
-      View.Domain d = views[r].domains.get(i.domain);
-      if (d != null && d.at >= 0) {
-        last = Math.max(last, d.expires);
+      ResolverView.Domain d = views[r].domains.get(i.domain);
+      if (d != null && d.answeredAt >= 0) {
+        last = Math.max(last, d.expiresAt);
       }
     }
     last = last < 0 ? startedAt : last;
     if (now - last >= rules.staleMillis()) {
       return true;
     }
-    timer(i, last + rules.staleMillis());
+    scheduleCheck(i, last + rules.staleMillis());
     return false;
   }
 
-  // ---- What is shown -------------------------------------------------------------------------------------
+  // ---- Publication ---------------------------------------------------------------------------------------
 
-  private void show(long now, Instance i, Consumer<Change> out) {
-    if (i.believed && isStale(now, i)) {
-      unbelieve(i);
-      i.goneAt = now;
-      i.say(ChangeReason.STALE_LIMIT, -1);
-      timer(i, now + rules.longestTtlMillis());
+  private void publish(long now, Instance i, Consumer<Change> out) {
+    if (i.accepted && isStale(now, i)) {
+      revokeAcceptance(i);
+      i.removedAt = now;
+      i.setReason(ChangeReason.STALE_LIMIT, -1);
+      scheduleCheck(i, now + rules.longestTtlMillis());
     }
-    Member next = member(now, i);
-    count(i, next);
-    Member last = i.shown;
+    Member next = toMember(now, i);
+    updateAvailable(i, next);
+    Member last = i.published;
     if (last != null && (next == null || !next.id().equals(last.id()))) {
-      out.accept(new Change(now, last.withPhase(Phase.GONE), i.why, i.onWord));
+      out.accept(new Change(now, last.withPhase(Phase.GONE), i.reason, i.reasonResolver));
     }
     if (next != null && !next.equals(last)) {
-      out.accept(new Change(now, next, why(i, next), i.onWord));
+      out.accept(new Change(now, next, reasonFor(i, next), i.reasonResolver));
     }
-    serving += (next != null && next.phase() == Phase.READY ? 1 : 0) - (last != null && last.phase() == Phase.READY ? 1 : 0);
-    i.shown = next;
+    readyCount += (next != null && next.phase() == Phase.READY ? 1 : 0) - (last != null && last.phase() == Phase.READY ? 1 : 0);
+    i.published = next;
   }
 
-  private ChangeReason why(Instance i, Member next) {
-    return next.phase() != Phase.DRAINING || i.draining || i.withdrawn ? i.why : ChangeReason.RESERVE;
+  private ChangeReason reasonFor(Instance i, Member next) {
+    return next.phase() != Phase.DRAINING || i.draining || i.withdrawn ? i.reason : ChangeReason.RESERVE;
   }
 
-  private Member member(long now, Instance i) {
-    if (!i.believed || primary(i) != i) {
+  private Member toMember(long now, Instance i) {
+    if (!i.accepted || canonicalInstance(i) != i) {
       return null;
     }
-    boolean drains = false;
-    for (Instance same : byAddress.getOrDefault(i.addressKey, List.of())) {
-      drains |= same.domain.equals(i.domain) && same != i ? false : same.draining || same.withdrawn;
+    boolean draining = false;
+    for (Instance sharing : byAddress.getOrDefault(i.addressKey, List.of())) {
+      draining |= sharing.domain.equals(i.domain) && sharing != i ? false : sharing.draining || sharing.withdrawn;
     }
-    Incarnation x = i.now;
+    Incarnation x = i.current;
     boolean reserve = x.srv().priority() > activePriority;
     return new Member(i.name + "|" + x.identity(), i.name, x.srv().target(), x.address(), x.srv().port(), x.attributes().locality(),
-        x.attributes().cell(), size(x), drains || reserve ? Phase.DRAINING : Phase.READY, i.upSince);
+        x.attributes().cell(), relativeSize(x), draining || reserve ? Phase.DRAINING : Phase.READY, i.upSince);
   }
 
-  /** The text's; else the weight of the service record, of which 100 is usual and 0 says nothing (RFC 2782). */
-  private static double size(Incarnation x) {
-    return x.attributes().size() > 0 ? x.attributes().size() : x.srv().weight() > 0 ? Math.min(MOST_SIZE, x.srv().weight() / USUAL_WEIGHT) : 1;
+  /** The size attribute, else the weight of the SRV record relative to 100; a weight of 0 carries no information (RFC 2782). */
+  private static double relativeSize(Incarnation x) {
+    return x.attributes().size() > 0 ? x.attributes().size() : x.srv().weight() > 0 ? Math.min(MAX_SIZE, x.srv().weight() / DEFAULT_WEIGHT) : 1;
   }
 
   /**
-   * The one name of several that stands for an address: the newest start, in one domain the one heard of last, else the first by
-   * its letters.
+   * Selects the instance that represents an address listed under several names: the latest start, within one domain the one seen last,
+   * else the smallest name.
    */
-  private Instance primary(Instance i) {
+  private Instance canonicalInstance(Instance i) {
     Instance best = i;
     for (Instance other : byAddress.getOrDefault(i.addressKey, List.of())) {
-      if (other != best && isBefore(other, best)) {
+      if (other != best && isPreferredName(other, best)) {
         best = other;
       }
     }
-    if (best != i && i.why != ChangeReason.DUPLICATE) {
-      i.say(ChangeReason.DUPLICATE, -1);
+    if (best != i && i.reason != ChangeReason.DUPLICATE) {
+      i.setReason(ChangeReason.DUPLICATE, -1);
     }
     return best;
   }
 
-  private static boolean isBefore(Instance a, Instance b) {
-    if (a.now.isOlder(b.now) || b.now.isOlder(a.now)) {
-      return b.now.isOlder(a.now);
-    } else if (a.domain.equals(b.domain) && a.firstHeardAt != b.firstHeardAt) {
-      return a.firstHeardAt > b.firstHeardAt;
+  private static boolean isPreferredName(Instance a, Instance b) {
+    if (a.current.isOlder(b.current) || b.current.isOlder(a.current)) {
+      return b.current.isOlder(a.current);
+    } else if (a.domain.equals(b.domain) && a.firstSeenAt != b.firstSeenAt) {
+      return a.firstSeenAt > b.firstSeenAt;
     }
     return (a.domain + ' ' + a.name).compareTo(b.domain + ' ' + b.name) < 0;
   }
 
-  /** Keeps count of who could serve at each priority, reserves among them. */
-  private void count(Instance i, Member next) {
-    int able = next != null && !i.draining && !i.withdrawn ? 1 : 0;
-    int priority = next == null ? 0 : i.now.srv().priority();
-    if (i.countedAble == able && i.countedPriority == priority) {
+  /** Updates the number of available servers per priority, reserves included. */
+  private void updateAvailable(Instance i, Member next) {
+    int available = next != null && !i.draining && !i.withdrawn ? 1 : 0;
+    int priority = next == null ? 0 : i.current.srv().priority();
+    if (i.countedAvailable == available && i.countedPriority == priority) {
       return;
     }
-    ableByPriority.merge(i.countedPriority, -i.countedAble, Integer::sum);
-    ableByPriority.merge(priority, able, Integer::sum);
-    i.countedAble = able;
+    availableByPriority.merge(i.countedPriority, -i.countedAvailable, Integer::sum);
+    availableByPriority.merge(priority, available, Integer::sum);
+    i.countedAvailable = available;
     i.countedPriority = priority;
   }
 
-  /** Finds how far down the priorities have to serve, and shows those for whom that has changed. */
-  private void rank(long now, Consumer<Change> out) {
+  /** Determines the lowest-ranked priority that has to serve, and publishes the instances for which that changes. */
+  private void updateActivePriority(long now, Consumer<Change> out) {
     int active = Integer.MAX_VALUE;
-    int able = 0;
+    int available = 0;
     for (int priority : byPriority.keySet()) {
-      able += ableByPriority.getOrDefault(priority, 0);
-      if (able >= Math.max(1, rules.reserveBelow())) {
+      available += availableByPriority.getOrDefault(priority, 0);
+      if (available >= Math.max(1, rules.reserveBelow())) {
         active = priority;
         break;
       }
@@ -1157,53 +1164,53 @@
       int high = Math.max(active, before);
       List<Instance> changed = new ArrayList<>();
       byPriority.tailMap(low, false).headMap(high, true).values().forEach(changed::addAll);
-      changed.forEach(i -> show(now, i, out));
+      changed.forEach(i -> publish(now, i, out));
     }
   }
 
-  // ---- What can be asked ---------------------------------------------------------------------------------
+  // ---- Queries -------------------------------------------------------------------------------------------
 
-  /** The list as it was last said, by id. */
+  /** The published list, sorted by id. */
   public List<Member> members() {
     List<Member> all = new ArrayList<>();
     for (Instance i : instances.values()) {
-      if (i.shown != null) {
-        all.add(i.shown);
+      if (i.published != null) {
+        all.add(i.published);
       }
     }
     all.sort(Comparator.comparing(Member::id));
     return all;
   }
 
-  /** Servers on the list that are ready. */
+  /** The number of ready servers on the published list. */
   public int readyCount() {
-    return serving;
+    return readyCount;
   }
 
-  /** Instances that are known, believed or not. */
+  /** The number of known instances, accepted or not. */
   public int instances() {
     return instances.size();
   }
 
-  /** Answers that were not taken because their zone was outdated. */
+  /** The number of answers that were ignored because their zone was outdated. */
   public long outdatedAnswers() {
-    return ignored;
+    return ignoredAnswers;
   }
 
-  /** Values that were ignored, each once, a thousand at most. */
+  /** Descriptions of ignored values, without duplicates, at most 1000. */
   public List<String> problems() {
     return List.copyOf(problems);
   }
 
-  /** Whether every resolver has spoken of every domain that was asked for, or has been waited for. */
+  /** Whether every resolver has responded for each of these domains, or the first wait is over. */
   public boolean hasInitialAnswers(long now, Iterable<String> domains) {
     if (startedAt >= 0 && now - startedAt >= rules.firstWaitMillis()) {
       return true;
     }
     for (String domain : domains) {
-      for (View v : views) {
-        View.Domain d = v.domains.get(domain);
-        if (d == null || !d.hasSpoken()) {
+      for (ResolverView v : views) {
+        ResolverView.Domain d = v.domains.get(domain);
+        if (d == null || !d.hasResponded()) {
           return false;
         }
       }
@@ -1211,40 +1218,42 @@
     return true;
   }
 
-  /** What each resolver says of an instance, what is believed and why; for people. */
+  /** A readable report of an instance: its state, the reason for it, and what each resolver reports. */
   public List<String> explain(long now, String name) {
     Instance i = instances.get(name);
     if (i == null) {
       return List.of(name + ": nobody has named it");
     }
     List<String> lines = new ArrayList<>();
-    lines.add(name + ": " + (i.shown == null ? "not on the list" : i.shown.phase().name().toLowerCase(java.util.Locale.ROOT)
-        + " at " + i.shown.address() + ":" + i.shown.port()) + (i.why == null ? "" : ", " + i.why.code())
-        + (i.onWord < 0 ? "" : ", on the word of resolver " + i.onWord));
-    if (i.shown != null) {
-      lines.add("  id " + i.shown.id() + ", up since " + (i.shown.upSince() == 0 ? "long ago" : i.shown.upSince())
-          + ", priority " + i.now.srv().priority() + ", size " + i.shown.size());
+    lines.add(name + ": " + (i.published == null ? "not on the list" : i.published.phase().name().toLowerCase(java.util.Locale.ROOT)
+        + " at " + i.published.address() + ":" + i.published.port()) + (i.reason == null ? "" : ", " + i.reason.code())
+        + (i.reasonResolver < 0 ? "" : ", on the word of resolver " + i.reasonResolver));
+    if (i.published != null) {
+      lines.add("  id " + i.published.id() + ", up since " + (i.published.upSince() == 0 ? "long ago" : i.published.upSince())
+          + ", priority " + i.current.srv().priority() + ", size " + i.published.size());
     }
     for (int r = 0; r < views.length; r++) {
-      Word w = i.words[r];
-      Incarnation said = views[r].incarnation(name, null);
-      TextKeys.Attributes text = views[r].texts.get(name);
-      lines.add("  resolver " + r + (live(r, i, now) ? "" : " (silent)") + ": " + (w.listed ? "names it"
-          : w.absentSince >= 0 ? "names it no more" + (w.suspect ? ", in an answer that is doubted" : "") : "has not named it")
-          + (said == null ? ", no service or no address" : ", " + said.identity() + " at " + said.address())
-          + (text != null && text.draining() ? ", draining" : "")
-          + (text == null || text.unknownKeys().isEmpty() ? "" : ", further " + text.unknownKeys()));
-    }
-    i.endedLives().forEach((identity, at) -> lines.add("  was " + identity + " until " + at));
+      Report report = i.reports[r];
+      Incarnation reported = views[r].incarnation(name, null);
+      TextKeys.Attributes attributes = views[r].attributes.get(name);
+      lines.add("  resolver " + r + (hasLiveList(r, i, now) ? "" : " (unresponsive)") + ": " + (report.listed ? "names it"
+          : report.absentSince >= 0 ? "names it no more" + (report.needsCorroboration ? ", in an answer that needs corroboration" : "")
+          : "has not named it")
+          + (reported == null ? ", no SRV or address record" : ", " + reported.identity() + " at " + reported.address())
+          + (attributes != null && attributes.draining() ? ", draining" : "")
+          + (attributes == null || attributes.unknownKeys().isEmpty() ? "" : ", other keys " + attributes.unknownKeys()));
+    }
+    i.endedIncarnations().forEach((identity, at) -> lines.add("  incarnation " + identity + " ended at " + at));
     return lines;
   }
 
-  /** For a held list: the priority of the service record, the boot and the domain of a server on the list. */
+  /** The details of a listed server that a cached list needs for {@link #restoreCached}. */
   public CachedDetails cachedDetails(Member m) {
     Instance i = instances.get(m.instance());
-    return i == null || i.now == null ? new CachedDetails("", 0, "") : new CachedDetails(i.domain, i.now.srv().priority(), i.now.attributes().bootId());
+    return i == null || i.current == null ? new CachedDetails("", 0, "")
+        : new CachedDetails(i.domain, i.current.srv().priority(), i.current.attributes().bootId());
   }
 
-  /** What a held list needs beside the member. */
+  /** The part of a cached entry that {@link Member} does not have. */
   public record CachedDetails(String domain, int priority, String bootId) {}
 }
--- a/decision/src/main/java/cloverpulley/membership/RefreshScheduler.java
+++ b/decision/src/main/java/cloverpulley/membership/RefreshScheduler.java
@@ -25,7 +25,7 @@
     int fraction;
     int failures;
     /** The time of its latest timer; a timer that fires for another time has been replaced. */
-    long dueAt;
+    long at;
     boolean inFlight;
     /** A change was notified while a query was in flight: its answer may predate the change. */
     boolean refreshAgain;
@@ -35,7 +35,7 @@
     }
   }
 
-  private record Due<K>(Entry<K> entry, long dueAt) {}
+  private record Due<K>(Entry<K> entry, long at) {}
 
   private final long minTtlMillis;
   private final long maxTtlMillis;
@@ -118,14 +118,14 @@
   public void cancel(K key) {
     Entry<K> e = entries.remove(key);
     if (e != null) {
-      e.dueAt = Long.MIN_VALUE;
+      e.at = Long.MIN_VALUE;
     }
   }
 
   /** Whether a query is in flight or due. */
   public boolean isPending(long now, K key) {
     Entry<K> e = entries.get(key);
-    return e != null && (e.inFlight || e.dueAt <= now);
+    return e != null && (e.inFlight || e.at <= now);
   }
 
   public int size() {
@@ -135,7 +135,7 @@
   /** Passes every due key to {@code query}, once each until {@link #answered} or {@link #failed} is called for it. */
   public void forEachDue(long now, Consumer<K> query) {
     wheel.advance(now, d -> {
-      if (d.entry.dueAt == d.dueAt && !d.entry.inFlight && entries.get(d.entry.key) == d.entry) {
+      if (d.entry.at == d.at && !d.entry.inFlight && entries.get(d.entry.key) == d.entry) {
         d.entry.inFlight = true;
         query.accept(d.entry.key);
       }
@@ -146,8 +146,8 @@
     return e.answeredAt + (long) (e.ttl * (TTL_FRACTIONS[Math.min(e.fraction, TTL_FRACTIONS.length - 1)] + random.nextDouble(JITTER)));
   }
 
-  private void scheduleAt(Entry<K> e, long dueAt) {
-    e.dueAt = dueAt;
-    wheel.schedule(dueAt, new Due<>(e, dueAt));
+  private void scheduleAt(Entry<K> e, long at) {
+    e.at = at;
+    wheel.schedule(at, new Due<>(e, at));
   }
 }
--- a/decision/src/main/java/cloverpulley/membership/RegistrationLease.java
+++ b/decision/src/main/java/cloverpulley/membership/RegistrationLease.java
@@ -21,13 +21,13 @@
   private final long maxBackOffMillis;
   private final SplittableRandom random;
   private long nextAt;
-  private long expiresAt = -1;
+  private long endsAt = -1;
   private int failures;
   private Action pending = Action.NOTHING;
   private boolean withdrawing;
   private boolean registered;
   private boolean finished;
-  private long withdrawDeadline;
+  private long withdrawUntil;
 
   /** Creates a schedule whose first registration is due at once; times are in milliseconds. */
   public RegistrationLease(long now, long requestedMillis, long backOffMillis, long maxBackOffMillis, long seed) {
@@ -48,10 +48,10 @@
    * returned.
    */
   public Action nextAction(long now) {
-    if (withdrawing && now >= withdrawDeadline) {
+    if (withdrawing && now >= withdrawUntil) {
       finished = true;
     }
-    if (finished || pending != Action.NOTHING || now < nextAt && !(expiresAt > 0 && now >= expiresAt)) {
+    if (finished || pending != Action.NOTHING || now < nextAt && !(endsAt > 0 && now >= endsAt)) {
       return Action.NOTHING;
     }
     pending = withdrawing ? Action.WITHDRAW : Action.REGISTER;
@@ -75,7 +75,7 @@
       return;
     }
     long lease = grantedMillis <= 0 ? requestedMillis : grantedMillis;
-    expiresAt = now + lease;
+    endsAt = now + lease;
     nextAt = now + (long) (lease * (RENEW_AT - random.nextDouble(JITTER)));
   }
 
@@ -84,14 +84,14 @@
     pending = Action.NOTHING;
     long delay = Math.min(maxBackOffMillis, backOffMillis << Math.min(MAX_DOUBLINGS, failures++));
     nextAt = now + delay / 2 + random.nextLong(delay / 2 + 1);
-    expiresAt = expiresAt > 0 && now >= expiresAt ? -1 : expiresAt;
+    endsAt = endsAt > 0 && now >= endsAt ? -1 : endsAt;
   }
 
   /** Requests the withdrawal, which is retried until {@code untilMillis}. */
   public void withdraw(long now, long untilMillis) {
     if (!withdrawing) {
       withdrawing = true;
-      withdrawDeadline = untilMillis;
+      withdrawUntil = untilMillis;
       nextAt = now;
       failures = 0;
     }
--- a/decision/src/main/java/cloverpulley/membership/SrvRecord.java
+++ b/decision/src/main/java/cloverpulley/membership/SrvRecord.java
@@ -3,11 +3,11 @@
 import java.util.Comparator;
 
 /**
- * An SRV record (RFC 2782).
+ * A service record (RFC 2782).
  *
  * @param priority lower values are preferred
- * @param weight relative weight among records of the same priority; 0 if there is no choice to make
- * @param target the host name, in lower case
+ * @param weight part among those of the same priority; 0 where there is nothing to choose
+ * @param target in lower case
  */
 public record SrvRecord(int priority, int weight, String target, int port) {
 
