--- a/decision/src/test/java/cloverpulley/names/FreshnessTest.java
+++ b/decision/src/test/java/cloverpulley/names/TtlPolicyTest.java
@@ -6,31 +6,31 @@
 
 import cloverpulley.Balancer.Effect;
 import cloverpulley.Balancer.Status;
-import cloverpulley.names.Freshness.Config;
-import cloverpulley.names.Freshness.Use;
+import cloverpulley.names.TtlPolicy.Config;
+import cloverpulley.names.TtlPolicy.Freshness;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class FreshnessTest {
+class TtlPolicyTest {
 
   private static final long SECOND = 1_000_000_000L;
-  private final Freshness freshness = new Freshness(new Config(3600, 60, 100, 0.1, 2));
+  private final TtlPolicy policy = new TtlPolicy(new Config(3600, 60, 100, 0.1, 2));
 
   @Test
   void ttlsAreBounded() {
-    assertEquals(3600, freshness.kept(1_000_000, false));
-    assertEquals(60, freshness.kept(1_000_000, true));
-    assertEquals(0, freshness.kept(-1, false));
+    assertEquals(3600, policy.cacheTtl(1_000_000, false));
+    assertEquals(60, policy.cacheTtl(1_000_000, true));
+    assertEquals(0, policy.cacheTtl(-1, false));
   }
 
   @Test
   void anAnswerIsFreshThenStaleThenGone() {
-    assertEquals(Use.FRESH, freshness.use(5 * SECOND, 0, 10, 0));
-    assertEquals(Use.FRESH, freshness.use(10 * SECOND - 1, 0, 10, 1), "asked for once only");
-    assertEquals(Use.REFRESH, freshness.use(9 * SECOND, 0, 10, 2));
-    assertEquals(Use.STALE, freshness.use(10 * SECOND, 0, 10, 2));
-    assertEquals(Use.STALE, freshness.use(110 * SECOND - 1, 0, 10, 2));
-    assertEquals(Use.GONE, freshness.use(110 * SECOND, 0, 10, 2));
+    assertEquals(Freshness.FRESH, policy.classify(5 * SECOND, 0, 10, 0));
+    assertEquals(Freshness.FRESH, policy.classify(10 * SECOND - 1, 0, 10, 1), "asked for once only");
+    assertEquals(Freshness.PREFETCH, policy.classify(9 * SECOND, 0, 10, 2));
+    assertEquals(Freshness.STALE, policy.classify(10 * SECOND, 0, 10, 2));
+    assertEquals(Freshness.STALE, policy.classify(110 * SECOND - 1, 0, 10, 2));
+    assertEquals(Freshness.EXPIRED, policy.classify(110 * SECOND, 0, 10, 2));
   }
 
   @Test
--- a/dns/src/main/java/cloverpulley/dns/Cache.java
+++ b/dns/src/main/java/cloverpulley/dns/Cache.java
@@ -2,7 +2,7 @@
 
 import cloverpulley.dns.wire.Message;
 import cloverpulley.dns.wire.Question;
-import cloverpulley.names.Freshness;
+import cloverpulley.names.TtlPolicy;
 import com.github.benmanes.caffeine.cache.Caffeine;
 
 /**
@@ -34,10 +34,10 @@
   }
 
   private final com.github.benmanes.caffeine.cache.Cache<Key, Entry> entries;
-  private final Freshness freshness;
+  private final TtlPolicy freshness;
 
   /** {@code most} octets all in all; 0 keeps none. */
-  Cache(long most, Freshness freshness) {
+  Cache(long most, TtlPolicy freshness) {
     this.freshness = freshness;
     // On the thread that uses it: its upkeep is a part of the loop's work, not another thread's.
     entries = Caffeine.newBuilder().maximumWeight(most).executor(Runnable::run)
@@ -47,20 +47,20 @@
   /** What is held, whatever its age; null for none, or one too old for any use. */
   Entry get(Key key, long now) {
     Entry e = entries.getIfPresent(key);
-    if (e != null && freshness.use(now, e.at, e.ttl, e.hits) == Freshness.Use.GONE) {
+    if (e != null && freshness.classify(now, e.at, e.ttl, e.hits) == TtlPolicy.Freshness.EXPIRED) {
       entries.invalidate(key);
       return null;
     }
     return e;
   }
 
-  Freshness.Use use(Entry e, long now) {
-    return freshness.use(now, e.at, e.ttl, e.hits);
+  TtlPolicy.Freshness use(Entry e, long now) {
+    return freshness.classify(now, e.at, e.ttl, e.hits);
   }
 
   /** Keeps an answer where its TTL allows it. */
   void put(Key key, Body body, long ttl, boolean negative, long now) {
-    long kept = freshness.kept(ttl, negative);
+    long kept = freshness.cacheTtl(ttl, negative);
     if (kept > 0) {
       entries.put(key, new Entry(body, now, kept));
     }
--- a/dns/src/main/java/cloverpulley/dns/DnsConfig.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsConfig.java
@@ -10,8 +10,8 @@
 import cloverpulley.dns.wire.Message;
 import cloverpulley.dns.wire.Names;
 import cloverpulley.fleet.FleetSource;
-import cloverpulley.names.Freshness;
 import cloverpulley.names.ResponseLimit;
+import cloverpulley.names.TtlPolicy;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -62,7 +62,7 @@
       long stallMillis, int queryBytes, int updateBytes, ResponseLimit.Config responses, int prefix4, int prefix6) {}
 
   /** {@code staleTtl} in seconds. */
-  public record Caching(long bytes, Freshness.Config freshness, long staleTtl, long staleWaitNanos) {}
+  public record Caching(long bytes, TtlPolicy.Config freshness, long staleTtl, long staleWaitNanos) {}
 
   private static final long DAY_MS = 86_400_000;
   private static final long WEEK_S = 604_800;
@@ -121,7 +121,7 @@
   }
 
   private static Caching caching(Section c) {
-    Freshness.Config freshness = new Freshness.Config(c.whole("ttl_most_s", 0, WEEK_S, 86_400),
+    TtlPolicy.Config freshness = new TtlPolicy.Config(c.whole("ttl_most_s", 0, WEEK_S, 86_400),
         c.whole("negative_most_s", 0, WEEK_S, 3600), c.whole("stale_s", 0, WEEK_S, 86_400), c.number("prefetch_part", 0, 0.9, 0.1),
         (int) c.whole("prefetch_hits", 0, 1_000_000, 3));
     return new Caching(c.whole("mb", 0, 1 << 20, 64) << 20, freshness, c.whole("stale_ttl_s", 1, WEEK_S, 30),
--- a/dns/src/main/java/cloverpulley/dns/Resolver.java
+++ b/dns/src/main/java/cloverpulley/dns/Resolver.java
@@ -16,9 +16,9 @@
 import cloverpulley.engine.Exchange;
 import cloverpulley.engine.Verdict;
 import cloverpulley.incident.Entry;
-import cloverpulley.names.Freshness;
 import cloverpulley.names.Leaving;
 import cloverpulley.names.ResponseLimit;
+import cloverpulley.names.TtlPolicy;
 import cloverpulley.quota.Quotas;
 import cloverpulley.quota.service.QuotaKeeper;
 import cloverpulley.records.Recorder;
@@ -91,7 +91,7 @@
     this.client = client;
     this.counts = counts;
     replies = new Query.Replies(config.udpSize(), (int) (config.limits().idleMillis() / 100));
-    cache = new Cache(config.caching().bytes(), new Freshness(config.caching().freshness()));
+    cache = new Cache(config.caching().bytes(), new TtlPolicy(config.caching().freshness()));
     cookies = new Cookies(config.cookieSecret());
     limit = new ResponseLimit(config.limits().responses());
     config.settings().tenants().forEach(t -> tenants.add(t.name()));
@@ -287,13 +287,13 @@
     }
     Cache.Key key = Cache.Key.of(q);
     Cache.Entry e = cache.get(key, q.arrivedAt);
-    Freshness.Use use = e == null ? Freshness.Use.GONE : cache.use(e, q.arrivedAt);
-    if (use == Freshness.Use.FRESH || use == Freshness.Use.REFRESH) {
+    TtlPolicy.Freshness use = e == null ? TtlPolicy.Freshness.EXPIRED : cache.use(e, q.arrivedAt);
+    if (use == TtlPolicy.Freshness.FRESH || use == TtlPolicy.Freshness.PREFETCH) {
       e.hits++;
       counts.cached++;
       long age = (q.arrivedAt - e.at) / NANOS;
       reply(q, q.filled(replies, e.body, age, e.ttl - age, false, -1, null));
-      if (use == Freshness.Use.REFRESH && !leaving.hasBegun() && !flights.containsKey(key)) {
+      if (use == TtlPolicy.Freshness.PREFETCH && !leaving.hasBegun() && !flights.containsKey(key)) {
         counts.prefetched++;
         launch(key, q, e, true);
       }
--- a/dns/src/test/java/cloverpulley/dns/CacheTest.java
+++ b/dns/src/test/java/cloverpulley/dns/CacheTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.names.Freshness;
+import cloverpulley.names.TtlPolicy;
 import cloverpulley.standins.StandInDns;
 import cloverpulley.standins.StandInDns.Asked;
 import java.util.ArrayList;
@@ -211,7 +211,7 @@
   /** Whatever is kept, its octets stay under the ceiling. */
   @Test
   void theCacheStaysUnderItsCeiling() throws Exception {
-    Cache cache = new Cache(100_000, new Freshness(new Freshness.Config(1000, 1000, 1000, 0.1, 3)));
+    Cache cache = new Cache(100_000, new TtlPolicy(new TtlPolicy.Config(1000, 1000, 1000, 0.1, 3)));
     for (int i = 0; i < 5000; i++) {
       Message m = Rig.question(1, "n" + i + ".example.");
       m.addRecord(StandInDns.record("n" + i + ".example. 600 A 10.0.0.1"), Section.ANSWER);
