--- a/dns/src/main/java/cloverpulley/dns/Resolver.java
+++ b/dns/src/main/java/cloverpulley/dns/Resolver.java
@@ -16,7 +16,7 @@
 import cloverpulley.engine.Exchange;
 import cloverpulley.engine.Verdict;
 import cloverpulley.incident.Entry;
-import cloverpulley.names.Leaving;
+import cloverpulley.names.GracefulShutdown;
 import cloverpulley.names.ResponseLimit;
 import cloverpulley.names.TtlPolicy;
 import cloverpulley.quota.Quotas;
@@ -67,7 +67,7 @@
   final Engine engine;
   final DnsClient client;
   final DnsCounts counts;
-  final Leaving leaving = new Leaving();
+  final GracefulShutdown leaving = new GracefulShutdown();
   Query.Replies replies;
   final Repeated repeated = new Repeated(MOST_REPEATS, REPEATS_KEPT);
   private final Recorder recorder;
@@ -297,7 +297,7 @@
         counts.prefetched++;
         launch(key, q, e, true);
       }
-    } else if (leaving.refuses(q.arrivedAt) && !flights.containsKey(key)) {
+    } else if (leaving.rejectsNew(q.arrivedAt) && !flights.containsKey(key)) {
       fail(q, stopping(q));
     } else {
       fly(q);
@@ -306,10 +306,10 @@
 
   /** Nothing of it has run: asked again once we have gone, it comes to the successor. */
   private Verdict stopping(Query q) {
-    return new Verdict(true, Reason.STOPPING, leaving.left(q.arrivedAt));
+    return new Verdict(true, Reason.STOPPING, leaving.remaining(q.arrivedAt));
   }
 
-  /** The front goes: from here on {@link Leaving} says what is taken. */
+  /** The front goes: from here on {@link GracefulShutdown} says what is taken. */
   void leave(long lastsNanos) {
     leaving.begin(clock.now(), lastsNanos);
     replies = new Query.Replies(config.udpSize(), 0); // Who asked for it is told to close (RFC 7828, 3.2.2).
@@ -403,7 +403,7 @@
         reply(q, answer.clone());
       }
       return;
-    } else if (leaving.refuses(q.arrivedAt)) {
+    } else if (leaving.rejectsNew(q.arrivedAt)) {
       fail(q, stopping(q)); // Only here: of a repeat the first may have run, or be under way.
       return;
     } else if (key != null && !repeated.taken(key, q.arrivedAt)) {
