--- a/decision/src/test/java/cloverpulley/names/TtlPolicyTest.java
+++ b/decision/src/test/java/cloverpulley/names/TtlPolicyTest.java
@@ -17,16 +17,16 @@
   private final TtlPolicy policy = new TtlPolicy(new Config(3600, 60, 100, 0.1, 2));
 
   @Test
-  void ttlsAreBounded() {
+  void ttlsAreCapped() {
     assertEquals(3600, policy.cacheTtl(1_000_000, false));
     assertEquals(60, policy.cacheTtl(1_000_000, true));
     assertEquals(0, policy.cacheTtl(-1, false));
   }
 
   @Test
-  void anAnswerIsFreshThenStaleThenGone() {
+  void answersAreFreshThenStaleThenExpired() {
     assertEquals(Freshness.FRESH, policy.classify(5 * SECOND, 0, 10, 0));
-    assertEquals(Freshness.FRESH, policy.classify(10 * SECOND - 1, 0, 10, 1), "asked for once only");
+    assertEquals(Freshness.FRESH, policy.classify(10 * SECOND - 1, 0, 10, 1), "only one hit");
     assertEquals(Freshness.PREFETCH, policy.classify(9 * SECOND, 0, 10, 2));
     assertEquals(Freshness.STALE, policy.classify(10 * SECOND, 0, 10, 2));
     assertEquals(Freshness.STALE, policy.classify(110 * SECOND - 1, 0, 10, 2));
@@ -34,30 +34,30 @@
   }
 
   @Test
-  void whatAServerDoesNotDoIsBelievedForATime() {
-    ServerTraits traits = new ServerTraits(10);
+  void missingCapabilitiesExpire() {
+    ServerCapabilities traits = new ServerCapabilities(10);
     assertTrue(traits.mayUseEdns(0, 1) && traits.mayMixCase(0, 1));
-    traits.speaksNoEdns(0, 1);
-    traits.losesCase(5, 1);
+    traits.markNoEdns(0, 1);
+    traits.markCaseNotPreserved(5, 1);
     assertFalse(traits.mayUseEdns(9, 1));
     assertTrue(traits.mayUseEdns(10, 1));
     assertFalse(traits.mayMixCase(14, 1));
     assertTrue(traits.mayMixCase(0, 2));
-    traits.keepOnly(Set.of(2L));
+    traits.retainAll(Set.of(2L));
     assertTrue(traits.mayMixCase(14, 1));
   }
 
   @Test
-  void onlyRefusedProvesThatNothingRanAndOnlyWhereTheOperatorsSaySo() {
+  void onlyRefusedProvesThatNothingRanAndOnlyIfConfigured() {
     for (int rcode = 0; rcode < 24; rcode++) {
       for (Effect effect : Effect.values()) {
-        assertFalse(Wording.of(effect, rcode, false).provesNotRun());
-        assertEquals(rcode == 5, Wording.of(effect, rcode, true).provesNotRun());
+        assertFalse(RcodeMapping.toStatus(effect, rcode, false).provesNotRun());
+        assertEquals(rcode == 5, RcodeMapping.toStatus(effect, rcode, true).provesNotRun());
       }
     }
-    assertEquals(Status.ERROR, Wording.of(Effect.SAFE, 2, false));
-    assertEquals(Status.ERROR, Wording.of(Effect.UNSAFE, 2, false));
-    assertEquals(Status.SERVED, Wording.of(Effect.UNSAFE, 6, false), "YXDOMAIN is the server's word");
-    assertEquals(Status.SERVED, Wording.of(Effect.SAFE, 3, false));
+    assertEquals(Status.ERROR, RcodeMapping.toStatus(Effect.SAFE, 2, false));
+    assertEquals(Status.ERROR, RcodeMapping.toStatus(Effect.UNSAFE, 2, false));
+    assertEquals(Status.SERVED, RcodeMapping.toStatus(Effect.UNSAFE, 6, false), "YXDOMAIN is the server's final answer");
+    assertEquals(Status.SERVED, RcodeMapping.toStatus(Effect.SAFE, 3, false));
   }
 }
--- a/dns/src/main/java/cloverpulley/dns/DnsConfig.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsConfig.java
@@ -10,7 +10,7 @@
 import cloverpulley.dns.wire.Message;
 import cloverpulley.dns.wire.Names;
 import cloverpulley.fleet.FleetSource;
-import cloverpulley.names.ResponseLimit;
+import cloverpulley.names.ResponseRateLimiter;
 import cloverpulley.names.TtlPolicy;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -59,7 +59,7 @@
 
   /** Bounds on what clients can make us keep and do. Times in milliseconds, sizes in octets. */
   public record Limits(int connections, int connectionsPerClient, int pipelined, long idleMillis, long messageMillis,
-      long stallMillis, int queryBytes, int updateBytes, ResponseLimit.Config responses, int prefix4, int prefix6) {}
+      long stallMillis, int queryBytes, int updateBytes, ResponseRateLimiter.Config responses, int prefix4, int prefix6) {}
 
   /** {@code staleTtl} in seconds. */
   public record Caching(long bytes, TtlPolicy.Config freshness, long staleTtl, long staleWaitNanos) {}
@@ -99,7 +99,7 @@
   /** The same for a front beside this one, at a port of its own on loopback, before other servers. */
   DnsConfig aside(FleetSource other) {
     Limits open = new Limits(limits.connections(), limits.connectionsPerClient(), limits.pipelined(), limits.idleMillis(),
-        limits.messageMillis(), limits.stallMillis(), limits.queryBytes(), limits.updateBytes(), new ResponseLimit.Config(0, 0, 1),
+        limits.messageMillis(), limits.stallMillis(), limits.queryBytes(), limits.updateBytes(), new ResponseRateLimiter.Config(0, 0, 1),
         limits.prefix4(), limits.prefix6());
     return new DnsConfig(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), udpSize, false, 0, 0, 0, settings, other, matches,
         clients, keys, tenantOption, cookieSecret, marginNanos, attemptNanos, refusedIsFull, unsafeOverTcp, open, caching, upstream,
@@ -111,7 +111,7 @@
   }
 
   private static Limits limits(Section l) {
-    ResponseLimit.Config responses = new ResponseLimit.Config(l.number("udp_per_prefix_per_s", 0, 1e9, 1000),
+    ResponseRateLimiter.Config responses = new ResponseRateLimiter.Config(l.number("udp_per_prefix_per_s", 0, 1e9, 1000),
         (int) l.whole("slip", 0, 100, 2), (int) l.whole("prefixes", 1, 10_000_000, 100_000));
     return new Limits((int) l.whole("tcp_connections", 1, 1_000_000, 2000), (int) l.whole("tcp_per_client", 1, 1_000_000, 100),
         (int) l.whole("tcp_pipelined", 1, 65_535, 100), l.whole("tcp_idle_ms", 1, DAY_MS, 10_000),
--- a/dns/src/main/java/cloverpulley/dns/DnsExchange.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsExchange.java
@@ -7,7 +7,7 @@
 import cloverpulley.dns.wire.Message;
 import cloverpulley.engine.Attempt;
 import cloverpulley.engine.Exchange;
-import cloverpulley.names.Wording;
+import cloverpulley.names.RcodeMapping;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 import java.util.Map;
@@ -37,7 +37,7 @@
     Status word = status;
     Body body = null;
     if (answer != null) {
-      word = Wording.of(facts().type().effect(), answer.rcode(), resolver.config.refusedIsFull());
+      word = RcodeMapping.toStatus(facts().type().effect(), answer.rcode(), resolver.config.refusedIsFull());
       if (word == Status.SERVED && asked.raw() == null) {
         body = body(answer);
         word = body == null ? Status.ERROR : word;
--- a/dns/src/main/java/cloverpulley/dns/Resolver.java
+++ b/dns/src/main/java/cloverpulley/dns/Resolver.java
@@ -17,7 +17,7 @@
 import cloverpulley.engine.Verdict;
 import cloverpulley.incident.Entry;
 import cloverpulley.names.GracefulShutdown;
-import cloverpulley.names.ResponseLimit;
+import cloverpulley.names.ResponseRateLimiter;
 import cloverpulley.names.TtlPolicy;
 import cloverpulley.quota.Quotas;
 import cloverpulley.quota.service.QuotaKeeper;
@@ -75,7 +75,7 @@
   private final QuotaKeeper quotas;
   private final Cache cache;
   private final Cookies cookies;
-  private final ResponseLimit limit;
+  private final ResponseRateLimiter limit;
   private final List<OwnZone> zones = new ArrayList<>();
   private final Map<Cache.Key, Flight> flights = new HashMap<>();
   private final Set<String> tenants = new HashSet<>();
@@ -93,7 +93,7 @@
     replies = new Query.Replies(config.udpSize(), (int) (config.limits().idleMillis() / 100));
     cache = new Cache(config.caching().bytes(), new TtlPolicy(config.caching().freshness()));
     cookies = new Cookies(config.cookieSecret());
-    limit = new ResponseLimit(config.limits().responses());
+    limit = new ResponseRateLimiter(config.limits().responses());
     config.settings().tenants().forEach(t -> tenants.add(t.name()));
   }
 
@@ -148,15 +148,15 @@
 
   private void malformed(byte[] octets, Query.Client from) {
     counts.malformed++;
-    if (from.isTcp() || limit(from.address()) == ResponseLimit.Finding.ANSWER) {
+    if (from.isTcp() || limit(from.address()) == ResponseRateLimiter.Action.ANSWER) {
       counts.answers++;
       from.answer(Message.empty(Message.get16(octets, 0), Message.opcode(octets) << 11 | Message.get16(octets, 2) & Message.RD,
           Message.FORMERR, null, null));
     }
   }
 
-  private ResponseLimit.Finding limit(InetAddress address) {
-    return limit.query(clock.now(), Prefix.number(address, config.limits().prefix4(), config.limits().prefix6()));
+  private ResponseRateLimiter.Action limit(InetAddress address) {
+    return limit.onQuery(clock.now(), Prefix.number(address, config.limits().prefix4(), config.limits().prefix6()));
   }
 
   /** Whether a sender whose address may be forged is answered in full; gives the cookie that proves it next time. */
@@ -172,15 +172,15 @@
     if (proven) {
       return true;
     }
-    ResponseLimit.Finding finding = limit(q.client.address());
-    if (finding == ResponseLimit.Finding.SLIP) {
+    ResponseRateLimiter.Action finding = limit(q.client.address());
+    if (finding == ResponseRateLimiter.Action.SLIP) {
       counts.slipped++;
       reply(q, q.empty(replies, Message.TC, Message.NOERROR, -1, null));
-    } else if (finding == ResponseLimit.Finding.DROP) {
+    } else if (finding == ResponseRateLimiter.Action.DROP) {
       counts.dropped++;
       unanswered(q, "rate_dropped");
     }
-    return finding == ResponseLimit.Finding.ANSWER;
+    return finding == ResponseRateLimiter.Action.ANSWER;
   }
 
   /** Finds whose message it is; false where it was answered because its signature is wrong. */
--- a/dns/src/main/java/cloverpulley/dns/client/Ask.java
+++ b/dns/src/main/java/cloverpulley/dns/client/Ask.java
@@ -183,7 +183,7 @@
   }
 
   private void withoutEdns(long now) {
-    server.client.traits.speaksNoEdns(now, server.number);
+    server.client.traits.markNoEdns(now, server.number);
     server.client.counts.plain++;
     answeredOnce = true;
     edns = false;
@@ -210,7 +210,7 @@
       return false;
     }
     if (m.question() != null && !m.question().hasCaseOf(written)) {
-      server.client.traits.losesCase(now, server.number);
+      server.client.traits.markCaseNotPreserved(now, server.number);
     }
     if (m.has(Message.TC)) {
       end(Status.ERROR, null, "truncated over TCP as well");
--- a/dns/src/main/java/cloverpulley/dns/client/DnsClient.java
+++ b/dns/src/main/java/cloverpulley/dns/client/DnsClient.java
@@ -2,7 +2,7 @@
 
 import cloverpulley.Balancer.Status;
 import cloverpulley.engine.Clock;
-import cloverpulley.names.ServerTraits;
+import cloverpulley.names.ServerCapabilities;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import java.net.InetSocketAddress;
@@ -23,7 +23,7 @@
   final EventLoop loop;
   final Clock clock;
   final ClientConfig config;
-  final ServerTraits traits;
+  final ServerCapabilities traits;
   final Randomness random = new Randomness();
   final ClientCounts counts = new ClientCounts();
   final Flusher flusher;
@@ -38,7 +38,7 @@
     this.clock = clock;
     this.config = config;
     flusher = new Flusher(loop);
-    traits = new ServerTraits(config.traitsNanos());
+    traits = new ServerCapabilities(config.traitsNanos());
     long every = Math.max(TimeUnit.MILLISECONDS.toNanos(10), config.idleNanos() / 4);
     sweep = loop.scheduleWithFixedDelay(this::closeIdle, every, every, TimeUnit.NANOSECONDS);
   }
@@ -75,7 +75,7 @@
         server.withdraw();
       }
     }
-    traits.keepOnly(servers.keySet());
+    traits.retainAll(servers.keySet());
   }
 
   void forget(ServerLink server) {
