--- a/decision/src/test/java/cloverpulley/membership/Bench.java
+++ b/decision/src/test/java/cloverpulley/membership/MembershipFixture.java
@@ -14,24 +14,24 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-/** A membership module on a virtual clock, with resolvers that say what a test tells them to. */
-final class Bench {
+/** A {@link Membership} on a virtual clock, with resolvers whose answers the test supplies. */
+final class MembershipFixture {
 
   static final String DOMAIN = "_quote._tcp.example.";
   static final long START = 1_800_000_000_000L;
 
   final Rules rules;
-  final Membership module;
+  final Membership membership;
   final List<Change> changes = new ArrayList<>();
   final Map<String, Member> list = new TreeMap<>();
   long now = START;
 
-  Bench(Rules rules) {
+  MembershipFixture(Rules rules) {
     this.rules = rules;
-    module = new Membership(rules, TextKeys.DEFAULT);
+    membership = new Membership(rules, TextKeys.DEFAULT);
   }
 
-  Bench(int resolvers) {
+  MembershipFixture(int resolvers) {
     this(Rules.of(resolvers));
   }
 
@@ -39,8 +39,8 @@
     return label + "." + DOMAIN;
   }
 
-  /** What a resolver tells of one server. */
-  static final class Said {
+  /** The records that a resolver returns for one server. */
+  static final class Server {
     final String label;
     String target;
     int port = 8000;
@@ -48,72 +48,72 @@
     int priority;
     final Map<String, String> text = new HashMap<>();
 
-    Said(String label, int number) {
+    Server(String label, int number) {
       this.label = label;
       target = label + ".hosts.example.";
       address = "10.0." + number / 256 + "." + number % 256;
     }
 
-    Said boot(String boot) {
-      text.put("started", boot);
+    Server bootId(String bootId) {
+      text.put("started", bootId);
       return this;
     }
 
-    Said phase(String phase) {
+    Server phase(String phase) {
       text.put("phase", phase);
       return this;
     }
 
-    Said at(String other) {
+    Server address(String other) {
       address = other;
       return this;
     }
 
-    Said port(int other) {
+    Server port(int other) {
       port = other;
       return this;
     }
 
-    Said priority(int other) {
+    Server priority(int other) {
       priority = other;
       return this;
     }
   }
 
-  static Said said(String label, int number) {
-    return new Said(label, number);
+  static Server server(String label, int number) {
+    return new Server(label, number);
   }
 
-  /** A resolver answers in full. */
-  void answer(int resolver, long serial, Said... servers) {
+  /** A resolver answers a browse and all records of these servers. */
+  void answer(int resolver, long serial, Server... servers) {
     answer(DOMAIN, resolver, serial, servers);
   }
 
-  void answer(String domain, int resolver, long serial, Said... servers) {
+  void answer(String domain, int resolver, long serial, Server... servers) {
     Set<String> names = new TreeSet<>();
-    for (Said s : servers) {
+    for (Server s : servers) {
       names.add(s.label + "." + domain);
     }
     observe(new Browsed(resolver, domain, names, serial, 60_000));
-    for (Said s : servers) {
+    for (Server s : servers) {
       observe(new ServiceRecords(resolver, s.label + "." + domain, List.of(new SrvRecord(s.priority, 0, s.target, s.port))));
       observe(new TextRecord(resolver, s.label + "." + domain, Map.copyOf(s.text)));
       observe(new Addresses(resolver, s.target, false, List.of(s.address)));
     }
-    settle();
+    reconcile();
   }
 
   void fail(int resolver) {
     observe(new BrowseFailed(resolver, DOMAIN));
-    settle();
+    reconcile();
   }
 
   void observe(Observation o) {
-    module.observe(now, o);
+    membership.observe(now, o);
   }
 
-  void settle() {
-    module.reconcile(now, c -> {
+  void reconcile() {
+    membership.reconcile(now, c -> {
       changes.add(c);
       if (c.member().phase() == Phase.GONE) {
         list.remove(c.member().id());
@@ -123,35 +123,35 @@
     });
   }
 
-  /** Lets time pass, with every conclusion drawn at its time. */
-  void pass(long millis) {
+  /** Advances the clock and reconciles at every timer on the way. */
+  void advance(long millis) {
     long until = now + millis;
-    while (module.nextTimerAt() <= until) {
-      now = Math.max(now, module.nextTimerAt());
-      settle();
+    while (membership.nextTimerAt() <= until) {
+      now = Math.max(now, membership.nextTimerAt());
+      reconcile();
     }
     now = until;
-    settle();
+    reconcile();
   }
 
-  /** The phase of the server that bears a name; null where none is on the list. */
+  /** The phase of the server with this name; null if it is not on the list. */
   Phase phase(String label) {
-    return of(label).map(Member::phase).orElse(null);
+    return find(label).map(Member::phase).orElse(null);
   }
 
-  java.util.Optional<Member> of(String label) {
+  java.util.Optional<Member> find(String label) {
     return list.values().stream().filter(m -> m.instance().equals(name(label))).findFirst();
   }
 
   Member member(String label) {
-    return of(label).orElseThrow();
+    return find(label).orElseThrow();
   }
 
-  long ready() {
+  long readyCount() {
     return list.values().stream().filter(m -> m.phase() == Phase.READY).count();
   }
 
-  Change last() {
+  Change lastChange() {
     return changes.get(changes.size() - 1);
   }
 }
