--- a/balancer/src/main/java/cloverpulley/drill/Decoder.java
+++ b/balancer/src/main/java/cloverpulley/drill/Decoder.java
@@ -2,10 +2,10 @@
 
 import cloverpulley.Balancer.AnswerStarted;
 import cloverpulley.Balancer.ClientGone;
+import cloverpulley.Balancer.Endpoint;
+import cloverpulley.Balancer.EndpointUpdate;
 import cloverpulley.Balancer.Event;
 import cloverpulley.Balancer.ListKind;
-import cloverpulley.Balancer.ListNews;
-import cloverpulley.Balancer.Listed;
 import cloverpulley.Balancer.Outcome;
 import cloverpulley.Balancer.PeerMessage;
 import cloverpulley.Balancer.ProbeResult;
@@ -65,15 +65,15 @@
     }
   }
 
-  private static ListNews topology(Fields f) {
+  private static EndpointUpdate topology(Fields f) {
     ListKind kind = f.word("kind", LIST_KIND);
-    List<Listed> entries = new ArrayList<>();
+    List<Endpoint> entries = new ArrayList<>();
     if (kind != ListKind.FAILED || f.has("entries")) {
       for (Fields e : f.objects("entries")) {
-        entries.add(new Listed(e.integer("upstream"), e.text("region-part", ""), (int) e.integer("pack", 0),
+        entries.add(new Endpoint(e.integer("upstream"), e.text("region-part", ""), (int) e.integer("pack", 0),
             e.word("stage-state", STATE), e.integer("launched-ns", 0), e.number("capacity-hint", 1)));
       }
     }
-    return new ListNews(kind, entries);
+    return new EndpointUpdate(kind, entries);
   }
 }
--- a/balancer/src/main/java/cloverpulley/drill/Encoder.java
+++ b/balancer/src/main/java/cloverpulley/drill/Encoder.java
@@ -4,7 +4,7 @@
 import cloverpulley.Balancer.Cancel;
 import cloverpulley.Balancer.CloseIdle;
 import cloverpulley.Balancer.Fail;
-import cloverpulley.Balancer.FetchList;
+import cloverpulley.Balancer.FetchEndpoints;
 import cloverpulley.Balancer.Log;
 import cloverpulley.Balancer.Probe;
 import cloverpulley.Balancer.Refuse;
@@ -46,7 +46,7 @@
     } else if (action instanceof Watch a) {
       open(out, "Observe");
       out.writeBooleanField("enable", a.on());
-    } else if (action instanceof FetchList) {
+    } else if (action instanceof FetchEndpoints) {
       open(out, "Resolve");
     } else if (action instanceof Probe a) {
       open(out, "SoundOut");
--- a/balancer/src/test/java/cloverpulley/drill/LinkTest.java
+++ b/balancer/src/test/java/cloverpulley/drill/LinkTest.java
@@ -82,7 +82,7 @@
       Encoder.write(g, new Balancer.Fail("a", Reason.NO_ROOM));
       Encoder.write(g, new Balancer.SetTimer("t", 3));
       Encoder.write(g, new Balancer.Watch(false));
-      Encoder.write(g, new Balancer.FetchList());
+      Encoder.write(g, new Balancer.FetchEndpoints());
       Encoder.write(g, new Balancer.Probe(7));
       Encoder.write(g, new Balancer.CloseIdle(7));
       Encoder.write(g, new Balancer.TellPeer(-1, "hi 7".getBytes(StandardCharsets.UTF_8)));
--- a/decision/src/main/java/cloverpulley/Balancer.java
+++ b/decision/src/main/java/cloverpulley/Balancer.java
@@ -107,15 +107,15 @@
   }
 
   /** One line of the list. {@code startedNanos} is 0 where it started long ago; weight compares upstreams. */
-  record Listed(long upstream, String zone, int cell, State state, long startedNanos, double weight) {}
+  record Endpoint(long upstream, String zone, int cell, State state, long startedNanos, double weight) {}
 
   /** What happened. */
-  sealed interface Event permits ListNews, Request, AnswerStarted, Outcome, ClientGone, TimerFired, ProbeResult,
+  sealed interface Event permits EndpointUpdate, Request, AnswerStarted, Outcome, ClientGone, TimerFired, ProbeResult,
       PeerMessage, TakenOut, CalledBack, HandOver, Inherited,
       Beside, Retuned, BodyEnded, Unrepeatable {}
 
   /** News of the list of upstreams. An instance's first news is of kind CACHED. */
-  record ListNews(ListKind kind, List<Listed> entries) implements Event {}
+  record EndpointUpdate(ListKind kind, List<Endpoint> endpoints) implements Event {}
 
   /**
    * A request came in and is owed one final answer by {@code deadlineNanos} (a clock reading). Tenant and key may be
@@ -191,7 +191,7 @@
   record Beside(int processes) implements Event {}
 
   /** What the balancer is asked to do. */
-  sealed interface Action permits Send, Cancel, Refuse, Fail, SetTimer, Watch, FetchList, Probe, CloseIdle, TellPeer,
+  sealed interface Action permits Send, Cancel, Refuse, Fail, SetTimer, Watch, FetchEndpoints, Probe, CloseIdle, TellPeer,
       Bequeath, Log {}
 
   /**
@@ -222,7 +222,7 @@
   record Watch(boolean on) implements Action {}
 
   /** Ask once for the complete list. */
-  record FetchList() implements Action {}
+  record FetchEndpoints() implements Action {}
 
   /** Probe an upstream. */
   record Probe(long upstream) implements Action {}
--- a/decision/src/main/java/cloverpulley/Logic.java
+++ b/decision/src/main/java/cloverpulley/Logic.java
@@ -156,7 +156,7 @@
       held.stream().filter(r -> answerDue(r)).toList().forEach(this::advance);
     } else if (event instanceof TimerFired) {
       onSweep();
-    } else if (event instanceof ListNews e) {
+    } else if (event instanceof EndpointUpdate e) {
       onList(e);
     } else if (event instanceof TakenOut e) {
       upstreams.takeOut(e.upstream(), now - e.forNanos());
@@ -601,7 +601,7 @@
 
   // ---- Following the list -------------------------------------------------------------------------------
 
-  private void onList(ListNews news) {
+  private void onList(EndpointUpdate news) {
     if (news.kind() == ListKind.FAILED) {
       // Full jitter, or all balancers would come back to the list service at once.
       long backoff = Math.min(ASK_MOST, ASK_FIRST << Math.min(askFailures++, 10));
--- a/decision/src/main/java/cloverpulley/Upstream.java
+++ b/decision/src/main/java/cloverpulley/Upstream.java
@@ -7,7 +7,7 @@
   final long id;
   final Window window;
   final Bucket cold = new Bucket();
-  Balancer.Listed listed;
+  Balancer.Endpoint listed;
   long started;
   /** An operator took it out from here on and has called it back; its start since then is a guess until the
    * list tells it. */
--- a/decision/src/main/java/cloverpulley/Upstreams.java
+++ b/decision/src/main/java/cloverpulley/Upstreams.java
@@ -1,9 +1,9 @@
 package cloverpulley;
 
 import cloverpulley.Balancer.Earlier;
+import cloverpulley.Balancer.Endpoint;
+import cloverpulley.Balancer.EndpointUpdate;
 import cloverpulley.Balancer.ListKind;
-import cloverpulley.Balancer.ListNews;
-import cloverpulley.Balancer.Listed;
 import cloverpulley.Balancer.State;
 import cloverpulley.state.Knowledge.Known;
 import java.util.HashMap;
@@ -38,15 +38,15 @@
   }
 
   /** The list has changed. */
-  void take(long now, ListNews news) {
-    Map<Long, Listed> entries = new LinkedHashMap<>();
-    news.entries().forEach(e -> entries.put(e.upstream(), e));
+  void take(long now, EndpointUpdate news) {
+    Map<Long, Endpoint> entries = new LinkedHashMap<>();
+    news.endpoints().forEach(e -> entries.put(e.upstream(), e));
     if (news.kind() != ListKind.DELTA) {
       // One that is absent from a full list is gone.
-      upstreams.forEach((id, u) -> entries.putIfAbsent(id, new Listed(id, u.listed.zone(), u.listed.cell(),
+      upstreams.forEach((id, u) -> entries.putIfAbsent(id, new Endpoint(id, u.listed.zone(), u.listed.cell(),
           State.GONE, u.started, u.listed.weight())));
     }
-    for (Listed e : entries.values()) {
+    for (Endpoint e : entries.values()) {
       Upstream u = upstreams.computeIfAbsent(e.upstream(), id -> new Upstream(id, new Window(window, now)));
       if (e.startedNanos() > (u.startGuessed ? u.outSince : u.started)) {
         u.startsAnew(now, e.startedNanos());
@@ -61,7 +61,7 @@
     Upstream u = upstreams.get(e.upstream());
     if (u == null || u.listed.cell() != e.cell() || !u.listed.zone().equals(e.zone())) {
       u = new Upstream(e.upstream(), null);
-      u.listed = new Listed(e.upstream(), e.zone(), e.cell(), State.GONE, 0, 1);
+      u.listed = new Endpoint(e.upstream(), e.zone(), e.cell(), State.GONE, 0, 1);
     }
     Attempt a = new Attempt(u, e.sentNanos());
     a.out = false;
--- a/decision/src/test/java/cloverpulley/Driver.java
+++ b/decision/src/test/java/cloverpulley/Driver.java
@@ -4,11 +4,11 @@
 import cloverpulley.Balancer.Contract;
 import cloverpulley.Balancer.DedupScope;
 import cloverpulley.Balancer.Effect;
+import cloverpulley.Balancer.Endpoint;
+import cloverpulley.Balancer.EndpointUpdate;
 import cloverpulley.Balancer.Event;
 import cloverpulley.Balancer.Limits;
 import cloverpulley.Balancer.ListKind;
-import cloverpulley.Balancer.ListNews;
-import cloverpulley.Balancer.Listed;
 import cloverpulley.Balancer.Outcome;
 import cloverpulley.Balancer.Prices;
 import cloverpulley.Balancer.Request;
@@ -65,8 +65,8 @@
     return settings(false, List.of(), type("c", Effect.SAFE, DedupScope.ALL));
   }
 
-  static Listed up(long id) {
-    return new Listed(id, "a", 0, State.READY, 0, 1);
+  static Endpoint up(long id) {
+    return new Endpoint(id, "a", 0, State.READY, 0, 1);
   }
 
   List<Action> step(Event event) {
@@ -84,12 +84,12 @@
     return actions;
   }
 
-  List<Action> list(ListKind kind, Listed... entries) {
-    return step(new ListNews(kind, List.of(entries)));
+  List<Action> list(ListKind kind, Endpoint... entries) {
+    return step(new EndpointUpdate(kind, List.of(entries)));
   }
 
   Driver upstreams(int n) {
-    Listed[] entries = new Listed[n];
+    Endpoint[] entries = new Endpoint[n];
     for (int i = 0; i < n; i++) {
       entries[i] = up(100 + i);
     }
--- a/decision/src/test/java/cloverpulley/EarlierTest.java
+++ b/decision/src/test/java/cloverpulley/EarlierTest.java
@@ -8,9 +8,9 @@
 import cloverpulley.Balancer.DedupScope;
 import cloverpulley.Balancer.Earlier;
 import cloverpulley.Balancer.Effect;
+import cloverpulley.Balancer.Endpoint;
 import cloverpulley.Balancer.Fail;
 import cloverpulley.Balancer.ListKind;
-import cloverpulley.Balancer.Listed;
 import cloverpulley.Balancer.Refuse;
 import cloverpulley.Balancer.Request;
 import cloverpulley.Balancer.SetTimer;
@@ -30,9 +30,9 @@
   /** Upstream 1 (zone a, cell 1), 2 (same cell), 3 (same zone), 4 (elsewhere). */
   private static Driver fleet(Effect effect, DedupScope scope, long... ids) {
     Driver d = new Driver(Driver.settings(false, List.of(), Driver.type("c", effect, scope)));
-    Listed[] listed = new Listed[ids.length];
+    Endpoint[] listed = new Endpoint[ids.length];
     for (int i = 0; i < ids.length; i++) {
-      listed[i] = new Listed(ids[i], ids[i] == 4 ? "b" : "a", ids[i] <= 2 ? 1 : (int) ids[i], State.READY, 0, 1);
+      listed[i] = new Endpoint(ids[i], ids[i] == 4 ? "b" : "a", ids[i] <= 2 ? 1 : (int) ids[i], State.READY, 0, 1);
     }
     d.list(ListKind.CACHED, listed);
     return d;
--- a/decision/src/test/java/cloverpulley/FourRulesTest.java
+++ b/decision/src/test/java/cloverpulley/FourRulesTest.java
@@ -7,9 +7,9 @@
 import cloverpulley.Balancer.Action;
 import cloverpulley.Balancer.DedupScope;
 import cloverpulley.Balancer.Effect;
+import cloverpulley.Balancer.Endpoint;
 import cloverpulley.Balancer.Fail;
 import cloverpulley.Balancer.ListKind;
-import cloverpulley.Balancer.Listed;
 import cloverpulley.Balancer.Refuse;
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.State;
@@ -29,13 +29,13 @@
   /** Upstream 1 (zone a, cell 1), 2 (same cell), 3 (same zone), 4 (elsewhere). */
   private static Driver fleet(Effect effect, DedupScope scope, long... ids) {
     Driver d = new Driver(Driver.settings(false, List.of(), Driver.type("c", effect, scope)));
-    d.list(ListKind.CACHED, new Listed(FIRST, "a", 1, State.READY, 0, 1));
-    List<Listed> others = new ArrayList<>();
+    d.list(ListKind.CACHED, new Endpoint(FIRST, "a", 1, State.READY, 0, 1));
+    List<Endpoint> others = new ArrayList<>();
     for (long id : ids) {
-      others.add(new Listed(id, id == 4 ? "b" : "a", id == 2 ? 1 : (int) id, State.READY, 0, 1));
+      others.add(new Endpoint(id, id == 4 ? "b" : "a", id == 2 ? 1 : (int) id, State.READY, 0, 1));
     }
     d.request("r", "c", "k");
-    d.list(ListKind.DELTA, others.toArray(new Listed[0]));
+    d.list(ListKind.DELTA, others.toArray(new Endpoint[0]));
     return d;
   }
 
@@ -175,7 +175,7 @@
     Driver d = new Driver(Driver.safe()).upstreams(1);
     d.list(ListKind.FULL);
     assertEquals(-1, d.serve("k", Driver.MS));
-    d.list(ListKind.DELTA, new Listed(100, "a", 0, State.READY, d.now, 1));
+    d.list(ListKind.DELTA, new Endpoint(100, "a", 0, State.READY, d.now, 1));
     d.pass(2000 * Driver.MS);
     assertEquals(100, d.serve("k", Driver.MS));
   }
--- a/decision/src/test/java/cloverpulley/InheritTest.java
+++ b/decision/src/test/java/cloverpulley/InheritTest.java
@@ -6,10 +6,10 @@
 import cloverpulley.Balancer.Bequeath;
 import cloverpulley.Balancer.Beside;
 import cloverpulley.Balancer.CalledBack;
+import cloverpulley.Balancer.Endpoint;
 import cloverpulley.Balancer.HandOver;
 import cloverpulley.Balancer.Inherited;
 import cloverpulley.Balancer.ListKind;
-import cloverpulley.Balancer.Listed;
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.State;
 import cloverpulley.Balancer.Status;
@@ -27,7 +27,7 @@
     return d.step(new HandOver()).stream().filter(Bequeath.class::isInstance).map(a -> ((Bequeath) a).knowledge()).findFirst().get();
   }
 
-  private static Driver successor(Driver of, Listed... list) {
+  private static Driver successor(Driver of, Endpoint... list) {
     Knowledge k = knowledge(of);
     Driver d = new Driver(Driver.safe(), 8);
     d.now = 5_000_000_000_000L;
@@ -65,14 +65,14 @@
   void aColdOneIsNotGivenTwiceAsMuch() {
     Driver old = new Driver(Driver.safe()).upstreams(4);
     sendsTo(101, old, 8000);
-    old.list(ListKind.DELTA, new Listed(101, "a", 0, State.READY, old.now, 1));
-    Driver d = successor(old, Driver.up(100), new Listed(101, "a", 0, State.READY, 4_999_999_000_000L, 1), Driver.up(102),
+    old.list(ListKind.DELTA, new Endpoint(101, "a", 0, State.READY, old.now, 1));
+    Driver d = successor(old, Driver.up(100), new Endpoint(101, "a", 0, State.READY, 4_999_999_000_000L, 1), Driver.up(102),
         Driver.up(103));
     old.step(new Beside(2));
     d.step(new Beside(2));
     Driver alone = new Driver(Driver.safe()).upstreams(4);
     sendsTo(101, alone, 8000);
-    alone.list(ListKind.DELTA, new Listed(101, "a", 0, State.READY, alone.now, 1));
+    alone.list(ListKind.DELTA, new Endpoint(101, "a", 0, State.READY, alone.now, 1));
     int one = sendsTo(101, alone, 1500);
     int both = 0;
     for (int i = 0; i < 150; i++) { // Each request in turn goes to the one and the other.
--- a/decision/src/test/java/cloverpulley/LargeFleetTest.java
+++ b/decision/src/test/java/cloverpulley/LargeFleetTest.java
@@ -7,9 +7,9 @@
 import cloverpulley.Balancer.Contract;
 import cloverpulley.Balancer.DedupScope;
 import cloverpulley.Balancer.Effect;
+import cloverpulley.Balancer.Endpoint;
 import cloverpulley.Balancer.Limits;
 import cloverpulley.Balancer.ListKind;
-import cloverpulley.Balancer.Listed;
 import cloverpulley.Balancer.Prices;
 import cloverpulley.Balancer.Settings;
 import cloverpulley.Balancer.State;
@@ -82,20 +82,20 @@
   void aColdOneIsNotPushedOverByAllTogether(long seed) {
     List<Driver> all = balancers(seed);
     SplittableRandom random = new SplittableRandom(seed);
-    List<Listed> warm = new ArrayList<>();
+    List<Endpoint> warm = new ArrayList<>();
     for (long id = 1; id <= 12; id++) {
       warm.add(Driver.up(id));
     }
-    all.forEach(d -> d.list(ListKind.CACHED, warm.toArray(new Listed[0])));
+    all.forEach(d -> d.list(ListKind.CACHED, warm.toArray(new Endpoint[0])));
     Map<Long, List<Long>> before = play(all, random, 10_000);
     double usual = before.values().stream().mapToInt(List::size).sum() / 12.0 / 10;
     long started = all.get(0).now;
-    List<Listed> changes = new ArrayList<>();
+    List<Endpoint> changes = new ArrayList<>();
     for (long id = 1; id <= 7; id++) {
-      changes.add(new Listed(id, "a", 0, State.GONE, 0, 1));
-      changes.add(new Listed(100 + id, "a", 0, State.READY, started, 1));
+      changes.add(new Endpoint(id, "a", 0, State.GONE, 0, 1));
+      changes.add(new Endpoint(100 + id, "a", 0, State.READY, started, 1));
     }
-    all.forEach(d -> d.list(ListKind.DELTA, changes.toArray(new Listed[0])));
+    all.forEach(d -> d.list(ListKind.DELTA, changes.toArray(new Endpoint[0])));
     Map<Long, List<Long>> after = play(all, random, 10_000);
     int cold = 0;
     for (long id = 101; id <= 107; id++) {
@@ -140,7 +140,7 @@
       d.list(id == 0 ? ListKind.CACHED : ListKind.DELTA, Driver.up(id));
     }
     for (long id = 60; id < 60 + 1200; id++) {
-      d.list(ListKind.DELTA, new Listed(id - 60, "a", 0, State.GONE, 0, 1), new Listed(id, "a", 0, State.READY, d.now, 1));
+      d.list(ListKind.DELTA, new Endpoint(id - 60, "a", 0, State.GONE, 0, 1), new Endpoint(id, "a", 0, State.READY, d.now, 1));
       List<Action> sent = d.request(d.nextId(), "c", "k" + id);
       d.serveFor(500 * MS, Status.SERVED, 20 * MS);
       assertTrue(Driver.sentTo(sent) >= 0, "nothing could take request " + id);
--- a/decision/src/test/java/cloverpulley/PlacementTest.java
+++ b/decision/src/test/java/cloverpulley/PlacementTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cloverpulley.Balancer.Action;
+import cloverpulley.Balancer.Endpoint;
 import cloverpulley.Balancer.ListKind;
-import cloverpulley.Balancer.Listed;
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.State;
 import cloverpulley.Balancer.Status;
@@ -36,7 +36,7 @@
     before.values().forEach(u -> counts.merge(u, 1, Integer::sum));
     assertEquals(10, counts.size());
     counts.values().forEach(n -> assertTrue(n > 120 && n < 300, "keys of one upstream of ten: " + n));
-    d.list(ListKind.DELTA, new Listed(103, "a", 0, State.GONE, 0, 1));
+    d.list(ListKind.DELTA, new Endpoint(103, "a", 0, State.GONE, 0, 1));
     Map<String, Long> after = owners(d, 2000);
     before.forEach((key, owner) -> {
       if (owner == 103) {
@@ -63,8 +63,8 @@
   @Test
   void nothingNewToADrainingOrGoneUpstream() {
     Driver d = new Driver(Driver.safe()).upstreams(3);
-    d.list(ListKind.DELTA, new Listed(100, "a", 0, State.DRAINING, 0, 1));
-    d.list(ListKind.FULL, new Listed(100, "a", 0, State.DRAINING, 0, 1), Driver.up(102));
+    d.list(ListKind.DELTA, new Endpoint(100, "a", 0, State.DRAINING, 0, 1));
+    d.list(ListKind.FULL, new Endpoint(100, "a", 0, State.DRAINING, 0, 1), Driver.up(102));
     for (int i = 0; i < 200; i++) {
       assertEquals(102, d.serve("k" + i, Driver.MS));
     }
@@ -76,7 +76,7 @@
     for (int i = 0; i < 2000; i++) {
       d.serve("k" + i, Driver.MS);
     }
-    d.list(ListKind.DELTA, new Listed(500, "a", 0, State.READY, d.now, 1));
+    d.list(ListKind.DELTA, new Endpoint(500, "a", 0, State.READY, d.now, 1));
     int cold = 0;
     int total = 0;
     for (int i = 0; i < 3000; i++) {
@@ -185,9 +185,9 @@
   @Test
   void keysLeaveAZoneWhoseUpstreamsAreFull() {
     Driver d = new Driver(Driver.safe());
-    Listed[] entries = new Listed[8];
+    Endpoint[] entries = new Endpoint[8];
     for (int i = 0; i < 8; i++) {
-      entries[i] = new Listed(100 + i, i < 4 ? "a" : "b", i, State.READY, 0, 1);
+      entries[i] = new Endpoint(100 + i, i < 4 ? "a" : "b", i, State.READY, 0, 1);
     }
     d.list(ListKind.CACHED, entries);
     int[] away = new int[2];
--- a/decision/src/test/java/cloverpulley/StormTest.java
+++ b/decision/src/test/java/cloverpulley/StormTest.java
@@ -9,12 +9,12 @@
 import cloverpulley.Balancer.Contract;
 import cloverpulley.Balancer.DedupScope;
 import cloverpulley.Balancer.Effect;
+import cloverpulley.Balancer.Endpoint;
+import cloverpulley.Balancer.EndpointUpdate;
 import cloverpulley.Balancer.Event;
 import cloverpulley.Balancer.Fail;
 import cloverpulley.Balancer.Limits;
 import cloverpulley.Balancer.ListKind;
-import cloverpulley.Balancer.ListNews;
-import cloverpulley.Balancer.Listed;
 import cloverpulley.Balancer.Outcome;
 import cloverpulley.Balancer.Prices;
 import cloverpulley.Balancer.Refuse;
@@ -64,7 +64,7 @@
   }
 
   private final Map<String, Entry> book = new LinkedHashMap<>();
-  private final Map<Long, Listed> fleet = new LinkedHashMap<>();
+  private final Map<Long, Endpoint> fleet = new LinkedHashMap<>();
   private final List<Long> timers = new ArrayList<>();
   private SplittableRandom random;
   private Settings settings;
@@ -80,17 +80,17 @@
     for (int i = 0; i < 8; i++) {
       change(i);
     }
-    step(new ListNews(ListKind.CACHED, List.copyOf(fleet.values())));
+    step(new EndpointUpdate(ListKind.CACHED, List.copyOf(fleet.values())));
     int id = 0;
     for (int round = 0; round < 3000; round++) {
       now += random.nextLong(6) * MS;
       fire();
       if (random.nextInt(100) < 4) {
-        Listed changed = change(random.nextInt(12));
-        step(random.nextBoolean() ? new ListNews(ListKind.DELTA, List.of(changed))
-            : new ListNews(ListKind.FULL, List.copyOf(fleet.values())));
+        Endpoint changed = change(random.nextInt(12));
+        step(random.nextBoolean() ? new EndpointUpdate(ListKind.DELTA, List.of(changed))
+            : new EndpointUpdate(ListKind.FULL, List.copyOf(fleet.values())));
       } else if (random.nextInt(100) < 1) {
-        step(new ListNews(ListKind.FAILED, List.of()));
+        step(new EndpointUpdate(ListKind.FAILED, List.of()));
       }
       for (int n = random.nextInt(4); n > 0; n--) {
         RequestClass type = settings.classes().get(random.nextInt(settings.classes().size()));
@@ -143,9 +143,9 @@
   }
 
   /** A new state for one upstream. */
-  private Listed change(long id) {
+  private Endpoint change(long id) {
     State state = random.nextInt(3) > 0 ? State.READY : random.nextBoolean() ? State.DRAINING : State.GONE;
-    Listed listed = new Listed(id, "z" + id % 2, (int) (id / 3 * 2 + id % 2), state,
+    Endpoint listed = new Endpoint(id, "z" + id % 2, (int) (id / 3 * 2 + id % 2), state,
         random.nextInt(4) == 0 ? now : 0, 1 + random.nextInt(4));
     fleet.put(id, listed);
     return listed;
@@ -206,7 +206,7 @@
   }
 
   private void checkSend(Entry e, Send s) {
-    Listed to = fleet.get(s.upstream());
+    Endpoint to = fleet.get(s.upstream());
     assertTrue(!e.answered, "sent after the final answer");
     assertEquals(State.READY, to.state(), "sent to a draining or gone upstream");
     assertTrue(e.tries.size() < settings.limits().maxAttempts(), "too many attempts");
--- a/decision/src/test/java/cloverpulley/TakenOutTest.java
+++ b/decision/src/test/java/cloverpulley/TakenOutTest.java
@@ -7,7 +7,7 @@
 import cloverpulley.Balancer.CalledBack;
 import cloverpulley.Balancer.DedupScope;
 import cloverpulley.Balancer.Effect;
-import cloverpulley.Balancer.Listed;
+import cloverpulley.Balancer.Endpoint;
 import cloverpulley.Balancer.ListKind;
 import cloverpulley.Balancer.Refuse;
 import cloverpulley.Balancer.Send;
@@ -27,8 +27,8 @@
   private static final long MS = Driver.MS;
   private static final long X = 101;
 
-  private static Listed up(long id, long started, State state) {
-    return new Listed(id, "a", 0, state, started, 1);
+  private static Endpoint up(long id, long started, State state) {
+    return new Endpoint(id, "a", 0, state, started, 1);
   }
 
   /** Requests of ever new keys for a while, each served after 20 ms; the times at which one went to the upstream. */
--- a/engine/src/main/java/cloverpulley/engine/Engine.java
+++ b/engine/src/main/java/cloverpulley/engine/Engine.java
@@ -1,6 +1,5 @@
 package cloverpulley.engine;
 
-import cloverpulley.Balancer;
 import cloverpulley.Balancer.Action;
 import cloverpulley.Balancer.AnswerStarted;
 import cloverpulley.Balancer.Bequeath;
@@ -10,13 +9,13 @@
 import cloverpulley.Balancer.Cancel;
 import cloverpulley.Balancer.ClientGone;
 import cloverpulley.Balancer.CloseIdle;
+import cloverpulley.Balancer.EndpointUpdate;
 import cloverpulley.Balancer.Event;
 import cloverpulley.Balancer.Fail;
-import cloverpulley.Balancer.FetchList;
+import cloverpulley.Balancer.FetchEndpoints;
 import cloverpulley.Balancer.HandOver;
 import cloverpulley.Balancer.Inherited;
 import cloverpulley.Balancer.ListKind;
-import cloverpulley.Balancer.ListNews;
 import cloverpulley.Balancer.Outcome;
 import cloverpulley.Balancer.PeerMessage;
 import cloverpulley.Balancer.Probe;
@@ -33,6 +32,7 @@
 import cloverpulley.Balancer.TimerFired;
 import cloverpulley.Balancer.Unrepeatable;
 import cloverpulley.Balancer.Watch;
+import cloverpulley.Balancer;
 import cloverpulley.Reason;
 import cloverpulley.state.Knowledge;
 import java.net.SocketAddress;
@@ -159,14 +159,14 @@
   public void news(ListKind kind, ServerList list) {
     if (kind == ListKind.FAILED) {
       witness.listed(kind, ServerList.NONE, List.of());
-      enqueue(() -> new ListNews(kind, List.of()));
+      enqueue(() -> new EndpointUpdate(kind, List.of()));
       return;
     }
-    ListNews news = fleet.take(kind, list);
+    EndpointUpdate news = fleet.take(kind, list);
     if (witness != Witness.NONE) {
-      List<Witness.Numbered> told = new ArrayList<>(news.entries().size());
-      for (int i = 0; i < news.entries().size(); i++) {
-        told.add(new Witness.Numbered(news.entries().get(i).upstream(), list.members().get(i)));
+      List<Witness.Numbered> told = new ArrayList<>(news.endpoints().size());
+      for (int i = 0; i < news.endpoints().size(); i++) {
+        told.add(new Witness.Numbered(news.endpoints().get(i).upstream(), list.members().get(i)));
       }
       witness.listed(kind, list, told);
     }
@@ -370,7 +370,7 @@
 
   /** A module that threw is in an unknown state: what it held is answered, and a new one starts from the list. */
   private void restart(Event cause) {
-    if (cause instanceof Retuned || cause instanceof ListNews news && news.kind() == ListKind.CACHED) {
+    if (cause instanceof Retuned || cause instanceof EndpointUpdate news && news.kind() == ListKind.CACHED) {
       LOG.severe("a module can't even start: the process ends");
       failAll();
       loop.execute(() -> Runtime.getRuntime().halt(1));
@@ -390,7 +390,7 @@
       Settings now = settings;
       enqueue(() -> new Retuned(now)); // Before the list: it was made with those of the start.
     }
-    ListNews held = fleet.held();
+    EndpointUpdate held = fleet.held();
     enqueue(() -> held);
     fleet.out().forEach(id -> {
       long upstream = fleet.takeOut(id);
@@ -437,7 +437,7 @@
           a.atNanos() - clock.now(), TimeUnit.NANOSECONDS);
     } else if (action instanceof Watch a) {
       lists.watch(a.on());
-    } else if (action instanceof FetchList) {
+    } else if (action instanceof FetchEndpoints) {
       lists.fetch();
     } else if (action instanceof Probe a) {
       probe(a.upstream());
--- a/engine/src/main/java/cloverpulley/engine/Fleet.java
+++ b/engine/src/main/java/cloverpulley/engine/Fleet.java
@@ -1,8 +1,8 @@
 package cloverpulley.engine;
 
+import cloverpulley.Balancer.Endpoint;
+import cloverpulley.Balancer.EndpointUpdate;
 import cloverpulley.Balancer.ListKind;
-import cloverpulley.Balancer.ListNews;
-import cloverpulley.Balancer.Listed;
 import cloverpulley.Balancer.State;
 import cloverpulley.engine.ServerList.Server;
 import java.net.SocketAddress;
@@ -145,15 +145,15 @@
   }
 
   /** Takes in a list, or changes to it, and words it for the module: as no change where it is not to be believed. */
-  public ListNews take(ListKind kind, ServerList list) {
+  public EndpointUpdate take(ListKind kind, ServerList list) {
     if (!isNews(kind, list)) {
-      return new ListNews(ListKind.DELTA, List.of());
+      return new EndpointUpdate(ListKind.DELTA, List.of());
     }
     revision = list.revision();
     if (kind != ListKind.DELTA) {
       servers.clear();
     }
-    List<Listed> entries = new ArrayList<>();
+    List<Endpoint> entries = new ArrayList<>();
     for (Server server : list.members()) {
       long number = numberOf(server.id());
       remember(server.id(), start(server));
@@ -167,7 +167,7 @@
     sourceHeard |= kind != ListKind.CACHED;
     // A name that left gets its number again should it come back; nothing is kept of it meanwhile.
     numbers.values().removeIf(n -> !servers.containsKey(n) && !out.containsValue(n));
-    return new ListNews(kind, entries);
+    return new EndpointUpdate(kind, entries);
   }
 
   /**
@@ -181,10 +181,10 @@
   }
 
   /** The list as it is held, for a module that starts anew. */
-  public ListNews held() {
-    List<Listed> entries = new ArrayList<>();
+  public EndpointUpdate held() {
+    List<Endpoint> entries = new ArrayList<>();
     servers.forEach((number, server) -> entries.add(listed(number, server)));
-    return new ListNews(ListKind.CACHED, entries);
+    return new EndpointUpdate(ListKind.CACHED, entries);
   }
 
   /** FNV-1a of the name: every balancer, and each after a restart, has to place the same keys alike. */
@@ -199,7 +199,7 @@
     return hash;
   }
 
-  private Listed listed(long number, Server s) {
-    return new Listed(number, s.zone(), s.cell(), s.state(), everListed.get(s.id()).atNanos, s.size());
+  private Endpoint listed(long number, Server s) {
+    return new Endpoint(number, s.zone(), s.cell(), s.state(), everListed.get(s.id()).atNanos, s.size());
   }
 }
--- a/http/src/test/java/cloverpulley/serve/AttemptTest.java
+++ b/http/src/test/java/cloverpulley/serve/AttemptTest.java
@@ -5,11 +5,12 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.Reason;
 import cloverpulley.Balancer.Cancel;
 import cloverpulley.Balancer.ClientGone;
 import cloverpulley.Balancer.CloseIdle;
+import cloverpulley.Balancer.EndpointUpdate;
 import cloverpulley.Balancer.Fail;
+import cloverpulley.Balancer.ListKind;
 import cloverpulley.Balancer.Outcome;
 import cloverpulley.Balancer.Probe;
 import cloverpulley.Balancer.ProbeResult;
@@ -18,8 +19,7 @@
 import cloverpulley.Balancer.Status;
 import cloverpulley.Balancer.TakenOut;
 import cloverpulley.Balancer.Watch;
-import cloverpulley.Balancer.ListKind;
-import cloverpulley.Balancer.ListNews;
+import cloverpulley.Reason;
 import cloverpulley.serve.Rig.Client;
 import cloverpulley.serve.Rig.Script;
 import io.netty.bootstrap.Bootstrap;
@@ -256,7 +256,7 @@
       c.next();
     })) {
       Script module = new Script((event, out) -> {
-        if (event instanceof ListNews n && n.kind() == ListKind.CACHED) {
+        if (event instanceof EndpointUpdate n && n.kind() == ListKind.CACHED) {
           out.accept(new Watch(true));
         } else if (event instanceof Request r) {
           out.accept(new Send(r.id(), Discoveries.number("s-1"), 0));
--- a/http/src/test/java/cloverpulley/serve/Discoveries.java
+++ b/http/src/test/java/cloverpulley/serve/Discoveries.java
@@ -23,6 +23,6 @@
   static long number(String id) {
     ServerList.Server server = new ServerList.Server(id, null, "a", 0, cloverpulley.Balancer.State.READY, 1, 0);
     return new Fleet(new Clock()).take(cloverpulley.Balancer.ListKind.FULL, new ServerList(1, true, List.of(server)))
-        .entries().get(0).upstream();
+        .endpoints().get(0).upstream();
   }
 }
--- a/http/src/test/java/cloverpulley/serve/DiscoveryTest.java
+++ b/http/src/test/java/cloverpulley/serve/DiscoveryTest.java
@@ -3,12 +3,12 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.engine.Clock;
-import cloverpulley.Balancer.FetchList;
+import cloverpulley.Balancer.Endpoint;
+import cloverpulley.Balancer.EndpointUpdate;
+import cloverpulley.Balancer.FetchEndpoints;
 import cloverpulley.Balancer.ListKind;
-import cloverpulley.Balancer.ListNews;
-import cloverpulley.Balancer.Listed;
 import cloverpulley.Balancer.Watch;
+import cloverpulley.engine.Clock;
 import cloverpulley.serve.Rig.Script;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -32,7 +32,7 @@
 
   private static Script watching() {
     return new Script((event, out) -> {
-      if (event instanceof ListNews n && n.kind() == ListKind.CACHED) {
+      if (event instanceof EndpointUpdate n && n.kind() == ListKind.CACHED) {
         out.accept(new Watch(true));
       }
     });
@@ -42,8 +42,8 @@
     return new Rig(Rig.config(discovery.address(), Rig.list(41, true, A), mode, 200, 1024, ""), module);
   }
 
-  private static String word(ListNews news) {
-    List<Listed> entries = news.entries();
+  private static String word(EndpointUpdate news) {
+    List<Endpoint> entries = news.endpoints();
     return news.kind() + " " + entries.size() + (entries.isEmpty() ? "" : " " + entries.get(0).state());
   }
 
@@ -58,10 +58,10 @@
       c.write(gone.substring(0, 20));
       c.write(gone.substring(20));
     }); Rig rig = rig(discovery, "on_request", module)) {
-      assertEquals("CACHED 1 READY", word(module.next(ListNews.class)));
-      assertEquals("FULL 2 READY", word(module.next(ListNews.class)));
-      assertEquals("DELTA 1 GONE", word(module.next(ListNews.class)));
-      assertEquals("FAILED 0", word(module.next(ListNews.class)));
+      assertEquals("CACHED 1 READY", word(module.next(EndpointUpdate.class)));
+      assertEquals("FULL 2 READY", word(module.next(EndpointUpdate.class)));
+      assertEquals("DELTA 1 GONE", word(module.next(EndpointUpdate.class)));
+      assertEquals("FAILED 0", word(module.next(EndpointUpdate.class)));
       assertTrue(discovery.requests.take().startsWith("GET /v1/servers?follow=1&since=41 HTTP/1.1\r\n"));
     }
   }
@@ -78,8 +78,8 @@
       c.next();
       c.write(answer.replace("~", "\r\n"));
     }); Rig rig = rig(discovery, "on_request", module)) {
-      module.next(ListNews.class);
-      assertEquals("FAILED 0", word(module.next(ListNews.class)));
+      module.next(EndpointUpdate.class);
+      assertEquals("FAILED 0", word(module.next(EndpointUpdate.class)));
     }
   }
 
@@ -91,9 +91,9 @@
       c.write(Discoveries.watch(Rig.list(42, false, A)));
       c.next();
     }); Rig rig = rig(discovery, "on_request", module)) {
-      module.next(ListNews.class);
-      assertEquals("DELTA 1 READY", word(module.next(ListNews.class)));
-      assertEquals("FAILED 0", word(module.next(ListNews.class)));
+      module.next(EndpointUpdate.class);
+      assertEquals("DELTA 1 READY", word(module.next(EndpointUpdate.class)));
+      assertEquals("FAILED 0", word(module.next(EndpointUpdate.class)));
       assertTrue(discovery.connections.take().ends());
     }
   }
@@ -110,9 +110,9 @@
       c.write(Integer.toHexString(last.length()) + "\r\n" + last + "\r\n");
       c.ends();
     }); Rig rig = rig(discovery, "on_request", module)) {
-      module.next(ListNews.class);
-      assertEquals("FULL 2 READY", word(module.next(ListNews.class)));
-      assertEquals("DELTA 1 GONE", word(module.next(ListNews.class)), "told while the watch stands, without a line's end");
+      module.next(EndpointUpdate.class);
+      assertEquals("FULL 2 READY", word(module.next(EndpointUpdate.class)));
+      assertEquals("DELTA 1 GONE", word(module.next(EndpointUpdate.class)), "told while the watch stands, without a line's end");
     }
   }
 
@@ -126,10 +126,10 @@
       c.write(Discoveries.watch(Rig.list(42, true, A)) + Integer.toHexString(last.length()) + "\r\n" + last);
       c.reset();
     }); Rig rig = rig(discovery, "on_request", module)) {
-      module.next(ListNews.class);
-      assertEquals("FULL 1 READY", word(module.next(ListNews.class)));
-      assertEquals("DELTA 1 DRAINING", word(module.next(ListNews.class)));
-      assertEquals("FAILED 0", word(module.next(ListNews.class)));
+      module.next(EndpointUpdate.class);
+      assertEquals("FULL 1 READY", word(module.next(EndpointUpdate.class)));
+      assertEquals("DELTA 1 DRAINING", word(module.next(EndpointUpdate.class)));
+      assertEquals("FAILED 0", word(module.next(EndpointUpdate.class)));
     }
   }
 
@@ -146,9 +146,9 @@
         TimeUnit.MILLISECONDS.sleep(100); // The drip itself.
       }
     }); Rig rig = rig(discovery, "on_request", module)) {
-      module.next(ListNews.class);
-      assertEquals("FULL 1 READY", word(module.next(ListNews.class)));
-      assertEquals("FAILED 0", word(module.next(ListNews.class)));
+      module.next(EndpointUpdate.class);
+      assertEquals("FULL 1 READY", word(module.next(EndpointUpdate.class)));
+      assertEquals("FAILED 0", word(module.next(EndpointUpdate.class)));
     }
   }
 
@@ -157,22 +157,22 @@
   void aSuccessorThatHangsAtConnectIsReplacedToo() throws Exception {
     AtomicInteger watches = new AtomicInteger(); // Bounded: once the listener is closed each fails at once, and they took the machine's descriptors from the tests behind.
     Script module = new Script((event, out) -> {
-      if (event instanceof ListNews n && (n.kind() == ListKind.CACHED || n.kind() == ListKind.FAILED) && watches.getAndIncrement() < 20) {
+      if (event instanceof EndpointUpdate n && (n.kind() == ListKind.CACHED || n.kind() == ListKind.FAILED) && watches.getAndIncrement() < 20) {
         out.accept(new Watch(true));
       }
     });
     try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
         Rig rig = new Rig(Rig.config("127.0.0.1:" + listener.getLocalPort(), Rig.list(41, true, A)), module)) {
-      module.next(ListNews.class);
+      module.next(EndpointUpdate.class);
       try (Socket silent = listener.accept(); AttemptTest.Silent queue = new AttemptTest.Silent(listener)) {
-        assertEquals("FAILED 0", word(module.next(ListNews.class)), "it never said a word");
-        assertEquals("FAILED 0", word(module.next(ListNews.class)), "its successor did not come up");
+        assertEquals("FAILED 0", word(module.next(EndpointUpdate.class)), "it never said a word");
+        assertEquals("FAILED 0", word(module.next(EndpointUpdate.class)), "its successor did not come up");
         try (Socket third = queue.comesUp()) {
           third.getOutputStream().write(Discoveries.watch(Rig.list(42, true, A, Rig.member("s-b", "127.0.0.1:2", "ready")))
               .getBytes(StandardCharsets.US_ASCII));
-          ListNews news = module.next(ListNews.class);
+          EndpointUpdate news = module.next(EndpointUpdate.class);
           while (news.kind() == ListKind.FAILED) {
-            news = module.next(ListNews.class); // One more that hung until the queue was empty.
+            news = module.next(EndpointUpdate.class); // One more that hung until the queue was empty.
           }
           assertEquals("FULL 2 READY", word(news));
         }
@@ -185,8 +185,8 @@
   void aFetchIsNotAnsweredByTheAddressThatDiscoveryLeft() throws Exception {
     CountDownLatch moved = new CountDownLatch(1);
     Script module = new Script((event, out) -> {
-      if (event instanceof ListNews n && n.kind() == ListKind.CACHED) {
-        out.accept(new FetchList());
+      if (event instanceof EndpointUpdate n && n.kind() == ListKind.CACHED) {
+        out.accept(new FetchEndpoints());
       }
     });
     String half = StubServer.ok(Rig.list(50, true, A));
@@ -198,12 +198,12 @@
       c.ends();
     }); StubServer fresh = StubServer.answering(StubServer.ok(Rig.list(60, true, A, Rig.member("s-b", "127.0.0.1:2", "ready"))));
         Rig rig = rig(old, "on_request", module)) {
-      module.next(ListNews.class);
+      module.next(EndpointUpdate.class);
       old.requests.take();
       rig.server.reload(() -> Rig.config(fresh.address(), Rig.list(41, true, A)));
       fresh.requests.take();
       moved.countDown();
-      assertEquals("FULL 2 READY", word(module.next(ListNews.class)));
+      assertEquals("FULL 2 READY", word(module.next(EndpointUpdate.class)));
       assertTrue(old.connections.take().awaitEnd());
     }
   }
@@ -211,14 +211,14 @@
   @Test
   void theListIsFetchedOnce() throws Exception {
     Script module = new Script((event, out) -> {
-      if (event instanceof ListNews n && n.kind() == ListKind.CACHED) {
-        out.accept(new FetchList());
+      if (event instanceof EndpointUpdate n && n.kind() == ListKind.CACHED) {
+        out.accept(new FetchEndpoints());
       }
     });
     try (StubServer discovery = StubServer.answering(StubServer.ok(Rig.list(50, true, A)));
         Rig rig = rig(discovery, "on_request", module)) {
-      module.next(ListNews.class);
-      assertEquals("FULL 1 READY", word(module.next(ListNews.class)));
+      module.next(EndpointUpdate.class);
+      assertEquals("FULL 1 READY", word(module.next(EndpointUpdate.class)));
       assertTrue(discovery.requests.take().startsWith("GET /v1/servers HTTP/1.1\r\n"));
     }
   }
@@ -230,9 +230,9 @@
       c.next();
       c.write(Discoveries.watch(Rig.list(42, false, A)));
     }); Rig rig = rig(discovery, "pushed", module)) {
-      module.next(ListNews.class);
-      assertEquals("DELTA 1 READY", word(module.next(ListNews.class)));
-      assertEquals("DELTA 1 READY", word(module.next(ListNews.class)), "again after the first watch ended");
+      module.next(EndpointUpdate.class);
+      assertEquals("DELTA 1 READY", word(module.next(EndpointUpdate.class)));
+      assertEquals("DELTA 1 READY", word(module.next(EndpointUpdate.class)), "again after the first watch ended");
     }
   }
 
--- a/http/src/test/java/cloverpulley/serve/OperationsTest.java
+++ b/http/src/test/java/cloverpulley/serve/OperationsTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cloverpulley.Balancer.CalledBack;
+import cloverpulley.Balancer.EndpointUpdate;
 import cloverpulley.Balancer.Fail;
-import cloverpulley.Balancer.ListNews;
 import cloverpulley.Balancer.Request;
 import cloverpulley.Balancer.TakenOut;
 import cloverpulley.Reason;
@@ -137,7 +137,7 @@
     String[] members = {Rig.member("s-a", "127.0.0.1:1", "ready"), Rig.member("s-b", "127.0.0.1:2", "ready")};
     Path shared = folder.resolve("ashdeck");
     try (Rig rig = new Rig(config("127.0.0.1:0", members), module)) {
-      module.next(ListNews.class);
+      module.next(EndpointUpdate.class);
       remove(shared);
       Files.createFile(shared);
       assertEquals("200", call(rig.server, "POST /control/upstreams/s-a/offline"));
@@ -207,7 +207,7 @@
     Script second = new Script((event, out) -> { });
     String[] members = {Rig.member("s-a", "127.0.0.1:1", "ready"), Rig.member("s-b", "127.0.0.1:2", "ready")};
     try (Rig old = new Rig(config(address, members), first)) {
-      first.next(ListNews.class);
+      first.next(EndpointUpdate.class);
       assertEquals("200", call(old.server, "POST /control/upstreams/s-a/offline"));
       long a = first.next(TakenOut.class).upstream();
       try (Rig fresh = new Rig(config(address, members), second)) {
--- a/http/src/test/java/cloverpulley/serve/ReloadTest.java
+++ b/http/src/test/java/cloverpulley/serve/ReloadTest.java
@@ -3,14 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import cloverpulley.Balancer.EndpointUpdate;
+import cloverpulley.Balancer.ListKind;
+import cloverpulley.Balancer.State;
+import cloverpulley.Balancer.Watch;
 import cloverpulley.discovery.ListDecoder;
 import cloverpulley.engine.Clock;
 import cloverpulley.engine.Fleet;
 import cloverpulley.engine.ServerList;
-import cloverpulley.Balancer.ListKind;
-import cloverpulley.Balancer.ListNews;
-import cloverpulley.Balancer.State;
-import cloverpulley.Balancer.Watch;
 import cloverpulley.serve.Rig.Client;
 import cloverpulley.serve.Rig.Script;
 import cloverpulley.wire.WireException;
@@ -41,7 +41,7 @@
 
   private static Script watching() {
     return new Script((event, out) -> {
-      if (event instanceof ListNews n && n.kind() == ListKind.CACHED) {
+      if (event instanceof EndpointUpdate n && n.kind() == ListKind.CACHED) {
         out.accept(new Watch(true));
       }
     });
@@ -52,12 +52,12 @@
     Script module = watching();
     try (StubServer old = discovery(Rig.list(2, true, A)); StubServer fresh = discovery(Rig.list(3, true, A, B));
         Rig rig = new Rig(Rig.config(old.address(), Rig.list(1, true, A)), module)) {
-      module.next(ListNews.class);
-      assertEquals(1, module.next(ListNews.class).entries().size());
+      module.next(EndpointUpdate.class);
+      assertEquals(1, module.next(EndpointUpdate.class).endpoints().size());
       rig.server.reload(() -> Rig.config(fresh.address(), Rig.list(1, true, A)));
-      ListNews news = module.next(ListNews.class);
+      EndpointUpdate news = module.next(EndpointUpdate.class);
       assertEquals(ListKind.FULL, news.kind());
-      assertEquals(2, news.entries().size());
+      assertEquals(2, news.endpoints().size());
       assertTrue(fresh.requests.take().startsWith("GET /v1/servers?follow=1&since=2 HTTP/1.1\r\n"));
       assertTrue(old.connections.take().awaitEnd(), "nothing is left at the old address");
     }
@@ -69,8 +69,8 @@
     Script module = watching();
     try (StubServer discovery = discovery(Rig.list(2, true, A));
         Rig rig = new Rig(Rig.config(discovery.address(), Rig.list(1, true, A)), module)) {
-      module.next(ListNews.class);
-      module.next(ListNews.class);
+      module.next(EndpointUpdate.class);
+      module.next(EndpointUpdate.class);
       rig.server.reload(() -> Config.parse("{\"name\":", Map.of()));
       rig.server.reload(() -> {
         throw new WireException("on purpose: this line belongs to a test");
@@ -95,7 +95,7 @@
     Fleet fleet = new Fleet(new Clock());
     return Arrays.stream(lists).map(l -> {
       fleet.take(l.complete() ? ListKind.FULL : ListKind.DELTA, l);
-      return fleet.held().entries().size();
+      return fleet.held().endpoints().size();
     }).toList();
   }
 
--- a/http/src/test/java/cloverpulley/serve/RetuneTest.java
+++ b/http/src/test/java/cloverpulley/serve/RetuneTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.Balancer.ListNews;
+import cloverpulley.Balancer.EndpointUpdate;
 import cloverpulley.Balancer.Request;
 import cloverpulley.Balancer.Retuned;
 import cloverpulley.Balancer.Settings;
@@ -104,7 +104,7 @@
   void newClassesAndDroppedOnesHoldFromThenOn() throws Exception {
     Script module = new Script((event, out) -> { });
     try (Rig rig = new Rig(config(text(more("old"))), module); Client client = rig.client(); Client second = rig.client()) {
-      module.next(ListNews.class);
+      module.next(EndpointUpdate.class);
       client.write(Rig.get("r1", "").replace("X-Qos: safe", "X-Qos: old"));
       assertEquals("old", module.next(Request.class).className());
       rig.server.reload(() -> config(text(more("new"))));
@@ -125,7 +125,7 @@
   void whatIsTurnedDownChangesNothing() throws Exception {
     Script module = new Script((event, out) -> { });
     try (Rig rig = new Rig(config(GOOD), module)) {
-      module.next(ListNews.class);
+      module.next(EndpointUpdate.class);
       rig.server.reload(() -> config(""));
       rig.server.reload(() -> config(text(more("bad")).replace("\"deadline-ns\":2000000000", "\"deadline-ns\":0")));
       rig.server.reload(() -> config(text(more("bad")).replace("\"max-attempts\":6,", "")));
--- a/http/src/test/java/cloverpulley/serve/Rig.java
+++ b/http/src/test/java/cloverpulley/serve/Rig.java
@@ -2,14 +2,14 @@
 
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
-import cloverpulley.Reason;
-import cloverpulley.Balancer;
 import cloverpulley.Balancer.Action;
+import cloverpulley.Balancer.EndpointUpdate;
 import cloverpulley.Balancer.Event;
-import cloverpulley.Balancer.ListNews;
 import cloverpulley.Balancer.Outcome;
 import cloverpulley.Balancer.Request;
 import cloverpulley.Balancer.Send;
+import cloverpulley.Balancer;
+import cloverpulley.Reason;
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -63,8 +63,8 @@
 
     @Override
     public void handle(long nowNanos, Event event, Consumer<Action> out) {
-      if (event instanceof ListNews news) {
-        news.entries().stream().map(Listed::upstream).filter(u -> !upstreams.contains(u)).forEach(upstreams::add);
+      if (event instanceof EndpointUpdate news) {
+        news.endpoints().stream().map(Endpoint::upstream).filter(u -> !upstreams.contains(u)).forEach(upstreams::add);
       }
       events.add(event);
       now = nowNanos;
--- a/http/src/test/java/cloverpulley/serve/WallClockTest.java
+++ b/http/src/test/java/cloverpulley/serve/WallClockTest.java
@@ -30,7 +30,7 @@
   private long started(ListKind kind, int revision, long upSinceMillis) {
     ServerList list = new ServerList(revision, kind != ListKind.DELTA,
         List.of(new ServerList.Server("s-1", new InetSocketAddress("127.0.0.1", 1), "a", 0, State.READY, 1, upSinceMillis)));
-    return fleet.take(kind, list).entries().get(0).startedNanos();
+    return fleet.take(kind, list).endpoints().get(0).startedNanos();
   }
 
   @ParameterizedTest
--- a/model/src/main/java/cloverpulley/model/ModelBalancer.java
+++ b/model/src/main/java/cloverpulley/model/ModelBalancer.java
@@ -1,13 +1,13 @@
 package cloverpulley.model;
 
-import cloverpulley.Balancer;
 import cloverpulley.Balancer.Action;
+import cloverpulley.Balancer.Endpoint;
 import cloverpulley.Balancer.Event;
 import cloverpulley.Balancer.ListKind;
-import cloverpulley.Balancer.Listed;
 import cloverpulley.Balancer.RequestClass;
 import cloverpulley.Balancer.State;
 import cloverpulley.Balancer.Status;
+import cloverpulley.Balancer;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -61,8 +61,8 @@
     module.handle(world.now(), e, this::perform);
   }
 
-  void news(ListKind kind, List<Listed> entries) {
-    tell(new Balancer.ListNews(kind, entries));
+  void news(ListKind kind, List<Endpoint> entries) {
+    tell(new Balancer.EndpointUpdate(kind, entries));
   }
 
   /** The truth of what it has been told, for rule 3. */
@@ -110,7 +110,7 @@
       }
     } else if (a instanceof Balancer.SetTimer t) {
       world.at(t.atNanos(), () -> tell(new Balancer.TimerFired(t.token())));
-    } else if (a instanceof Balancer.Watch || a instanceof Balancer.FetchList) {
+    } else if (a instanceof Balancer.Watch || a instanceof Balancer.FetchEndpoints) {
       world.after((long) (world.plan.listMillis() * 1e6), () -> news(ListKind.FULL, world.listed()));
     } else if (a instanceof Balancer.Probe p) {
       world.after(2 * world.network(), () -> tell(new Balancer.ProbeResult(p.upstream(), world.server(p.upstream(), true).dead
--- a/model/src/main/java/cloverpulley/model/Policies.java
+++ b/model/src/main/java/cloverpulley/model/Policies.java
@@ -35,11 +35,11 @@
 
     @Override
     public void handle(long now, Event event, Consumer<Action> to) {
-      if (event instanceof ListNews news) {
+      if (event instanceof EndpointUpdate news) {
         if (news.kind() != ListKind.DELTA && news.kind() != ListKind.FAILED) {
           ready = new ArrayList<>();
         }
-        for (Listed l : news.entries()) {
+        for (Endpoint l : news.endpoints()) {
           ready.remove(l.upstream());
           if (l.state() == State.READY) {
             ready.add(l.upstream());
--- a/model/src/main/java/cloverpulley/model/World.java
+++ b/model/src/main/java/cloverpulley/model/World.java
@@ -1,10 +1,10 @@
 package cloverpulley.model;
 
-import cloverpulley.Balancer;
+import cloverpulley.Balancer.Endpoint;
 import cloverpulley.Balancer.ListKind;
-import cloverpulley.Balancer.Listed;
 import cloverpulley.Balancer.RequestClass;
 import cloverpulley.Balancer.State;
+import cloverpulley.Balancer;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -68,8 +68,8 @@
     return servers.get((int) id - 1);
   }
 
-  List<Listed> listed() {
-    List<Listed> all = new ArrayList<>();
+  List<Endpoint> listed() {
+    List<Endpoint> all = new ArrayList<>();
     for (ModelServer s : servers) {
       if (s.state != State.GONE) {
         all.add(entry(s));
@@ -78,8 +78,8 @@
     return all;
   }
 
-  private Listed entry(ModelServer s) {
-    return new Listed(s.id, plan.settings().zone(), s.cell, s.state, s.startedAt, 1);
+  private Endpoint entry(ModelServer s) {
+    return new Endpoint(s.id, plan.settings().zone(), s.cell, s.state, s.startedAt, 1);
   }
 
   // ---- The play ------------------------------------------------------------------------------------------
@@ -124,7 +124,7 @@
 
   private void befall(ModelPlan.Fault f) {
     int count = (int) Math.ceil(f.part() * plan.servers());
-    List<Listed> news = new ArrayList<>();
+    List<Endpoint> news = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       ModelServer s = servers.get(i);
       switch (f.kind()) {
