--- a/decision/src/main/java/cloverpulley/Balancer.java
+++ b/decision/src/main/java/cloverpulley/Balancer.java
@@ -111,7 +111,7 @@
 
   /** What happened. */
   sealed interface Event permits EndpointUpdate, Request, AnswerStarted, Outcome, ClientGone, TimerFired, ProbeResult,
-      PeerMessage, TakenOut, CalledBack, HandOver, Inherited,
+      PeerMessage, UpstreamSetOffline, UpstreamSetOnline, HandOver, Inherited,
       Beside, Retuned, BodyEnded, Unrepeatable {}
 
   /** News of the list of upstreams. An instance's first news is of kind CACHED. */
@@ -168,12 +168,12 @@
 
   /**
    * An operator takes an upstream out: nothing new goes to it, whatever the list says, until it is called back. Listed or not,
-   * and again while it is out, when {@code forNanos}, how long it has been out already, is not looked at.
+   * and again while it is out, when {@code offlineNanos}, how long it has been out already, is not looked at.
    */
-  record TakenOut(long upstream, long forNanos) implements Event {}
+  record UpstreamSetOffline(long upstream, long offlineNanos) implements Event {}
 
   /** An operator calls an upstream back, which ends its being out however often it was taken out. It has been restarted meanwhile. */
-  record CalledBack(long upstream) implements Event {}
+  record UpstreamSetOnline(long upstream) implements Event {}
 
   /** A successor starts beside this instance and needs what it knows: {@link Bequeath} is the answer. This instance goes on. */
   record HandOver() implements Event {}
--- a/decision/src/main/java/cloverpulley/Logic.java
+++ b/decision/src/main/java/cloverpulley/Logic.java
@@ -158,10 +158,10 @@
       onSweep();
     } else if (event instanceof EndpointUpdate e) {
       onList(e);
-    } else if (event instanceof TakenOut e) {
-      upstreams.takeOut(e.upstream(), now - e.forNanos());
+    } else if (event instanceof UpstreamSetOffline e) {
+      upstreams.takeOut(e.upstream(), now - e.offlineNanos());
       rebuildRing();
-    } else if (event instanceof CalledBack e) {
+    } else if (event instanceof UpstreamSetOnline e) {
       upstreams.callBack(now, e.upstream());
       rebuildRing();
     } else if (event instanceof HandOver) {
--- a/decision/src/test/java/cloverpulley/InheritTest.java
+++ b/decision/src/test/java/cloverpulley/InheritTest.java
@@ -5,7 +5,7 @@
 
 import cloverpulley.Balancer.Bequeath;
 import cloverpulley.Balancer.Beside;
-import cloverpulley.Balancer.CalledBack;
+import cloverpulley.Balancer.UpstreamSetOnline;
 import cloverpulley.Balancer.Endpoint;
 import cloverpulley.Balancer.HandOver;
 import cloverpulley.Balancer.Inherited;
@@ -13,7 +13,7 @@
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.State;
 import cloverpulley.Balancer.Status;
-import cloverpulley.Balancer.TakenOut;
+import cloverpulley.Balancer.UpstreamSetOffline;
 import cloverpulley.state.Knowledge;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -50,9 +50,9 @@
   void aStartThatNoListTellsIsPassedOn() {
     Driver old = new Driver(Driver.safe()).upstreams(4);
     int warm = sendsTo(101, old, 8000);
-    old.step(new TakenOut(101, 0));
+    old.step(new UpstreamSetOffline(101, 0));
     sendsTo(100, old, 1000);
-    old.step(new CalledBack(101));
+    old.step(new UpstreamSetOnline(101));
     sendsTo(100, old, 200);
     Driver d = successor(old, Driver.up(100), Driver.up(101), Driver.up(102), Driver.up(103));
     int cold = sendsTo(101, d, 1500);
--- a/decision/src/test/java/cloverpulley/TakenOutTest.java
+++ b/decision/src/test/java/cloverpulley/OfflineTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cloverpulley.Balancer.Action;
-import cloverpulley.Balancer.CalledBack;
+import cloverpulley.Balancer.UpstreamSetOnline;
 import cloverpulley.Balancer.DedupScope;
 import cloverpulley.Balancer.Effect;
 import cloverpulley.Balancer.Endpoint;
@@ -13,7 +13,7 @@
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.State;
 import cloverpulley.Balancer.Status;
-import cloverpulley.Balancer.TakenOut;
+import cloverpulley.Balancer.UpstreamSetOffline;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** An upstream that an operator takes out and calls back, on a virtual clock. */
-class TakenOutTest {
+class OfflineTest {
 
   private static final long MS = Driver.MS;
   private static final long X = 101;
@@ -51,7 +51,7 @@
   void nothingGoesToItWhateverTheListSays() {
     Driver d = new Driver(Driver.safe()).upstreams(4);
     assertTrue(!sendsTo(X, d, 500).isEmpty());
-    d.step(new TakenOut(X, 0));
+    d.step(new UpstreamSetOffline(X, 0));
     assertEquals(List.of(), sendsTo(X, d, 500));
     d.list(ListKind.DELTA, up(X, 0, State.READY));
     assertEquals(List.of(), sendsTo(X, d, 500));
@@ -60,8 +60,8 @@
     assertEquals(List.of(), sendsTo(X, d, 500));
     d.list(ListKind.FULL, up(100, 0, State.READY), up(X, d.now, State.READY), up(102, 0, State.READY));
     assertEquals(List.of(), sendsTo(X, d, 500));
-    d.step(new TakenOut(X, 0));
-    d.step(new CalledBack(X));
+    d.step(new UpstreamSetOffline(X, 0));
+    d.step(new UpstreamSetOnline(X));
     assertTrue(!sendsTo(X, d, 2000).isEmpty(), "one call back ends two calls out");
   }
 
@@ -69,7 +69,7 @@
   @Test
   void withoutAnyLeftRequestsAreRefused() {
     Driver d = new Driver(Driver.safe()).upstreams(1);
-    d.step(new TakenOut(100, 0));
+    d.step(new UpstreamSetOffline(100, 0));
     List<Action> actions = new ArrayList<>(d.request("r", "c", "k"));
     actions.addAll(d.pass(2000 * MS));
     assertTrue(Driver.has(actions, Refuse.class) && !Driver.has(actions, Send.class), actions::toString);
@@ -79,11 +79,11 @@
   @Test
   void itNeedsNoList() {
     Driver d = new Driver(Driver.safe());
-    d.step(new TakenOut(X, 0));
+    d.step(new UpstreamSetOffline(X, 0));
     d.upstreams(4);
     assertEquals(List.of(), sendsTo(X, d, 500));
     d.list(ListKind.DELTA, up(X, 0, State.GONE));
-    d.step(new CalledBack(X));
+    d.step(new UpstreamSetOnline(X));
     d.list(ListKind.DELTA, up(X, 0, State.READY));
     assertTrue(!sendsTo(X, d, 500).isEmpty());
   }
@@ -95,7 +95,7 @@
     List<Action> sent = d.request("r", "c", "k");
     long first = Driver.sentTo(sent);
     long other = first == 100 ? 101 : 100;
-    d.step(new TakenOut(other, 0));
+    d.step(new UpstreamSetOffline(other, 0));
     List<Action> after = new ArrayList<>(d.end("r", first, Status.ERROR, 5 * MS));
     after.addAll(d.pass(2000 * MS));
     assertTrue(after.stream().noneMatch(a -> a instanceof Send s && s.upstream() == other), after::toString);
@@ -107,7 +107,7 @@
   void itComesBackCold(String told) {
     Driver d = new Driver(Driver.safe()).upstreams(4);
     int warm = sendsTo(X, d, 8000).size();
-    d.step(new TakenOut(X, 0));
+    d.step(new UpstreamSetOffline(X, 0));
     for (int i = 0; i < 3; i++) {
       sendsTo(X, d, 500);
     }
@@ -116,7 +116,7 @@
       d.list(ListKind.DELTA, up(X, restarted, State.READY));
     }
     sendsTo(X, d, 1000);
-    d.step(new CalledBack(X));
+    d.step(new UpstreamSetOnline(X));
     List<Long> sends = sendsTo(X, d, 1500);
     if (told.equals("after")) {
       d.list(ListKind.DELTA, up(X, restarted, State.READY));
@@ -141,9 +141,9 @@
         }
       }
     }
-    d.step(new TakenOut(X, 0));
+    d.step(new UpstreamSetOffline(X, 0));
     sendsTo(X, d, 500);
-    d.step(new CalledBack(X));
+    d.step(new UpstreamSetOnline(X));
     assertTrue(!sendsTo(X, d, 2000).isEmpty(), "an ejection kept it away");
   }
 }
--- a/decision/src/test/java/cloverpulley/RetunedTest.java
+++ b/decision/src/test/java/cloverpulley/RetunedTest.java
@@ -15,7 +15,7 @@
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.Settings;
 import cloverpulley.Balancer.Status;
-import cloverpulley.Balancer.TakenOut;
+import cloverpulley.Balancer.UpstreamSetOffline;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -88,7 +88,7 @@
   @Test
   void nothingThatWasLearnedIsForgotten() {
     Driver d = new Driver(settings(4, type("c", Effect.SAFE))).upstreams(4);
-    d.step(new TakenOut(101, 0));
+    d.step(new UpstreamSetOffline(101, 0));
     for (int i = 0; i < 400; i++) {
       d.request(d.nextId(), "c", "k" + i);
       d.pass(5 * MS);
--- a/engine/src/main/java/cloverpulley/engine/Engine.java
+++ b/engine/src/main/java/cloverpulley/engine/Engine.java
@@ -5,7 +5,7 @@
 import cloverpulley.Balancer.Bequeath;
 import cloverpulley.Balancer.Beside;
 import cloverpulley.Balancer.BodyEnded;
-import cloverpulley.Balancer.CalledBack;
+import cloverpulley.Balancer.UpstreamSetOnline;
 import cloverpulley.Balancer.Cancel;
 import cloverpulley.Balancer.ClientGone;
 import cloverpulley.Balancer.CloseIdle;
@@ -27,7 +27,7 @@
 import cloverpulley.Balancer.SetTimer;
 import cloverpulley.Balancer.Settings;
 import cloverpulley.Balancer.Status;
-import cloverpulley.Balancer.TakenOut;
+import cloverpulley.Balancer.UpstreamSetOffline;
 import cloverpulley.Balancer.TellPeer;
 import cloverpulley.Balancer.TimerFired;
 import cloverpulley.Balancer.Unrepeatable;
@@ -183,7 +183,7 @@
   public void takeOut(String id, long forNanos) {
     if (!fleet.out().contains(id)) {
       long upstream = fleet.takeOut(id);
-      enqueue(() -> new TakenOut(upstream, forNanos));
+      enqueue(() -> new UpstreamSetOffline(upstream, forNanos));
       transports.forEach(t -> t.withdraw(u -> !fleet.isReady(u)));
     }
   }
@@ -192,7 +192,7 @@
   public void callBack(String id) {
     Long upstream = fleet.callBack(id);
     if (upstream != null) {
-      enqueue(() -> new CalledBack(upstream));
+      enqueue(() -> new UpstreamSetOnline(upstream));
     }
   }
 
@@ -394,7 +394,7 @@
     enqueue(() -> held);
     fleet.out().forEach(id -> {
       long upstream = fleet.takeOut(id);
-      enqueue(() -> new TakenOut(upstream, 0));
+      enqueue(() -> new UpstreamSetOffline(upstream, 0));
     });
   }
 
--- a/http/src/test/java/cloverpulley/serve/AttemptTest.java
+++ b/http/src/test/java/cloverpulley/serve/AttemptTest.java
@@ -17,7 +17,7 @@
 import cloverpulley.Balancer.Request;
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.Status;
-import cloverpulley.Balancer.TakenOut;
+import cloverpulley.Balancer.UpstreamSetOffline;
 import cloverpulley.Balancer.Watch;
 import cloverpulley.Reason;
 import cloverpulley.serve.Rig.Client;
@@ -282,7 +282,7 @@
     Script module = new Script((event, out) -> {
       if (event instanceof Request r) {
         held[0] = r.id();
-      } else if (event instanceof TakenOut) {
+      } else if (event instanceof UpstreamSetOffline) {
         out.accept(new Send(held[0], Discoveries.number("s-1"), 0));
       } else if (event instanceof Outcome o && !o.finished()) {
         out.accept(new Fail(o.id(), Reason.NO_ROOM));
--- a/http/src/test/java/cloverpulley/serve/LeftTest.java
+++ b/http/src/test/java/cloverpulley/serve/LeftTest.java
@@ -11,7 +11,7 @@
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.SetTimer;
 import cloverpulley.Balancer.Status;
-import cloverpulley.Balancer.TakenOut;
+import cloverpulley.Balancer.UpstreamSetOffline;
 import cloverpulley.Balancer.TimerFired;
 import cloverpulley.Reason;
 import cloverpulley.handover.ProcessRegistry;
@@ -183,7 +183,7 @@
     module[0] = new Script((event, out) -> {
       if (event instanceof Request r) {
         held[0] = r.id();
-      } else if (event instanceof TakenOut) {
+      } else if (event instanceof UpstreamSetOffline) {
         looks.countDown();
         await(left); // The loop stands still: it hears of no end.
         out.accept(new Send(held[0], module[0].upstreams.get(0), 0));
--- a/http/src/test/java/cloverpulley/serve/OperationsTest.java
+++ b/http/src/test/java/cloverpulley/serve/OperationsTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.Balancer.CalledBack;
+import cloverpulley.Balancer.UpstreamSetOnline;
 import cloverpulley.Balancer.EndpointUpdate;
 import cloverpulley.Balancer.Fail;
 import cloverpulley.Balancer.Request;
-import cloverpulley.Balancer.TakenOut;
+import cloverpulley.Balancer.UpstreamSetOffline;
 import cloverpulley.Reason;
 import cloverpulley.handover.ProcessRegistry;
 import cloverpulley.serve.Rig.Client;
@@ -142,17 +142,17 @@
       Files.createFile(shared);
       assertEquals("200", call(rig.server, "POST /control/upstreams/s-a/offline"));
       assertEquals("200", call(rig.server, "GET /control/ready"), "the management endpoint is open");
-      long a = module.next(TakenOut.class).upstream();
+      long a = module.next(UpstreamSetOffline.class).upstream();
       Files.delete(shared);
       Script successor = new Script((event, out) -> { });
       try (Rig fresh = new Rig(config("127.0.0.1:0", members), successor)) {
-        assertEquals(a, successor.next(TakenOut.class).upstream(), "a successor in an emptied folder");
+        assertEquals(a, successor.next(UpstreamSetOffline.class).upstream(), "a successor in an emptied folder");
       }
       remove(shared);
       awaitFile(shared.resolve("out"));
       assertEquals("200", call(rig.server, "POST /control/upstreams/s-b/offline"));
       assertEquals("200", call(rig.server, "POST /control/upstreams/s-b/online"));
-      assertEquals(List.of(module.next(CalledBack.class).upstream()), List.of(module.upstreams.get(1)), "only a call puts one online");
+      assertEquals(List.of(module.next(UpstreamSetOnline.class).upstream()), List.of(module.upstreams.get(1)), "only a call puts one online");
     }
   }
 
@@ -209,17 +209,17 @@
     try (Rig old = new Rig(config(address, members), first)) {
       first.next(EndpointUpdate.class);
       assertEquals("200", call(old.server, "POST /control/upstreams/s-a/offline"));
-      long a = first.next(TakenOut.class).upstream();
+      long a = first.next(UpstreamSetOffline.class).upstream();
       try (Rig fresh = new Rig(config(address, members), second)) {
-        assertEquals(a, second.next(TakenOut.class).upstream());
+        assertEquals(a, second.next(UpstreamSetOffline.class).upstream());
         assertEquals("200", call(fresh.server, "POST /control/upstreams/s-b/offline"));
-        long b = first.next(TakenOut.class).upstream();
-        assertEquals(b, second.next(TakenOut.class).upstream());
+        long b = first.next(UpstreamSetOffline.class).upstream();
+        assertEquals(b, second.next(UpstreamSetOffline.class).upstream());
         assertEquals("200", call(old.server, "POST /control/upstreams/s-b/online"));
-        assertEquals(b, second.next(CalledBack.class).upstream());
+        assertEquals(b, second.next(UpstreamSetOnline.class).upstream());
         assertEquals("200", call(fresh.server, "POST /control/upstreams/s-a/online"));
-        assertEquals(b, first.next(CalledBack.class).upstream());
-        assertEquals(a, first.next(CalledBack.class).upstream());
+        assertEquals(b, first.next(UpstreamSetOnline.class).upstream());
+        assertEquals(a, first.next(UpstreamSetOnline.class).upstream());
       }
     }
   }
