--- a/balancer/src/main/java/cloverpulley/drill/Encoder.java
+++ b/balancer/src/main/java/cloverpulley/drill/Encoder.java
@@ -10,7 +10,7 @@
 import cloverpulley.Balancer.Refuse;
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.SetTimer;
-import cloverpulley.Balancer.TellPeer;
+import cloverpulley.Balancer.SendToPeer;
 import cloverpulley.Balancer.Watch;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
@@ -54,7 +54,7 @@
     } else if (action instanceof CloseIdle a) {
       open(out, "Release");
       out.writeNumberField("upstream", a.upstream());
-    } else if (action instanceof TellPeer a) {
+    } else if (action instanceof SendToPeer a) {
       open(out, "BroadcastTo");
       out.writeNumberField("recipient", a.to());
       out.writeStringField("octets", Base64.getEncoder().encodeToString(a.data()));
--- a/balancer/src/test/java/cloverpulley/drill/LinkTest.java
+++ b/balancer/src/test/java/cloverpulley/drill/LinkTest.java
@@ -85,7 +85,7 @@
       Encoder.write(g, new Balancer.FetchEndpoints());
       Encoder.write(g, new Balancer.Probe(7));
       Encoder.write(g, new Balancer.CloseIdle(7));
-      Encoder.write(g, new Balancer.TellPeer(-1, "hi 7".getBytes(StandardCharsets.UTF_8)));
+      Encoder.write(g, new Balancer.SendToPeer(-1, "hi 7".getBytes(StandardCharsets.UTF_8)));
       Encoder.write(g, new Balancer.Log("x"));
       g.writeEndArray();
     }
--- a/decision/src/main/java/cloverpulley/Balancer.java
+++ b/decision/src/main/java/cloverpulley/Balancer.java
@@ -112,7 +112,7 @@
   /** What happened. */
   sealed interface Event permits EndpointUpdate, Request, AnswerStarted, Outcome, ClientGone, TimerFired, ProbeResult,
       PeerMessage, UpstreamSetOffline, UpstreamSetOnline, HandOver, Inherited,
-      Beside, Retuned, BodyEnded, Unrepeatable {}
+      ProcessCountChanged, SettingsChanged, BodyEnded, BodyDiscarded {}
 
   /** News of the list of upstreams. An instance's first news is of kind CACHED. */
   record EndpointUpdate(ListKind kind, List<Endpoint> endpoints) implements Event {}
@@ -164,7 +164,7 @@
   record BodyEnded(String id, long deadlineNanos) implements Event {}
 
   /** The beginning of a request's body is not kept any more: it can't be sent again, nor a second copy of it. */
-  record Unrepeatable(String id) implements Event {}
+  record BodyDiscarded(String id) implements Event {}
 
   /**
    * An operator takes an upstream out: nothing new goes to it, whatever the list says, until it is called back. Listed or not,
@@ -185,13 +185,13 @@
    * Other settings hold for requests that come from here on; those in hand keep their class and number of attempts, and all that was
    * learned stays. How the list comes stays as it was.
    */
-  record Retuned(Settings settings) implements Event {}
+  record SettingsChanged(Settings settings) implements Event {}
 
   /** So many processes serve as this balancer, this one among them: 1 but for an upgrade. Each gets about an even part of the traffic. */
-  record Beside(int processes) implements Event {}
+  record ProcessCountChanged(int processes) implements Event {}
 
   /** What the balancer is asked to do. */
-  sealed interface Action permits Send, Cancel, Refuse, Fail, SetTimer, Watch, FetchEndpoints, Probe, CloseIdle, TellPeer,
+  sealed interface Action permits Send, Cancel, Refuse, Fail, SetTimer, Watch, FetchEndpoints, Probe, CloseIdle, SendToPeer,
       Bequeath, Log {}
 
   /**
@@ -231,7 +231,7 @@
   record CloseIdle(long upstream) implements Action {}
 
   /** Send at most 256 bytes to one balancer of the group, or to all of them (-1). */
-  record TellPeer(int to, byte[] data) implements Action {}
+  record SendToPeer(int to, byte[] data) implements Action {}
 
   /** What this instance knows, for a successor. */
   record Bequeath(Knowledge knowledge) implements Action {}
--- a/decision/src/main/java/cloverpulley/Logic.java
+++ b/decision/src/main/java/cloverpulley/Logic.java
@@ -168,10 +168,10 @@
       out.accept(new Bequeath(new Knowledge(upstreams.all().map(u -> u.known(now)).toList(),
           windows.totals(now, Knowledge.MOST_WINDOWS), fleet.totals(now), usualInFlight, usualSends,
           hints.usual, weightUnit, retries.tokens)));
-    } else if (event instanceof Retuned e) {
+    } else if (event instanceof SettingsChanged e) {
       tune(e.settings());
       shares.retune(settings);
-    } else if (event instanceof Beside e) {
+    } else if (event instanceof ProcessCountChanged e) {
       processes = e.processes();
     } else if (event instanceof Inherited e) {
       inherit(e.knowledge());
@@ -183,7 +183,7 @@
       onAnswerStarted(e);
     } else if (event instanceof BodyEnded e && open.get(e.id()) != null) {
       onBodyEnded(open.get(e.id()), e.deadlineNanos());
-    } else if (event instanceof Unrepeatable e && open.get(e.id()) != null) {
+    } else if (event instanceof BodyDiscarded e && open.get(e.id()) != null) {
       open.get(e.id()).once = true;
     }
     if (!sweeping && (!open.isEmpty() || askAt != Long.MAX_VALUE)) {
--- a/decision/src/test/java/cloverpulley/InheritTest.java
+++ b/decision/src/test/java/cloverpulley/InheritTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cloverpulley.Balancer.Bequeath;
-import cloverpulley.Balancer.Beside;
+import cloverpulley.Balancer.ProcessCountChanged;
 import cloverpulley.Balancer.UpstreamSetOnline;
 import cloverpulley.Balancer.Endpoint;
 import cloverpulley.Balancer.HandOver;
@@ -68,8 +68,8 @@
     old.list(ListKind.DELTA, new Endpoint(101, "a", 0, State.READY, old.now, 1));
     Driver d = successor(old, Driver.up(100), new Endpoint(101, "a", 0, State.READY, 4_999_999_000_000L, 1), Driver.up(102),
         Driver.up(103));
-    old.step(new Beside(2));
-    d.step(new Beside(2));
+    old.step(new ProcessCountChanged(2));
+    d.step(new ProcessCountChanged(2));
     Driver alone = new Driver(Driver.safe()).upstreams(4);
     sendsTo(101, alone, 8000);
     alone.list(ListKind.DELTA, new Endpoint(101, "a", 0, State.READY, alone.now, 1));
--- a/decision/src/test/java/cloverpulley/PassingTest.java
+++ b/decision/src/test/java/cloverpulley/PassingTest.java
@@ -15,7 +15,7 @@
 import cloverpulley.Balancer.Request;
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.Status;
-import cloverpulley.Balancer.Unrepeatable;
+import cloverpulley.Balancer.BodyDiscarded;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -81,7 +81,7 @@
     long first = Driver.sentTo(d.request("r1", "c", "k1"));
     assertTrue(sends(d.end("r1", first, Status.FULL, MS)));
     long second = Driver.sentTo(d.request("r2", "c", "k1"));
-    d.step(new Unrepeatable("r2"));
+    d.step(new BodyDiscarded("r2"));
     List<Action> end = d.end("r2", second, Status.FULL, MS);
     assertTrue(!sends(end) && Driver.has(end, Refuse.class), end::toString);
   }
--- a/decision/src/test/java/cloverpulley/RetunedTest.java
+++ b/decision/src/test/java/cloverpulley/SettingsChangedTest.java
@@ -11,7 +11,7 @@
 import cloverpulley.Balancer.Fail;
 import cloverpulley.Balancer.Limits;
 import cloverpulley.Balancer.RequestClass;
-import cloverpulley.Balancer.Retuned;
+import cloverpulley.Balancer.SettingsChanged;
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.Settings;
 import cloverpulley.Balancer.Status;
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Other settings between two requests, on a virtual clock. */
-class RetunedTest {
+class SettingsChangedTest {
 
   private static final long MS = Driver.MS;
 
@@ -52,7 +52,7 @@
     Driver d = new Driver(settings(4, type("c", Effect.SAFE), type("d", Effect.UNSAFE))).upstreams(4);
     long safe = Driver.sentTo(d.request("r1", "c", "k1"));
     long unsafe = Driver.sentTo(d.request("r2", "d", "k2"));
-    d.step(new Retuned(settings(4, type("c", Effect.UNSAFE), type("d", Effect.SAFE))));
+    d.step(new SettingsChanged(settings(4, type("c", Effect.UNSAFE), type("d", Effect.SAFE))));
     long then = Driver.sentTo(d.request("r3", "c", "k3"));
     assertTrue(isRepeated(d, "r1", safe), "taken as safe");
     assertFalse(isRepeated(d, "r2", unsafe), "taken as unsafe: a repeat might run it twice");
@@ -63,7 +63,7 @@
   void aDroppedClassesRequestsGoOnAndANewOnesAreServed() {
     Driver d = new Driver(settings(4, type("c", Effect.SAFE))).upstreams(4);
     long at = Driver.sentTo(d.request("r1", "c", "k1"));
-    d.step(new Retuned(settings(4, type("new", Effect.SAFE))));
+    d.step(new SettingsChanged(settings(4, type("new", Effect.SAFE))));
     assertTrue(isRepeated(d, "r1", at));
     assertTrue(Driver.sentTo(d.request("r2", "new", "k1")) > 0);
     assertThrows(IllegalArgumentException.class, () -> d.request("r3", "c", "k1"));
@@ -73,7 +73,7 @@
   void theNumberOfAttemptsIsThatOfTheTaking() {
     Driver d = new Driver(settings(3, type("c", Effect.SAFE))).upstreams(8);
     List<Action> first = new ArrayList<>(d.request("r1", "c", "k1"));
-    d.step(new Retuned(settings(1, type("c", Effect.SAFE))));
+    d.step(new SettingsChanged(settings(1, type("c", Effect.SAFE))));
     List<Action> second = new ArrayList<>(d.request("r2", "c", "k2"));
     for (int i = 0; i < 8; i++) {
       for (Driver.Sent s : List.copyOf(d.outstanding)) {
@@ -93,7 +93,7 @@
       d.request(d.nextId(), "c", "k" + i);
       d.pass(5 * MS);
     }
-    d.step(new Retuned(settings(4, type("c", Effect.SAFE), type("d", Effect.SAFE))));
+    d.step(new SettingsChanged(settings(4, type("c", Effect.SAFE), type("d", Effect.SAFE))));
     for (int i = 0; i < 200; i++) {
       assertTrue(d.request(d.nextId(), "d", "k" + i).stream().noneMatch(a -> a instanceof Send s && s.upstream() == 101));
     }
--- a/engine/src/main/java/cloverpulley/engine/Engine.java
+++ b/engine/src/main/java/cloverpulley/engine/Engine.java
@@ -3,7 +3,7 @@
 import cloverpulley.Balancer.Action;
 import cloverpulley.Balancer.AnswerStarted;
 import cloverpulley.Balancer.Bequeath;
-import cloverpulley.Balancer.Beside;
+import cloverpulley.Balancer.ProcessCountChanged;
 import cloverpulley.Balancer.BodyEnded;
 import cloverpulley.Balancer.UpstreamSetOnline;
 import cloverpulley.Balancer.Cancel;
@@ -22,15 +22,15 @@
 import cloverpulley.Balancer.ProbeResult;
 import cloverpulley.Balancer.Refuse;
 import cloverpulley.Balancer.Request;
-import cloverpulley.Balancer.Retuned;
+import cloverpulley.Balancer.SettingsChanged;
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.SetTimer;
 import cloverpulley.Balancer.Settings;
 import cloverpulley.Balancer.Status;
 import cloverpulley.Balancer.UpstreamSetOffline;
-import cloverpulley.Balancer.TellPeer;
+import cloverpulley.Balancer.SendToPeer;
 import cloverpulley.Balancer.TimerFired;
-import cloverpulley.Balancer.Unrepeatable;
+import cloverpulley.Balancer.BodyDiscarded;
 import cloverpulley.Balancer.Watch;
 import cloverpulley.Balancer;
 import cloverpulley.Reason;
@@ -211,12 +211,12 @@
   public void retune(Settings to) {
     settings = to;
     retuned = true;
-    enqueue(() -> new Retuned(to));
+    enqueue(() -> new SettingsChanged(to));
   }
 
   /** So many processes serve as this balancer, this one among them. */
   public void beside(int processes) {
-    enqueue(() -> new Beside(processes));
+    enqueue(() -> new ProcessCountChanged(processes));
   }
 
   /** Another balancer has sent a message. */
@@ -318,7 +318,7 @@
 
   /** The beginning of a request's body is not kept any more. */
   public void unrepeatable(Exchange x) {
-    enqueue(() -> known(x) ? new Unrepeatable(x.id) : null);
+    enqueue(() -> known(x) ? new BodyDiscarded(x.id) : null);
   }
 
   private void guard(Exchange x, long due) {
@@ -370,7 +370,7 @@
 
   /** A module that threw is in an unknown state: what it held is answered, and a new one starts from the list. */
   private void restart(Event cause) {
-    if (cause instanceof Retuned || cause instanceof EndpointUpdate news && news.kind() == ListKind.CACHED) {
+    if (cause instanceof SettingsChanged || cause instanceof EndpointUpdate news && news.kind() == ListKind.CACHED) {
       LOG.severe("a module can't even start: the process ends");
       failAll();
       loop.execute(() -> Runtime.getRuntime().halt(1));
@@ -388,7 +388,7 @@
     module = modules.apply(++generation);
     if (retuned) {
       Settings now = settings;
-      enqueue(() -> new Retuned(now)); // Before the list: it was made with those of the start.
+      enqueue(() -> new SettingsChanged(now)); // Before the list: it was made with those of the start.
     }
     EndpointUpdate held = fleet.held();
     enqueue(() -> held);
@@ -443,7 +443,7 @@
       probe(a.upstream());
     } else if (action instanceof CloseIdle a) {
       transports.forEach(t -> t.closeIdle(a.upstream()));
-    } else if (action instanceof TellPeer a) {
+    } else if (action instanceof SendToPeer a) {
       peers.send(a.to(), a.data());
     } else if (action instanceof Bequeath a) {
       knowledgeTo.accept(a.knowledge());
--- a/http/src/test/java/cloverpulley/serve/LongBodyTest.java
+++ b/http/src/test/java/cloverpulley/serve/LongBodyTest.java
@@ -13,7 +13,7 @@
 import cloverpulley.Balancer.Request;
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.Status;
-import cloverpulley.Balancer.Unrepeatable;
+import cloverpulley.Balancer.BodyDiscarded;
 import cloverpulley.Reason;
 import cloverpulley.serve.Rig.Client;
 import cloverpulley.serve.Rig.Script;
@@ -199,7 +199,7 @@
       assertTrue(client.answer().endsWith("done"));
       assertTrue(got.tryAcquire(), "it came as something else");
       module.next(Request.class);
-      module.next(Unrepeatable.class);
+      module.next(BodyDiscarded.class);
       module.next(BodyEnded.class);
     }
   }
@@ -234,7 +234,7 @@
     module[0] = new Script((event, out) -> {
       if (event instanceof Request r) {
         out.accept(new Send(r.id(), module[0].upstreams.get(0), 0));
-      } else if (event instanceof Unrepeatable u) {
+      } else if (event instanceof BodyDiscarded u) {
         out.accept(new Send(u.id(), module[0].upstreams.get(0), 0));
       } else if (event instanceof Outcome o && o.attempt() == 1) {
         out.accept(new Fail(o.id(), Reason.NO_ROOM));
--- a/http/src/test/java/cloverpulley/serve/RetuneTest.java
+++ b/http/src/test/java/cloverpulley/serve/RetuneTest.java
@@ -6,7 +6,7 @@
 
 import cloverpulley.Balancer.EndpointUpdate;
 import cloverpulley.Balancer.Request;
-import cloverpulley.Balancer.Retuned;
+import cloverpulley.Balancer.SettingsChanged;
 import cloverpulley.Balancer.Settings;
 import cloverpulley.serve.Rig.Client;
 import cloverpulley.serve.Rig.Script;
@@ -108,7 +108,7 @@
       client.write(Rig.get("r1", "").replace("X-Qos: safe", "X-Qos: old"));
       assertEquals("old", module.next(Request.class).className());
       rig.server.reload(() -> config(text(more("new"))));
-      Settings taken = module.next(Retuned.class).settings();
+      Settings taken = module.next(SettingsChanged.class).settings();
       assertEquals(List.of("new", "safe", "keyed"), taken.classes().stream().map(c -> c.name()).toList());
       second.write(Rig.get("r2", "").replace("X-Qos: safe", "X-Qos: new"));
       assertEquals("new", module.next(Request.class).className());
@@ -130,7 +130,7 @@
       rig.server.reload(() -> config(text(more("bad")).replace("\"deadline-ns\":2000000000", "\"deadline-ns\":0")));
       rig.server.reload(() -> config(text(more("bad")).replace("\"max-attempts\":6,", "")));
       rig.server.reload(() -> config(text(more("good"))));
-      Settings taken = module.next(Retuned.class).settings();
+      Settings taken = module.next(SettingsChanged.class).settings();
       assertEquals("good", taken.classes().get(0).name());
     }
   }
@@ -142,7 +142,7 @@
     try (Rig rig = new Rig(config(GOOD), module)) {
       List<String> reads = new ArrayList<>(List.of("", GOOD.substring(0, 100), text(more("new"))));
       rig.server.reload(() -> config(reads.remove(0)));
-      assertEquals("new", module.next(Retuned.class).settings().classes().get(0).name());
+      assertEquals("new", module.next(SettingsChanged.class).settings().classes().get(0).name());
     }
   }
 
--- a/http/src/test/java/cloverpulley/serve/ServeTest.java
+++ b/http/src/test/java/cloverpulley/serve/ServeTest.java
@@ -10,7 +10,7 @@
 import cloverpulley.Balancer.PeerMessage;
 import cloverpulley.Balancer.Refuse;
 import cloverpulley.Balancer.Request;
-import cloverpulley.Balancer.TellPeer;
+import cloverpulley.Balancer.SendToPeer;
 import cloverpulley.Balancer.TimerFired;
 import cloverpulley.Balancer.SetTimer;
 import cloverpulley.serve.Rig.Client;
@@ -205,7 +205,7 @@
     Script module = new Script((event, out) -> {
       if (event instanceof Request) {
         out.accept(new SetTimer("now", 0));
-        out.accept(new TellPeer(-1, "hi 1".getBytes(StandardCharsets.UTF_8)));
+        out.accept(new SendToPeer(-1, "hi 1".getBytes(StandardCharsets.UTF_8)));
       }
     });
     try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
