--- a/balancer/src/main/java/cloverpulley/drill/Encoder.java
+++ b/balancer/src/main/java/cloverpulley/drill/Encoder.java
@@ -7,7 +7,7 @@
 import cloverpulley.Balancer.FetchEndpoints;
 import cloverpulley.Balancer.Log;
 import cloverpulley.Balancer.Probe;
-import cloverpulley.Balancer.Refuse;
+import cloverpulley.Balancer.Reject;
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.SetTimer;
 import cloverpulley.Balancer.SendToPeer;
@@ -32,7 +32,7 @@
       open(out, "AbortAttempt");
       out.writeStringField("rid", a.id());
       out.writeNumberField("go", a.attempt());
-    } else if (action instanceof Refuse a) {
+    } else if (action instanceof Reject a) {
       open(out, "Decline");
       out.writeStringField("rid", a.id());
       out.writeNumberField("not-before-for-ns", a.retryAfterNanos());
--- a/balancer/src/test/java/cloverpulley/drill/LinkTest.java
+++ b/balancer/src/test/java/cloverpulley/drill/LinkTest.java
@@ -78,7 +78,7 @@
       g.writeStartArray();
       Encoder.write(g, new Balancer.Send("a", 7, 5));
       Encoder.write(g, new Balancer.Cancel("a", 1));
-      Encoder.write(g, new Balancer.Refuse("a", 9, Reason.OVER_RATE));
+      Encoder.write(g, new Balancer.Reject("a", 9, Reason.OVER_RATE));
       Encoder.write(g, new Balancer.Fail("a", Reason.NO_ROOM));
       Encoder.write(g, new Balancer.SetTimer("t", 3));
       Encoder.write(g, new Balancer.Watch(false));
--- a/decision/src/main/java/cloverpulley/Balancer.java
+++ b/decision/src/main/java/cloverpulley/Balancer.java
@@ -120,10 +120,10 @@
   /**
    * A request came in and is owed one final answer by {@code deadlineNanos} (a clock reading). Tenant and key may be
    * null; {@code workHintNanos} is 0 where no hint came. Where {@code answerByNanos} is above 0, it is to be sent or ended by
-   * then. {@code earlier} are attempts that a caller made before, which count as its first ones: they have ended.
+   * then. {@code priorAttempts} are attempts that a caller made before, which count as its first ones: they have ended.
    */
   record Request(String id, String className, String tenant, String key, long deadlineNanos, long workHintNanos,
-      boolean retry, long answerByNanos, List<Earlier> earlier) implements Event {
+      boolean retry, long answerByNanos, List<PriorAttempt> priorAttempts) implements Event {
 
     /** A request that may be held until its deadline, and had no attempt before. */
     public Request(String id, String className, String tenant, String key, long deadlineNanos, long workHintNanos,
@@ -133,7 +133,7 @@
   }
 
   /** An attempt of an earlier call for the same request; zone and cell are those of the upstream when it was sent. */
-  record Earlier(long upstream, String zone, int cell, long sentNanos, boolean mayHaveRun) {}
+  record PriorAttempt(long upstream, String zone, int cell, long sentNanos, boolean mayHaveRun) {}
 
   /**
    * An answer that is passed on while it comes has started: the request is this attempt's, without a deadline, until its outcome. The
@@ -191,7 +191,7 @@
   record ProcessCountChanged(int processes) implements Event {}
 
   /** What the balancer is asked to do. */
-  sealed interface Action permits Send, Cancel, Refuse, Fail, SetTimer, Watch, FetchEndpoints, Probe, CloseIdle, SendToPeer,
+  sealed interface Action permits Send, Cancel, Reject, Fail, SetTimer, Watch, FetchEndpoints, Probe, CloseIdle, SendToPeer,
       Bequeath, Log {}
 
   /**
@@ -210,7 +210,7 @@
   record Cancel(String id, int attempt) implements Action {}
 
   /** Final answer: refused, trying again does no harm. {@code retryAfterNanos} 0: no advice. */
-  record Refuse(String id, long retryAfterNanos, Reason reason) implements Action {}
+  record Reject(String id, long retryAfterNanos, Reason reason) implements Action {}
 
   /** Final answer: failed, with no promise. */
   record Fail(String id, Reason reason) implements Action {}
--- a/decision/src/main/java/cloverpulley/Logic.java
+++ b/decision/src/main/java/cloverpulley/Logic.java
@@ -210,8 +210,8 @@
     Window key = windows.of(endpoint + ' ' + request.key(), now);
     Open r = new Open(request, type, now, excess, windows.of(endpoint, now), key,
         hints.load(request.workHintNanos()), settings.limits().maxAttempts());
-    boolean repeat = !request.earlier().isEmpty();
-    request.earlier().forEach(e -> r.attempts.add(upstreams.earlier(e)));
+    boolean repeat = !request.priorAttempts().isEmpty();
+    request.priorAttempts().forEach(e -> r.attempts.add(upstreams.priorAttempt(e)));
     boolean full = open.size() >= settings.limits().maxOpen();
     // A repeat is a further attempt of what was admitted once: the retry budget bounds it, not the line.
     if (full || !repeat && !admit(r)) {
@@ -389,7 +389,7 @@
     boolean over = r.once || r.attempts.size() >= r.maxAttempts || !retries.allows(r)
         || Repeats.areOver(r, now, settings.tickNanos()) || now >= r.deadline - 2 * sweep
         || answerDue(r)
-        || !r.request.earlier().isEmpty() && Arrays.stream(owners).noneMatch(u -> mayGoTo(r, u));
+        || !r.request.priorAttempts().isEmpty() && Arrays.stream(owners).noneMatch(u -> mayGoTo(r, u));
     Upstream u = over ? null : place(r);
     if (u != null) {
       retries.take(r);
@@ -443,7 +443,7 @@
   }
 
   private void answer(Open r, Reason why) {
-    out.accept(Repeats.mayRefuse(r) ? new Refuse(r.request.id(), retryAfter(), why)
+    out.accept(Repeats.mayRefuse(r) ? new Reject(r.request.id(), retryAfter(), why)
         : new Fail(r.request.id(), why));
   }
 
--- a/decision/src/main/java/cloverpulley/Upstreams.java
+++ b/decision/src/main/java/cloverpulley/Upstreams.java
@@ -1,6 +1,6 @@
 package cloverpulley;
 
-import cloverpulley.Balancer.Earlier;
+import cloverpulley.Balancer.PriorAttempt;
 import cloverpulley.Balancer.Endpoint;
 import cloverpulley.Balancer.EndpointUpdate;
 import cloverpulley.Balancer.ListKind;
@@ -57,7 +57,7 @@
   }
 
   /** An attempt that a caller made before, at an upstream that may not be listed any more. */
-  Attempt earlier(Earlier e) {
+  Attempt priorAttempt(PriorAttempt e) {
     Upstream u = upstreams.get(e.upstream());
     if (u == null || u.listed.cell() != e.cell() || !u.listed.zone().equals(e.zone())) {
       u = new Upstream(e.upstream(), null);
--- a/decision/src/main/java/cloverpulley/repeats/Repeats.java
+++ b/decision/src/main/java/cloverpulley/repeats/Repeats.java
@@ -1,6 +1,6 @@
 package cloverpulley.repeats;
 
-import cloverpulley.Balancer.Earlier;
+import cloverpulley.Balancer.PriorAttempt;
 import cloverpulley.Balancer.Effect;
 import cloverpulley.Balancer.Status;
 import java.util.ArrayList;
@@ -44,7 +44,7 @@
   public record First() implements Finding {}
 
   /** A repeat; these are the attempts before it, the oldest first, as they are known at this moment. */
-  public record Joined(List<Earlier> earlier) implements Finding {}
+  public record Joined(List<PriorAttempt> priorAttempts) implements Finding {}
 
   /** A repeat of attempts that are not all known, which may have run: it must not be sent. */
   public record Unknown() implements Finding {}
@@ -143,9 +143,9 @@
     if (r.tries.isEmpty()) {
       return new First();
     }
-    List<Earlier> earlier = new ArrayList<>(r.tries.size());
-    r.tries.forEach(t -> earlier.add(new Earlier(t.upstream, t.zone, t.cell, t.sentAt, t.mayHaveRun)));
-    return new Joined(List.copyOf(earlier));
+    List<PriorAttempt> priorAttempts = new ArrayList<>(r.tries.size());
+    r.tries.forEach(t -> priorAttempts.add(new PriorAttempt(t.upstream, t.zone, t.cell, t.sentAt, t.mayHaveRun)));
+    return new Joined(List.copyOf(priorAttempts));
   }
 
   /** The call that was found first or joined got its destination: from here on the attempt may run. */
--- a/decision/src/test/java/cloverpulley/Driver.java
+++ b/decision/src/test/java/cloverpulley/Driver.java
@@ -75,7 +75,7 @@
     for (Action action : actions) {
       if (action instanceof SetTimer t) {
         timers.add(t.atNanos());
-      } else if (action instanceof Balancer.Refuse r) {
+      } else if (action instanceof Balancer.Reject r) {
         refusals.merge(r.id().substring(0, 1), 1, Integer::sum);
       } else if (action instanceof Send s) {
         outstanding.add(new Sent(s.id(), attempts.merge(s.id(), 1, Integer::sum) - 1, s.upstream(), now));
--- a/decision/src/test/java/cloverpulley/FourRulesTest.java
+++ b/decision/src/test/java/cloverpulley/FourRulesTest.java
@@ -10,7 +10,7 @@
 import cloverpulley.Balancer.Endpoint;
 import cloverpulley.Balancer.Fail;
 import cloverpulley.Balancer.ListKind;
-import cloverpulley.Balancer.Refuse;
+import cloverpulley.Balancer.Reject;
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.State;
 import cloverpulley.Balancer.Status;
@@ -42,18 +42,18 @@
   @ParameterizedTest
   @CsvSource({
     // effect, scope, outcome, upstreams that may get the next attempt, final answer where there is none
-    "SAFE, ALL, FULL, 2 3 4, Refuse", "SAFE, CELL, CONNECT_FAILED, 2 3 4, Refuse", "SAFE, ALL, ERROR, 2 3 4, Refuse",
-    "SAFE, CELL, RESET, 2 3 4, Refuse", "SAFE, CELL, TIMEOUT, 2 3 4, Refuse", "SAFE, CELL, CANCELLED, 2 3 4, Refuse",
-    "SAFE, CELL, NOT_SENT, 2 3 4, Refuse",
-    "UNSAFE, ALL, FULL, 2 3 4, Refuse", "UNSAFE, ALL, CONNECT_FAILED, 2 3 4, Refuse",
-    "UNSAFE, ALL, NOT_SENT, 2 3 4, Refuse", "UNSAFE, ALL, ERROR, '', Fail", "UNSAFE, ALL, RESET, '', Fail",
+    "SAFE, ALL, FULL, 2 3 4, Reject", "SAFE, CELL, CONNECT_FAILED, 2 3 4, Reject", "SAFE, ALL, ERROR, 2 3 4, Reject",
+    "SAFE, CELL, RESET, 2 3 4, Reject", "SAFE, CELL, TIMEOUT, 2 3 4, Reject", "SAFE, CELL, CANCELLED, 2 3 4, Reject",
+    "SAFE, CELL, NOT_SENT, 2 3 4, Reject",
+    "UNSAFE, ALL, FULL, 2 3 4, Reject", "UNSAFE, ALL, CONNECT_FAILED, 2 3 4, Reject",
+    "UNSAFE, ALL, NOT_SENT, 2 3 4, Reject", "UNSAFE, ALL, ERROR, '', Fail", "UNSAFE, ALL, RESET, '', Fail",
     "UNSAFE, ALL, TIMEOUT, '', Fail", "UNSAFE, ALL, CANCELLED, '', Fail",
-    "KEYED, ALL, FULL, 2 3 4, Refuse", "KEYED, ALL, ERROR, 2 3 4, Refuse", "KEYED, ALL, RESET, 2 3 4, Refuse",
-    "KEYED, ALL, TIMEOUT, 2 3 4, Refuse", "KEYED, ALL, CANCELLED, 2 3 4, Refuse",
-    "KEYED, ZONE, FULL, 2 3 4, Refuse", "KEYED, ZONE, CONNECT_FAILED, 2 3 4, Refuse",
+    "KEYED, ALL, FULL, 2 3 4, Reject", "KEYED, ALL, ERROR, 2 3 4, Reject", "KEYED, ALL, RESET, 2 3 4, Reject",
+    "KEYED, ALL, TIMEOUT, 2 3 4, Reject", "KEYED, ALL, CANCELLED, 2 3 4, Reject",
+    "KEYED, ZONE, FULL, 2 3 4, Reject", "KEYED, ZONE, CONNECT_FAILED, 2 3 4, Reject",
     "KEYED, ZONE, ERROR, 2 3, Fail", "KEYED, ZONE, RESET, 2 3, Fail", "KEYED, ZONE, TIMEOUT, 2 3, Fail",
     "KEYED, ZONE, CANCELLED, 2 3, Fail",
-    "KEYED, CELL, FULL, 2 3 4, Refuse", "KEYED, CELL, NOT_SENT, 2 3 4, Refuse", "KEYED, CELL, ERROR, 2, Fail",
+    "KEYED, CELL, FULL, 2 3 4, Reject", "KEYED, CELL, NOT_SENT, 2 3 4, Reject", "KEYED, CELL, ERROR, 2, Fail",
     "KEYED, CELL, RESET, 2, Fail", "KEYED, CELL, TIMEOUT, 2, Fail", "KEYED, CELL, CANCELLED, 2, Fail"})
   void nextAttemptOrFinalAnswer(Effect effect, DedupScope scope, Status status, String allowed, String end) {
     for (long other = 2; other <= 4; other++) {
@@ -65,7 +65,7 @@
     alone.list(ListKind.FULL);
     List<Action> last = new ArrayList<>(alone.end("r", FIRST, status, Driver.MS));
     last.addAll(alone.pass(2000 * Driver.MS));
-    List<Action> finals = last.stream().filter(a -> a instanceof Refuse || a instanceof Fail).toList();
+    List<Action> finals = last.stream().filter(a -> a instanceof Reject || a instanceof Fail).toList();
     assertEquals(1, finals.size());
     assertEquals(end, finals.get(0).getClass().getSimpleName());
   }
@@ -97,7 +97,7 @@
     Driver d = new Driver(Driver.safe());
     d.list(ListKind.CACHED);
     assertTrue(d.request("r", "c", "k").stream().noneMatch(a -> a instanceof Send));
-    assertTrue(Driver.has(d.pass(2000 * Driver.MS), Refuse.class));
+    assertTrue(Driver.has(d.pass(2000 * Driver.MS), Reject.class));
   }
 
   @Test
@@ -187,6 +187,6 @@
     d.request("r", "c", "k");
     d.step(new Balancer.AnswerStarted("r", 0, 100, Driver.MS));
     List<Action> later = d.pass(5000 * Driver.MS);
-    assertTrue(later.stream().noneMatch(a -> a instanceof Fail || a instanceof Refuse || a instanceof Send));
+    assertTrue(later.stream().noneMatch(a -> a instanceof Fail || a instanceof Reject || a instanceof Send));
   }
 }
--- a/decision/src/test/java/cloverpulley/OfflineTest.java
+++ b/decision/src/test/java/cloverpulley/OfflineTest.java
@@ -9,7 +9,7 @@
 import cloverpulley.Balancer.Effect;
 import cloverpulley.Balancer.Endpoint;
 import cloverpulley.Balancer.ListKind;
-import cloverpulley.Balancer.Refuse;
+import cloverpulley.Balancer.Reject;
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.State;
 import cloverpulley.Balancer.Status;
@@ -72,7 +72,7 @@
     d.step(new UpstreamSetOffline(100, 0));
     List<Action> actions = new ArrayList<>(d.request("r", "c", "k"));
     actions.addAll(d.pass(2000 * MS));
-    assertTrue(Driver.has(actions, Refuse.class) && !Driver.has(actions, Send.class), actions::toString);
+    assertTrue(Driver.has(actions, Reject.class) && !Driver.has(actions, Send.class), actions::toString);
   }
 
   /** Taken out before it was ever listed, as a successor may learn of it, and called back while it is not listed. */
--- a/decision/src/test/java/cloverpulley/PassingTest.java
+++ b/decision/src/test/java/cloverpulley/PassingTest.java
@@ -11,7 +11,7 @@
 import cloverpulley.Balancer.ClientGone;
 import cloverpulley.Balancer.Fail;
 import cloverpulley.Balancer.Outcome;
-import cloverpulley.Balancer.Refuse;
+import cloverpulley.Balancer.Reject;
 import cloverpulley.Balancer.Request;
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.Status;
@@ -44,7 +44,7 @@
       d.pass(20 * MS);
       if (at >= 0) {
         passing++;
-        assertFalse(Driver.has(d.step(new AnswerStarted(id, 0, at, 20 * MS)), Refuse.class));
+        assertFalse(Driver.has(d.step(new AnswerStarted(id, 0, at, 20 * MS)), Reject.class));
       }
     }
     assertEquals(300, passing, "refused or held because answers are still on their way");
@@ -63,7 +63,7 @@
     List<Action> after = new ArrayList<>(d.pass(5000 * MS)); // Past its deadline: it has none any more.
     after.addAll(d.step(new Outcome("r", 0, at, Status.RESET, 20 * MS, true, Map.of())));
     after.addAll(d.pass(1000 * MS));
-    assertTrue(after.stream().noneMatch(a -> a instanceof Send || a instanceof Refuse || a instanceof Fail), after::toString);
+    assertTrue(after.stream().noneMatch(a -> a instanceof Send || a instanceof Reject || a instanceof Fail), after::toString);
   }
 
   @Test
@@ -83,7 +83,7 @@
     long second = Driver.sentTo(d.request("r2", "c", "k1"));
     d.step(new BodyDiscarded("r2"));
     List<Action> end = d.end("r2", second, Status.FULL, MS);
-    assertTrue(!sends(end) && Driver.has(end, Refuse.class), end::toString);
+    assertTrue(!sends(end) && Driver.has(end, Reject.class), end::toString);
   }
 
   /** Its time counts from its last byte, however long that took to come. */
@@ -98,6 +98,6 @@
     assertTrue(sends(d.end(s, Status.ERROR, 1000 * MS)), "half of its time is left");
     d.pass(1500 * MS);
     s = d.outstanding.get(0);
-    assertTrue(Driver.has(d.end(s, Status.ERROR, 500 * MS), Refuse.class), "its time is over");
+    assertTrue(Driver.has(d.end(s, Status.ERROR, 500 * MS), Reject.class), "its time is over");
   }
 }
--- a/decision/src/test/java/cloverpulley/PlacementTest.java
+++ b/decision/src/test/java/cloverpulley/PlacementTest.java
@@ -219,7 +219,7 @@
       sent += Driver.sentTo(d.request(d.nextId(), "c", "k" + i)) >= 0 ? 1 : 0;
     }
     assertTrue(sent >= 2 && sent <= 12, "sent at once: " + sent);
-    long refused = d.pass(170 * Driver.MS).stream().filter(a -> a instanceof Balancer.Refuse).count();
+    long refused = d.pass(170 * Driver.MS).stream().filter(a -> a instanceof Balancer.Reject).count();
     assertTrue(refused > 30, "refused inside 0.43 of the aim: " + refused);
   }
 
--- a/decision/src/test/java/cloverpulley/EarlierTest.java
+++ b/decision/src/test/java/cloverpulley/PriorAttemptsTest.java
@@ -6,12 +6,12 @@
 
 import cloverpulley.Balancer.Action;
 import cloverpulley.Balancer.DedupScope;
-import cloverpulley.Balancer.Earlier;
+import cloverpulley.Balancer.PriorAttempt;
 import cloverpulley.Balancer.Effect;
 import cloverpulley.Balancer.Endpoint;
 import cloverpulley.Balancer.Fail;
 import cloverpulley.Balancer.ListKind;
-import cloverpulley.Balancer.Refuse;
+import cloverpulley.Balancer.Reject;
 import cloverpulley.Balancer.Request;
 import cloverpulley.Balancer.SetTimer;
 import cloverpulley.Balancer.State;
@@ -22,7 +22,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** Requests whose earlier attempts a caller made, and requests that have to be answered before their deadline. */
-class EarlierTest {
+class PriorAttemptsTest {
 
   private static final long MS = Driver.MS;
   private static final long AGO = 100 * MS;
@@ -38,21 +38,21 @@
     return d;
   }
 
-  private static Request repeat(Driver d, long answerBy, Earlier... earlier) {
-    return new Request("r", "c", null, "k", d.now + 2000 * MS, 0, true, answerBy, List.of(earlier));
+  private static Request repeat(Driver d, long answerBy, PriorAttempt... priorAttempts) {
+    return new Request("r", "c", null, "k", d.now + 2000 * MS, 0, true, answerBy, List.of(priorAttempts));
   }
 
-  private static Earlier first(Driver d, long ago, boolean mayHaveRun) {
-    return new Earlier(1, "a", 1, d.now - ago, mayHaveRun);
+  private static PriorAttempt first(Driver d, long ago, boolean mayHaveRun) {
+    return new PriorAttempt(1, "a", 1, d.now - ago, mayHaveRun);
   }
 
   @ParameterizedTest
   @CsvSource({
     // effect, scope, may have run, upstreams that may get the repeat, the answer where there is none
-    "SAFE, CELL, true, 2 3 4, Refuse", "SAFE, CELL, false, 2 3 4, Refuse",
-    "UNSAFE, ALL, true, '', Fail", "UNSAFE, ALL, false, 2 3 4, Refuse",
-    "KEYED, ALL, true, 2 3 4, Refuse", "KEYED, ZONE, true, 2 3, Fail", "KEYED, CELL, true, 2, Fail",
-    "KEYED, CELL, false, 2 3 4, Refuse"})
+    "SAFE, CELL, true, 2 3 4, Reject", "SAFE, CELL, false, 2 3 4, Reject",
+    "UNSAFE, ALL, true, '', Fail", "UNSAFE, ALL, false, 2 3 4, Reject",
+    "KEYED, ALL, true, 2 3 4, Reject", "KEYED, ZONE, true, 2 3, Fail", "KEYED, CELL, true, 2, Fail",
+    "KEYED, CELL, false, 2 3 4, Reject"})
   void aRepeatGoesAsFarAsItsClassPermits(Effect effect, DedupScope scope, boolean ran, String allowed, String end) {
     for (long other = 2; other <= 4; other++) {
       Driver d = fleet(effect, scope, other);
@@ -80,16 +80,16 @@
   @Test
   void theGroupIsTheOneOfTheTime() {
     Driver d = fleet(Effect.KEYED, DedupScope.CELL, 3);
-    assertEquals(3, Driver.sentTo(d.step(repeat(d, 0, new Earlier(3, "a", 3, d.now - AGO, true)))));
+    assertEquals(3, Driver.sentTo(d.step(repeat(d, 0, new PriorAttempt(3, "a", 3, d.now - AGO, true)))));
     Driver moved = fleet(Effect.KEYED, DedupScope.CELL, 3);
-    assertInstanceOf(Fail.class, moved.step(repeat(moved, 0, new Earlier(3, "a", 1, moved.now - AGO, true))).get(0));
+    assertInstanceOf(Fail.class, moved.step(repeat(moved, 0, new PriorAttempt(3, "a", 1, moved.now - AGO, true))).get(0));
   }
 
   @Test
   void attemptsOfEarlierCallsCount() {
     Driver d = fleet(Effect.SAFE, DedupScope.ALL, 1, 2, 3, 4);
-    Earlier e = first(d, AGO, true);
-    Refuse refuse = assertInstanceOf(Refuse.class, d.step(repeat(d, 0, e, e, e, e)).get(0));
+    PriorAttempt e = first(d, AGO, true);
+    Reject refuse = assertInstanceOf(Reject.class, d.step(repeat(d, 0, e, e, e, e)).get(0));
     assertEquals(Reason.ATTEMPTS, refuse.reason());
   }
 
@@ -112,7 +112,7 @@
     List<Action> actions = d.step(repeat(d, by));
     assertTrue(actions.contains(new SetTimer("answer", by)), actions.toString());
     d.now = by;
-    Refuse refuse = assertInstanceOf(Refuse.class, d.step(new TimerFired("answer")).get(0));
+    Reject refuse = assertInstanceOf(Reject.class, d.step(new TimerFired("answer")).get(0));
     assertEquals(Reason.NO_UPSTREAM, refuse.reason());
   }
 }
--- a/decision/src/test/java/cloverpulley/StormTest.java
+++ b/decision/src/test/java/cloverpulley/StormTest.java
@@ -17,7 +17,7 @@
 import cloverpulley.Balancer.ListKind;
 import cloverpulley.Balancer.Outcome;
 import cloverpulley.Balancer.Prices;
-import cloverpulley.Balancer.Refuse;
+import cloverpulley.Balancer.Reject;
 import cloverpulley.Balancer.Request;
 import cloverpulley.Balancer.RequestClass;
 import cloverpulley.Balancer.Send;
@@ -189,7 +189,7 @@
         timers.add(t.atNanos());
       } else if (action instanceof Send s) {
         checkSend(book.get(s.id()), s);
-      } else if (action instanceof Refuse r) {
+      } else if (action instanceof Reject r) {
         Entry e = book.get(r.id());
         assertTrue(!e.answered, "one final answer");
         boolean open = e.ends.stream().anyMatch(x -> x == null || !x.provesNotRun());
--- a/decision/src/test/java/cloverpulley/repeats/RepeatsTest.java
+++ b/decision/src/test/java/cloverpulley/repeats/RepeatsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.Balancer.Earlier;
+import cloverpulley.Balancer.PriorAttempt;
 import cloverpulley.Balancer.Effect;
 import cloverpulley.Balancer.Status;
 import cloverpulley.repeats.Repeats.Config;
@@ -37,10 +37,10 @@
   void aRepeatKnowsTheAttemptsBeforeIt(Effect effect) {
     assertInstanceOf(First.class, call(0, "a", effect, 1));
     repeats.sent(1, "a", 7, "z", 3);
-    assertEquals(new Joined(List.of(new Earlier(7, "z", 3, 1, true))), call(2, "a", effect, 2), "still out: it may run");
+    assertEquals(new Joined(List.of(new PriorAttempt(7, "z", 3, 1, true))), call(2, "a", effect, 2), "still out: it may run");
     repeats.sent(3, "a", 8, "z", 3);
     repeats.ended(4, "a", 7, Status.FULL);
-    assertEquals(new Joined(List.of(new Earlier(7, "z", 3, 1, false), new Earlier(8, "z", 3, 3, true))),
+    assertEquals(new Joined(List.of(new PriorAttempt(7, "z", 3, 1, false), new PriorAttempt(8, "z", 3, 3, true))),
         call(5, "a", effect, 3));
   }
 
@@ -119,7 +119,7 @@
       String what = "seed " + seed + " step " + step + " " + id + " " + found;
       if (live && mayHaveRun.getOrDefault(id, 0) > 0) {
         assertTrue(found instanceof Unknown || found instanceof Joined j
-            && j.earlier().stream().filter(Earlier::mayHaveRun).count() == mayHaveRun.get(id), what);
+            && j.priorAttempts().stream().filter(PriorAttempt::mayHaveRun).count() == mayHaveRun.get(id), what);
       }
       assertTrue(repeats.size() <= 4, what);
       if (found instanceof First || found instanceof Joined) {
--- a/engine/src/main/java/cloverpulley/engine/Engine.java
+++ b/engine/src/main/java/cloverpulley/engine/Engine.java
@@ -20,7 +20,7 @@
 import cloverpulley.Balancer.PeerMessage;
 import cloverpulley.Balancer.Probe;
 import cloverpulley.Balancer.ProbeResult;
-import cloverpulley.Balancer.Refuse;
+import cloverpulley.Balancer.Reject;
 import cloverpulley.Balancer.Request;
 import cloverpulley.Balancer.SettingsChanged;
 import cloverpulley.Balancer.Send;
@@ -427,7 +427,7 @@
       if (x != null) {
         cancel(x.attempts.get(a.attempt() - x.facts().earlier().size()));
       }
-    } else if (action instanceof Refuse a) {
+    } else if (action instanceof Reject a) {
       end(a.id(), new Verdict(true, a.reason(), a.retryAfterNanos()));
     } else if (action instanceof Fail a) {
       end(a.id(), Verdict.failed(a.reason()));
--- a/engine/src/main/java/cloverpulley/engine/Exchange.java
+++ b/engine/src/main/java/cloverpulley/engine/Exchange.java
@@ -1,6 +1,6 @@
 package cloverpulley.engine;
 
-import cloverpulley.Balancer.Earlier;
+import cloverpulley.Balancer.PriorAttempt;
 import cloverpulley.Balancer.RequestClass;
 import java.net.SocketAddress;
 import java.util.ArrayList;
@@ -25,7 +25,7 @@
    * @param earlier attempts of earlier calls for the same request, the oldest first
    */
   public record Facts(RequestClass type, String tenant, String key, long hintNanos, boolean retry, long deadline,
-      long answerBy, List<Earlier> earlier) {}
+      long answerBy, List<PriorAttempt> earlier) {}
 
   private final Facts facts;
   final List<Attempt> attempts = new ArrayList<>(1);
--- a/http/src/test/java/cloverpulley/serve/LongBodyTest.java
+++ b/http/src/test/java/cloverpulley/serve/LongBodyTest.java
@@ -9,7 +9,7 @@
 import cloverpulley.Balancer.BodyEnded;
 import cloverpulley.Balancer.Fail;
 import cloverpulley.Balancer.Outcome;
-import cloverpulley.Balancer.Refuse;
+import cloverpulley.Balancer.Reject;
 import cloverpulley.Balancer.Request;
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.Status;
@@ -257,7 +257,7 @@
   void aRefusedUploadHasItsAnswer() throws Exception {
     Script module = new Script((event, out) -> {
       if (event instanceof Request r) {
-        out.accept(new Refuse(r.id(), 0, Reason.OVER_RATE));
+        out.accept(new Reject(r.id(), 0, Reason.OVER_RATE));
       }
     });
     try (StubServer upstream = StubServer.answering(""); Rig rig = rig(upstream, module); Client client = rig.client()) {
@@ -306,7 +306,7 @@
   void anUploadWithoutAnEndDoesNotHoldTheStop() throws Exception {
     Script module = new Script((event, out) -> {
       if (event instanceof Request r) {
-        out.accept(new Refuse(r.id(), 0, Reason.OVER_RATE));
+        out.accept(new Reject(r.id(), 0, Reason.OVER_RATE));
       }
     });
     try (StubServer upstream = StubServer.answering(""); Rig rig = rig(upstream, module); Client client = rig.client()) {
--- a/http/src/test/java/cloverpulley/serve/ServeTest.java
+++ b/http/src/test/java/cloverpulley/serve/ServeTest.java
@@ -8,7 +8,7 @@
 import cloverpulley.Balancer.ClientGone;
 import cloverpulley.Balancer.Fail;
 import cloverpulley.Balancer.PeerMessage;
-import cloverpulley.Balancer.Refuse;
+import cloverpulley.Balancer.Reject;
 import cloverpulley.Balancer.Request;
 import cloverpulley.Balancer.SendToPeer;
 import cloverpulley.Balancer.TimerFired;
@@ -114,7 +114,7 @@
   void aRefusalSaysWhenToComeBackAndGoesOutAtOnce() throws Exception {
     Script module = new Script((event, out) -> {
       if (event instanceof Request r) {
-        out.accept(new Refuse(r.id(), 250_000_001, Reason.OVER_RATE));
+        out.accept(new Reject(r.id(), 250_000_001, Reason.OVER_RATE));
       }
     });
     try (Rig rig = new Rig(Rig.config(NOWHERE, Rig.list(1, true)), module); Client client = rig.client()) {
@@ -156,7 +156,7 @@
         if (r.tenant().equals("bad")) {
           throw new IllegalStateException("on purpose: this trace belongs to a test");
         }
-        out.accept(new Refuse(r.id(), 0, Reason.OVER_RATE));
+        out.accept(new Reject(r.id(), 0, Reason.OVER_RATE));
       }
     });
     try (Rig rig = new Rig(Rig.config(NOWHERE, Rig.list(1, true)), module); Client held = rig.client();
--- a/model/src/main/java/cloverpulley/model/ModelBalancer.java
+++ b/model/src/main/java/cloverpulley/model/ModelBalancer.java
@@ -92,7 +92,7 @@
   private void perform(Action a) {
     if (a instanceof Balancer.Send s) {
       send(s);
-    } else if (a instanceof Balancer.Refuse r) {
+    } else if (a instanceof Balancer.Reject r) {
       Open o = open.get(r.id());
       if (end(o, r.reason().word(), false)) {
         world.result.refused++;
--- a/model/src/main/java/cloverpulley/model/Policies.java
+++ b/model/src/main/java/cloverpulley/model/Policies.java
@@ -47,7 +47,7 @@
         }
       } else if (event instanceof Request r) {
         if (ready.isEmpty()) {
-          to.accept(new Refuse(r.id(), 0, cloverpulley.Reason.NO_UPSTREAM));
+          to.accept(new Reject(r.id(), 0, cloverpulley.Reason.NO_UPSTREAM));
           return;
         }
         long chosen = choose();
--- a/processor/src/main/java/cloverpulley/processor/Calls.java
+++ b/processor/src/main/java/cloverpulley/processor/Calls.java
@@ -1,6 +1,6 @@
 package cloverpulley.processor;
 
-import cloverpulley.Balancer.Earlier;
+import cloverpulley.Balancer.PriorAttempt;
 import cloverpulley.Balancer.Status;
 import cloverpulley.Reason;
 import cloverpulley.engine.Attempt;
@@ -73,9 +73,9 @@
   }
 
   private CallExchange take(Mapping.Call call, long receivedAt, long answerBy, CallExchange.Caller caller, Finding finding) {
-    List<Earlier> earlier = List.of();
+    List<PriorAttempt> earlier = List.of();
     if (finding instanceof Repeats.Joined joined) {
-      earlier = joined.earlier();
+      earlier = joined.priorAttempts();
       counts.joined.increment();
     } else if (finding instanceof Repeats.Unknown) {
       end(caller, Verdict.failed(Reason.UNKNOWN_EARLIER));
