--- a/decision/src/main/java/cloverpulley/Balancer.java
+++ b/decision/src/main/java/cloverpulley/Balancer.java
@@ -196,9 +196,9 @@
 
   /**
    * Start an attempt; a request's attempts count 0, 1, 2 ... in sending order. Time-out 0: until the deadline. Its last byte is to leave before
-   * the clock reading {@code leavesByNanos}, or it is to end as NOT_SENT; 0: whenever it can.
+   * the clock reading {@code sendByNanos}, or it is to end as NOT_SENT; 0: whenever it can.
    */
-  record Send(String id, long upstream, long timeoutNanos, long leavesByNanos) implements Action {
+  record Send(String id, long upstream, long timeoutNanos, long sendByNanos) implements Action {
 
     /** An attempt that may leave whenever it can. */
     public Send(String id, long upstream, long timeoutNanos) {
--- a/decision/src/test/java/cloverpulley/FourRulesTest.java
+++ b/decision/src/test/java/cloverpulley/FourRulesTest.java
@@ -84,10 +84,10 @@
         400 * Driver.MS, 0, 2000 * Driver.MS, 1, 0, false))).upstreams(3);
     long began = d.now;
     Send first = (Send) d.request("r", "c", "k").get(0);
-    assertEquals(0, first.leavesByNanos(), "nothing may have run yet");
+    assertEquals(0, first.sendByNanos(), "nothing may have run yet");
     d.pass(100 * Driver.MS);
     Send second = (Send) d.end("r", first.upstream(), Status.RESET, 100 * Driver.MS).get(0);
-    assertEquals(began + 499 * Driver.MS, second.leavesByNanos(), "from the first that may have run, cut by a tick");
+    assertEquals(began + 499 * Driver.MS, second.sendByNanos(), "from the first that may have run, cut by a tick");
     d.pass(500 * Driver.MS - (d.now - began));
     assertTrue(Driver.has(d.end("r", second.upstream(), Status.NOT_SENT, 400 * Driver.MS), Fail.class), "nothing can come of it any more");
   }
--- a/engine/src/main/java/cloverpulley/engine/Engine.java
+++ b/engine/src/main/java/cloverpulley/engine/Engine.java
@@ -479,7 +479,7 @@
   private void send(Exchange x, Send send) {
     long now = clock.now();
     int number = x.facts().earlier().size() + x.attempts.size();
-    Attempt attempt = new Attempt(x, number, send.upstream(), now, send.leavesByNanos());
+    Attempt attempt = new Attempt(x, number, send.upstream(), now, send.sendByNanos());
     x.attempts.add(attempt);
     x.outstanding++;
     witness.sent(attempt);
@@ -489,7 +489,7 @@
     long left = x.deadline - now;
     long timeout = send.timeoutNanos() == 0 ? left : Math.min(left, send.timeoutNanos());
     SocketAddress address = fleet.address(send.upstream());
-    if (x.isEnded() || timeout <= 0 || number >= x.maxAttempts || send.leavesByNanos() > 0 && now >= send.leavesByNanos()) {
+    if (x.isEnded() || timeout <= 0 || number >= x.maxAttempts || send.sendByNanos() > 0 && now >= send.sendByNanos()) {
       attemptEnded(attempt, Status.NOT_SENT, Map.of(), () -> { });
     } else if (address == null) {
       attemptEnded(attempt, Status.CONNECT_FAILED, Map.of(), () -> { });
