--- a/decision/src/main/java/cloverpulley/Balancer.java
+++ b/decision/src/main/java/cloverpulley/Balancer.java
@@ -1,6 +1,6 @@
 package cloverpulley;
 
-import cloverpulley.state.Knowledge;
+import cloverpulley.state.BalancerSnapshot;
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
@@ -111,7 +111,7 @@
 
   /** What happened. */
   sealed interface Event permits EndpointUpdate, Request, AnswerStarted, Outcome, ClientGone, TimerFired, ProbeResult,
-      PeerMessage, UpstreamSetOffline, UpstreamSetOnline, HandOver, Inherited,
+      PeerMessage, UpstreamSetOffline, UpstreamSetOnline, SnapshotRequested, SnapshotRestored,
       ProcessCountChanged, SettingsChanged, BodyEnded, BodyDiscarded {}
 
   /** News of the list of upstreams. An instance's first news is of kind CACHED. */
@@ -175,11 +175,11 @@
   /** An operator calls an upstream back, which ends its being out however often it was taken out. It has been restarted meanwhile. */
   record UpstreamSetOnline(long upstream) implements Event {}
 
-  /** A successor starts beside this instance and needs what it knows: {@link Bequeath} is the answer. This instance goes on. */
-  record HandOver() implements Event {}
+  /** A successor starts beside this instance and needs what it knows: {@link PublishSnapshot} is the answer. This instance goes on. */
+  record SnapshotRequested() implements Event {}
 
   /** What a predecessor knew; after the first list. */
-  record Inherited(Knowledge knowledge) implements Event {}
+  record SnapshotRestored(BalancerSnapshot snapshot) implements Event {}
 
   /**
    * Other settings hold for requests that come from here on; those in hand keep their class and number of attempts, and all that was
@@ -192,7 +192,7 @@
 
   /** What the balancer is asked to do. */
   sealed interface Action permits Send, Cancel, Reject, Fail, SetTimer, Watch, FetchEndpoints, Probe, CloseIdle, SendToPeer,
-      Bequeath, Log {}
+      PublishSnapshot, Log {}
 
   /**
    * Start an attempt; a request's attempts count 0, 1, 2 ... in sending order. Time-out 0: until the deadline. Its last byte is to leave before
@@ -234,7 +234,7 @@
   record SendToPeer(int to, byte[] data) implements Action {}
 
   /** What this instance knows, for a successor. */
-  record Bequeath(Knowledge knowledge) implements Action {}
+  record PublishSnapshot(BalancerSnapshot snapshot) implements Action {}
 
   /** A line for the balancer's log. */
   record Log(String text) implements Action {}
--- a/decision/src/main/java/cloverpulley/Logic.java
+++ b/decision/src/main/java/cloverpulley/Logic.java
@@ -1,7 +1,7 @@
 package cloverpulley;
 
 import cloverpulley.Window.Metric;
-import cloverpulley.state.Knowledge;
+import cloverpulley.state.BalancerSnapshot;
 import java.util.Arrays;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -102,15 +102,15 @@
   private final TreeSet<Open> held = new TreeSet<>(Comparator.comparingDouble((Open r) -> -value(r))
       .thenComparingLong(r -> r.arrived).thenComparing(r -> r.request.id()));
   private final Window fleet;
-  private double usualInFlight;
-  private double usualSends;
+  private double baselineInFlight;
+  private double baselineSendRate;
   /** The ready upstreams by id, and the ring of which they are the members. */
   private Upstream[] owners = {};
   private Ring ring;
   private int ready;
   private boolean panic;
   private double readyLoad;
-  private double weightUnit;
+  private double referenceWeight;
   private long visits;
   private final RetryBudget retries = new RetryBudget();
   private boolean sweeping;
@@ -164,17 +164,17 @@
     } else if (event instanceof UpstreamSetOnline e) {
       upstreams.callBack(now, e.upstream());
       rebuildRing();
-    } else if (event instanceof HandOver) {
-      out.accept(new Bequeath(new Knowledge(upstreams.all().map(u -> u.known(now)).toList(),
-          windows.totals(now, Knowledge.MOST_WINDOWS), fleet.totals(now), usualInFlight, usualSends,
-          hints.usual, weightUnit, retries.tokens)));
+    } else if (event instanceof SnapshotRequested) {
+      out.accept(new PublishSnapshot(new BalancerSnapshot(upstreams.all().map(u -> u.known(now)).toList(),
+          windows.totals(now, BalancerSnapshot.MAX_WINDOWS), fleet.totals(now), baselineInFlight,
+          baselineSendRate, hints.usual, referenceWeight, retries.tokens)));
     } else if (event instanceof SettingsChanged e) {
       tune(e.settings());
       shares.retune(settings);
     } else if (event instanceof ProcessCountChanged e) {
       processes = e.processes();
-    } else if (event instanceof Inherited e) {
-      inherit(e.knowledge());
+    } else if (event instanceof SnapshotRestored e) {
+      inherit(e.snapshot());
     } else if (event instanceof ClientGone e) {
       if (open.containsKey(e.id()) && !open.get(e.id()).ended) {
         release(open.get(e.id()));
@@ -249,7 +249,7 @@
     double allowed = allowedRate(mean, MIN_VALUE * early, MAX_VALUE * early, maxRate, maxRate * MIN_PART);
     // Guards work inside a quota from what this balancer did not cause: no more is out than while healthy.
     boolean idle = shares.has(r.request.tenant())
-        && readyLoad + held.size() < usualInFlight * ready / processes;
+        && readyLoad + held.size() < baselineInFlight * ready / processes;
     if (r.endpoint.total(now, Metric.ADMITTED) >= allowed && (r.excess || !idle)) {
       return false;
     }
@@ -278,17 +278,18 @@
     ready = owners.length;
     readyLoad = Arrays.stream(owners).mapToDouble(u -> u.load).sum();
     boolean sized = settings.weightKind() == WeightKind.NOMINAL || settings.weightKind() == WeightKind.ROUGH;
-    if (weightUnit == 0 && ready > 0) {
+    if (referenceWeight == 0 && ready > 0) {
       // Kept for life, so that a change of the list moves the changed upstream's keys only.
-      weightUnit = Arrays.stream(owners).mapToDouble(u -> u.listed.weight()).sorted().toArray()[ready / 2];
+      referenceWeight =
+          Arrays.stream(owners).mapToDouble(u -> u.listed.weight()).sorted().toArray()[ready / 2];
     }
     ring = new Ring(Arrays.stream(owners).mapToLong(u -> u.id).toArray(),
         Arrays.stream(owners).mapToInt(u -> (int) Math.round(POINTS * (sized ? share(u) : 1))).toArray());
   }
 
   private double share(Upstream u) {
-    return weightUnit <= 0 ? 1
-        : Math.min(WEIGHT_MOST, Math.max(1 / WEIGHT_MOST, u.listed.weight() / weightUnit));
+    return referenceWeight <= 0 ? 1
+        : Math.min(WEIGHT_MOST, Math.max(1 / WEIGHT_MOST, u.listed.weight() / referenceWeight));
   }
 
   /** The first upstream from the key's place on the ring that may take it, own zone first; or null. */
@@ -339,7 +340,7 @@
 
   private boolean usable(Upstream u) {
     return (panic || u.ejectedUntil <= now && !silent(u))
-        && (warmth(u) >= 1 || coldTokens(u) >= 1);
+        && (warmth(u) >= 1 || slowStartTokens(u) >= 1);
   }
 
   /** The load up to which an upstream may take a request. */
@@ -375,8 +376,8 @@
   /** Sends that a cold upstream may still get: its warmth's part of what a warm one usually gets from this
    * balancer. The trickle guards against a fleet that is cold all at once and would wait for traffic to be
    * allowed traffic. */
-  private double coldTokens(Upstream u) {
-    double rate = Math.max(COLD_TRICKLE / settings.groupSize(), warmth(u) * usualSends) / processes;
+  private double slowStartTokens(Upstream u) {
+    double rate = Math.max(COLD_TRICKLE / settings.groupSize(), warmth(u) * baselineSendRate) / processes;
     double window = rate * settings.contract().fallWindowNanos() / SECOND;
     return u.cold.fill(now, rate, Math.max(1, window * COLD_BURST));
   }
@@ -575,9 +576,10 @@
     long bad = Arrays.stream(owners).filter(u -> u.ejectedUntil > now || silent(u)).count();
     panic = bad > PANIC_SHARE * ready;
     if (fleet.mean(now) <= MIN_VALUE) {
-      usualInFlight += (readyLoad / Math.max(1, ready) - usualInFlight) * sweep / (USUAL_WINDOWS * window);
+      baselineInFlight +=
+          (readyLoad / Math.max(1, ready) - baselineInFlight) * sweep / (USUAL_WINDOWS * window);
     }
-    usualSends = Math.max(usualSends * (1 - sweep / (double) SENDS_KEPT),
+    baselineSendRate = Math.max(baselineSendRate * (1 - sweep / (double) SENDS_KEPT),
         fleet.total(now, Metric.ADMITTED) * SECOND / window / Math.max(1, ready));
     for (Open r : List.copyOf(open.values())) {
       for (Attempt a : r.attempts) {
@@ -617,15 +619,15 @@
     rebuildRing();
   }
 
-  private void inherit(Knowledge k) {
+  private void inherit(BalancerSnapshot k) {
     upstreams.inherit(now, k.upstreams());
     k.windows().forEach((name, totals) -> windows.of(name, now).inherit(now, totals));
     fleet.inherit(now, k.fleet());
-    usualInFlight = k.usualInFlight();
-    usualSends = k.usualSends();
+    baselineInFlight = k.baselineInFlight();
+    baselineSendRate = k.baselineSendRate();
     retries.tokens = Math.min(retries.tokens, k.retryTokens());
-    hints.usual = k.usualHint();
-    weightUnit = k.weightUnit() > 0 ? k.weightUnit() : weightUnit;
+    hints.usual = k.meanHint();
+    referenceWeight = k.referenceWeight() > 0 ? k.referenceWeight() : referenceWeight;
     owners = new Upstream[0]; // The ring is of the unit.
     rebuildRing();
   }
--- a/decision/src/main/java/cloverpulley/Upstream.java
+++ b/decision/src/main/java/cloverpulley/Upstream.java
@@ -1,6 +1,6 @@
 package cloverpulley;
 
-import cloverpulley.state.Knowledge.Known;
+import cloverpulley.state.BalancerSnapshot.UpstreamSnapshot;
 
 /** What a balancer knows of an upstream. */
 final class Upstream {
@@ -11,7 +11,7 @@
   long started;
   /** An operator took it out from here on and has called it back; its start since then is a guess until the
    * list tells it. */
-  boolean startGuessed;
+  boolean startEstimated;
   long outSince;
   long firstServed;
   long heardAt;
@@ -32,7 +32,7 @@
   /** It was started at {@code at}: cold from then on, and nothing that it did before counts against it. */
   void startsAnew(long now, long at) {
     started = at;
-    startGuessed = false;
+    startEstimated = false;
     failures = 0;
     ejections = 0;
     ejectedUntil = 0;
@@ -42,27 +42,27 @@
   }
 
   /** What a successor needs of it. */
-  Known known(long now) {
-    return new Known(id, started <= 0 ? -1 : now - started, startGuessed, startGuessed ? now - outSince : 0,
+  UpstreamSnapshot known(long now) {
+    return new UpstreamSnapshot(id, started <= 0 ? -1 : now - started, startEstimated, startEstimated ? now - outSince : 0,
         cold.tokens, slowness, failures, ejections, Math.max(0, ejectedUntil - now),
         firstServed == 0 ? -1 : now - firstServed, window.totals(now));
   }
 
   /** Takes over what a predecessor knew; a later start that the list tells of stays. */
-  void inherit(long now, Known k) {
-    long start = k.startedAgo() < 0 ? 0 : now - k.startedAgo();
+  void inherit(long now, UpstreamSnapshot k) {
+    long start = k.ageNanos() < 0 ? 0 : now - k.ageNanos();
     if (start >= started) {
       started = start;
-      startGuessed = k.startGuessed();
-      outSince = now - k.outFor();
-      cold.tokens = Math.min(cold.tokens, k.coldTokens());
+      startEstimated = k.startEstimated();
+      outSince = now - k.offlineNanos();
+      cold.tokens = Math.min(cold.tokens, k.slowStartTokens());
       cold.filledAt = now;
       slowness = k.slowness();
       slownessAt = now;
       failures = k.failures();
       ejections = k.ejections();
-      ejectedUntil = k.ejectedFor() > 0 ? now + k.ejectedFor() : 0;
-      firstServed = k.servingFor() < 0 ? 0 : now - k.servingFor();
+      ejectedUntil = k.ejectionNanosLeft() > 0 ? now + k.ejectionNanosLeft() : 0;
+      firstServed = k.servingNanos() < 0 ? 0 : now - k.servingNanos();
       window.inherit(now, k.window());
     }
   }
--- a/decision/src/main/java/cloverpulley/Upstreams.java
+++ b/decision/src/main/java/cloverpulley/Upstreams.java
@@ -5,7 +5,7 @@
 import cloverpulley.Balancer.EndpointUpdate;
 import cloverpulley.Balancer.ListKind;
 import cloverpulley.Balancer.State;
-import cloverpulley.state.Knowledge.Known;
+import cloverpulley.state.BalancerSnapshot.UpstreamSnapshot;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -48,7 +48,7 @@
     }
     for (Endpoint e : entries.values()) {
       Upstream u = upstreams.computeIfAbsent(e.upstream(), id -> new Upstream(id, new Window(window, now)));
-      if (e.startedNanos() > (u.startGuessed ? u.outSince : u.started)) {
+      if (e.startedNanos() > (u.startEstimated ? u.outSince : u.started)) {
         u.startsAnew(now, e.startedNanos());
       }
       u.listed = e;
@@ -81,12 +81,12 @@
     if (since != null && u != null) {
       boolean told = u.started > since;
       u.startsAnew(now, told ? u.started : now);
-      u.startGuessed = !told;
+      u.startEstimated = !told;
       u.outSince = since;
     }
   }
 
-  void inherit(long now, List<Known> known) {
+  void inherit(long now, List<UpstreamSnapshot> known) {
     known.stream().filter(k -> upstreams.containsKey(k.upstream()))
         .forEach(k -> upstreams.get(k.upstream()).inherit(now, k));
   }
--- a/decision/src/test/java/cloverpulley/InheritTest.java
+++ b/decision/src/test/java/cloverpulley/SnapshotTest.java
@@ -3,36 +3,37 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.Balancer.Bequeath;
+import cloverpulley.Balancer.PublishSnapshot;
 import cloverpulley.Balancer.ProcessCountChanged;
 import cloverpulley.Balancer.UpstreamSetOnline;
 import cloverpulley.Balancer.Endpoint;
-import cloverpulley.Balancer.HandOver;
-import cloverpulley.Balancer.Inherited;
+import cloverpulley.Balancer.SnapshotRequested;
+import cloverpulley.Balancer.SnapshotRestored;
 import cloverpulley.Balancer.ListKind;
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.State;
 import cloverpulley.Balancer.Status;
 import cloverpulley.Balancer.UpstreamSetOffline;
-import cloverpulley.state.Knowledge;
+import cloverpulley.state.BalancerSnapshot;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
 /** What one instance knows helps the one that takes over, whatever the readings of their clocks. */
-class InheritTest {
+class SnapshotTest {
 
   private static final long MS = Driver.MS;
 
-  private static Knowledge knowledge(Driver d) {
-    return d.step(new HandOver()).stream().filter(Bequeath.class::isInstance).map(a -> ((Bequeath) a).knowledge()).findFirst().get();
+  private static BalancerSnapshot snapshot(Driver d) {
+    return d.step(new SnapshotRequested()).stream().filter(PublishSnapshot.class::isInstance)
+        .map(a -> ((PublishSnapshot) a).snapshot()).findFirst().get();
   }
 
   private static Driver successor(Driver of, Endpoint... list) {
-    Knowledge k = knowledge(of);
+    BalancerSnapshot k = snapshot(of);
     Driver d = new Driver(Driver.safe(), 8);
     d.now = 5_000_000_000_000L;
     d.list(ListKind.CACHED, list);
-    d.step(new Inherited(k));
+    d.step(new SnapshotRestored(k));
     return d;
   }
 
@@ -96,10 +97,10 @@
         }
       }
     }
-    Knowledge.Known bad = knowledge(old).upstreams().stream().filter(u -> u.upstream() == 101).findFirst().get();
-    assertTrue(bad.ejectedFor() > 0, "it was not left out: this shows nothing");
+    BalancerSnapshot.UpstreamSnapshot bad = snapshot(old).upstreams().stream().filter(u -> u.upstream() == 101).findFirst().get();
+    assertTrue(bad.ejectionNanosLeft() > 0, "it was not left out: this shows nothing");
     Driver d = successor(old, Driver.up(100), Driver.up(101), Driver.up(102), Driver.up(103));
-    long left = bad.ejectedFor() / MS;
+    long left = bad.ejectionNanosLeft() / MS;
     assertEquals(0, sendsTo(101, d, left - 10));
   }
 
--- a/engine/src/main/java/cloverpulley/engine/Engine.java
+++ b/engine/src/main/java/cloverpulley/engine/Engine.java
@@ -2,7 +2,7 @@
 
 import cloverpulley.Balancer.Action;
 import cloverpulley.Balancer.AnswerStarted;
-import cloverpulley.Balancer.Bequeath;
+import cloverpulley.Balancer.PublishSnapshot;
 import cloverpulley.Balancer.ProcessCountChanged;
 import cloverpulley.Balancer.BodyEnded;
 import cloverpulley.Balancer.UpstreamSetOnline;
@@ -13,8 +13,8 @@
 import cloverpulley.Balancer.Event;
 import cloverpulley.Balancer.Fail;
 import cloverpulley.Balancer.FetchEndpoints;
-import cloverpulley.Balancer.HandOver;
-import cloverpulley.Balancer.Inherited;
+import cloverpulley.Balancer.SnapshotRequested;
+import cloverpulley.Balancer.SnapshotRestored;
 import cloverpulley.Balancer.ListKind;
 import cloverpulley.Balancer.Outcome;
 import cloverpulley.Balancer.PeerMessage;
@@ -34,7 +34,7 @@
 import cloverpulley.Balancer.Watch;
 import cloverpulley.Balancer;
 import cloverpulley.Reason;
-import cloverpulley.state.Knowledge;
+import cloverpulley.state.BalancerSnapshot;
 import java.net.SocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -74,7 +74,7 @@
   private final Map<String, Exchange> exchanges = new HashMap<>();
   /** What has happened and the module has not been told; an entry is worded when its turn comes. */
   private final ArrayDeque<Supplier<Event>> queue = new ArrayDeque<>();
-  private Consumer<Knowledge> knowledgeTo = k -> { };
+  private Consumer<BalancerSnapshot> knowledgeTo = k -> { };
   private boolean scheduled;
   private Balancer module;
   private long generation;
@@ -197,14 +197,14 @@
   }
 
   /** Asks the module what it knows, for a successor; told in the module's turn. */
-  public void knowledge(Consumer<Knowledge> to) {
+  public void knowledge(Consumer<BalancerSnapshot> to) {
     knowledgeTo = to;
-    enqueue(HandOver::new);
+    enqueue(SnapshotRequested::new);
   }
 
   /** What a predecessor's module knew; after the first list. */
-  public void inherit(Knowledge knowledge) {
-    enqueue(() -> new Inherited(knowledge));
+  public void inherit(BalancerSnapshot knowledge) {
+    enqueue(() -> new SnapshotRestored(knowledge));
   }
 
   /** Other settings hold for requests that are taken from here on; those in hand keep theirs. */
@@ -445,8 +445,8 @@
       transports.forEach(t -> t.closeIdle(a.upstream()));
     } else if (action instanceof SendToPeer a) {
       peers.send(a.to(), a.data());
-    } else if (action instanceof Bequeath a) {
-      knowledgeTo.accept(a.knowledge());
+    } else if (action instanceof PublishSnapshot a) {
+      knowledgeTo.accept(a.snapshot());
     } else if (action instanceof Balancer.Log a) {
       LOG.info(a.text());
     }
--- a/handover/src/main/java/cloverpulley/handover/HandoverSnapshot.java
+++ b/handover/src/main/java/cloverpulley/handover/HandoverSnapshot.java
@@ -3,8 +3,8 @@
 import cloverpulley.Balancer.State;
 import cloverpulley.engine.ServerList;
 import cloverpulley.engine.ServerList.Server;
-import cloverpulley.state.Knowledge;
-import cloverpulley.state.Knowledge.Known;
+import cloverpulley.state.BalancerSnapshot;
+import cloverpulley.state.BalancerSnapshot.UpstreamSnapshot;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -30,7 +30,7 @@
  * @param names that were ever listed, the one listed last at the end
  * @param knowledge null where it is left out
  */
-public record HandoverSnapshot(ServerList list, List<String> names, Knowledge knowledge) {
+public record HandoverSnapshot(ServerList list, List<String> names, BalancerSnapshot knowledge) {
 
   private static final int MAGIC = 0x41534844;
   private static final int VERSION = 2;
@@ -104,19 +104,19 @@
     return names.subList(from, names.size());
   }
 
-  private static void write(DataOutputStream out, Knowledge k) throws IOException {
+  private static void write(DataOutputStream out, BalancerSnapshot k) throws IOException {
     out.writeInt(k.upstreams().size());
-    for (Known u : k.upstreams()) {
+    for (UpstreamSnapshot u : k.upstreams()) {
       out.writeLong(u.upstream());
-      out.writeLong(u.startedAgo());
-      out.writeBoolean(u.startGuessed());
-      out.writeLong(u.outFor());
-      out.writeDouble(u.coldTokens());
+      out.writeLong(u.ageNanos());
+      out.writeBoolean(u.startEstimated());
+      out.writeLong(u.offlineNanos());
+      out.writeDouble(u.slowStartTokens());
       out.writeDouble(u.slowness());
       out.writeInt(u.failures());
       out.writeInt(u.ejections());
-      out.writeLong(u.ejectedFor());
-      out.writeLong(u.servingFor());
+      out.writeLong(u.ejectionNanosLeft());
+      out.writeLong(u.servingNanos());
       write(out, u.window());
     }
     out.writeInt(k.windows().size());
@@ -125,7 +125,7 @@
       write(out, w.getValue());
     }
     write(out, k.fleet());
-    write(out, new double[] {k.usualInFlight(), k.usualSends(), k.usualHint(), k.weightUnit(), k.retryTokens()});
+    write(out, new double[] {k.baselineInFlight(), k.baselineSendRate(), k.meanHint(), k.referenceWeight(), k.retryTokens()});
   }
 
   private static void write(DataOutputStream out, double[] figures) throws IOException {
@@ -181,7 +181,7 @@
       InetSocketAddress address = new InetSocketAddress(InetAddress.getByAddress(host), in.readInt());
       members.add(new Server(id, address, in.readUTF(), in.readInt(), State.values()[in.readByte()], in.readDouble(), in.readLong()));
     }
-    Knowledge knowledge = in.readBoolean() ? knowledge(in) : null;
+    BalancerSnapshot knowledge = in.readBoolean() ? knowledge(in) : null;
     count = count(in, MAX_NAMES);
     List<String> names = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
@@ -190,20 +190,20 @@
     return new HandoverSnapshot(new ServerList(revision, true, members), names, knowledge);
   }
 
-  private static Knowledge knowledge(DataInputStream in) throws IOException {
+  private static BalancerSnapshot knowledge(DataInputStream in) throws IOException {
     int count = count(in, MAX_SERVERS);
-    List<Known> upstreams = new ArrayList<>(count);
+    List<UpstreamSnapshot> upstreams = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
-      upstreams.add(new Known(in.readLong(), in.readLong(), in.readBoolean(), in.readLong(), figure(in), figure(in), in.readInt(),
-          in.readInt(), in.readLong(), in.readLong(), figures(in, Knowledge.METRICS)));
+      upstreams.add(new UpstreamSnapshot(in.readLong(), in.readLong(), in.readBoolean(), in.readLong(), figure(in), figure(in), in.readInt(),
+          in.readInt(), in.readLong(), in.readLong(), figures(in, BalancerSnapshot.METRICS)));
     }
-    count = count(in, Knowledge.MOST_WINDOWS);
+    count = count(in, BalancerSnapshot.MAX_WINDOWS);
     Map<String, double[]> windows = new LinkedHashMap<>();
     for (int i = 0; i < count; i++) {
-      windows.put(in.readUTF(), figures(in, Knowledge.METRICS));
+      windows.put(in.readUTF(), figures(in, BalancerSnapshot.METRICS));
     }
-    double[] fleet = figures(in, Knowledge.METRICS);
-    return new Knowledge(upstreams, windows, fleet, figure(in), figure(in), figure(in), figure(in), figure(in));
+    double[] fleet = figures(in, BalancerSnapshot.METRICS);
+    return new BalancerSnapshot(upstreams, windows, fleet, figure(in), figure(in), figure(in), figure(in), figure(in));
   }
 
   private static double[] figures(DataInputStream in, int count) throws IOException {
--- a/handover/src/test/java/cloverpulley/handover/HandoverSnapshotTest.java
+++ b/handover/src/test/java/cloverpulley/handover/HandoverSnapshotTest.java
@@ -12,8 +12,8 @@
 import cloverpulley.handover.HandoverSnapshot.Unusable;
 import cloverpulley.handover.ProcessRegistry.Lifecycle;
 import cloverpulley.handover.ProcessRegistry.PeerProcess;
-import cloverpulley.state.Knowledge;
-import cloverpulley.state.Knowledge.Known;
+import cloverpulley.state.BalancerSnapshot;
+import cloverpulley.state.BalancerSnapshot.UpstreamSnapshot;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.file.Path;
@@ -34,8 +34,8 @@
     List<Server> servers = List.of(
         new Server("s-1", new InetSocketAddress("127.0.0.1", 8001), "a", 3, State.READY, 1.5, 17),
         new Server("s-2", new InetSocketAddress("::1", 8002), "b", 4, State.DRAINING, 1, 0));
-    Knowledge knowledge = new Knowledge(List.of(new Known(7, -1, false, 0, 0.5, 1.25, 1, 2, 3, 4, FIGURES),
-        new Known(8, 99, true, 50, 0, 1, 0, 0, 0, -1, FIGURES)), Map.of("c t k", FIGURES), FIGURES, 2, 3, 4, 5, retryTokens);
+    BalancerSnapshot knowledge = new BalancerSnapshot(List.of(new UpstreamSnapshot(7, -1, false, 0, 0.5, 1.25, 1, 2, 3, 4, FIGURES),
+        new UpstreamSnapshot(8, 99, true, 50, 0, 1, 0, 0, 0, -1, FIGURES)), Map.of("c t k", FIGURES), FIGURES, 2, 3, 4, 5, retryTokens);
     return new HandoverSnapshot(new ServerList(41, true, servers), List.of("s-0", "s-1", "s-2"), knowledge);
   }
 
--- a/http/src/main/java/cloverpulley/serve/Server.java
+++ b/http/src/main/java/cloverpulley/serve/Server.java
@@ -14,7 +14,7 @@
 import cloverpulley.engine.Sockets;
 import cloverpulley.engine.Witness;
 import cloverpulley.handover.HandoverSnapshot;
-import cloverpulley.state.Knowledge.Known;
+import cloverpulley.state.BalancerSnapshot.UpstreamSnapshot;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
@@ -251,11 +251,12 @@
 
   /** A predecessor knows when servers started, whatever the wall clocks of the two say. */
   private static void takeOverStarts(Fleet fleet, HandoverSnapshot inherited) {
-    Map<Long, Known> known = inherited.knowledge().upstreams().stream().collect(Collectors.toMap(Known::upstream, k -> k, (a, b) -> a));
+    Map<Long, UpstreamSnapshot> known = inherited.knowledge().upstreams().stream()
+        .collect(Collectors.toMap(UpstreamSnapshot::upstream, k -> k, (a, b) -> a));
     for (ServerList.Server server : inherited.list().members()) {
-      Known k = known.get(fleet.numberOf(server.id()));
+      UpstreamSnapshot k = known.get(fleet.numberOf(server.id()));
       if (k != null) {
-        fleet.started(server, k.startedAgo());
+        fleet.started(server, k.ageNanos());
       }
     }
   }
