--- a/config/src/main/java/cloverpulley/config/ServiceSection.java
+++ b/config/src/main/java/cloverpulley/config/ServiceSection.java
@@ -4,7 +4,7 @@
 import cloverpulley.Balancer.DedupScope;
 import cloverpulley.Balancer.Effect;
 import cloverpulley.Balancer.Limits;
-import cloverpulley.Balancer.Prices;
+import cloverpulley.Balancer.Penalties;
 import cloverpulley.Balancer.RequestClass;
 import cloverpulley.Balancer.Settings;
 import cloverpulley.Balancer.Tenant;
@@ -46,7 +46,7 @@
     Contract contract = new Contract(0, 10_000_000_000L, millis(s, "drain_grace_ms", 2000),
         s.number("cold_from", 0.01, 1, 0.32), millis(s, "warm_within_ms", 8500), s.number("fall_multiple", 1, 100, 3),
         millis(s, "fall_window_ms", 3000));
-    return new Settings(me, group, s.text("zone", ""), classes, tenants, limits, contract, new Prices(0, 0, 0),
+    return new Settings(me, group, s.text("zone", ""), classes, tenants, limits, contract, new Penalties(0, 0, 0),
         true, s.flag("sizes", true) ? WeightKind.NOMINAL : WeightKind.NONE, s.number("over_share_worth", 0, 1, 0.2),
         s.flag("warm_keys", true), 1_000_000L);
   }
--- a/decision/src/main/java/cloverpulley/Balancer.java
+++ b/decision/src/main/java/cloverpulley/Balancer.java
@@ -57,20 +57,20 @@
   /** A tenant; its quota (requests a second over all balancers) is 0 where none is stated. */
   record Tenant(String name, double share, double quotaPerSecond) {}
 
-  /** What the deployment allows. {@code maxOpen} is the most requests one balancer holds. */
-  record Limits(boolean cancel, boolean probes, boolean peers, boolean secondCopies, boolean retryAfter,
-      long maxRetryAfterNanos, int maxAttempts, int maxOpen, int streamsPerConnection, long connectTimeoutNanos) {}
+  /** What the deployment allows. {@code maxPending} is the most requests one balancer holds. */
+  record Limits(boolean cancel, boolean probes, boolean peers, boolean hedging, boolean retryAfter,
+      long maxRetryAfterNanos, int maxAttempts, int maxPending, int streamsPerConnection, long connectTimeoutNanos) {}
 
-  /** The figures of the four rules. {@code askWithinNanos} is 0 where the list is pushed. */
-  record Contract(long answerSlackNanos, long askWithinNanos, long drainGraceNanos, double coldFrom,
-      long warmWithinNanos, double fallMultiple, long fallWindowNanos) {}
+  /** The figures of the four rules. {@code resubscribeWithinNanos} is 0 where the list is pushed. */
+  record Contract(long answerSlackNanos, long resubscribeWithinNanos, long drainGraceNanos, double slowStartMinRatio,
+      long slowStartNanos, double overloadMultiple, long overloadWindowNanos) {}
 
   /** Points of the result that a unit costs. */
-  record Prices(double crossZone, double waste, double lateFail) {}
+  record Penalties(double crossZone, double waste, double lateFail) {}
 
   /** A balancer's settings, handed over once when the instance is made. */
-  record Settings(int me, int groupSize, String zone, List<RequestClass> classes, List<Tenant> tenants, Limits limits,
-      Contract contract, Prices prices, boolean listOnRequest, WeightKind weightKind, double overShareWorth,
+  record Settings(int selfId, int groupSize, String zone, List<RequestClass> classes, List<Tenant> tenants, Limits limits,
+      Contract contract, Penalties penalties, boolean listOnRequest, WeightKind weightKind, double overShareWorth,
       boolean warmKeys, long tickNanos) {
 
     /** Checks what cannot make sense, naming the setting. */
@@ -88,14 +88,14 @@
         check(t.share >= 0 && t.quotaPerSecond >= 0, "share and quota of tenant " + t.name + " must not be negative");
       }
       check(limits.maxAttempts > 0, "max attempts must be above 0");
-      check(limits.maxOpen > 0, "max open must be above 0");
+      check(limits.maxPending > 0, "max open must be above 0");
       check(limits.maxRetryAfterNanos >= 0, "max retry-after must not be negative");
       check(contract.answerSlackNanos >= 0, "answer slack must not be negative");
-      check(contract.askWithinNanos >= 0, "ask-within must not be negative");
+      check(contract.resubscribeWithinNanos >= 0, "ask-within must not be negative");
       check(contract.drainGraceNanos >= 0, "drain grace must not be negative");
-      check(contract.coldFrom > 0 && contract.coldFrom <= 1, "cold-from must be above 0 and at most 1");
-      check(contract.warmWithinNanos >= 0, "warm-within must not be negative");
-      check(contract.fallMultiple > 0 && contract.fallWindowNanos >= 0, "fall figures must not be negative");
+      check(contract.slowStartMinRatio > 0 && contract.slowStartMinRatio <= 1, "cold-from must be above 0 and at most 1");
+      check(contract.slowStartNanos >= 0, "warm-within must not be negative");
+      check(contract.overloadMultiple > 0 && contract.overloadWindowNanos >= 0, "fall figures must not be negative");
       check(tickNanos >= 0, "tick must not be negative");
     }
 
--- a/decision/src/main/java/cloverpulley/Logic.java
+++ b/decision/src/main/java/cloverpulley/Logic.java
@@ -212,7 +212,7 @@
         hints.load(request.workHintNanos()), settings.limits().maxAttempts());
     boolean repeat = !request.priorAttempts().isEmpty();
     request.priorAttempts().forEach(e -> r.attempts.add(upstreams.priorAttempt(e)));
-    boolean full = open.size() >= settings.limits().maxOpen();
+    boolean full = open.size() >= settings.limits().maxPending();
     // A repeat is a further attempt of what was admitted once: the retry budget bounds it, not the line.
     if (full || !repeat && !admit(r)) {
       answer(r, full ? Reason.TABLE_FULL : Reason.OVER_RATE);
@@ -369,8 +369,8 @@
 
   /** The part of its capacity that an upstream surely has: from cold-from, evenly, to the whole. */
   private double warmth(Upstream u) {
-    double part = Math.max(0, now - u.started) / (double) Math.max(1, settings.contract().warmWithinNanos());
-    return u.started <= 0 || part >= 1 ? 1 : settings.contract().coldFrom() * (1 - part) + part;
+    double part = Math.max(0, now - u.started) / (double) Math.max(1, settings.contract().slowStartNanos());
+    return u.started <= 0 || part >= 1 ? 1 : settings.contract().slowStartMinRatio() * (1 - part) + part;
   }
 
   /** Sends that a cold upstream may still get: its warmth's part of what a warm one usually gets from this
@@ -378,7 +378,7 @@
    * allowed traffic. */
   private double slowStartTokens(Upstream u) {
     double rate = Math.max(COLD_TRICKLE / settings.groupSize(), warmth(u) * baselineSendRate) / processes;
-    double window = rate * settings.contract().fallWindowNanos() / SECOND;
+    double window = rate * settings.contract().overloadWindowNanos() / SECOND;
     return u.cold.fill(now, rate, Math.max(1, window * COLD_BURST));
   }
 
@@ -422,7 +422,7 @@
   /** A second copy past a silent upstream, where class and settings allow it and the fleet is healthy. */
   private void hedge(Open r) {
     Attempt last = r.attempts.get(r.attempts.size() - 1);
-    if (!settings.limits().secondCopies() || !settings.limits().cancel() || !silent(last.upstream)
+    if (!settings.limits().hedging() || !settings.limits().cancel() || !silent(last.upstream)
         || !retries.allowsCopy() || fleet.mean(now) > MIN_VALUE || now - r.arrived > r.type.aimNanos()
         || r.once || r.attempts.size() >= r.maxAttempts) {
       return;
--- a/decision/src/test/java/cloverpulley/Driver.java
+++ b/decision/src/test/java/cloverpulley/Driver.java
@@ -10,7 +10,7 @@
 import cloverpulley.Balancer.Limits;
 import cloverpulley.Balancer.ListKind;
 import cloverpulley.Balancer.Outcome;
-import cloverpulley.Balancer.Prices;
+import cloverpulley.Balancer.Penalties;
 import cloverpulley.Balancer.Request;
 import cloverpulley.Balancer.RequestClass;
 import cloverpulley.Balancer.Send;
@@ -58,7 +58,7 @@
     return new Settings(0, 1, "a", List.of(classes), tenants,
         new Limits(true, false, false, true, true, 1000 * MS, 4, 10_000, 1, 200 * MS),
         new Contract(8 * MS, onRequest ? 10_000 * MS : 0, 250 * MS, 0.3, 8000 * MS, 3, 3000 * MS),
-        new Prices(0, 0, 0), onRequest, WeightKind.NONE, 0.2, true, MS);
+        new Penalties(0, 0, 0), onRequest, WeightKind.NONE, 0.2, true, MS);
   }
 
   static Settings safe() {
--- a/decision/src/test/java/cloverpulley/LargeFleetTest.java
+++ b/decision/src/test/java/cloverpulley/LargeFleetTest.java
@@ -10,7 +10,7 @@
 import cloverpulley.Balancer.Endpoint;
 import cloverpulley.Balancer.Limits;
 import cloverpulley.Balancer.ListKind;
-import cloverpulley.Balancer.Prices;
+import cloverpulley.Balancer.Penalties;
 import cloverpulley.Balancer.Settings;
 import cloverpulley.Balancer.State;
 import cloverpulley.Balancer.Status;
@@ -40,7 +40,7 @@
     return new Settings(me, BALANCERS, "a", List.of(Driver.type("c", Effect.SAFE, DedupScope.ALL)), List.of(),
         new Limits(true, false, false, true, true, 1000 * MS, 4, 10_000, 1, 200 * MS),
         new Contract(8 * MS, 10_000 * MS, 250 * MS, COLD_FROM, WARM_MS * MS, FALL_MULTIPLE, FALL_MS * MS),
-        new Prices(0, 0, 0), true, WeightKind.NONE, 0.2, true, MS);
+        new Penalties(0, 0, 0), true, WeightKind.NONE, 0.2, true, MS);
   }
 
   private static List<Driver> balancers(long seed) {
--- a/decision/src/test/java/cloverpulley/SettingsChangedTest.java
+++ b/decision/src/test/java/cloverpulley/SettingsChangedTest.java
@@ -28,9 +28,9 @@
   private static Settings settings(int attempts, RequestClass... classes) {
     Settings s = Driver.settings(false, List.of(), classes);
     Limits l = s.limits();
-    return new Settings(s.me(), s.groupSize(), s.zone(), s.classes(), s.tenants(), new Limits(l.cancel(), l.probes(), l.peers(),
-        l.secondCopies(), l.retryAfter(), l.maxRetryAfterNanos(), attempts, l.maxOpen(), l.streamsPerConnection(),
-        l.connectTimeoutNanos()), s.contract(), s.prices(), s.listOnRequest(), s.weightKind(), s.overShareWorth(), s.warmKeys(),
+    return new Settings(s.selfId(), s.groupSize(), s.zone(), s.classes(), s.tenants(), new Limits(l.cancel(), l.probes(), l.peers(),
+        l.hedging(), l.retryAfter(), l.maxRetryAfterNanos(), attempts, l.maxPending(), l.streamsPerConnection(),
+        l.connectTimeoutNanos()), s.contract(), s.penalties(), s.listOnRequest(), s.weightKind(), s.overShareWorth(), s.warmKeys(),
         s.tickNanos());
   }
 
--- a/decision/src/test/java/cloverpulley/StormTest.java
+++ b/decision/src/test/java/cloverpulley/StormTest.java
@@ -16,7 +16,7 @@
 import cloverpulley.Balancer.Limits;
 import cloverpulley.Balancer.ListKind;
 import cloverpulley.Balancer.Outcome;
-import cloverpulley.Balancer.Prices;
+import cloverpulley.Balancer.Penalties;
 import cloverpulley.Balancer.Reject;
 import cloverpulley.Balancer.Request;
 import cloverpulley.Balancer.RequestClass;
@@ -139,7 +139,7 @@
         new Limits(random.nextBoolean(), false, false, random.nextBoolean(), true, 1000 * MS, 1 + random.nextInt(6),
             40 + random.nextInt(1000), 1, 100 * MS),
         new Contract(12 * MS, random.nextBoolean() ? 10_000 * MS : 0, 0, 0.2, 5000 * MS, 3, 2000 * MS),
-        new Prices(0, 0, 0), random.nextBoolean(), WeightKind.values()[random.nextInt(4)], 0.1, true, MS);
+        new Penalties(0, 0, 0), random.nextBoolean(), WeightKind.values()[random.nextInt(4)], 0.1, true, MS);
   }
 
   /** A new state for one upstream. */
@@ -210,7 +210,7 @@
     assertTrue(!e.answered, "sent after the final answer");
     assertEquals(State.READY, to.state(), "sent to a draining or gone upstream");
     assertTrue(e.tries.size() < settings.limits().maxAttempts(), "too many attempts");
-    assertTrue(e.out() == 0 || settings.limits().secondCopies(), "second copy");
+    assertTrue(e.out() == 0 || settings.limits().hedging(), "second copy");
     assertTrue(now < e.deadline, "sent past the deadline");
     for (int i = 0; i < e.tries.size(); i++) {
       Try t = e.tries.get(i);
--- a/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
@@ -145,7 +145,7 @@
           if (agree == null) {
             return;
           }
-          Follower f = new Follower(agree, upstreams(wired), TimeUnit.NANOSECONDS.toMillis(operators.settings().contract().warmWithinNanos()),
+          Follower f = new Follower(agree, upstreams(wired), TimeUnit.NANOSECONDS.toMillis(operators.settings().contract().slowStartNanos()),
               b.agreeMillis());
           ears.follower = f;
           try {
--- a/dns/src/main/java/cloverpulley/dns/DnsConfig.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsConfig.java
@@ -248,6 +248,6 @@
     return new FleetNames(origin(f), type, f.whole("ttl_s", 1, 3600, 5),
         f.address("name_server", listen.getAddress().getHostAddress().contains(":")
             ? "[" + listen.getAddress().getHostAddress() + "]:53" : listen.getAddress().getHostAddress() + ":53"),
-        service.contract().warmWithinNanos(), service.contract().coldFrom());
+        service.contract().slowStartNanos(), service.contract().slowStartMinRatio());
   }
 }
--- a/http/src/main/java/cloverpulley/serve/Server.java
+++ b/http/src/main/java/cloverpulley/serve/Server.java
@@ -209,14 +209,14 @@
     Clock clock = new Clock();
     Fleet fleet = new Fleet(clock);
     Sockets sockets = new Sockets(config.sockets() - (config.management() == null ? 0 : ManagementServer.MOST_CALLERS));
-    Counts counts = new Counts(fleet, config.settings().contract().warmWithinNanos());
+    Counts counts = new Counts(fleet, config.settings().contract().slowStartNanos());
     counts.writeOn(loop);
     Bootstrap connections = new Bootstrap().group(group).channelFactory(UpstreamSocket::new)
         .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.WRITE_BUFFER_WATER_MARK, MARKS)
         .option(ChannelOption.RECVBUF_ALLOCATOR, reads());
     UpstreamPool pool = new UpstreamPool(connections, sockets, config.settings().limits().connectTimeoutNanos(),
         config.idleNanos(), fleet::isReady, config.loadReports(), new BufferBudget(config.memoryBytes() / ANSWERS_PART), counts);
-    peers = new Peers(config.settings().me(), config.peers(), config.peersAll());
+    peers = new Peers(config.settings().selfId(), config.peers(), config.peersAll());
     pushed = !config.settings().listOnRequest();
     Engine.ListSource source;
     if (lists == null) {
--- a/model/src/main/java/cloverpulley/model/World.java
+++ b/model/src/main/java/cloverpulley/model/World.java
@@ -39,7 +39,7 @@
 
   private ModelServer server(long startedAt) {
     ModelServer s = new ModelServer(this, 1 + servers.size(), servers.size() / 4, plan.workers(), plan.queueMost(), startedAt,
-        contract.coldFrom(), contract.warmWithinNanos());
+        contract.slowStartMinRatio(), contract.slowStartNanos());
     servers.add(s);
     return s;
   }
--- a/records/src/main/java/cloverpulley/records/Recorder.java
+++ b/records/src/main/java/cloverpulley/records/Recorder.java
@@ -120,7 +120,7 @@
 
   /** What a reader has to know of this life before anything else. */
   private void start(Settings settings) {
-    put(entry(Kind.START).says(front, settings.me(), settings.groupSize()));
+    put(entry(Kind.START).says(front, settings.selfId(), settings.groupSize()));
     for (RequestClass c : settings.classes()) {
       put(new Entry(origin, 0, micros.getAsLong(), Kind.CLASS, 0, null, c.name(), null, 0, 0, 0, null,
           word(c.effect()) + " " + word(c.dedupScope()), c.dedupWindowNanos() / 1000, c.deadlineNanos() / 1000));
--- a/wire/src/main/java/cloverpulley/wire/SettingsDecoder.java
+++ b/wire/src/main/java/cloverpulley/wire/SettingsDecoder.java
@@ -4,7 +4,7 @@
 import cloverpulley.Balancer.DedupScope;
 import cloverpulley.Balancer.Effect;
 import cloverpulley.Balancer.Limits;
-import cloverpulley.Balancer.Prices;
+import cloverpulley.Balancer.Penalties;
 import cloverpulley.Balancer.RequestClass;
 import cloverpulley.Balancer.Settings;
 import cloverpulley.Balancer.Tenant;
@@ -53,7 +53,7 @@
         c.number("cold-from", 0.1), c.integer("warm-within-ns", 30_000_000_000L), c.number("fall-multiple", 1),
         c.integer("overload-for-ns", 1_000_000_000L));
     Fields p = f.nested("prices");
-    Prices prices = new Prices(p.number("cross-zone", 0), p.number("waste", 0), p.number("late-fail", 0));
+    Penalties prices = new Penalties(p.number("cross-zone", 0), p.number("waste", 0), p.number("late-fail", 0));
     return new Settings(f.small("me", 0), f.small("group-size", 1), f.text("zone", ""), classes,
         tenants, limits, contract, prices, onRequest, f.word("weight-kind", WEIGHTS, WeightKind.NONE),
         f.number("over-share-worth", 1), f.nested("domain").bool("warm-keys", false),
