--- a/decision/src/main/java/cloverpulley/Balancer.java
+++ b/decision/src/main/java/cloverpulley/Balancer.java
@@ -6,74 +6,96 @@
 import java.util.function.Consumer;
 
 /**
- * The interface of the decision module: what a balancer tells it and what it asks the balancer to do.
+ * Interface of the decision module: the events that the host passes in and the actions that it has to carry out.
  *
- * <p>One instance decides for one balancer. It is single-threaded: call {@link #handle} from one thread at a time,
+ * <p>One instance decides for one balancer. It is single-threaded: call {@link #handle} from one thread at a time, with
  * events in the order in which they happened. Times and durations are nanoseconds; a clock reading has no particular
- * origin and never goes back. The module reads no clock, no environment and no random source but its seed, so the same
- * calls give the same actions.
+ * origin and never goes back. The module reads no clock and no environment and draws random numbers from its seed only,
+ * so the same calls give the same actions.
  *
- * <p>Actions are to be carried out in the order in which they are handed over, at the clock reading of their event.
- * Every {@link Send} is owed exactly one {@link Outcome}, every {@link SetTimer} one {@link TimerFired}, every
- * {@link Probe} one {@link ProbeResult}. An exception out of {@link #handle} is a defect: drop the instance.
+ * <p>The host carries out actions in the order in which they are emitted, at the clock reading of their event. It must
+ * deliver exactly one {@link Outcome} for every {@link Send}, one {@link TimerFired} for every {@link SetTimer} and one
+ * {@link ProbeResult} for every {@link Probe}. An exception from {@link #handle} is a defect: discard the instance.
  */
 public interface Balancer {
 
-  /** Handles one event at clock reading {@code nowNanos}; actions go to {@code out} in order. */
+  /** Handles one event at clock reading {@code nowNanos} and passes the resulting actions to {@code out} in order. */
   void handle(long nowNanos, Event event, Consumer<Action> out);
 
-  /** May a request of a class run again. */
+  /**
+   * Whether a request may run more than once: always, only where upstreams deduplicate it by its idempotency key, or
+   * never.
+   */
   enum Effect { SAFE, KEYED, UNSAFE }
 
-  /** The upstreams that drop a repeat of a keyed request. */
+  /** The group of upstreams that deduplicates retries of a keyed request among themselves. */
   enum DedupScope { ALL, ZONE, CELL }
 
   /** How an attempt or a probe ended. */
   enum Status {
     SERVED, ERROR, FULL, TIMEOUT, CONNECT_FAILED, RESET, CANCELLED, NOT_SENT;
 
-    /** Whether this outcome proves that the attempt never ran. */
+    /** Whether this status proves that the upstream never executed the attempt. */
     public boolean provesNotRun() {
       return this == FULL || this == CONNECT_FAILED || this == NOT_SENT;
     }
   }
 
-  /** What the list says of an upstream. */
+  /** State of an upstream in the endpoint list. */
   enum State { READY, DRAINING, GONE }
 
-  /** Changes only, the complete list, the complete list as last held (maybe stale), or a failed call. */
+  /** Changes only, the complete list, the complete list from the cache (maybe stale), or a failed call. */
   enum ListKind { DELTA, FULL, CACHED, FAILED }
 
-  /** What an upstream's weight means. */
+  /** What the weight of an upstream means. */
   enum WeightKind { NONE, NOMINAL, ROUGH, LIVE }
 
   /**
-   * A class of requests. An answer within {@code aimNanos + aimStretch x own work} earns {@code worth}, a later one
-   * before the deadline {@code lateWorth} of it.
+   * A class of requests. A response within {@code aimNanos + aimStretch x own work} scores {@code worth}, a later one
+   * before the deadline scores {@code lateWorth} of it.
    */
   record RequestClass(String name, Effect effect, DedupScope dedupScope, long dedupWindowNanos, long aimNanos,
       double aimStretch, long deadlineNanos, double worth, double lateWorth, boolean stream) {}
 
-  /** A tenant; its quota (requests a second over all balancers) is 0 where none is stated. */
+  /** A tenant; its quota in requests per second over all balancers is 0 if none is configured. */
   record Tenant(String name, double share, double quotaPerSecond) {}
 
-  /** What the deployment allows. {@code maxPending} is the most requests one balancer holds. */
+  /** Capabilities and limits of the deployment. {@code maxPending} limits the requests in progress in one balancer. */
   record Limits(boolean cancel, boolean probes, boolean peers, boolean hedging, boolean retryAfter,
       long maxRetryAfterNanos, int maxAttempts, int maxPending, int streamsPerConnection, long connectTimeoutNanos) {}
 
-  /** The figures of the four rules. {@code resubscribeWithinNanos} is 0 where the list is pushed. */
+  /**
+   * Parameters of the four rules that a balancer must keep.
+   *
+   * @param answerSlackNanos how long after its deadline a request may get its final response
+   * @param resubscribeWithinNanos how soon after a failed call the list is requested again; 0 if the list is pushed
+   * @param drainGraceNanos how long after an upstream starts draining it may still get requests
+   * @param slowStartMinRatio part of its capacity that an upstream has right after its start
+   * @param slowStartNanos time from the start of an upstream until it has its full capacity
+   * @param overloadMultiple an upstream in slow start is overloaded by this multiple of its capacity
+   * @param overloadWindowNanos window in which the multiple is counted
+   */
   record Contract(long answerSlackNanos, long resubscribeWithinNanos, long drainGraceNanos, double slowStartMinRatio,
       long slowStartNanos, double overloadMultiple, long overloadWindowNanos) {}
 
-  /** Points of the result that a unit costs. */
+  /** Score lost per unit. */
   record Penalties(double crossZone, double waste, double lateFail) {}
 
-  /** A balancer's settings, handed over once when the instance is made. */
+  /**
+   * Settings of a balancer, passed to the constructor and with {@link SettingsChanged}.
+   *
+   * @param selfId number of this balancer in its group
+   * @param groupSize number of balancers that share the traffic and the quotas
+   * @param listOnRequest whether the endpoint list is requested by the balancer rather than pushed to it
+   * @param overShareWorth part of its worth that a request over its tenant's quota keeps
+   * @param warmKeys whether upstreams cache by key, so that a key should stay on few upstreams
+   * @param tickNanos how much later than decided the host may carry out an action
+   */
   record Settings(int selfId, int groupSize, String zone, List<RequestClass> classes, List<Tenant> tenants, Limits limits,
       Contract contract, Penalties penalties, boolean listOnRequest, WeightKind weightKind, double overShareWorth,
       boolean warmKeys, long tickNanos) {
 
-    /** Checks what cannot make sense, naming the setting. */
+    /** Rejects values that make no sense; the message names the setting. */
     public Settings {
       check(groupSize > 0, "group size must be above 0");
       check(!classes.isEmpty(), "classes must not be empty");
@@ -106,125 +128,128 @@
     }
   }
 
-  /** One line of the list. {@code startedNanos} is 0 where it started long ago; weight compares upstreams. */
+  /**
+   * One entry of the endpoint list. {@code startedNanos} is 0 if the upstream started long ago; the weight is relative to
+   * that of other upstreams.
+   */
   record Endpoint(long upstream, String zone, int cell, State state, long startedNanos, double weight) {}
 
-  /** What happened. */
+  /** Something that happened to the balancer. */
   sealed interface Event permits EndpointUpdate, Request, AnswerStarted, Outcome, ClientGone, TimerFired, ProbeResult,
       PeerMessage, UpstreamSetOffline, UpstreamSetOnline, SnapshotRequested, SnapshotRestored,
       ProcessCountChanged, SettingsChanged, BodyEnded, BodyDiscarded {}
 
-  /** News of the list of upstreams. An instance's first news is of kind CACHED. */
+  /** An update of the endpoint list. The first update of an instance is of kind CACHED. */
   record EndpointUpdate(ListKind kind, List<Endpoint> endpoints) implements Event {}
 
   /**
-   * A request came in and is owed one final answer by {@code deadlineNanos} (a clock reading). Tenant and key may be
-   * null; {@code workHintNanos} is 0 where no hint came. Where {@code answerByNanos} is above 0, it is to be sent or ended by
-   * then. {@code priorAttempts} are attempts that a caller made before, which count as its first ones: they have ended.
+   * A request was received and must get one final answer by {@code deadlineNanos} (a clock reading). Tenant and key may
+   * be null; {@code workHintNanos} is 0 if there is no hint. If {@code answerByNanos} is above 0, the request has to be sent or
+   * ended by then. {@code priorAttempts} are finished attempts of earlier calls; they count as the first attempts of this one.
    */
   record Request(String id, String className, String tenant, String key, long deadlineNanos, long workHintNanos,
       boolean retry, long answerByNanos, List<PriorAttempt> priorAttempts) implements Event {
 
-    /** A request that may be held until its deadline, and had no attempt before. */
+    /** A request that may be queued until its deadline and has no prior attempts. */
     public Request(String id, String className, String tenant, String key, long deadlineNanos, long workHintNanos,
         boolean retry) {
       this(id, className, tenant, key, deadlineNanos, workHintNanos, retry, 0, List.of());
     }
   }
 
-  /** An attempt of an earlier call for the same request; zone and cell are those of the upstream when it was sent. */
+  /** An attempt of an earlier call for the same request; zone and cell are those of the upstream at the time of sending. */
   record PriorAttempt(long upstream, String zone, int cell, long sentNanos, boolean mayHaveRun) {}
 
   /**
-   * An answer that is passed on while it comes has started: the request is this attempt's, without a deadline, until its outcome. The
-   * upstream has done its work; what is left is its way to the client.
+   * A streamed response has started. From here on the request belongs to this attempt, without a deadline, until its outcome. The
+   * upstream has done its work; what remains is the transfer to the client.
    */
   record AnswerStarted(String id, int attempt, long upstream, long latencyNanos) implements Event {}
 
   /**
-   * An attempt ended. {@code finished}: the request is over (the first SERVED ends it by itself); otherwise a final
-   * answer is still owed. {@code load} is the upstream's report, empty where none came.
+   * An attempt ended. {@code finished}: the request is complete (the first SERVED completes it); otherwise it must still
+   * get a final answer. {@code load} is the load report of the upstream, empty if there was none.
    */
   record Outcome(String id, int attempt, long upstream, Status status, long latencyNanos, boolean finished,
       Map<String, Double> load) implements Event {}
 
-  /** The client left; no answer is owed any more. */
+  /** The client disconnected; the request needs no answer any more. */
   record ClientGone(String id) implements Event {}
 
-  /** A timer came due. */
+  /** A timer expired. */
   record TimerFired(String token) implements Event {}
 
-  /** A probe ended. */
+  /** A probe completed. */
   record ProbeResult(long upstream, Status status, long latencyNanos, Map<String, Double> load) implements Event {}
 
-  /** Another balancer of the group sent a message. */
+  /** A message from another balancer of the group. */
   record PeerMessage(int from, byte[] data) implements Event {}
 
-  /** The last byte of a request that was told of before it was whole has come: from here its time counts, until the deadline. */
+  /** The body of a request that was announced before it was complete has been received: its latency and deadline count from here. */
   record BodyEnded(String id, long deadlineNanos) implements Event {}
 
-  /** The beginning of a request's body is not kept any more: it can't be sent again, nor a second copy of it. */
+  /** The buffered start of a request body was discarded: the request can be neither retried nor hedged. */
   record BodyDiscarded(String id) implements Event {}
 
   /**
-   * An operator takes an upstream out: nothing new goes to it, whatever the list says, until it is called back. Listed or not,
-   * and again while it is out, when {@code offlineNanos}, how long it has been out already, is not looked at.
+   * An operator sets an upstream administratively offline: it gets no new requests, whatever the list says, until it is set online. It
+   * need not be listed. {@code offlineNanos} is how long it has been offline already; it is ignored if the upstream is offline here.
    */
   record UpstreamSetOffline(long upstream, long offlineNanos) implements Event {}
 
-  /** An operator calls an upstream back, which ends its being out however often it was taken out. It has been restarted meanwhile. */
+  /** An operator brings an upstream back online, however often it was set offline. It has been restarted in the meantime. */
   record UpstreamSetOnline(long upstream) implements Event {}
 
-  /** A successor starts beside this instance and needs what it knows: {@link PublishSnapshot} is the answer. This instance goes on. */
+  /** A successor process needs the state of this instance: {@link PublishSnapshot} is the reply. This instance continues to run. */
   record SnapshotRequested() implements Event {}
 
-  /** What a predecessor knew; after the first list. */
+  /** The state of the predecessor; passed in after the first list. */
   record SnapshotRestored(BalancerSnapshot snapshot) implements Event {}
 
   /**
-   * Other settings hold for requests that come from here on; those in hand keep their class and number of attempts, and all that was
-   * learned stays. How the list comes stays as it was.
+   * New settings for requests received from here on; those in progress keep their class and number of attempts, and all statistics are
+   * kept. How the list is obtained does not change.
    */
   record SettingsChanged(Settings settings) implements Event {}
 
-  /** So many processes serve as this balancer, this one among them: 1 but for an upgrade. Each gets about an even part of the traffic. */
+  /** Number of processes that run as this balancer, including this one: 1 except during an upgrade. Each gets about an equal part of the traffic. */
   record ProcessCountChanged(int processes) implements Event {}
 
-  /** What the balancer is asked to do. */
+  /** Something that the host has to do. */
   sealed interface Action permits Send, Cancel, Reject, Fail, SetTimer, Watch, FetchEndpoints, Probe, CloseIdle, SendToPeer,
       PublishSnapshot, Log {}
 
   /**
-   * Start an attempt; a request's attempts count 0, 1, 2 ... in sending order. Time-out 0: until the deadline. Its last byte is to leave before
-   * the clock reading {@code sendByNanos}, or it is to end as NOT_SENT; 0: whenever it can.
+   * Start an attempt; the attempts of a request are numbered 0, 1, 2 ... in sending order. Time-out 0: until the deadline. If its last byte
+   * can't be sent before the clock reading {@code sendByNanos}, the attempt has to end as NOT_SENT; 0: no such limit.
    */
   record Send(String id, long upstream, long timeoutNanos, long sendByNanos) implements Action {
 
-    /** An attempt that may leave whenever it can. */
+    /** An attempt without a limit on the time of sending. */
     public Send(String id, long upstream, long timeoutNanos) {
       this(id, upstream, timeoutNanos, 0);
     }
   }
 
-  /** Stop waiting for an attempt; whether the upstream stops is up to it. */
+  /** Stop waiting for an attempt; the upstream may or may not stop working on it. */
   record Cancel(String id, int attempt) implements Action {}
 
-  /** Final answer: refused, trying again does no harm. {@code retryAfterNanos} 0: no advice. */
+  /** Final answer: rejected; the client can retry safely. {@code retryAfterNanos} 0: no advice. */
   record Reject(String id, long retryAfterNanos, Reason reason) implements Action {}
 
-  /** Final answer: failed, with no promise. */
+  /** Final answer: failed; the request may have run. */
   record Fail(String id, Reason reason) implements Action {}
 
-  /** Ask for {@link TimerFired} at a clock reading. */
+  /** Request a {@link TimerFired} event at a clock reading. */
   record SetTimer(String token, long atNanos) implements Action {}
 
-  /** Subscribe to changes of the list (or stop). One ListNews answers. */
+  /** Subscribe to changes of the endpoint list, or unsubscribe. An {@link EndpointUpdate} is the reply. */
   record Watch(boolean on) implements Action {}
 
-  /** Ask once for the complete list. */
+  /** Request the complete endpoint list once. */
   record FetchEndpoints() implements Action {}
 
-  /** Probe an upstream. */
+  /** Start a health probe of an upstream. */
   record Probe(long upstream) implements Action {}
 
   /** Close this balancer's idle connections to an upstream. */
@@ -233,9 +258,9 @@
   /** Send at most 256 bytes to one balancer of the group, or to all of them (-1). */
   record SendToPeer(int to, byte[] data) implements Action {}
 
-  /** What this instance knows, for a successor. */
+  /** The state of this instance, for a successor. */
   record PublishSnapshot(BalancerSnapshot snapshot) implements Action {}
 
-  /** A line for the balancer's log. */
+  /** Write a line to the log. */
   record Log(String text) implements Action {}
 }
