--- a/decision/src/main/java/cloverpulley/Reason.java
+++ b/decision/src/main/java/cloverpulley/Reason.java
@@ -2,39 +2,39 @@
 
 import java.util.Locale;
 
-/** Why a request got a final answer that no upstream made: one word for records, figures and errors alike. */
+/** Why a request got a final answer that is not the response of an upstream: the same code in records, metrics and errors. */
 public enum Reason {
-  /** The line allows no more of this kind now. */
+  /** The admission rate of its class and tenant is used up. */
   OVER_RATE,
-  /** Its node of the quotas has had its share, and nobody has any to lend. */
+  /** The quota of its node in the quota tree is used up, and no other node can lend any. */
   QUOTA,
-  /** As many requests are in hand as may be. */
+  /** The limit of requests in progress has been reached. */
   TABLE_FULL,
   /** No upstream is ready. */
   NO_UPSTREAM,
-  /** No upstream had room while the request could be held. */
+  /** No upstream had capacity while the request could be queued. */
   NO_ROOM,
-  /** Its time is up. */
+  /** Its deadline has passed. */
   DEADLINE,
-  /** It has had all its attempts. */
+  /** It has used all its attempts. */
   ATTEMPTS,
-  /** Too many attempts are repeats just now. */
+  /** The retry budget is used up. */
   RETRY_BUDGET,
-  /** An attempt may have run, and no upstream may be given another. */
+  /** An attempt may have run, and a further one is not safe at any upstream. */
   MAY_HAVE_RUN,
-  /** There were attempts that this process knows nothing of: they may have run. */
+  /** It had attempts that this process has no record of: they may have run. */
   UNKNOWN_EARLIER,
-  /** A request with the same id is in hand. */
+  /** A request with the same id is in progress. */
   IN_HAND,
-  /** The record of requests has no room for one that may not be repeated at will. */
+  /** The attempt records are full, and the request is not safe to retry without one. */
   RECORD_FULL,
-  /** It can't be understood. */
+  /** It is malformed. */
   BAD_REQUEST,
-  /** The process ends. */
+  /** The process is shutting down. */
   STOPPING;
 
-  /** The word that records, figures and errors carry. */
-  public String word() {
+  /** The code in records, metrics and errors. */
+  public String code() {
     return name().toLowerCase(Locale.ROOT);
   }
 }
--- a/dns/src/main/java/cloverpulley/dns/Resolver.java
+++ b/dns/src/main/java/cloverpulley/dns/Resolver.java
@@ -466,7 +466,7 @@
    */
   byte[] failure(Query q, Verdict verdict) {
     counts.end(verdict.reason());
-    String word = verdict.reason().word();
+    String word = verdict.reason().code();
     q.reason = word;
     long millis = TimeUnit.NANOSECONDS.toMillis(verdict.retryAfterNanos());
     String text = millis > 0 ? word + ", come back in " + millis + " ms" : word;
--- a/http/src/main/java/cloverpulley/serve/Counts.java
+++ b/http/src/main/java/cloverpulley/serve/Counts.java
@@ -164,8 +164,8 @@
     put(s, "served", served);
     put(s, "gone", gone);
     for (Reason r : REASONS) {
-      put(s, "refused_" + r.word(), refused[r.ordinal()]);
-      put(s, "failed_" + r.word(), failed[r.ordinal()]);
+      put(s, "refused_" + r.code(), refused[r.ordinal()]);
+      put(s, "failed_" + r.code(), failed[r.ordinal()]);
       refused[r.ordinal()] = 0;
       failed[r.ordinal()] = 0;
     }
--- a/model/src/main/java/cloverpulley/model/ModelBalancer.java
+++ b/model/src/main/java/cloverpulley/model/ModelBalancer.java
@@ -94,13 +94,13 @@
       send(s);
     } else if (a instanceof Balancer.Reject r) {
       Open o = open.get(r.id());
-      if (end(o, r.reason().word(), false)) {
+      if (end(o, r.reason().code(), false)) {
         world.result.refused++;
       }
       forget(r.id(), o);
     } else if (a instanceof Balancer.Fail f) {
       Open o = open.get(f.id());
-      end(o, f.reason().word(), false);
+      end(o, f.reason().code(), false);
       forget(f.id(), o);
     } else if (a instanceof Balancer.Cancel c) {
       Open o = open.get(c.id());
--- a/processor/src/main/java/cloverpulley/processor/Calls.java
+++ b/processor/src/main/java/cloverpulley/processor/Calls.java
@@ -86,7 +86,7 @@
       return null;
     } else if (finding instanceof Repeats.InHand) {
       counts.count(Reason.IN_HAND);
-      caller.bad(409, "the request's id is that of a call in hand", Reason.IN_HAND.word());
+      caller.bad(409, "the request's id is that of a call in hand", Reason.IN_HAND.code());
       return null;
     }
     long grant = 0;
@@ -142,7 +142,7 @@
   /** The module has ended a call without an attempt. */
   void answered(CallExchange x, Verdict verdict) {
     counts.count(verdict.reason());
-    record(x, verdict.reason().word(), false);
+    record(x, verdict.reason().code(), false);
     over(x);
   }
 
--- a/processor/src/main/java/cloverpulley/processor/Counts.java
+++ b/processor/src/main/java/cloverpulley/processor/Counts.java
@@ -81,7 +81,7 @@
         + " broken=" + broken);
     ended.forEach((reason, count) -> {
       if (count.sum() > 0) {
-        text.append(' ').append(reason.word()).append('=').append(count);
+        text.append(' ').append(reason.code()).append('=').append(count);
       }
     });
     outcomes.forEach((status, count) -> {
--- a/processor/src/main/java/cloverpulley/processor/ProcessorStream.java
+++ b/processor/src/main/java/cloverpulley/processor/ProcessorStream.java
@@ -142,8 +142,8 @@
     Mapping.Read read = shared.mapping.read(headers);
     if (read instanceof Mapping.Bad bad) {
       shared.counts.count(Reason.BAD_REQUEST);
-      answered(Reason.BAD_REQUEST.word(), Entry.FAILED);
-      finish(shared.replies.bad(bad.status(), bad.what(), Reason.BAD_REQUEST.word(), grpc));
+      answered(Reason.BAD_REQUEST.code(), Entry.FAILED);
+      finish(shared.replies.bad(bad.status(), bad.what(), Reason.BAD_REQUEST.code(), grpc));
       return;
     }
     request = (Mapping.Call) read;
@@ -168,7 +168,7 @@
   /** The engine has no verdict in time: it may be stalled, and what it says later is not used. */
   void overdue() {
     shared.counts.guarded.increment();
-    answered(Reason.DEADLINE.word(), Entry.FAILED);
+    answered(Reason.DEADLINE.code(), Entry.FAILED);
     finish(shared.replies.end(Verdict.failed(Reason.DEADLINE), grpc));
     hangUp();
   }
@@ -281,7 +281,7 @@
 
   @Override
   public void end(Verdict verdict) {
-    loop.execute(() -> endedBy(shared.replies.end(verdict, grpc), verdict.reason().word(), verdict.refused() ? Entry.REFUSED
+    loop.execute(() -> endedBy(shared.replies.end(verdict, grpc), verdict.reason().code(), verdict.refused() ? Entry.REFUSED
         : Entry.FAILED));
   }
 
@@ -401,7 +401,7 @@
   /** The processor ends: a call that has its verdict is let go, one that has none gets it. */
   void stop() {
     if (!closed && (state == State.ASKED || state == State.RECHECKING)) {
-      answered(Reason.STOPPING.word(), Entry.FAILED);
+      answered(Reason.STOPPING.code(), Entry.FAILED);
       finish(shared.replies.end(Verdict.failed(Reason.STOPPING), grpc));
     } else {
       close(io.grpc.Status.OK);
--- a/records/src/main/java/cloverpulley/records/Recorder.java
+++ b/records/src/main/java/cloverpulley/records/Recorder.java
@@ -207,7 +207,7 @@
   public void ended(Exchange x, End end, Reason reason) {
     if (queue != null) {
       put(new Entry(origin, 0, micros.getAsLong(), Kind.ENDED, x.number(), x.name(), x.facts().type().name(), x.facts().tenant(), 0,
-          0, 0, null, reason == null ? end == End.SERVED ? "served" : "gone" : reason.word(), 0, end.ordinal()));
+          0, 0, null, reason == null ? end == End.SERVED ? "served" : "gone" : reason.code(), 0, end.ordinal()));
     }
   }
 
