--- a/processor/src/main/java/cloverpulley/processor/Calls.java
+++ b/processor/src/main/java/cloverpulley/processor/Calls.java
@@ -12,8 +12,8 @@
 import cloverpulley.engine.Verdict;
 import cloverpulley.quota.Quotas;
 import cloverpulley.quota.service.QuotaKeeper;
-import cloverpulley.repeats.Repeats;
-import cloverpulley.repeats.Repeats.Finding;
+import cloverpulley.repeats.AttemptTracker;
+import cloverpulley.repeats.AttemptTracker.Result;
 import java.net.SocketAddress;
 import java.util.List;
 import java.util.Locale;
@@ -22,7 +22,7 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The calls in hand, between their streams and the engine: carries out what {@link Repeats} finds of each, and tells it and
+ * The calls in hand, between their streams and the engine: carries out what {@link AttemptTracker} finds of each, and tells it and
  * the engine what becomes of attempts. It decides nothing. All of it runs on the engine's loop.
  */
 final class Calls {
@@ -31,13 +31,13 @@
   private final Clock clock;
   private final Engine engine;
   private final Fleet fleet;
-  private final Repeats repeats;
+  private final AttemptTracker repeats;
   private final Counts counts;
   private final RecordsFile records;
   /** Null where there are none. */
   private final QuotaKeeper quotas;
 
-  Calls(ScheduledExecutorService loop, Clock clock, Engine engine, Fleet fleet, Repeats repeats, Counts counts,
+  Calls(ScheduledExecutorService loop, Clock clock, Engine engine, Fleet fleet, AttemptTracker repeats, Counts counts,
       RecordsFile records, QuotaKeeper quotas) {
     this.quotas = quotas;
     this.loop = loop;
@@ -58,8 +58,8 @@
    */
   CallExchange take(Mapping.Call call, long receivedAt, long answerBy, CallExchange.Caller caller) {
     long now = clock.now();
-    return take(call, receivedAt, answerBy, caller, call.id() == null ? new Repeats.First()
-        : repeats.call(now, call.id(), call.type().name(), call.type().effect(), call.count()));
+    return take(call, receivedAt, answerBy, caller, call.id() == null ? new AttemptTracker.FirstCall()
+        : repeats.onCall(now, call.id(), call.type().name(), call.type().effect(), call.count()));
   }
 
   /**
@@ -69,35 +69,35 @@
   CallExchange takeAgain(CallExchange x, long answerBy) {
     ended(x, Status.NOT_SENT, Map.of());
     return take(x.call, x.facts().deadline() - x.call.waitNanos(), answerBy, x.caller,
-        x.call.id() == null ? new Repeats.First() : repeats.again(clock.now(), x.call.id()));
+        x.call.id() == null ? new AttemptTracker.FirstCall() : repeats.onReselect(clock.now(), x.call.id()));
   }
 
-  private CallExchange take(Mapping.Call call, long receivedAt, long answerBy, CallExchange.Caller caller, Finding finding) {
+  private CallExchange take(Mapping.Call call, long receivedAt, long answerBy, CallExchange.Caller caller, Result finding) {
     List<PriorAttempt> earlier = List.of();
-    if (finding instanceof Repeats.Joined joined) {
+    if (finding instanceof AttemptTracker.Retry joined) {
       earlier = joined.priorAttempts();
       counts.joined.increment();
-    } else if (finding instanceof Repeats.Unknown) {
+    } else if (finding instanceof AttemptTracker.UnknownHistory) {
       end(caller, Verdict.failed(Reason.UNKNOWN_EARLIER));
       return null;
-    } else if (finding instanceof Repeats.Full) {
+    } else if (finding instanceof AttemptTracker.TableFull) {
       // Nothing of it has run: trying again, elsewhere or later, is harmless.
       end(caller, new Verdict(true, Reason.RECORD_FULL, TimeUnit.SECONDS.toNanos(1)));
       return null;
-    } else if (finding instanceof Repeats.InHand) {
+    } else if (finding instanceof AttemptTracker.InProgress) {
       counts.count(Reason.IN_HAND);
       caller.bad(409, "the request's id is that of a call in hand", Reason.IN_HAND.code());
       return null;
     }
     long grant = 0;
     double octets = 0;
-    if (quotas != null && finding instanceof Repeats.First) {
+    if (quotas != null && finding instanceof AttemptTracker.FirstCall) {
       // A first alone: of what was asked before something may have run, and a refusal would say that nothing has.
       octets = quotas.expectedOctets(CallExchange.kind(call));
       grant = quotas.ask(call.quotaPath(), 1, 0, octets, call.hintNanos() / 1e6, true);
       if (Quotas.isRefused(grant)) {
         if (call.id() != null) {
-          repeats.answered(clock.now(), call.id());
+          repeats.onNotSent(clock.now(), call.id());
         }
         end(caller, new Verdict(true, Reason.QUOTA, quotas.retryAfterNanos()));
         return null;
@@ -105,7 +105,7 @@
     }
     CallExchange x = new CallExchange(new Exchange.Facts(call.type(), call.tenant(), call.key(), call.hintNanos(),
         call.retry(), receivedAt + call.waitNanos(), answerBy, earlier), call, caller, this);
-    x.granted = quotas != null && finding instanceof Repeats.First;
+    x.granted = quotas != null && finding instanceof AttemptTracker.FirstCall;
     x.grant = grant;
     x.grantedAt = clock.now();
     x.expectedOctets = octets;
@@ -132,7 +132,7 @@
     counts.sent.increment();
     Server server = fleet.server(x.attempt.upstream());
     if (x.call.id() != null) {
-      repeats.sent(clock.now(), x.call.id(), x.attempt.upstream(), server.zone(), server.cell());
+      repeats.onSent(clock.now(), x.call.id(), x.attempt.upstream(), server.zone(), server.cell());
     }
     x.timeout = loop.schedule(() -> ended(x, Status.TIMEOUT, Map.of()), timeoutNanos, TimeUnit.NANOSECONDS);
     x.caller.send(x, address);
@@ -156,7 +156,7 @@
 
   private void over(CallExchange x) {
     if (x.call.id() != null) {
-      repeats.answered(clock.now(), x.call.id());
+      repeats.onNotSent(clock.now(), x.call.id());
     }
   }
 
@@ -180,7 +180,7 @@
     counts.outcome(status);
     record(x, status.name().toLowerCase(Locale.ROOT), true);
     if (x.call.id() != null) {
-      repeats.ended(clock.now(), x.call.id(), x.attempt.upstream(), status);
+      repeats.onAttemptEnded(clock.now(), x.call.id(), x.attempt.upstream(), status);
     }
     x.end();
     engine.attemptEnded(x.attempt, status, load, () -> { });
--- a/processor/src/main/java/cloverpulley/processor/ProcessorConfig.java
+++ b/processor/src/main/java/cloverpulley/processor/ProcessorConfig.java
@@ -1,7 +1,7 @@
 package cloverpulley.processor;
 
 import cloverpulley.config.Section;
-import cloverpulley.repeats.Repeats;
+import cloverpulley.repeats.AttemptTracker;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -23,7 +23,7 @@
  */
 public record ProcessorConfig(InetSocketAddress listen, long messageTimeoutNanos, int ioThreads, boolean askForResponses,
     boolean reflection, boolean reusePort, long lameMillis, long drainMillis, int warmUpCalls, Names names, Limits limits,
-    Repeats.Config repeats, boolean countRequired, Tls tls,
+    AttemptTracker.Config repeats, boolean countRequired, Tls tls,
     Path recordsFile, long recordsMostBytes) {
 
   /** The same for a processor beside this one, at a port of its own on loopback and without certificates. */
@@ -69,8 +69,8 @@
       r.wrong("keep_ms", "expected no less than the longest deadline and dedup window together, "
           + TimeUnit.NANOSECONDS.toMillis(longestNanos) + ", got " + keep);
     }
-    Repeats.Config repeats =
-        new Repeats.Config((int) r.whole("most", 1, 10_000_000, 100_000), TimeUnit.MILLISECONDS.toNanos(keep));
+    AttemptTracker.Config repeats =
+        new AttemptTracker.Config((int) r.whole("most", 1, 10_000_000, 100_000), TimeUnit.MILLISECONDS.toNanos(keep));
     return new ProcessorConfig(listen, TimeUnit.MILLISECONDS.toNanos(timeout), (int) s.whole("io_threads", 1, 64, 1),
         s.flag("ask_for_responses", true), s.flag("reflection", false), s.flag("reuse_port", true),
         s.whole("lame_ms", 0, DAY_MS, 500), s.whole("drain_ms", 0, DAY_MS, 10_000),
--- a/processor/src/main/java/cloverpulley/processor/ProcessorServer.java
+++ b/processor/src/main/java/cloverpulley/processor/ProcessorServer.java
@@ -21,7 +21,7 @@
 import cloverpulley.quota.service.QuotaKeeper;
 import cloverpulley.quota.service.RateLimitServer;
 import cloverpulley.records.Recorder;
-import cloverpulley.repeats.Repeats;
+import cloverpulley.repeats.AttemptTracker;
 import io.grpc.Metadata;
 import io.grpc.Server;
 import io.grpc.ServerCall;
@@ -185,7 +185,7 @@
   }
 
   private void listen(Settings settings) throws IOException {
-    Calls calls = new Calls(engineLoop, clock, engine, fleet, new Repeats(config.repeats()), counts, records, quotas);
+    Calls calls = new Calls(engineLoop, clock, engine, fleet, new AttemptTracker(config.repeats()), counts, records, quotas);
     Replies replies = new Replies(config);
     ProcessorStream.Shared shared = new ProcessorStream.Shared(config, new Mapping(config, settings), replies, engineLoop,
         calls, clock, counts, recorder);
