--- a/decision/src/main/java/cloverpulley/Bucket.java
+++ b/decision/src/main/java/cloverpulley/Bucket.java
@@ -1,12 +1,12 @@
 package cloverpulley;
 
-/** A token bucket; its rate and size may differ from one filling to the next. */
+/** A token bucket; rate and size are given with each refill. */
 final class Bucket {
   double tokens;
   long filledAt;
 
-  double fill(long now, double perSecond, double most) {
-    tokens = Math.min(most, tokens + perSecond * (now - filledAt) / 1e9);
+  double fill(long now, double perSecond, double size) {
+    tokens = Math.min(size, tokens + perSecond * (now - filledAt) / 1e9);
     filledAt = now;
     return tokens;
   }
--- a/decision/src/main/java/cloverpulley/Hints.java
+++ b/decision/src/main/java/cloverpulley/Hints.java
@@ -1,30 +1,30 @@
 package cloverpulley;
 
-/** Load in mean requests, by the hint if there is one: a few heavy ones fill an upstream that a count calls
- * half empty. */
+/** Estimates the load of a request in units of a mean request, by its work hint if it has one: a few heavy requests can
+ * fill an upstream that looks half empty by their number. */
 final class Hints {
 
-  /** A hinted request counts for this many mean ones at most, and no less than its inverse. */
-  private static final double MOST = 4;
-  /** And moves what is usual by no more than one of this many usual ones. */
-  private static final double TRUST = 20;
-  /** Step of the mean of what is usual: some 200 requests. */
+  /** A request counts as at most this many mean requests and at least the inverse. */
+  private static final double MAX_LOAD = 4;
+  /** A hint enters the mean as at most this many times the mean. */
+  private static final double MAX_HINT_RATIO = 20;
+  /** Step of the moving mean: averages about 200 requests. */
   private static final double STEP = 0.005;
 
-  private final long first;
-  double usual;
+  private final long maxFirstHint;
+  double mean;
 
-  /** The first hint counts for so many nanoseconds at most. */
+  /** Creates an estimator in which the first hint counts as at most {@code firstNanos}. */
   Hints(long firstNanos) {
-    first = firstNanos;
+    maxFirstHint = firstNanos;
   }
 
   double load(long hintNanos) {
     if (hintNanos <= 0) {
       return 1;
     }
-    // Guards against one hint that is out of all proportion: it would make all others light, and for long.
-    usual += usual == 0 ? Math.min(hintNanos, first) : (Math.min(hintNanos, TRUST * usual) - usual) * STEP;
-    return Math.min(MOST, Math.max(1 / MOST, hintNanos / usual));
+    // A single huge hint would otherwise make all other requests look light for a long time.
+    mean += mean == 0 ? Math.min(hintNanos, maxFirstHint) : (Math.min(hintNanos, MAX_HINT_RATIO * mean) - mean) * STEP;
+    return Math.min(MAX_LOAD, Math.max(1 / MAX_LOAD, hintNanos / mean));
   }
 }
--- a/decision/src/main/java/cloverpulley/RetryBudget.java
+++ b/decision/src/main/java/cloverpulley/RetryBudget.java
@@ -1,41 +1,41 @@
 package cloverpulley;
 
-/** How many attempts may be further ones of their requests: guards upstreams from a storm of repeats. */
+/** Retry budget: limits retries and hedged requests to a part of the traffic, which prevents retry storms. */
 final class RetryBudget {
 
-  /** Retries and copies earned by a request admitted, and the most saved up: a fifth more load at worst. */
-  private static final double SHARE = 0.2;
-  private static final double MOST = 20;
-  /** What a retry costs after an upstream turned the request away unseen: next to no work was done, so that
-   * four in five requests may be turned away once. Guards requests where upstreams hold few connections. */
-  private static final double UNSEEN_COST = 0.25;
+  /** Tokens earned by an admitted request, and the most that are saved up: at worst a fifth more load. */
+  private static final double TOKENS_PER_REQUEST = 0.2;
+  private static final double MAX_TOKENS = 20;
+  /** Cost of a retry after an upstream rejected the request unprocessed: that took next to no work, so that four in five
+   * requests may be rejected once. Needed where upstreams accept few connections. */
+  private static final double REJECTED_COST = 0.25;
 
-  double tokens = MOST;
+  double tokens = MAX_TOKENS;
 
-  /** A request was admitted. */
+  /** Adds the tokens of an admitted request. */
   void earn() {
-    tokens = Math.min(MOST, tokens + SHARE);
+    tokens = Math.min(MAX_TOKENS, tokens + TOKENS_PER_REQUEST);
   }
 
-  boolean allows(Open r) {
+  boolean allows(PendingRequest r) {
     return tokens >= cost(r);
   }
 
-  void take(Open r) {
+  void take(PendingRequest r) {
     tokens -= cost(r);
   }
 
-  /** A second copy while the first is out. */
-  boolean allowsCopy() {
+  /** Whether a hedged request may be sent. */
+  boolean allowsHedge() {
     return tokens >= 1;
   }
 
-  void takeCopy() {
+  void takeHedge() {
     tokens--;
   }
 
-  /** What the next attempt takes: nothing for the first. */
-  private static double cost(Open r) {
-    return r.attempts.isEmpty() ? 0 : r.attempts.get(r.attempts.size() - 1).unseen ? UNSEEN_COST : 1;
+  /** Cost of the next attempt; the first one is free. */
+  private static double cost(PendingRequest r) {
+    return r.attempts.isEmpty() ? 0 : r.attempts.get(r.attempts.size() - 1).rejected ? REJECTED_COST : 1;
   }
 }
--- /dev/null
+++ b/decision/src/main/java/cloverpulley/RetryRules.java
@@ -0,0 +1,52 @@
+package cloverpulley;
+
+import cloverpulley.Balancer.DedupScope;
+import cloverpulley.Balancer.Effect;
+
+/** Rule 2: which further attempts a request may have, and whether it may be rejected with the promise that it has not run. */
+final class RetryRules {
+
+  private RetryRules() {}
+
+  /** The time by which a retry of a keyed request has to be sent: the end of the deduplication window, counted from the
+   * first attempt that may have run; 0 for no limit. A tick earlier, since the host may send a moment later. */
+  static long sendDeadline(PendingRequest r, long tickNanos) {
+    for (Attempt a : r.attempts) {
+      if (a.mayHaveRun && r.type.effect() == Effect.KEYED) {
+        return a.sentAt + r.type.dedupWindowNanos() - tickNanos;
+      }
+    }
+    return 0;
+  }
+
+  /** Whether a request may have no further attempt at any upstream. */
+  static boolean forbidsAttempts(PendingRequest r, long now, long tickNanos) {
+    long sendDeadline = sendDeadline(r, tickNanos);
+    return sendDeadline != 0 && now >= sendDeadline || r.type.effect() == Effect.UNSAFE && r.mayHaveRun();
+  }
+
+  /** Whether a further attempt may go to an upstream; an upstream is used twice only if no other ready one is left. */
+  static boolean allowsAttempt(PendingRequest r, Upstream u, int readyCount, long now, long tickNanos) {
+    for (Attempt a : r.attempts) {
+      if (a.upstream == u && (a.inFlight || readyCount > r.attempts.size())) {
+        return false;
+      }
+      if (a.mayHaveRun && r.type.effect() != Effect.SAFE) {
+        boolean sameGroup = switch (r.type.dedupScope()) {
+          case ALL -> true;
+          case ZONE -> a.upstream.endpoint.zone().equals(u.endpoint.zone());
+          case CELL -> a.upstream.endpoint.cell() == u.endpoint.cell();
+        };
+        if (!sameGroup) {
+          return false;
+        }
+      }
+    }
+    return !forbidsAttempts(r, now, tickNanos);
+  }
+
+  static boolean allowsRejection(PendingRequest r) {
+    return r.type.effect() == Effect.SAFE || !r.mayHaveRun()
+        || r.type.effect() == Effect.KEYED && r.type.dedupScope() == DedupScope.ALL;
+  }
+}
--- a/decision/src/main/java/cloverpulley/Ring.java
+++ b/decision/src/main/java/cloverpulley/Ring.java
@@ -2,15 +2,15 @@
 
 import java.util.Arrays;
 
-/** A consistent-hash ring: points in order, each of one member. */
+/** A consistent-hash ring: sorted points, each of which belongs to one member. */
 final class Ring {
 
-  /** Low bits of a point that name its member: more members than any list holds. */
+  /** Low bits of a point, which hold the index of its member: enough for any list. */
   private static final long MEMBER_BITS = 0xffff;
 
   private final long[] points;
 
-  /** Member i, known by its id wherever the ring is built, gets so many points. */
+  /** Creates a ring with {@code counts[i]} points for member i; the points depend on the id only, so all processes agree. */
   Ring(long[] ids, int[] counts) {
     points = new long[Arrays.stream(counts).sum()];
     for (int member = 0, n = 0; member < ids.length; member++) {
@@ -21,25 +21,25 @@
     Arrays.sort(points);
   }
 
-  /** The place from which a hash walks the ring. */
+  /** Returns the index of the first point at or after a hash. */
   int start(long hash) {
     int at = Arrays.binarySearch(points, hash & ~MEMBER_BITS);
     return at < 0 ? -at - 1 : at;
   }
 
-  /** The member at a place; places past the last go on from the first. */
+  /** Returns the member at an index; indexes past the last point wrap around. */
   int member(int place) {
     return (int) (points[place % points.length] & MEMBER_BITS);
   }
 
-  /** Spreads a number's bits evenly. */
+  /** Mixes the bits of a number. */
   static long mix(long x) {
     long z = (x ^ (x >>> 30)) * 0xbf58476d1ce4e5b9L;
     z = (z ^ (z >>> 27)) * 0x94d049bb133111ebL;
     return z ^ (z >>> 31);
   }
 
-  /** A number from 0 to under 1 that two others always give. */
+  /** Returns a number in [0, 1) that depends on the two arguments only. */
   static double fraction(long a, long b) {
     return (mix(a ^ b) >>> 11) * 0x1p-53;
   }
--- a/decision/src/main/java/cloverpulley/Upstream.java
+++ b/decision/src/main/java/cloverpulley/Upstream.java
@@ -2,25 +2,25 @@
 
 import cloverpulley.state.BalancerSnapshot.UpstreamSnapshot;
 
-/** What a balancer knows of an upstream. */
+/** State and statistics of an upstream. */
 final class Upstream {
   final long id;
   final Window window;
-  final Bucket cold = new Bucket();
-  Balancer.Endpoint listed;
-  long started;
-  /** An operator took it out from here on and has called it back; its start since then is a guess until the
-   * list tells it. */
+  final Bucket slowStart = new Bucket();
+  Balancer.Endpoint endpoint;
+  long startedAt;
+  /** An operator set it offline at {@code offlineSince} and brought it back online; its start since then is estimated
+   * until the list reports it. */
   boolean startEstimated;
-  long outSince;
-  long firstServed;
-  long heardAt;
+  long offlineSince;
+  long firstResponseAt;
+  long lastActivityAt;
   int inFlight;
   double load;
   int failures;
   int ejections;
   long ejectedUntil;
-  long visit;
+  long visitMark;
   private double slowness = 1;
   private long slownessAt;
 
@@ -29,53 +29,53 @@
     this.window = window;
   }
 
-  /** It was started at {@code at}: cold from then on, and nothing that it did before counts against it. */
-  void startsAnew(long now, long at) {
-    started = at;
+  /** It was started at {@code at}: begins slow start and resets failures, ejection and slowness of the previous process. */
+  void onStart(long now, long at) {
+    startedAt = at;
     startEstimated = false;
     failures = 0;
     ejections = 0;
     ejectedUntil = 0;
     slowness = 1;
-    cold.tokens = 0;
-    cold.filledAt = now;
+    slowStart.tokens = 0;
+    slowStart.filledAt = now;
   }
 
-  /** What a successor needs of it. */
-  UpstreamSnapshot known(long now) {
-    return new UpstreamSnapshot(id, started <= 0 ? -1 : now - started, startEstimated, startEstimated ? now - outSince : 0,
-        cold.tokens, slowness, failures, ejections, Math.max(0, ejectedUntil - now),
-        firstServed == 0 ? -1 : now - firstServed, window.totals(now));
+  /** Returns its state for a successor. */
+  UpstreamSnapshot snapshot(long now) {
+    return new UpstreamSnapshot(id, startedAt <= 0 ? -1 : now - startedAt, startEstimated, startEstimated ? now - offlineSince : 0,
+        slowStart.tokens, slowness, failures, ejections, Math.max(0, ejectedUntil - now),
+        firstResponseAt == 0 ? -1 : now - firstResponseAt, window.totals(now));
   }
 
-  /** Takes over what a predecessor knew; a later start that the list tells of stays. */
-  void inherit(long now, UpstreamSnapshot k) {
-    long start = k.ageNanos() < 0 ? 0 : now - k.ageNanos();
-    if (start >= started) {
-      started = start;
-      startEstimated = k.startEstimated();
-      outSince = now - k.offlineNanos();
-      cold.tokens = Math.min(cold.tokens, k.slowStartTokens());
-      cold.filledAt = now;
-      slowness = k.slowness();
+  /** Restores the state of a predecessor, unless the list reports a later start. */
+  void restore(long now, UpstreamSnapshot s) {
+    long start = s.ageNanos() < 0 ? 0 : now - s.ageNanos();
+    if (start >= startedAt) {
+      startedAt = start;
+      startEstimated = s.startEstimated();
+      offlineSince = now - s.offlineNanos();
+      slowStart.tokens = Math.min(slowStart.tokens, s.slowStartTokens());
+      slowStart.filledAt = now;
+      slowness = s.slowness();
       slownessAt = now;
-      failures = k.failures();
-      ejections = k.ejections();
-      ejectedUntil = k.ejectionNanosLeft() > 0 ? now + k.ejectionNanosLeft() : 0;
-      firstServed = k.servingNanos() < 0 ? 0 : now - k.servingNanos();
-      window.inherit(now, k.window());
+      failures = s.failures();
+      ejections = s.ejections();
+      ejectedUntil = s.ejectionNanosLeft() > 0 ? now + s.ejectionNanosLeft() : 0;
+      firstResponseAt = s.servingNanos() < 0 ? 0 : now - s.servingNanos();
+      window.restore(now, s.window());
     }
   }
 
-  /** Latency against the fleet's: 1 for as fast or unknown, to which it returns over the time. */
-  double slowness(long now, double keptNanos) {
-    return 1 + (slowness - 1) * Math.exp((slownessAt - now) / keptNanos);
+  /** Latency relative to the fleet's: 1 if equal or unknown; decays towards 1. */
+  double slowness(long now, double decayNanos) {
+    return 1 + (slowness - 1) * Math.exp((slownessAt - now) / decayNanos);
   }
 
-  /** Takes a sample: a mean over the time, of which one sample moves a part at most. */
-  void addSlowness(long now, double sample, double meanNanos, double mostStep, double keptNanos) {
-    double step = Math.min(mostStep, (now - slownessAt) / meanNanos);
-    slowness = slowness(now, keptNanos) * (1 - step) + sample * step;
+  /** Adds a sample to a mean over {@code meanNanos}; one sample moves it by at most {@code maxStep}. */
+  void addSlowness(long now, double sample, double meanNanos, double maxStep, double decayNanos) {
+    double step = Math.min(maxStep, (now - slownessAt) / meanNanos);
+    slowness = slowness(now, decayNanos) * (1 - step) + sample * step;
     slownessAt = now;
   }
 }
--- a/decision/src/main/java/cloverpulley/Upstreams.java
+++ b/decision/src/main/java/cloverpulley/Upstreams.java
@@ -12,16 +12,16 @@
 import java.util.Map;
 import java.util.stream.Stream;
 
-/** The upstreams that are listed, or were and still have requests, and those that operators took out. */
+/** Upstreams that are listed, or were and still have requests in flight, and those that operators set offline. */
 final class Upstreams {
 
-  private final long window;
+  private final long windowNanos;
   private final Map<Long, Upstream> upstreams = new LinkedHashMap<>();
-  /** Upstreams that an operator took out, listed or not, and since when. */
-  private final Map<Long, Long> takenOut = new HashMap<>();
+  /** Upstreams that an operator set offline, listed or not, and since when. */
+  private final Map<Long, Long> offline = new HashMap<>();
 
   Upstreams(long windowNanos) {
-    window = windowNanos;
+    windowNanos = windowNanos;
   }
 
   Stream<Upstream> all() {
@@ -32,62 +32,62 @@
     return upstreams.get(id);
   }
 
-  /** Whether anything new may go to it. */
-  boolean serves(Upstream u) {
-    return u.listed.state() == State.READY && !takenOut.containsKey(u.id);
+  /** Whether it may get new requests. */
+  boolean isReady(Upstream u) {
+    return u.endpoint.state() == State.READY && !offline.containsKey(u.id);
   }
 
-  /** The list has changed. */
-  void take(long now, EndpointUpdate news) {
-    Map<Long, Endpoint> entries = new LinkedHashMap<>();
-    news.endpoints().forEach(e -> entries.put(e.upstream(), e));
-    if (news.kind() != ListKind.DELTA) {
-      // One that is absent from a full list is gone.
-      upstreams.forEach((id, u) -> entries.putIfAbsent(id, new Endpoint(id, u.listed.zone(), u.listed.cell(),
-          State.GONE, u.started, u.listed.weight())));
+  /** Applies an update of the endpoint list. */
+  void update(long now, EndpointUpdate update) {
+    Map<Long, Endpoint> latest = new LinkedHashMap<>();
+    update.endpoints().forEach(e -> latest.put(e.upstream(), e));
+    if (update.kind() != ListKind.DELTA) {
+      // Upstreams that are missing from a complete list are gone.
+      upstreams.forEach((id, u) -> latest.putIfAbsent(id, new Endpoint(id, u.endpoint.zone(), u.endpoint.cell(),
+          State.GONE, u.startedAt, u.endpoint.weight())));
     }
-    for (Endpoint e : entries.values()) {
-      Upstream u = upstreams.computeIfAbsent(e.upstream(), id -> new Upstream(id, new Window(window, now)));
-      if (e.startedNanos() > (u.startEstimated ? u.outSince : u.started)) {
-        u.startsAnew(now, e.startedNanos());
+    for (Endpoint e : latest.values()) {
+      Upstream u = upstreams.computeIfAbsent(e.upstream(), id -> new Upstream(id, new Window(windowNanos, now)));
+      if (e.startedNanos() > (u.startEstimated ? u.offlineSince : u.startedAt)) {
+        u.onStart(now, e.startedNanos());
       }
-      u.listed = e;
+      u.endpoint = e;
     }
-    upstreams.values().removeIf(u -> u.listed.state() == State.GONE && u.inFlight == 0);
+    upstreams.values().removeIf(u -> u.endpoint.state() == State.GONE && u.inFlight == 0);
   }
 
-  /** An attempt that a caller made before, at an upstream that may not be listed any more. */
+  /** Returns an attempt of an earlier call; its upstream may not be listed any more. */
   Attempt priorAttempt(PriorAttempt e) {
     Upstream u = upstreams.get(e.upstream());
-    if (u == null || u.listed.cell() != e.cell() || !u.listed.zone().equals(e.zone())) {
+    if (u == null || u.endpoint.cell() != e.cell() || !u.endpoint.zone().equals(e.zone())) {
       u = new Upstream(e.upstream(), null);
-      u.listed = new Endpoint(e.upstream(), e.zone(), e.cell(), State.GONE, 0, 1);
+      u.endpoint = new Endpoint(e.upstream(), e.zone(), e.cell(), State.GONE, 0, 1);
     }
     Attempt a = new Attempt(u, e.sentNanos());
-    a.out = false;
+    a.inFlight = false;
     a.mayHaveRun = e.mayHaveRun();
     return a;
   }
 
-  void takeOut(long id, long since) {
-    takenOut.putIfAbsent(id, since);
+  void setOffline(long id, long since) {
+    offline.putIfAbsent(id, since);
   }
 
-  /** Guards an upstream that was restarted while it was out: the list may be seconds late to say so, and what
-   * was learned of the process before must not keep its successor idle. */
-  void callBack(long now, long id) {
-    Long since = takenOut.remove(id);
+  /** The upstream was restarted while offline, but the list may report that seconds later. Resets it now, so that statistics
+   * of the old process don't keep the new one idle. */
+  void setOnline(long now, long id) {
+    Long since = offline.remove(id);
     Upstream u = upstreams.get(id);
     if (since != null && u != null) {
-      boolean told = u.started > since;
-      u.startsAnew(now, told ? u.started : now);
-      u.startEstimated = !told;
-      u.outSince = since;
+      boolean startReported = u.startedAt > since;
+      u.onStart(now, startReported ? u.startedAt : now);
+      u.startEstimated = !startReported;
+      u.offlineSince = since;
     }
   }
 
-  void inherit(long now, List<UpstreamSnapshot> known) {
-    known.stream().filter(k -> upstreams.containsKey(k.upstream()))
-        .forEach(k -> upstreams.get(k.upstream()).inherit(now, k));
+  void restore(long now, List<UpstreamSnapshot> snapshots) {
+    snapshots.stream().filter(k -> upstreams.containsKey(k.upstream()))
+        .forEach(k -> upstreams.get(k.upstream()).restore(now, k));
   }
 }
--- a/decision/src/main/java/cloverpulley/Window.java
+++ b/decision/src/main/java/cloverpulley/Window.java
@@ -1,12 +1,12 @@
 package cloverpulley;
 
-/** Counts and sums over the last window. */
+/** Counts and sums over a sliding window. */
 final class Window {
 
-  /** What a window counts: offers, admissions, samples, the sum of their latencies, the sum of their aims. */
-  enum Metric { OFFERED, ADMITTED, SAMPLES, SUM, AIMS }
+  /** Counters of a window: offered and admitted requests, samples, the sum of their latencies, the sum of their aims. */
+  enum Metric { OFFERED, ADMITTED, SAMPLES, LATENCY_SUM, AIM_SUM }
 
-  /** A window forgets in steps of a twelfth. */
+  /** A window expires in steps of a twelfth of its length. */
   private static final int SLOTS = 12;
 
   private final long slotNanos;
@@ -24,7 +24,7 @@
     slots[metric.ordinal()][(int) (slot % SLOTS)] += amount;
   }
 
-  /** Whether all that it held is forgotten. */
+  /** Whether all counts have expired. */
   boolean isIdle(long now) {
     return now / slotNanos - slot >= SLOTS;
   }
@@ -41,37 +41,37 @@
     return totals[metric.ordinal()];
   }
 
-  /** All that it holds, in the order of the metrics. */
+  /** Returns all totals in the order of the metrics. */
   double[] totals(long now) {
     total(now, Metric.OFFERED);
     return totals.clone();
   }
 
-  /** Adds what another one held, evenly over its time: it is forgotten as it would have been there. */
-  void inherit(long now, double[] from) {
+  /** Adds saved totals, spread evenly over the slots, so that they expire over the length of the window. */
+  void restore(long now, double[] saved) {
     for (Metric m : Metric.values()) {
-      totals[m.ordinal()] = total(now, m) + from[m.ordinal()];
+      totals[m.ordinal()] = total(now, m) + saved[m.ordinal()];
       for (int i = 0; i < SLOTS; i++) {
-        slots[m.ordinal()][i] += from[m.ordinal()] / SLOTS;
+        slots[m.ordinal()][i] += saved[m.ordinal()] / SLOTS;
       }
     }
   }
 
-  /** A second's events of a kind, less one standard deviation of their count: what chance alone seldom makes. */
-  double surely(long now, Metric metric) {
+  /** Rate per second less one standard deviation of the count: a lower bound that random arrivals seldom exceed. */
+  double lowerBoundRate(long now, Metric metric) {
     double count = total(now, metric);
     return (count - Math.sqrt(count)) * 1e9 / (slotNanos * SLOTS);
   }
 
-  /** Mean of the samples and of so many more that are as expected: few samples move it little. */
+  /** Mean of the samples and {@code weight} further ones equal to {@code expected}: few samples move it little. */
   double mean(long now, double expected, double weight) {
     double samples = total(now, Metric.SAMPLES);
-    return samples < 0.5 ? 0 : (total(now, Metric.SUM) + expected * weight) / (samples + weight);
+    return samples < 0.5 ? 0 : (total(now, Metric.LATENCY_SUM) + expected * weight) / (samples + weight);
   }
 
-  /** Mean of the samples; 0 where there are none, which the line takes for healthy. */
+  /** Mean of the samples; 0 if there are none, which the rate curve takes for healthy. */
   double mean(long now) {
     double samples = total(now, Metric.SAMPLES);
-    return samples < 0.5 ? 0 : total(now, Metric.SUM) / samples;
+    return samples < 0.5 ? 0 : total(now, Metric.LATENCY_SUM) / samples;
   }
 }
--- a/decision/src/test/java/cloverpulley/AdmissionTest.java
+++ b/decision/src/test/java/cloverpulley/AdmissionTest.java
@@ -34,9 +34,9 @@
     assertEquals(0, w.mean(0), "an empty window is healthy");
     w.add(0, Metric.ADMITTED, 1);
     w.add(150, Metric.SAMPLES, 1);
-    w.add(150, Metric.SUM, 6);
+    w.add(150, Metric.LATENCY_SUM, 6);
     w.add(650, Metric.SAMPLES, 1);
-    w.add(650, Metric.SUM, 2);
+    w.add(650, Metric.LATENCY_SUM, 2);
     assertEquals(1, w.total(1199, Metric.ADMITTED));
     assertEquals(0, w.total(1200, Metric.ADMITTED));
     assertEquals(4, w.mean(1250), 1e-9);
@@ -163,7 +163,7 @@
       d.request(d.nextId(), "c", "k" + i);
       d.serveFor(10 * Driver.MS, Status.SERVED, 10 * Driver.MS);
     }
-    int kept = ((Logic) d.module).windowsKept();
+    int kept = ((Logic) d.module).windowCount();
     assertTrue(kept < 300, "a window of 1 s holds some 100 of 2,000 keys, and the keys kept are " + kept);
   }
 
--- a/decision/src/test/java/cloverpulley/LargeFleetTest.java
+++ b/decision/src/test/java/cloverpulley/LargeFleetTest.java
@@ -145,8 +145,8 @@
       d.serveFor(500 * MS, Status.SERVED, 20 * MS);
       assertTrue(Driver.sentTo(sent) >= 0, "nothing could take request " + id);
     }
-    assertEquals(60, ((Logic) d.module).upstreamsKept());
-    assertTrue(((Logic) d.module).windowsKept() < 100, "windows: " + ((Logic) d.module).windowsKept());
+    assertEquals(60, ((Logic) d.module).upstreamCount());
+    assertTrue(((Logic) d.module).windowCount() < 100, "windows: " + ((Logic) d.module).windowCount());
   }
 
   /** One answer among six that took nearly five times its aim: all of the next ten were refused where the bare mean decided. */
--- a/decision/src/test/java/cloverpulley/StormTest.java
+++ b/decision/src/test/java/cloverpulley/StormTest.java
@@ -111,8 +111,8 @@
     now += 60_000 * MS;
     fire();
     assertTrue(timers.size() <= 1 && idle <= 2, "state empties when traffic stops: " + timers.size() + " timers");
-    assertEquals(0, sizeOf("open"), "requests still kept");
-    assertEquals(0, sizeOf("held"), "requests still held");
+    assertEquals(0, sizeOf("pending"), "requests still kept");
+    assertEquals(0, sizeOf("queue"), "requests still held");
   }
 
   /** The size of one of the module's private collections: what it keeps is not to be seen from outside. */
