--- a/decision/src/main/java/cloverpulley/Upstreams.java
+++ b/decision/src/main/java/cloverpulley/Upstreams.java
@@ -20,8 +20,8 @@
   /** Upstreams that an operator set offline, listed or not, and since when. */
   private final Map<Long, Long> offline = new HashMap<>();
 
-  Upstreams(long windowNanos) {
-    windowNanos = windowNanos;
+  Upstreams(long lengthNanos) {
+    windowNanos = lengthNanos;
   }
 
   Stream<Upstream> all() {
--- a/decision/src/main/java/cloverpulley/Windows.java
+++ b/decision/src/main/java/cloverpulley/Windows.java
@@ -11,15 +11,15 @@
   /** Windows checked for eviction per lookup: more than the one that a lookup may add, so they can't pile up. */
   private static final int EVICTION_CHECKS = 2;
 
-  private final long lengthNanos;
+  private final long windowNanos;
   private final Map<String, Window> windows = new LinkedHashMap<>(64, 0.75f, true);
 
   Windows(long lengthNanos) {
-    lengthNanos = lengthNanos;
+    windowNanos = lengthNanos;
   }
 
   Window of(String name, long now) {
-    Window w = windows.computeIfAbsent(name, k -> new Window(lengthNanos, now));
+    Window w = windows.computeIfAbsent(name, k -> new Window(windowNanos, now));
     // A window that was idle for its length equals a new one. Evicting it bounds the memory where keys are always new.
     Iterator<Window> eldest = windows.values().iterator();
     for (int i = 0; i < EVICTION_CHECKS && windows.size() > 1
