--- a/decision/src/test/java/cloverpulley/AdmissionTest.java
+++ b/decision/src/test/java/cloverpulley/AdmissionTest.java
@@ -11,25 +11,25 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The straight line, its window and what it is fed with. */
+/** The admission rate curve, its window and the samples that it is based on. */
 class AdmissionTest {
 
-  private static double published(double meanMs) {
+  private static double publishedRate(double meanMs) {
     return Logic.allowedRate(meanMs, 300, 18_000, 240, 4);
   }
 
   @Test
-  void lineMatchesThePublishedFigures() {
-    assertEquals(240, published(0));
-    assertEquals(240, published(300));
-    assertEquals(177.3, published(5000), 0.1);
-    assertEquals(122, published(9150), 0.001);
-    assertEquals(4, published(18_000));
-    assertEquals(4, published(99_000));
+  void rateCurveMatchesThePublishedFigures() {
+    assertEquals(240, publishedRate(0));
+    assertEquals(240, publishedRate(300));
+    assertEquals(177.3, publishedRate(5000), 0.1);
+    assertEquals(122, publishedRate(9150), 0.001);
+    assertEquals(4, publishedRate(18_000));
+    assertEquals(4, publishedRate(99_000));
   }
 
   @Test
-  void windowCountsAndForgets() {
+  void windowCountsAndExpires() {
     Window w = new Window(1200, 0);
     assertEquals(0, w.mean(0), "an empty window is healthy");
     w.add(0, Metric.ADMITTED, 1);
@@ -44,59 +44,59 @@
     assertEquals(0, w.mean(90_000), 1e-9);
   }
 
-  /** Serves at a rate with a fixed number out, each answer after the latency; the share refused. */
-  private static double refusedShare(Driver d, int requests, int out, long latency, Status status) {
-    return refusedShare(d, null, requests, out, latency, status);
+  /** Sends requests at a rate that keeps a fixed number in flight, each served after the latency; returns the part rejected. */
+  private static double rejectedRatio(Driver d, int requests, int inFlight, long latency, Status status) {
+    return rejectedRatio(d, null, requests, inFlight, latency, status);
   }
 
-  private static double refusedShare(Driver d, String tenant, int requests, int out, long latency, Status status) {
-    d.refusals.clear();
+  private static double rejectedRatio(Driver d, String tenant, int requests, int inFlight, long latency, Status status) {
+    d.rejections.clear();
     for (int i = 0; i < requests; i++) {
       d.request(d.nextId(), "c", tenant, "k" + i % 50, 0);
-      d.serveFor(latency / out, status, latency);
+      d.serveFor(latency / inFlight, status, latency);
     }
-    return d.refusals.getOrDefault("r", 0) / (double) requests;
+    return d.rejections.getOrDefault("r", 0) / (double) requests;
   }
 
   @Test
-  void healthyFleetRefusesNothing() {
-    assertEquals(0, refusedShare(new Driver(Driver.safe()).upstreams(5), 500, 5, 40 * Driver.MS, Status.SERVED));
+  void healthyFleetRejectsNothing() {
+    assertEquals(0, rejectedRatio(new Driver(Driver.safe()).upstreams(5), 500, 5, 40 * Driver.MS, Status.SERVED));
   }
 
   @Test
-  void overloadIsRefusedWithRetryAfter() {
+  void overloadIsRejected() {
     Driver d = new Driver(Driver.safe()).upstreams(5);
-    refusedShare(d, 300, 2, 40 * Driver.MS, Status.SERVED);
-    assertTrue(refusedShare(d, 600, 30, 700 * Driver.MS, Status.SERVED) > 0.2);
+    rejectedRatio(d, 300, 2, 40 * Driver.MS, Status.SERVED);
+    assertTrue(rejectedRatio(d, 600, 30, 700 * Driver.MS, Status.SERVED) > 0.2);
   }
 
-  /** Guards work inside a quota: with few out, a slow dependency is not an overload of its making. */
+  /** A slow dependency must not cause rejections within a quota while no more requests are in flight than usual. */
   @Test
-  void noRefusalInsideAQuotaWhileNoMoreIsOutThanUsual() {
+  void noRejectionWithinAQuotaBelowTheBaselineLoad() {
     Driver d = new Driver(Driver.settings(false, List.of(new Tenant("t", 1, 1000)),
         Driver.type("c", Effect.SAFE, DedupScope.ALL))).upstreams(5);
-    refusedShare(d, "t", 2000, 10, 40 * Driver.MS, Status.SERVED);
-    assertEquals(0, refusedShare(d, "t", 300, 4, 390 * Driver.MS, Status.SERVED), 0.02);
+    rejectedRatio(d, "t", 2000, 10, 40 * Driver.MS, Status.SERVED);
+    assertEquals(0, rejectedRatio(d, "t", 300, 4, 390 * Driver.MS, Status.SERVED), 0.02);
   }
 
-  /** Guards against an overload from the first second, in which nothing healthy was ever seen to be usual. */
+  /** A fleet that is overloaded from the first second has no healthy baseline load: the rate curve must still reject. */
   @Test
-  void withoutAHealthyTimeNothingIsUsualAndTheLineRefuses() {
+  void withoutAHealthyBaselineTheRateCurveRejects() {
     Driver d = new Driver(Driver.settings(false, List.of(new Tenant("t", 1, 1000)),
         Driver.type("c", Effect.SAFE, DedupScope.ALL))).upstreams(40);
-    assertTrue(refusedShare(d, "t", 300, 10, 390 * Driver.MS, Status.SERVED) > 0.2);
+    assertTrue(rejectedRatio(d, "t", 300, 10, 390 * Driver.MS, Status.SERVED) > 0.2);
   }
 
-  /** Guards against a collapsed fleet that nobody relieves: without quotas the line refuses, however few are out. */
+  /** Without quotas the rate curve must relieve a collapsed fleet, however few requests are in flight. */
   @Test
-  void withoutQuotasTheLineRefusesThoughFewAreOut() {
+  void withoutQuotasTheRateCurveRejectsEvenAtLowLoad() {
     Driver d = new Driver(Driver.safe()).upstreams(5);
-    refusedShare(d, 2000, 10, 40 * Driver.MS, Status.SERVED);
-    assertTrue(refusedShare(d, 300, 4, 390 * Driver.MS, Status.SERVED) > 0.2);
+    rejectedRatio(d, 2000, 10, 40 * Driver.MS, Status.SERVED);
+    assertTrue(rejectedRatio(d, 300, 4, 390 * Driver.MS, Status.SERVED) > 0.2);
   }
 
   @Test
-  void excessOverAQuotaIsRefusedFirst() {
+  void requestsOverAQuotaAreRejectedFirst() {
     Driver d = new Driver(Driver.settings(false, List.of(new Tenant("big", 0.5, 10), new Tenant("small", 0.5, 1000)),
         Driver.type("c", Effect.SAFE, DedupScope.ALL))).upstreams(5);
     for (int i = 0; i < 2000; i++) {
@@ -105,17 +105,17 @@
       }
       d.serveFor(20 * Driver.MS, Status.SERVED, 140 * Driver.MS);
     }
-    assertTrue(d.refusals.getOrDefault("b", 0) > 300, "excess refused: " + d.refusals);
-    assertEquals(0, d.refusals.getOrDefault("s", 0), "inside its quota nothing is refused");
+    assertTrue(d.rejections.getOrDefault("b", 0) > 300, "rejected over quota: " + d.rejections);
+    assertEquals(0, d.rejections.getOrDefault("s", 0), "nothing is rejected within a quota");
   }
 
-  /** Guards against a small part of a quota, in which a few requests by chance would be called excess. */
+  /** With a small part of a quota, a few random arrivals must not count as over the quota. */
   @Test
-  void chanceArrivalsInsideAQuotaAreNotExcess() {
+  void randomArrivalsWithinAQuotaAreNotRejected() {
     Driver d = new Driver(Driver.settings(false, List.of(new Tenant("t", 1, 0.5)),
         Driver.type("c", Effect.SAFE, DedupScope.ALL))).upstreams(1);
     for (int i = 0; i < 200; i++) {
-      // Slow enough for the line of excess, healthy for that of in-share work.
+      // Slow enough to reject requests over a quota, but healthy for those within.
       d.request(d.nextId(), "c", "k" + i % 50);
       d.serveFor(190 * Driver.MS, Status.SERVED, 180 * Driver.MS);
     }
@@ -123,19 +123,19 @@
       d.request("t" + d.nextId(), "c", "t", "k" + i, 0);
       d.serveFor(190 * Driver.MS, Status.SERVED, 180 * Driver.MS);
     }
-    assertEquals(0, d.refusals.getOrDefault("t", 0));
+    assertEquals(0, d.rejections.getOrDefault("t", 0));
   }
 
-  /** Guards in-share work where one balancer gets far more than its even part of the traffic, of all tenants. */
+  /** Where one balancer gets far more than its equal part of all tenants' traffic, requests within a quota must not be rejected. */
   @Test
-  void aBalancerThatCarriesMoreThanItsPartHasMoreOfTheQuotas() {
-    int all = refusedOf("a", "a", "b", "c");
-    int alone = refusedOf("a", "a");
-    assertTrue(all < alone / 2, "refused " + all + " where all ask ten times their parts, " + alone + " where one does");
+  void aBalancerWithMoreTrafficGetsMoreOfTheQuotas() {
+    int all = rejectedOf("a", "a", "b", "c");
+    int alone = rejectedOf("a", "a");
+    assertTrue(all < alone / 2, "rejected " + all + " where all tenants exceed their part tenfold, " + alone + " where one does");
   }
 
-  /** Refusals of tenant a, each tenant's part being one a second, where each of some asks for ten. */
-  private static int refusedOf(String tenant, String... asking) {
+  /** Returns the rejections of a tenant; each tenant has a quota of one request per second, and those that send use ten times as much. */
+  private static int rejectedOf(String tenant, String... asking) {
     Driver d = new Driver(Driver.settings(false, List.of(new Tenant("a", 1, 1), new Tenant("b", 1, 1),
         new Tenant("c", 1, 1)), Driver.type("c", Effect.SAFE, DedupScope.ALL))).upstreams(5);
     for (int i = 0; i < 300; i++) {
@@ -144,32 +144,32 @@
       }
       d.serveFor(100 * Driver.MS, Status.SERVED, 140 * Driver.MS);
     }
-    return d.refusals.getOrDefault(tenant, 0);
+    return d.rejections.getOrDefault(tenant, 0);
   }
 
-  /** Guards against quick failures that pull a mean down and keep a rate at full. */
+  /** Fast failures must not lower the mean latency and keep the admission rate at its maximum. */
   @Test
-  void quickFailuresCountAsTheClassLimit() {
+  void fastFailuresReduceTheRate() {
     Driver d = new Driver(Driver.safe()).upstreams(5);
-    double refused = refusedShare(d, 800, 10, 2 * Driver.MS, Status.ERROR);
-    assertTrue(refused > 0.3, "refused " + refused);
+    double rejected = rejectedRatio(d, 800, 10, 2 * Driver.MS, Status.ERROR);
+    assertTrue(rejected > 0.3, "rejected " + rejected);
   }
 
-  /** Guards the memory of long days: keys are ever new, and what is kept of one goes once it tells nothing any more. */
+  /** Bounds the memory where keys are always new: the window of a key is evicted once it has expired. */
   @Test
-  void keysThatAreIdleForAWindowAreForgotten() {
+  void windowsOfIdleKeysAreEvicted() {
     Driver d = new Driver(Driver.safe()).upstreams(3);
     for (int i = 0; i < 2000; i++) {
       d.request(d.nextId(), "c", "k" + i);
       d.serveFor(10 * Driver.MS, Status.SERVED, 10 * Driver.MS);
     }
     int kept = ((Logic) d.module).windowCount();
-    assertTrue(kept < 300, "a window of 1 s holds some 100 of 2,000 keys, and the keys kept are " + kept);
+    assertTrue(kept < 300, "a window of 1 s holds some 100 of 2,000 keys, but the windows kept are " + kept);
   }
 
-  /** Guards the loads of all others from one hint that is out of all proportion. */
+  /** One huge hint must not make all other requests look light. */
   @Test
-  void oneHugeHintDoesNotMakeTheOthersLight() {
+  void oneHugeHintDoesNotMakeOtherRequestsLight() {
     int usual = sentAtOnceAfter(20 * Driver.MS);
     assertEquals(usual, sentAtOnceAfter(1_000_000_000_000_000L), usual / 2);
   }
@@ -187,9 +187,9 @@
     return sent;
   }
 
-  /** Guards work that others can do: one attempt in eight that is reset at once is no overload. */
+  /** One attempt in eight that is reset at once is no overload: other upstreams can serve the requests. */
   @Test
-  void resetsAreNotChargedTheWholeDeadline() {
+  void resetsDoNotCountAsTheWholeDeadline() {
     Driver d = new Driver(Driver.safe()).upstreams(6);
     for (int i = 0; i < 1000; i++) {
       d.request(d.nextId(), "c", "k" + i % 20);
@@ -198,7 +198,7 @@
       }
       d.serveFor(10 * Driver.MS, Status.SERVED, 10 * Driver.MS);
     }
-    int refused = d.refusals.values().stream().mapToInt(n -> n).sum();
-    assertTrue(refused < 50, "refused: " + refused);
+    int rejected = d.rejections.values().stream().mapToInt(n -> n).sum();
+    assertTrue(rejected < 50, "rejected: " + rejected);
   }
 }
--- a/decision/src/test/java/cloverpulley/Driver.java
+++ b/decision/src/test/java/cloverpulley/Driver.java
@@ -26,7 +26,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Drives one instance by hand: a clock, its timers, and the actions of the last step. */
+/** Drives one instance with a virtual clock, its timers and the attempts that are in flight. */
 final class Driver {
 
   static final long MS = 1_000_000L;
@@ -34,7 +34,7 @@
   final Balancer module;
   final List<Long> timers = new ArrayList<>();
   final List<Sent> outstanding = new ArrayList<>();
-  final Map<String, Integer> refusals = new HashMap<>();
+  final Map<String, Integer> rejections = new HashMap<>();
   final Map<String, Integer> attempts = new HashMap<>();
   long now = 1_000_000_000_000L;
   private int ids;
@@ -76,7 +76,7 @@
       if (action instanceof SetTimer t) {
         timers.add(t.atNanos());
       } else if (action instanceof Balancer.Reject r) {
-        refusals.merge(r.id().substring(0, 1), 1, Integer::sum);
+        rejections.merge(r.id().substring(0, 1), 1, Integer::sum);
       } else if (action instanceof Send s) {
         outstanding.add(new Sent(s.id(), attempts.merge(s.id(), 1, Integer::sum) - 1, s.upstream(), now));
       }
@@ -121,7 +121,7 @@
         status == Status.SERVED, Map.of()));
   }
 
-  /** Lets time pass with upstreams that end every attempt after the latency. */
+  /** Advances the clock with upstreams that end every attempt after the latency. */
   void serveFor(long nanos, Status status, long latencyNanos) {
     for (long end = now + nanos; now < end; ) {
       pass(Math.min(5 * MS, end - now));
@@ -133,7 +133,7 @@
     }
   }
 
-  /** Sends one request and has it served after a latency; the upstream it went to, or -1 where it was not sent. */
+  /** Sends one request, which is served after a latency; returns its upstream, or -1 if it was not sent. */
   long serve(String key, long latencyNanos) {
     String id = nextId();
     long upstream = sentTo(request(id, "c", key));
@@ -144,7 +144,7 @@
     return upstream;
   }
 
-  /** Lets time pass, firing the timers that come due; the actions of all of them. */
+  /** Advances the clock and fires the timers that expire; returns all actions. */
   List<Action> pass(long nanos) {
     List<Action> actions = new ArrayList<>();
     long end = now + nanos;
--- a/decision/src/test/java/cloverpulley/FourRulesTest.java
+++ b/decision/src/test/java/cloverpulley/FourRulesTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What may follow an attempt: each effect, outcome and dedup scope, with the expectation written out. */
+/** What may follow an attempt: every effect, outcome and deduplication scope with its expected result. */
 class FourRulesTest {
 
   private static final long FIRST = 1;
@@ -59,7 +59,7 @@
     for (long other = 2; other <= 4; other++) {
       Driver d = fleet(effect, scope, other);
       List<Action> next = d.end("r", FIRST, status, Driver.MS);
-      assertEquals(allowed.contains("" + other) ? other : -1, Driver.sentTo(next), "sent on to " + other);
+      assertEquals(allowed.contains("" + other) ? other : -1, Driver.sentTo(next), "retried at " + other);
     }
     Driver alone = fleet(effect, scope);
     alone.list(ListKind.FULL);
@@ -71,15 +71,15 @@
   }
 
   @Test
-  void keyedIsNotResentPastItsWindow() {
+  void keyedIsNotRetriedPastItsWindow() {
     Driver d = fleet(Effect.KEYED, DedupScope.ALL, 2, 3);
     d.pass(1999 * Driver.MS);
     assertEquals(-1, Driver.sentTo(d.end("r", FIRST, Status.ERROR, 1999 * Driver.MS)));
   }
 
-  /** The window ends before the deadline: a repeat has to leave within it, and past it the request is ended at once and not held. */
+  /** The window ends before the deadline: a retry has to be sent within it, and past it the request ends at once instead of being queued. */
   @Test
-  void aRepeatLeavesWithinTheWindowAndPastItTheRequestEnds() {
+  void aRetryIsSentWithinTheWindowAndPastItTheRequestEnds() {
     Driver d = new Driver(Driver.settings(false, List.of(), new Balancer.RequestClass("c", Effect.KEYED, DedupScope.CELL, 500 * Driver.MS,
         400 * Driver.MS, 0, 2000 * Driver.MS, 1, 0, false))).upstreams(3);
     long began = d.now;
@@ -87,9 +87,9 @@
     assertEquals(0, first.sendByNanos(), "nothing may have run yet");
     d.pass(100 * Driver.MS);
     Send second = (Send) d.end("r", first.upstream(), Status.RESET, 100 * Driver.MS).get(0);
-    assertEquals(began + 499 * Driver.MS, second.sendByNanos(), "from the first that may have run, cut by a tick");
+    assertEquals(began + 499 * Driver.MS, second.sendByNanos(), "from the first attempt that may have run, less a tick");
     d.pass(500 * Driver.MS - (d.now - began));
-    assertTrue(Driver.has(d.end("r", second.upstream(), Status.NOT_SENT, 400 * Driver.MS), Fail.class), "nothing can come of it any more");
+    assertTrue(Driver.has(d.end("r", second.upstream(), Status.NOT_SENT, 400 * Driver.MS), Fail.class), "no retry is possible any more");
   }
 
   @Test
@@ -101,7 +101,7 @@
   }
 
   @Test
-  void attemptsStayUnderTheLimitAndAnAnsweredRequestIsLeftAlone() {
+  void attemptsAreLimitedAndAnAnsweredRequestIsNotRetried() {
     Driver d = new Driver(Driver.safe()).upstreams(12);
     long to = Driver.sentTo(d.request("r", "c", "k"));
     int sent = 0;
@@ -113,30 +113,30 @@
     assertFalse(Driver.has(d.pass(3000 * Driver.MS), Send.class));
   }
 
-  /** Guards against a retry storm: with every attempt failing, retries stay a fraction of the requests. */
+  /** Prevents a retry storm: while every attempt fails, retries stay a fraction of the requests. */
   @Test
   void retriesAreBudgeted() {
     int sends = sendsOf500(Status.ERROR);
     assertTrue(sends > 500 && sends < 500 * 1.2 + 40, "sends: " + sends);
   }
 
-  /** An upstream that holds few connections turns many away, for next to nothing: others can still serve them. Bounded too. */
+  /** An upstream with few connections rejects many requests at next to no cost: others can still serve them. This is bounded, too. */
   @Test
-  void whoIsTurnedAwayUnseenIsSentOnMoreOften() {
+  void requestsRejectedUnprocessedAreRetriedMoreOften() {
     int sends = sendsOf500(Status.FULL);
     assertTrue(sends > 500 * 1.6 && sends < 500 * 1.8 + 100, "sends: " + sends);
   }
 
-  /** Three in ten turned away once, as in a fleet whose upstreams have no connection to spare: nobody is refused for that. */
+  /** Three in ten requests are rejected once, as in a fleet whose upstreams have no connection to spare: all of them are retried. */
   @Test
-  void aThirdTurnedAwayCostsNoRequest() {
+  void rejectionsOfAThirdFailNoRequest() {
     Driver d = new Driver(Driver.safe()).upstreams(12);
     for (int i = 0; i < 500; i++) {
       String id = d.nextId();
       long to = Driver.sentTo(d.request(id, "c", "k" + i));
       if (i % 10 < 3) {
         to = Driver.sentTo(d.end(id, to, Status.FULL, Driver.MS));
-        assertTrue(to >= 0, "request " + i + " was not sent on");
+        assertTrue(to >= 0, "request " + i + " was not retried");
       }
       d.pass(Driver.MS);
       d.end(id, to, Status.SERVED, Driver.MS);
@@ -159,19 +159,19 @@
   }
 
   @Test
-  void theListIsAskedForAndAskedAgainAfterAFailure() {
+  void theListIsRequestedAgainAfterAFailure() {
     Driver d = new Driver(Driver.settings(true, List.of(), Driver.type("c", Effect.SAFE, DedupScope.ALL)));
     assertTrue(Driver.has(d.list(ListKind.CACHED, Driver.up(1)), Watch.class));
     for (int i = 0; i < 8; i++) {
       d.list(ListKind.FAILED);
-      assertTrue(Driver.has(d.pass(2100 * Driver.MS), Watch.class), "asked again inside ask-within");
+      assertTrue(Driver.has(d.pass(2100 * Driver.MS), Watch.class), "requested again within ask-within");
     }
     assertFalse(Driver.has(d.list(ListKind.FULL, Driver.up(1), Driver.up(2)), Watch.class));
-    assertFalse(Driver.has(d.pass(9000 * Driver.MS), Watch.class), "a subscription is not asked for twice");
+    assertFalse(Driver.has(d.pass(9000 * Driver.MS), Watch.class), "a subscription is not requested twice");
   }
 
   @Test
-  void anUpstreamBackWithANewStartIsUsedAgain() {
+  void aRestartedUpstreamIsUsedAgain() {
     Driver d = new Driver(Driver.safe()).upstreams(1);
     d.list(ListKind.FULL);
     assertEquals(-1, d.serve("k", Driver.MS));
@@ -180,7 +180,7 @@
     assertEquals(100, d.serve("k", Driver.MS));
   }
 
-  /** Guards against losing an answer that streams on past the deadline. */
+  /** A response that is streamed past the deadline must not be lost. */
   @Test
   void aStartedStreamHasNoDeadline() {
     Driver d = new Driver(Driver.safe()).upstreams(1);
--- a/decision/src/test/java/cloverpulley/LargeFleetTest.java
+++ b/decision/src/test/java/cloverpulley/LargeFleetTest.java
@@ -26,20 +26,20 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What many balancers do together, each knowing the settings' count of them and what it sees itself; a virtual clock. */
+/** Many balancers together on a virtual clock; each knows only their number and its own traffic. */
 class LargeFleetTest {
 
   private static final long MS = Driver.MS;
   private static final int BALANCERS = 14;
-  private static final double COLD_FROM = 0.3;
-  private static final long WARM_MS = 8000;
-  private static final long FALL_MS = 3000;
-  private static final double FALL_MULTIPLE = 3;
+  private static final double SLOW_START_MIN_RATIO = 0.3;
+  private static final long SLOW_START_MS = 8000;
+  private static final long OVERLOAD_WINDOW_MS = 3000;
+  private static final double OVERLOAD_MULTIPLE = 3;
 
-  private static Settings settings(int me) {
-    return new Settings(me, BALANCERS, "a", List.of(Driver.type("c", Effect.SAFE, DedupScope.ALL)), List.of(),
+  private static Settings settings(int selfId) {
+    return new Settings(selfId, BALANCERS, "a", List.of(Driver.type("c", Effect.SAFE, DedupScope.ALL)), List.of(),
         new Limits(true, false, false, true, true, 1000 * MS, 4, 10_000, 1, 200 * MS),
-        new Contract(8 * MS, 10_000 * MS, 250 * MS, COLD_FROM, WARM_MS * MS, FALL_MULTIPLE, FALL_MS * MS),
+        new Contract(8 * MS, 10_000 * MS, 250 * MS, SLOW_START_MIN_RATIO, SLOW_START_MS * MS, OVERLOAD_MULTIPLE, OVERLOAD_WINDOW_MS * MS),
         new Penalties(0, 0, 0), true, WeightKind.NONE, 0.2, true, MS);
   }
 
@@ -51,10 +51,10 @@
     return all;
   }
 
-  /** All start at once and discovery fails each call: later calls are spread by each one's own seed, and bounded in sum. */
+  /** All start at once and every discovery call fails: later calls are spread by the seed of each balancer, and bounded in total. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void callsThatFailAreSpreadAndBounded(long seed) {
+  void callsAfterFailuresAreSpreadAndBounded(long seed) {
     List<Driver> all = balancers(seed);
     Map<Long, Integer> calls = new TreeMap<>();
     all.forEach(d -> assertTrue(Driver.has(d.list(ListKind.CACHED, Driver.up(1)), Watch.class)));
@@ -74,20 +74,20 @@
   }
 
   /**
-   * Rule 4 by all together: seven in twelve upstreams are replaced at once by cold ones. What a warm one was sent is what it can
-   * do at least, so that no cold one may get three times its part of that within any window of the rule.
+   * Rule 4 with all balancers: seven in twelve upstreams are replaced at once. A warmed-up upstream can do at least what it was
+   * sent, so none in slow start may get three times its part of that within any window of the rule.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4})
-  void aColdOneIsNotPushedOverByAllTogether(long seed) {
+  void allTogetherDoNotOverloadAnUpstreamInSlowStart(long seed) {
     List<Driver> all = balancers(seed);
     SplittableRandom random = new SplittableRandom(seed);
-    List<Endpoint> warm = new ArrayList<>();
+    List<Endpoint> warmedUp = new ArrayList<>();
     for (long id = 1; id <= 12; id++) {
-      warm.add(Driver.up(id));
+      warmedUp.add(Driver.up(id));
     }
-    all.forEach(d -> d.list(ListKind.CACHED, warm.toArray(new Endpoint[0])));
-    Map<Long, List<Long>> before = play(all, random, 10_000);
+    all.forEach(d -> d.list(ListKind.CACHED, warmedUp.toArray(new Endpoint[0])));
+    Map<Long, List<Long>> before = serve(all, random, 10_000);
     double usual = before.values().stream().mapToInt(List::size).sum() / 12.0 / 10;
     long started = all.get(0).now;
     List<Endpoint> changes = new ArrayList<>();
@@ -96,25 +96,25 @@
       changes.add(new Endpoint(100 + id, "a", 0, State.READY, started, 1));
     }
     all.forEach(d -> d.list(ListKind.DELTA, changes.toArray(new Endpoint[0])));
-    Map<Long, List<Long>> after = play(all, random, 10_000);
-    int cold = 0;
+    Map<Long, List<Long>> after = serve(all, random, 10_000);
+    int starting = 0;
     for (long id = 101; id <= 107; id++) {
       List<Long> sends = after.getOrDefault(id, List.of());
-      cold += sends.isEmpty() ? 0 : 1;
+      starting += sends.isEmpty() ? 0 : 1;
       for (int i = 0, from = 0; i < sends.size(); i++) {
-        while (sends.get(i) - sends.get(from) > FALL_MS * MS) {
+        while (sends.get(i) - sends.get(from) > OVERLOAD_WINDOW_MS * MS) {
           from++;
         }
-        double part = Math.min(1, COLD_FROM + (1 - COLD_FROM) * (sends.get(from) - started) / (WARM_MS * MS));
-        double most = FALL_MULTIPLE * part * usual * FALL_MS / 1000;
+        double part = Math.min(1, SLOW_START_MIN_RATIO + (1 - SLOW_START_MIN_RATIO) * (sends.get(from) - started) / (SLOW_START_MS * MS));
+        double most = OVERLOAD_MULTIPLE * part * usual * OVERLOAD_WINDOW_MS / 1000;
         assertTrue(i - from + 1 <= most, "seed " + seed + ": " + (i - from + 1) + " sent to " + id + " within 3 s, most " + most);
       }
     }
-    assertEquals(7, cold, "cold ones are used");
+    assertEquals(7, starting, "upstreams in slow start are used");
   }
 
-  /** All balancers serve 10 ms requests at some 90 a second each; what each upstream was sent by all, and when. */
-  private static Map<Long, List<Long>> play(List<Driver> all, SplittableRandom random, long millis) {
+  /** All balancers serve 10 ms requests at about 90 per second each; returns the times of all attempts by upstream. */
+  private static Map<Long, List<Long>> serve(List<Driver> all, SplittableRandom random, long millis) {
     Map<Long, List<Long>> sends = new HashMap<>();
     for (long end = all.get(0).now + millis * MS; all.get(0).now < end; ) {
       for (Driver d : all) {
@@ -132,9 +132,9 @@
     return sends;
   }
 
-  /** Two upstreams are replaced each second for ten minutes: nothing is kept of those that went. */
+  /** Two upstreams are replaced each second for ten minutes: the state of removed ones is discarded. */
   @Test
-  void whatWentIsForgotten() throws ReflectiveOperationException {
+  void removedUpstreamsAreDiscarded() throws ReflectiveOperationException {
     Driver d = new Driver(settings(0), 7);
     for (long id = 0; id < 60; id++) {
       d.list(id == 0 ? ListKind.CACHED : ListKind.DELTA, Driver.up(id));
@@ -149,9 +149,9 @@
     assertTrue(((Logic) d.module).windowCount() < 100, "windows: " + ((Logic) d.module).windowCount());
   }
 
-  /** One answer among six that took nearly five times its aim: all of the next ten were refused where the bare mean decided. */
+  /** One response among six takes nearly five times its aim: with the plain mean all of the next ten requests were rejected. */
   @Test
-  void oneSlowAnswerAmongFewSwingsNoLine() {
+  void oneSlowResponseAmongFewCausesNoRejections() {
     Driver d = new Driver(settings(0), 7).upstreams(60);
     String slow = d.nextId();
     long at = Driver.sentTo(d.request(slow, "c", "slow"));
@@ -160,10 +160,10 @@
       assertTrue(d.serve("k" + i, 80 * MS) >= 0);
     }
     d.end(slow, at, Status.SERVED, 1900 * MS);
-    int refused = 0;
+    int rejected = 0;
     for (int i = 0; i < 10; i++) {
-      refused += d.serve("again" + i, 20 * MS) < 0 ? 1 : 0;
+      rejected += d.serve("again" + i, 20 * MS) < 0 ? 1 : 0;
     }
-    assertTrue(refused <= 2, "refused after one slow answer: " + refused + " of 10");
+    assertTrue(rejected <= 2, "rejected after one slow response: " + rejected + " of 10");
   }
 }
--- a/decision/src/test/java/cloverpulley/OfflineTest.java
+++ b/decision/src/test/java/cloverpulley/OfflineTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** An upstream that an operator takes out and calls back, on a virtual clock. */
+/** An upstream that an operator sets offline and brings back online, on a virtual clock. */
 class OfflineTest {
 
   private static final long MS = Driver.MS;
@@ -31,7 +31,7 @@
     return new Endpoint(id, "a", 0, state, started, 1);
   }
 
-  /** Requests of ever new keys for a while, each served after 20 ms; the times at which one went to the upstream. */
+  /** Sends requests with random keys for a while, each served after 20 ms; returns the times of attempts at the upstream. */
   private static List<Long> sendsTo(long upstream, Driver d, long millis) {
     List<Long> sends = new ArrayList<>();
     SplittableRandom random = new SplittableRandom(5);
@@ -48,7 +48,7 @@
   }
 
   @Test
-  void nothingGoesToItWhateverTheListSays() {
+  void itGetsNoRequestsWhateverTheListSays() {
     Driver d = new Driver(Driver.safe()).upstreams(4);
     assertTrue(!sendsTo(X, d, 500).isEmpty());
     d.step(new UpstreamSetOffline(X, 0));
@@ -62,12 +62,12 @@
     assertEquals(List.of(), sendsTo(X, d, 500));
     d.step(new UpstreamSetOffline(X, 0));
     d.step(new UpstreamSetOnline(X));
-    assertTrue(!sendsTo(X, d, 2000).isEmpty(), "one call back ends two calls out");
+    assertTrue(!sendsTo(X, d, 2000).isEmpty(), "setting it online once ends setting it offline twice");
   }
 
-  /** The last one that is ready may be taken out too: its requests are refused, not sent. */
+  /** The last ready upstream may be set offline, too: its requests are rejected, not sent. */
   @Test
-  void withoutAnyLeftRequestsAreRefused() {
+  void withoutReadyUpstreamsRequestsAreRejected() {
     Driver d = new Driver(Driver.safe()).upstreams(1);
     d.step(new UpstreamSetOffline(100, 0));
     List<Action> actions = new ArrayList<>(d.request("r", "c", "k"));
@@ -75,9 +75,9 @@
     assertTrue(Driver.has(actions, Reject.class) && !Driver.has(actions, Send.class), actions::toString);
   }
 
-  /** Taken out before it was ever listed, as a successor may learn of it, and called back while it is not listed. */
+  /** An upstream is set offline before it was ever listed, as may happen in a successor, and online while it is not listed. */
   @Test
-  void itNeedsNoList() {
+  void itNeedNotBeListed() {
     Driver d = new Driver(Driver.safe());
     d.step(new UpstreamSetOffline(X, 0));
     d.upstreams(4);
@@ -88,7 +88,7 @@
     assertTrue(!sendsTo(X, d, 500).isEmpty());
   }
 
-  /** Retries don't go to it either, nor do second copies: what was in flight there goes on. */
+  /** It gets no retries or hedged requests either. */
   @Test
   void aRetryGoesElsewhere() {
     Driver d = new Driver(Driver.safe()).upstreams(2);
@@ -101,10 +101,10 @@
     assertTrue(after.stream().noneMatch(a -> a instanceof Send s && s.upstream() == other), after::toString);
   }
 
-  /** Whether the list tells of the restart before the call back, after it or never: work returns within 5 s, gently. */
+  /** Whether the list reports the restart before it is set online, after it or never: traffic returns within 5 s, in slow start. */
   @ParameterizedTest
   @ValueSource(strings = {"before", "after", "never"})
-  void itComesBackCold(String told) {
+  void itComesBackInSlowStart(String reported) {
     Driver d = new Driver(Driver.safe()).upstreams(4);
     int warm = sendsTo(X, d, 8000).size();
     d.step(new UpstreamSetOffline(X, 0));
@@ -112,25 +112,25 @@
       sendsTo(X, d, 500);
     }
     long restarted = d.now;
-    if (told.equals("before")) {
+    if (reported.equals("before")) {
       d.list(ListKind.DELTA, up(X, restarted, State.READY));
     }
     sendsTo(X, d, 1000);
     d.step(new UpstreamSetOnline(X));
     List<Long> sends = sendsTo(X, d, 1500);
-    if (told.equals("after")) {
+    if (reported.equals("after")) {
       d.list(ListKind.DELTA, up(X, restarted, State.READY));
     }
     sends.addAll(sendsTo(X, d, 500));
-    assertTrue(!sends.isEmpty(), "nothing went to it within 2 s");
-    assertTrue(sends.size() < 0.75 * warm / 4, sends.size() + " sends in 2 s, of " + warm + " in 8 s while warm");
+    assertTrue(!sends.isEmpty(), "no attempt within 2 s");
+    assertTrue(sends.size() < 0.75 * warm / 4, sends.size() + " sends in 2 s, of " + warm + " in 8 s while warmed up");
     int later = sendsTo(X, d, 10_000).size();
-    assertTrue(later > 0.6 * warm * 10 / 8, later + " sends in 10 s at last, of " + warm + " in 8 s while warm");
+    assertTrue(later > 0.6 * warm * 10 / 8, later + " sends in the last 10 s, of " + warm + " in 8 s while warmed up");
   }
 
-  /** What it did before it was taken out, failures and slowness, is not held against it. */
+  /** Failures and slowness from before it was set offline do not count. */
   @Test
-  void itIsNotLeftOutForWhatItDidBefore() {
+  void earlierFailuresDoNotKeepItEjected() {
     Driver d = new Driver(Driver.settings(false, List.of(), Driver.type("c", Effect.SAFE, DedupScope.ALL))).upstreams(4);
     for (int ms = 0; ms < 4000; ms += 5) {
       d.request(d.nextId(), "c", "k" + ms);
@@ -144,6 +144,6 @@
     d.step(new UpstreamSetOffline(X, 0));
     sendsTo(X, d, 500);
     d.step(new UpstreamSetOnline(X));
-    assertTrue(!sendsTo(X, d, 2000).isEmpty(), "an ejection kept it away");
+    assertTrue(!sendsTo(X, d, 2000).isEmpty(), "it is still ejected");
   }
 }
--- a/decision/src/test/java/cloverpulley/PlacementTest.java
+++ b/decision/src/test/java/cloverpulley/PlacementTest.java
@@ -17,7 +17,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The ring, bounded load, room, silence, cold upstreams and drains. */
+/** The ring, bounded load, capacity, unresponsive upstreams, slow start and drains. */
 class PlacementTest {
 
   private static Map<String, Long> owners(Driver d, int keys) {
@@ -29,7 +29,7 @@
   }
 
   @Test
-  void ringIsBalancedAndAChangeMovesOnlyItsKeys() {
+  void ringIsBalancedAndRemovalMovesOnlyItsOwnKeys() {
     Driver d = new Driver(Driver.safe()).upstreams(10);
     Map<String, Long> before = owners(d, 2000);
     Map<Long, Integer> counts = new HashMap<>();
@@ -50,14 +50,14 @@
   @Test
   void hotKeySpreadsUnderTheLoadBound() {
     Driver d = new Driver(Driver.safe()).upstreams(5);
-    Map<Long, Integer> held = new HashMap<>();
+    Map<Long, Integer> inFlight = new HashMap<>();
     for (int i = 0; i < 40; i++) {
       long to = Driver.sentTo(d.request(d.nextId(), "c", "hot"));
-      held.merge(to, 1, Integer::sum);
+      inFlight.merge(to, 1, Integer::sum);
       int bound = (int) Math.ceil(2.0 * (i + 1) / 5);
-      assertTrue(held.get(to) <= bound, "holds " + held.get(to) + " of a bound of " + bound);
+      assertTrue(inFlight.get(to) <= bound, "in flight " + inFlight.get(to) + " of a bound of " + bound);
     }
-    assertTrue(held.size() >= 3);
+    assertTrue(inFlight.size() >= 3);
   }
 
   @Test
@@ -71,25 +71,25 @@
   }
 
   @Test
-  void coldUpstreamGetsItsWarmthsPart() {
+  void upstreamInSlowStartGetsItsPartOfTheTraffic() {
     Driver d = new Driver(Driver.safe()).upstreams(9);
     for (int i = 0; i < 2000; i++) {
       d.serve("k" + i, Driver.MS);
     }
     d.list(ListKind.DELTA, new Endpoint(500, "a", 0, State.READY, d.now, 1));
-    int cold = 0;
+    int starting = 0;
     int total = 0;
     for (int i = 0; i < 3000; i++) {
-      cold += d.serve("k" + i, Driver.MS) == 500 ? 1 : 0;
+      starting += d.serve("k" + i, Driver.MS) == 500 ? 1 : 0;
       total++;
     }
-    double part = cold / (total / 10.0);
-    assertTrue(part > 0.1 && part < 0.3 + 0.7 * 3 / 8 + 0.1, "part of a warm one's sends: " + part);
+    double part = starting / (total / 10.0);
+    assertTrue(part > 0.1 && part < 0.3 + 0.7 * 3 / 8 + 0.1, "part of what a warmed-up upstream gets: " + part);
   }
 
-  /** Guards against sending on to an upstream that has frozen and has not yet timed anything out. */
+  /** A frozen upstream must be avoided before its first attempt times out. */
   @Test
-  void silentUpstreamIsPassedOverAndItsRequestCopied() {
+  void unresponsiveUpstreamIsAvoidedAndItsRequestHedged() {
     Driver d = new Driver(Driver.safe()).upstreams(4);
     for (int i = 0; i < 400; i++) {
       d.serve("k" + i % 40, 10 * Driver.MS);
@@ -98,29 +98,29 @@
     String id = d.nextId();
     assertEquals(frozen, Driver.sentTo(d.request(id, "c", "k1")));
     List<Action> later = d.pass(200 * Driver.MS);
-    List<Send> copies = later.stream().filter(a -> a instanceof Send).map(a -> (Send) a).toList();
-    assertEquals(1, copies.size(), "one copy");
-    assertEquals(id, copies.get(0).id());
-    assertNotEquals(frozen, copies.get(0).upstream());
+    List<Send> hedges = later.stream().filter(a -> a instanceof Send).map(a -> (Send) a).toList();
+    assertEquals(1, hedges.size(), "one hedged request");
+    assertEquals(id, hedges.get(0).id());
+    assertNotEquals(frozen, hedges.get(0).upstream());
     assertNotEquals(frozen, d.serve("k1", 10 * Driver.MS));
-    List<Action> end = d.end(id, copies.get(0).upstream(), Status.SERVED, 10 * Driver.MS);
-    assertTrue(Driver.has(end, Balancer.Cancel.class), "the loser is cancelled");
+    List<Action> end = d.end(id, hedges.get(0).upstream(), Status.SERVED, 10 * Driver.MS);
+    assertTrue(Driver.has(end, Balancer.Cancel.class), "the other attempt is cancelled");
   }
 
-  /** Guards against thin windows, in which one short answer makes every heavier request a silence. */
+  /** With few samples, one fast response must not make every heavier request look unresponsive. */
   @Test
-  void withFewSamplesNothingIsSilent() {
+  void withFewSamplesNoUpstreamIsUnresponsive() {
     Driver d = new Driver(Driver.safe()).upstreams(4);
     for (int i = 0; i < 3; i++) {
       d.serve("k1", 2 * Driver.MS);
     }
     d.request(d.nextId(), "c", "k1");
-    assertTrue(d.pass(300 * Driver.MS).stream().noneMatch(a -> a instanceof Send), "no copy");
+    assertTrue(d.pass(300 * Driver.MS).stream().noneMatch(a -> a instanceof Send), "no hedged request");
   }
 
-  /** Guards against upstreams that hang where a time-out comes long after the aim: their keys leave before it. */
+  /** Keys must leave a hanging upstream before its time-out, which may come long after the aim. */
   @Test
-  void anAttemptPastItsAimMakesItsUpstreamSlow() {
+  void anOverdueAttemptMakesItsUpstreamSlow() {
     Driver d = new Driver(Driver.safe()).upstreams(4);
     for (int i = 0; i < 100; i++) {
       d.serve("k" + i, 20 * Driver.MS);
@@ -134,12 +134,12 @@
     d.pass(900 * Driver.MS);
     long kept = owners(d, 100).values().stream().filter(u -> u == 100).count();
     long had = before.values().stream().filter(u -> u == 100).count();
-    assertTrue(kept < 0.7 * had, "keys kept while nothing has timed out: " + kept + " of " + had);
+    assertTrue(kept < 0.7 * had, "keys kept before any time-out: " + kept + " of " + had);
   }
 
-  /** Guards against a dead upstream that fails fast and so always looks free. */
+  /** A dead upstream fails fast and would otherwise always look idle. */
   @Test
-  void upstreamThatFailsIsEjectedAndTriedAgain() {
+  void failingUpstreamIsEjectedAndTriedAgain() {
     Driver d = new Driver(Driver.safe()).upstreams(6);
     for (int i = 0; i < 200; i++) {
       d.serve("k" + i, Driver.MS);
@@ -158,13 +158,13 @@
     }
     assertEquals(3, toBad, "three failures eject");
     d.pass(600 * Driver.MS);
-    assertEquals(bad, d.serve("k0", Driver.MS), "a trial after the ejection");
-    assertEquals(bad, d.serve("k0", Driver.MS), "back after it");
+    assertEquals(bad, d.serve("k0", Driver.MS), "tried again after the ejection");
+    assertEquals(bad, d.serve("k0", Driver.MS), "in use again after a success");
   }
 
-  /** Guards against a slow upstream that no cap can tell where a balancer has under one request out at each. */
+  /** With less than one request in flight per upstream the load bound can't detect a slow upstream. */
   @Test
-  void aSlowUpstreamKeepsPartOfItsKeysAndGetsThemBack() {
+  void aSlowUpstreamLosesPartOfItsKeysAndGetsThemBack() {
     Driver d = new Driver(Driver.safe()).upstreams(6);
     Map<String, Long> before = owners(d, 300);
     for (int i = 0; i < 900; i++) {
@@ -181,7 +181,7 @@
     assertTrue(back > 0.9 * had, "back after a minute " + back + " of " + had);
   }
 
-  /** Guards a zone that gets more than it can do: what all its upstreams turn away goes to another zone. */
+  /** Requests that all upstreams of an overloaded zone reject go to another zone. */
   @Test
   void keysLeaveAZoneWhoseUpstreamsAreFull() {
     Driver d = new Driver(Driver.safe());
@@ -203,13 +203,13 @@
         }
       }
     }
-    assertEquals(0, away[0], "healthy: all stay");
-    assertTrue(away[1] > 150, "full: they leave: " + away[1]);
+    assertEquals(0, away[0], "healthy: all stay in the zone");
+    assertTrue(away[1] > 150, "full: they leave the zone: " + away[1]);
   }
 
-  /** Guards against filling an upstream's queue: past its room requests wait here, where value decides. */
+  /** Beyond the capacity of an upstream requests wait in the balancer, where the most valuable goes first, and not in the upstream's queue. */
   @Test
-  void roomHoldsRequestsBackAndRefusesEarly() {
+  void requestsBeyondTheCapacityAreQueuedAndRejectedEarly() {
     Driver d = new Driver(Driver.safe()).upstreams(1);
     for (int i = 0; i < 200; i++) {
       d.serve("k" + i % 10, 20 * Driver.MS);
@@ -219,13 +219,13 @@
       sent += Driver.sentTo(d.request(d.nextId(), "c", "k" + i)) >= 0 ? 1 : 0;
     }
     assertTrue(sent >= 2 && sent <= 12, "sent at once: " + sent);
-    long refused = d.pass(170 * Driver.MS).stream().filter(a -> a instanceof Balancer.Reject).count();
-    assertTrue(refused > 30, "refused inside 0.43 of the aim: " + refused);
+    long rejected = d.pass(170 * Driver.MS).stream().filter(a -> a instanceof Balancer.Reject).count();
+    assertTrue(rejected > 30, "rejected within 0.43 of the aim: " + rejected);
   }
 
-  /** Guards against heavy tails: a few requests hinted as heavy fill an upstream that a count calls half empty. */
+  /** A few requests with a hint of heavy work fill an upstream that looks half empty by their number. */
   @Test
-  void hintedHeavyRequestsTakeMoreOfTheRoom() {
+  void heavyRequestsTakeMoreOfTheCapacity() {
     int light = sentAtOnce(20 * Driver.MS);
     int heavy = sentAtOnce(80 * Driver.MS);
     assertTrue(light >= 4 && heavy <= light / 2, "sent at once: light " + light + ", heavy " + heavy);
@@ -244,20 +244,20 @@
     return sent;
   }
 
-  /** Guards against keys that leave their warm upstreams in a crowd: each move is work, and so more crowd. */
+  /** Under load a key must not leave the upstreams that cache it: each move costs work and adds to the load. */
   @Test
-  void aColdKeyStaysOnFewUpstreamsInACrowd() {
+  void aRareKeyStaysOnFewUpstreamsUnderLoad() {
     Driver d = new Driver(Driver.safe()).upstreams(12);
-    Map<String, Set<Long>> places = new HashMap<>();
+    Map<String, Set<Long>> upstreamsByKey = new HashMap<>();
     for (int i = 0; i < 4000; i++) {
       String key = "k" + i % 60;
       long to = Driver.sentTo(d.request(d.nextId(), "c", key));
       if (to >= 0) {
-        places.computeIfAbsent(key, k -> new HashSet<>()).add(to);
+        upstreamsByKey.computeIfAbsent(key, k -> new HashSet<>()).add(to);
       }
       d.serveFor(Driver.MS, Status.SERVED, 200 * Driver.MS);
     }
-    double mean = places.values().stream().mapToInt(Set::size).average().getAsDouble();
+    double mean = upstreamsByKey.values().stream().mapToInt(Set::size).average().getAsDouble();
     assertTrue(mean <= 3.5, "upstreams of a key: " + mean);
   }
 }
--- a/decision/src/test/java/cloverpulley/PriorAttemptsTest.java
+++ b/decision/src/test/java/cloverpulley/PriorAttemptsTest.java
@@ -21,11 +21,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Requests whose earlier attempts a caller made, and requests that have to be answered before their deadline. */
+/** Requests with attempts of earlier calls, and requests that have to be answered before their deadline. */
 class PriorAttemptsTest {
 
   private static final long MS = Driver.MS;
-  private static final long AGO = 100 * MS;
+  private static final long ATTEMPT_AGE = 100 * MS;
 
   /** Upstream 1 (zone a, cell 1), 2 (same cell), 3 (same zone), 4 (elsewhere). */
   private static Driver fleet(Effect effect, DedupScope scope, long... ids) {
@@ -38,7 +38,7 @@
     return d;
   }
 
-  private static Request repeat(Driver d, long answerBy, PriorAttempt... priorAttempts) {
+  private static Request retry(Driver d, long answerBy, PriorAttempt... priorAttempts) {
     return new Request("r", "c", null, "k", d.now + 2000 * MS, 0, true, answerBy, List.of(priorAttempts));
   }
 
@@ -48,15 +48,15 @@
 
   @ParameterizedTest
   @CsvSource({
-    // effect, scope, may have run, upstreams that may get the repeat, the answer where there is none
+    // effect, scope, may have run, upstreams that may get the retry, final answer if there is none
     "SAFE, CELL, true, 2 3 4, Reject", "SAFE, CELL, false, 2 3 4, Reject",
     "UNSAFE, ALL, true, '', Fail", "UNSAFE, ALL, false, 2 3 4, Reject",
     "KEYED, ALL, true, 2 3 4, Reject", "KEYED, ZONE, true, 2 3, Fail", "KEYED, CELL, true, 2, Fail",
     "KEYED, CELL, false, 2 3 4, Reject"})
-  void aRepeatGoesAsFarAsItsClassPermits(Effect effect, DedupScope scope, boolean ran, String allowed, String end) {
+  void aRetryGoesToTheUpstreamsThatItsClassPermits(Effect effect, DedupScope scope, boolean ran, String allowed, String end) {
     for (long other = 2; other <= 4; other++) {
       Driver d = fleet(effect, scope, other);
-      List<Action> actions = d.step(repeat(d, 0, first(d, AGO, ran)));
+      List<Action> actions = d.step(retry(d, 0, first(d, ATTEMPT_AGE, ran)));
       if (allowed.contains(Long.toString(other))) {
         assertEquals(other, Driver.sentTo(actions), effect + " " + scope + " to " + other);
       } else {
@@ -64,52 +64,52 @@
       }
     }
     Driver empty = fleet(effect, scope);
-    assertEquals(end, empty.step(repeat(empty, 0, first(empty, AGO, ran))).get(0).getClass().getSimpleName());
+    assertEquals(end, empty.step(retry(empty, 0, first(empty, ATTEMPT_AGE, ran))).get(0).getClass().getSimpleName());
   }
 
   @Test
-  void aKeyedRepeatGoesBackWithinTheWindowOnly() {
+  void aKeyedRequestIsRetriedWithinTheWindowOnly() {
     Driver d = fleet(Effect.KEYED, DedupScope.CELL, 1);
-    assertEquals(1, Driver.sentTo(d.step(repeat(d, 0, first(d, 1900 * MS, true)))), "the only one: again there");
+    assertEquals(1, Driver.sentTo(d.step(retry(d, 0, first(d, 1900 * MS, true)))), "the only upstream is used again");
     Driver late = fleet(Effect.KEYED, DedupScope.CELL, 1, 2);
-    Fail fail = assertInstanceOf(Fail.class, late.step(repeat(late, 0, first(late, 2000 * MS, true))).get(0));
+    Fail fail = assertInstanceOf(Fail.class, late.step(retry(late, 0, first(late, 2000 * MS, true))).get(0));
     assertEquals(Reason.MAY_HAVE_RUN, fail.reason());
   }
 
-  /** The group is that in which the attempt was made: an upstream listed in another since drops nothing there. */
+  /** The deduplication group is that of the attempt: an upstream that has moved to another group since does not deduplicate it. */
   @Test
-  void theGroupIsTheOneOfTheTime() {
+  void theGroupIsThatOfTheAttempt() {
     Driver d = fleet(Effect.KEYED, DedupScope.CELL, 3);
-    assertEquals(3, Driver.sentTo(d.step(repeat(d, 0, new PriorAttempt(3, "a", 3, d.now - AGO, true)))));
+    assertEquals(3, Driver.sentTo(d.step(retry(d, 0, new PriorAttempt(3, "a", 3, d.now - ATTEMPT_AGE, true)))));
     Driver moved = fleet(Effect.KEYED, DedupScope.CELL, 3);
-    assertInstanceOf(Fail.class, moved.step(repeat(moved, 0, new PriorAttempt(3, "a", 1, moved.now - AGO, true))).get(0));
+    assertInstanceOf(Fail.class, moved.step(retry(moved, 0, new PriorAttempt(3, "a", 1, moved.now - ATTEMPT_AGE, true))).get(0));
   }
 
   @Test
-  void attemptsOfEarlierCallsCount() {
+  void priorAttemptsCountTowardsTheLimit() {
     Driver d = fleet(Effect.SAFE, DedupScope.ALL, 1, 2, 3, 4);
-    PriorAttempt e = first(d, AGO, true);
-    Reject refuse = assertInstanceOf(Reject.class, d.step(repeat(d, 0, e, e, e, e)).get(0));
+    PriorAttempt e = first(d, ATTEMPT_AGE, true);
+    Reject refuse = assertInstanceOf(Reject.class, d.step(retry(d, 0, e, e, e, e)).get(0));
     assertEquals(Reason.ATTEMPTS, refuse.reason());
   }
 
-  /** Guards the fleet from callers that repeat everything: what they repeat is bounded as the module's own repeats are. */
+  /** Callers that retry everything must not overload the fleet: their retries are limited by the retry budget, too. */
   @Test
-  void repeatsAreBoundedByTheRetryBudget() {
+  void retriesByCallersAreLimitedByTheRetryBudget() {
     Driver d = fleet(Effect.SAFE, DedupScope.ALL, 1, 2, 3, 4);
     int sent = 0;
     for (int i = 0; i < 100; i++) {
-      Request r = new Request("r" + i, "c", null, "k" + i, d.now + 2000 * MS, 0, true, 0, List.of(first(d, AGO, true)));
+      Request r = new Request("r" + i, "c", null, "k" + i, d.now + 2000 * MS, 0, true, 0, List.of(first(d, ATTEMPT_AGE, true)));
       sent += Driver.sentTo(d.step(r)) >= 0 ? 1 : 0;
     }
     assertTrue(sent > 0 && sent <= 20, "sent " + sent);
   }
 
   @Test
-  void whatIsHeldIsAnsweredByItsTime() {
+  void queuedRequestsAreAnsweredByTheirTime() {
     Driver d = fleet(Effect.SAFE, DedupScope.ALL);
     long by = d.now + 37 * MS;
-    List<Action> actions = d.step(repeat(d, by));
+    List<Action> actions = d.step(retry(d, by));
     assertTrue(actions.contains(new SetTimer("answer", by)), actions.toString());
     d.now = by;
     Reject refuse = assertInstanceOf(Reject.class, d.step(new TimerFired("answer")).get(0));
--- a/decision/src/test/java/cloverpulley/StormTest.java
+++ b/decision/src/test/java/cloverpulley/RandomEventsTest.java
@@ -38,19 +38,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Random legal events over seeds and settings; the observer knows the four rules and nothing of the module. */
-class StormTest {
+/** Random valid events over seeds and settings; checks the four rules without knowledge of the implementation. */
+class RandomEventsTest {
 
   private static final long MS = 1_000_000L;
 
-  private record Try(long upstream, String zone, int cell, long at) {}
+  private record SentAttempt(long upstream, String zone, int cell, long at) {}
 
-  /** The observer's book on one request. */
+  /** What the test has seen of one request. */
   private static final class Entry {
     final RequestClass type;
     final long deadline;
-    final List<Try> tries = new ArrayList<>();
-    final List<Status> ends = new ArrayList<>();
+    final List<SentAttempt> attempts = new ArrayList<>();
+    final List<Status> outcomes = new ArrayList<>();
     boolean answered;
 
     Entry(RequestClass type, long deadline) {
@@ -58,12 +58,12 @@
       this.deadline = deadline;
     }
 
-    int out() {
-      return (int) ends.stream().filter(e -> e == null).count();
+    int inFlight() {
+      return (int) outcomes.stream().filter(e -> e == null).count();
     }
   }
 
-  private final Map<String, Entry> book = new LinkedHashMap<>();
+  private final Map<String, Entry> requests = new LinkedHashMap<>();
   private final Map<Long, Endpoint> fleet = new LinkedHashMap<>();
   private final List<Long> timers = new ArrayList<>();
   private SplittableRandom random;
@@ -84,7 +84,7 @@
     int id = 0;
     for (int round = 0; round < 3000; round++) {
       now += random.nextLong(6) * MS;
-      fire();
+      fireTimers();
       if (random.nextInt(100) < 4) {
         Endpoint changed = change(random.nextInt(12));
         step(random.nextBoolean() ? new EndpointUpdate(ListKind.DELTA, List.of(changed))
@@ -95,33 +95,33 @@
       for (int n = random.nextInt(4); n > 0; n--) {
         RequestClass type = settings.classes().get(random.nextInt(settings.classes().size()));
         long deadline = now + (20 + random.nextInt(600)) * MS;
-        book.put("r" + id, new Entry(type, deadline));
+        requests.put("r" + id, new Entry(type, deadline));
         step(new Request("r" + id++, type.name(), random.nextBoolean() ? "t" : null,
             random.nextInt(5) == 0 ? null : "k" + random.nextInt(30), deadline, 0, false));
       }
-      outcomes(40);
+      endAttempts(40);
     }
     for (int round = 0; round < 300; round++) {
       now += 5 * MS;
-      fire();
-      outcomes(100);
+      fireTimers();
+      endAttempts(100);
     }
-    book.forEach((name, e) -> assertTrue(e.answered, "no final answer for " + name));
+    requests.forEach((name, e) -> assertTrue(e.answered, "no final answer for " + name));
     long idle = timers.size();
     now += 60_000 * MS;
-    fire();
+    fireTimers();
     assertTrue(timers.size() <= 1 && idle <= 2, "state empties when traffic stops: " + timers.size() + " timers");
-    assertEquals(0, sizeOf("pending"), "requests still kept");
-    assertEquals(0, sizeOf("queue"), "requests still held");
+    assertEquals(0, sizeOf("pending"), "requests still pending");
+    assertEquals(0, sizeOf("queue"), "requests still queued");
   }
 
-  /** The size of one of the module's private collections: what it keeps is not to be seen from outside. */
+  /** Returns the size of a private collection of the policy, which can't be seen from outside. */
   private int sizeOf(String field) {
     try {
       Field f = Logic.class.getDeclaredField(field);
       f.setAccessible(true);
-      Object kept = f.get(module);
-      return kept instanceof Map<?, ?> map ? map.size() : ((Collection<?>) kept).size();
+      Object collection = f.get(module);
+      return collection instanceof Map<?, ?> map ? map.size() : ((Collection<?>) collection).size();
     } catch (ReflectiveOperationException e) {
       throw new AssertionError(e);
     }
@@ -142,33 +142,33 @@
         new Penalties(0, 0, 0), random.nextBoolean(), WeightKind.values()[random.nextInt(4)], 0.1, true, MS);
   }
 
-  /** A new state for one upstream. */
+  /** Gives one upstream a new random state. */
   private Endpoint change(long id) {
     State state = random.nextInt(3) > 0 ? State.READY : random.nextBoolean() ? State.DRAINING : State.GONE;
-    Endpoint listed = new Endpoint(id, "z" + id % 2, (int) (id / 3 * 2 + id % 2), state,
+    Endpoint endpoint = new Endpoint(id, "z" + id % 2, (int) (id / 3 * 2 + id % 2), state,
         random.nextInt(4) == 0 ? now : 0, 1 + random.nextInt(4));
-    fleet.put(id, listed);
-    return listed;
+    fleet.put(id, endpoint);
+    return endpoint;
   }
 
-  private void fire() {
+  private void fireTimers() {
     List<Long> due = timers.stream().filter(t -> t <= now).toList();
     timers.removeIf(t -> t <= now);
     due.forEach(t -> step(new TimerFired("sweep")));
   }
 
   /** Ends some attempts: those past the deadline time out, others end at random. */
-  private void outcomes(int percent) {
-    for (Map.Entry<String, Entry> entry : List.copyOf(book.entrySet())) {
+  private void endAttempts(int percent) {
+    for (Map.Entry<String, Entry> entry : List.copyOf(requests.entrySet())) {
       Entry e = entry.getValue();
-      for (int i = 0; i < e.tries.size(); i++) {
+      for (int i = 0; i < e.attempts.size(); i++) {
         boolean late = now >= e.deadline;
-        if (e.ends.get(i) == null && (late || random.nextInt(100) < percent / 4)) {
+        if (e.outcomes.get(i) == null && (late || random.nextInt(100) < percent / 4)) {
           Status status = e.answered && random.nextBoolean() ? Status.CANCELLED : late ? Status.TIMEOUT
               : random.nextInt(2) == 0 ? Status.SERVED : Status.values()[random.nextInt(Status.values().length)];
-          e.ends.set(i, status);
+          e.outcomes.set(i, status);
           e.answered |= status == Status.SERVED;
-          step(new Outcome(entry.getKey(), i, e.tries.get(i).upstream(), status, now - e.tries.get(i).at(), e.answered,
+          step(new Outcome(entry.getKey(), i, e.attempts.get(i).upstream(), status, now - e.attempts.get(i).at(), e.answered,
               Map.of()));
         }
       }
@@ -178,7 +178,7 @@
       }
       assertTrue(e.answered || now <= e.deadline + settings.contract().answerSlackNanos(), "late: " + entry.getKey());
     }
-    book.values().removeIf(e -> e.answered && e.out() == 0);
+    requests.values().removeIf(e -> e.answered && e.inFlight() == 0);
   }
 
   private void step(Event event) {
@@ -188,17 +188,17 @@
       if (action instanceof SetTimer t) {
         timers.add(t.atNanos());
       } else if (action instanceof Send s) {
-        checkSend(book.get(s.id()), s);
+        checkSend(requests.get(s.id()), s);
       } else if (action instanceof Reject r) {
-        Entry e = book.get(r.id());
+        Entry e = requests.get(r.id());
         assertTrue(!e.answered, "one final answer");
-        boolean open = e.ends.stream().anyMatch(x -> x == null || !x.provesNotRun());
-        assertTrue(!open || e.type.effect() == Effect.SAFE
-            || e.type.effect() == Effect.KEYED && e.type.dedupScope() == DedupScope.ALL, "refusal promises too much");
+        boolean mayHaveRun = e.outcomes.stream().anyMatch(x -> x == null || !x.provesNotRun());
+        assertTrue(!mayHaveRun || e.type.effect() == Effect.SAFE
+            || e.type.effect() == Effect.KEYED && e.type.dedupScope() == DedupScope.ALL, "rejected although it may have run");
         e.answered = true;
       } else if (action instanceof Fail f) {
-        assertTrue(!book.get(f.id()).answered, "one final answer");
-        book.get(f.id()).answered = true;
+        assertTrue(!requests.get(f.id()).answered, "one final answer");
+        requests.get(f.id()).answered = true;
       } else if (action instanceof Cancel) {
         assertTrue(settings.limits().cancel());
       }
@@ -209,20 +209,20 @@
     Endpoint to = fleet.get(s.upstream());
     assertTrue(!e.answered, "sent after the final answer");
     assertEquals(State.READY, to.state(), "sent to a draining or gone upstream");
-    assertTrue(e.tries.size() < settings.limits().maxAttempts(), "too many attempts");
-    assertTrue(e.out() == 0 || settings.limits().hedging(), "second copy");
+    assertTrue(e.attempts.size() < settings.limits().maxAttempts(), "too many attempts");
+    assertTrue(e.inFlight() == 0 || settings.limits().hedging(), "hedged request");
     assertTrue(now < e.deadline, "sent past the deadline");
-    for (int i = 0; i < e.tries.size(); i++) {
-      Try t = e.tries.get(i);
-      if (e.type.effect() != Effect.SAFE && (e.ends.get(i) == null || !e.ends.get(i).provesNotRun())) {
-        assertEquals(Effect.KEYED, e.type.effect(), "unsafe sent again");
-        assertTrue(now - t.at() < e.type.dedupWindowNanos(), "resent past the window");
+    for (int i = 0; i < e.attempts.size(); i++) {
+      SentAttempt t = e.attempts.get(i);
+      if (e.type.effect() != Effect.SAFE && (e.outcomes.get(i) == null || !e.outcomes.get(i).provesNotRun())) {
+        assertEquals(Effect.KEYED, e.type.effect(), "unsafe request retried");
+        assertTrue(now - t.at() < e.type.dedupWindowNanos(), "retried past the window");
         assertTrue(e.type.dedupScope() == DedupScope.ALL
             || e.type.dedupScope() == DedupScope.ZONE && t.zone().equals(to.zone())
-            || e.type.dedupScope() == DedupScope.CELL && t.cell() == to.cell(), "resent outside the group");
+            || e.type.dedupScope() == DedupScope.CELL && t.cell() == to.cell(), "retried outside the group");
       }
     }
-    e.tries.add(new Try(to.upstream(), to.zone(), to.cell(), now));
-    e.ends.add(null);
+    e.attempts.add(new SentAttempt(to.upstream(), to.zone(), to.cell(), now));
+    e.outcomes.add(null);
   }
 }
--- a/decision/src/test/java/cloverpulley/SettingsChangedTest.java
+++ b/decision/src/test/java/cloverpulley/SettingsChangedTest.java
@@ -20,7 +20,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Other settings between two requests, on a virtual clock. */
+/** Settings that change between two requests, on a virtual clock. */
 class SettingsChangedTest {
 
   private static final long MS = Driver.MS;
@@ -42,35 +42,35 @@
     return (int) actions.stream().filter(Send.class::isInstance).count();
   }
 
-  /** An error that may have run: a safe request goes on, an unsafe one ends there. */
-  private static boolean isRepeated(Driver d, String id, long at) {
+  /** Ends an attempt with an error after which it may have run; returns whether the request is retried. */
+  private static boolean isRetried(Driver d, String id, long at) {
     return sends(d.end(id, at, Status.ERROR, 5 * MS)) > 0;
   }
 
   @Test
-  void whatIsInHandKeepsItsEffectAndWhatComesHasTheNew() {
+  void pendingRequestsKeepTheirEffectAndNewOnesGetTheNewOne() {
     Driver d = new Driver(settings(4, type("c", Effect.SAFE), type("d", Effect.UNSAFE))).upstreams(4);
     long safe = Driver.sentTo(d.request("r1", "c", "k1"));
     long unsafe = Driver.sentTo(d.request("r2", "d", "k2"));
     d.step(new SettingsChanged(settings(4, type("c", Effect.UNSAFE), type("d", Effect.SAFE))));
-    long then = Driver.sentTo(d.request("r3", "c", "k3"));
-    assertTrue(isRepeated(d, "r1", safe), "taken as safe");
-    assertFalse(isRepeated(d, "r2", unsafe), "taken as unsafe: a repeat might run it twice");
-    assertFalse(isRepeated(d, "r3", then), "unsafe from here on");
+    long later = Driver.sentTo(d.request("r3", "c", "k3"));
+    assertTrue(isRetried(d, "r1", safe), "accepted as safe");
+    assertFalse(isRetried(d, "r2", unsafe), "accepted as unsafe: a retry could run it twice");
+    assertFalse(isRetried(d, "r3", later), "unsafe from here on");
   }
 
   @Test
-  void aDroppedClassesRequestsGoOnAndANewOnesAreServed() {
+  void pendingRequestsOfARemovedClassContinueAndANewClassIsServed() {
     Driver d = new Driver(settings(4, type("c", Effect.SAFE))).upstreams(4);
     long at = Driver.sentTo(d.request("r1", "c", "k1"));
     d.step(new SettingsChanged(settings(4, type("new", Effect.SAFE))));
-    assertTrue(isRepeated(d, "r1", at));
+    assertTrue(isRetried(d, "r1", at));
     assertTrue(Driver.sentTo(d.request("r2", "new", "k1")) > 0);
     assertThrows(IllegalArgumentException.class, () -> d.request("r3", "c", "k1"));
   }
 
   @Test
-  void theNumberOfAttemptsIsThatOfTheTaking() {
+  void theAttemptLimitIsThatAtAcceptance() {
     Driver d = new Driver(settings(3, type("c", Effect.SAFE))).upstreams(8);
     List<Action> first = new ArrayList<>(d.request("r1", "c", "k1"));
     d.step(new SettingsChanged(settings(1, type("c", Effect.SAFE))));
@@ -84,9 +84,9 @@
     assertEquals(1, sends(second));
   }
 
-  /** A new module would forget what is out, what is in flight and what was learned. */
+  /** Statistics, offline upstreams and requests in flight must survive; a new instance would lose them. */
   @Test
-  void nothingThatWasLearnedIsForgotten() {
+  void stateIsKept() {
     Driver d = new Driver(settings(4, type("c", Effect.SAFE))).upstreams(4);
     d.step(new UpstreamSetOffline(101, 0));
     for (int i = 0; i < 400; i++) {
@@ -97,16 +97,16 @@
     for (int i = 0; i < 200; i++) {
       assertTrue(d.request(d.nextId(), "d", "k" + i).stream().noneMatch(a -> a instanceof Send s && s.upstream() == 101));
     }
-    assertTrue(!d.outstanding.isEmpty(), "nothing was in hand: this shows nothing");
+    assertTrue(!d.outstanding.isEmpty(), "no request was pending, so the test proves nothing");
     List<Action> ends = new ArrayList<>();
     for (Driver.Sent s : List.copyOf(d.outstanding)) {
       ends.addAll(d.end(s, Status.SERVED, 5 * MS));
     }
-    assertTrue(ends.stream().noneMatch(Fail.class::isInstance), "each in hand still has its one answer");
+    assertTrue(ends.stream().noneMatch(Fail.class::isInstance), "each pending request still gets its one answer");
   }
 
   @Test
-  void classesOfOneNameAreTurnedDown() {
+  void duplicateClassNamesAreRejected() {
     assertThrows(IllegalArgumentException.class, () -> settings(4, type("c", Effect.SAFE), type("c", Effect.UNSAFE)));
   }
 }
--- a/decision/src/test/java/cloverpulley/SizeTest.java
+++ b/decision/src/test/java/cloverpulley/SizeTest.java
@@ -8,11 +8,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The module is ported by hand one day and has to stay small. */
+/** The policy is meant to be ported to another language by hand, so its size is limited. */
 class SizeTest {
 
   @Test
-  void moduleStaysInsideItsLimits() throws IOException {
+  void policyStaysWithinItsSizeLimits() throws IOException {
     List<String> lines = Files.readAllLines(Path.of("decision/src/main/java/cloverpulley/Logic.java"));
     long count = lines.stream().filter(l -> !l.isBlank()).count();
     assertTrue(count <= 650, "non-blank lines: " + count);
--- a/decision/src/test/java/cloverpulley/SnapshotTest.java
+++ b/decision/src/test/java/cloverpulley/SnapshotTest.java
@@ -18,7 +18,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What one instance knows helps the one that takes over, whatever the readings of their clocks. */
+/** The state of an instance is restored by its successor, whatever the readings of their clocks. */
 class SnapshotTest {
 
   private static final long MS = Driver.MS;
@@ -46,9 +46,9 @@
     return sends;
   }
 
-  /** Called back at the predecessor just before: the successor's list, as old as it is, calls it warm. */
+  /** An upstream was set online at the predecessor just before; the successor's list is older and shows no slow start. */
   @Test
-  void aStartThatNoListTellsIsPassedOn() {
+  void aStartThatNoListReportsIsRestored() {
     Driver old = new Driver(Driver.safe()).upstreams(4);
     int warm = sendsTo(101, old, 8000);
     old.step(new UpstreamSetOffline(101, 0));
@@ -57,13 +57,13 @@
     sendsTo(100, old, 200);
     Driver d = successor(old, Driver.up(100), Driver.up(101), Driver.up(102), Driver.up(103));
     int cold = sendsTo(101, d, 1500);
-    assertTrue(cold > 0, "nothing goes to it");
-    assertTrue(cold < 0.6 * warm * 1.5 / 8, cold + " sends in 1.5 s, of " + warm + " in 8 s while warm");
+    assertTrue(cold > 0, "it gets no requests");
+    assertTrue(cold < 0.6 * warm * 1.5 / 8, cold + " sends in 1.5 s, of " + warm + " in 8 s while warmed up");
   }
 
-  /** Beside each other they give a cold upstream what one alone would. */
+  /** Two processes together send an upstream in slow start no more than one alone would. */
   @Test
-  void aColdOneIsNotGivenTwiceAsMuch() {
+  void twoProcessesShareTheSlowStartBudget() {
     Driver old = new Driver(Driver.safe()).upstreams(4);
     sendsTo(101, old, 8000);
     old.list(ListKind.DELTA, new Endpoint(101, "a", 0, State.READY, old.now, 1));
@@ -76,17 +76,17 @@
     alone.list(ListKind.DELTA, new Endpoint(101, "a", 0, State.READY, alone.now, 1));
     int one = sendsTo(101, alone, 1500);
     int both = 0;
-    for (int i = 0; i < 150; i++) { // Each request in turn goes to the one and the other.
+    for (int i = 0; i < 150; i++) { // Requests go to both processes in turn.
       both += sendsTo(101, old, 5) + sendsTo(101, d, 5);
       old.serveFor(5 * MS, Status.SERVED, 20 * MS);
       d.serveFor(5 * MS, Status.SERVED, 20 * MS);
     }
-    assertTrue(both <= 1.25 * one + 1, both + " of both, " + one + " of one alone");
+    assertTrue(both <= 1.25 * one + 1, both + " from both, " + one + " from one alone");
   }
 
-  /** A failing upstream that the predecessor has left out stays left out, and the line is where it was. */
+  /** A failing upstream that the predecessor has ejected stays ejected. */
   @Test
-  void whoWasLeftOutStaysSo() {
+  void anEjectionIsRestored() {
     Driver old = new Driver(Driver.safe()).upstreams(4);
     for (int ms = 0; ms < 2000; ms += 5) {
       old.request(old.nextId(), "c", "k" + ms);
@@ -98,15 +98,15 @@
       }
     }
     BalancerSnapshot.UpstreamSnapshot bad = snapshot(old).upstreams().stream().filter(u -> u.upstream() == 101).findFirst().get();
-    assertTrue(bad.ejectionNanosLeft() > 0, "it was not left out: this shows nothing");
+    assertTrue(bad.ejectionNanosLeft() > 0, "it was not ejected, so the test proves nothing");
     Driver d = successor(old, Driver.up(100), Driver.up(101), Driver.up(102), Driver.up(103));
     long left = bad.ejectionNanosLeft() / MS;
     assertEquals(0, sendsTo(101, d, left - 10));
   }
 
-  /** Asked for in vain, and of an upstream that the successor does not know, it does no harm. */
+  /** A snapshot without upstreams, or with upstreams that the successor does not know, does no harm. */
   @Test
-  void anEmptyOneAndUnknownUpstreamsAreHarmless() {
+  void anEmptySnapshotAndUnknownUpstreamsAreHarmless() {
     Driver old = new Driver(Driver.safe()).upstreams(8);
     sendsTo(101, old, 1000);
     Driver d = successor(old, Driver.up(500));
--- a/decision/src/test/java/cloverpulley/PassingTest.java
+++ b/decision/src/test/java/cloverpulley/StreamingTest.java
@@ -21,8 +21,8 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Bodies and answers that pass while they come, on a virtual clock. */
-class PassingTest {
+/** Streamed request bodies and responses, on a virtual clock. */
+class StreamingTest {
 
   private static final long MS = Driver.MS;
 
@@ -30,24 +30,24 @@
     return Driver.has(actions, Send.class);
   }
 
-  /** A client that reads for ten seconds is no load at its upstream, and its answer no late one. */
+  /** A client that reads for ten seconds is no load at its upstream, and its response is not late. */
   @Test
   void aSlowReaderCountsNeitherAsLoadNorAsLatency() {
     Driver d = new Driver(Driver.safe()).upstreams(2);
     for (int i = 0; i < 200; i++) {
       d.serve("k" + i, 20 * MS);
     }
-    int passing = 0;
+    int started = 0;
     for (int i = 0; i < 300; i++) {
       String id = d.nextId();
       long at = Driver.sentTo(d.request(id, "c", "k" + i));
       d.pass(20 * MS);
       if (at >= 0) {
-        passing++;
+        started++;
         assertFalse(Driver.has(d.step(new AnswerStarted(id, 0, at, 20 * MS)), Reject.class));
       }
     }
-    assertEquals(300, passing, "refused or held because answers are still on their way");
+    assertEquals(300, started, "rejected or queued because responses are still being streamed");
     d.pass(10_000 * MS);
     for (Driver.Sent s : List.copyOf(d.outstanding)) {
       d.end(s, Status.SERVED, 20 * MS);
@@ -56,27 +56,27 @@
   }
 
   @Test
-  void anAnswerThatHasBegunIsTheOnlyOne() {
+  void aStartedResponseIsTheFinalAnswer() {
     Driver d = new Driver(Driver.safe()).upstreams(2);
     long at = Driver.sentTo(d.request("r", "c", "k"));
     d.step(new AnswerStarted("r", 0, at, 20 * MS));
-    List<Action> after = new ArrayList<>(d.pass(5000 * MS)); // Past its deadline: it has none any more.
+    List<Action> after = new ArrayList<>(d.pass(5000 * MS)); // Past its deadline, which no longer applies.
     after.addAll(d.step(new Outcome("r", 0, at, Status.RESET, 20 * MS, true, Map.of())));
     after.addAll(d.pass(1000 * MS));
     assertTrue(after.stream().noneMatch(a -> a instanceof Send || a instanceof Reject || a instanceof Fail), after::toString);
   }
 
   @Test
-  void aClientThatLeavesStopsIt() {
+  void aDisconnectedClientCancelsIt() {
     Driver d = new Driver(Driver.safe()).upstreams(2);
     long at = Driver.sentTo(d.request("r", "c", "k"));
     d.step(new AnswerStarted("r", 0, at, 20 * MS));
     assertTrue(d.step(new ClientGone("r")).contains(new Cancel("r", 0)));
   }
 
-  /** What is known not to have run can be sent again only where its beginning is still there. */
+  /** A request that has not run can be retried only while its body is still buffered. */
   @Test
-  void whatIsNotKeptIsNotSentAgain() {
+  void aRequestWithoutItsBodyIsNotRetried() {
     Driver d = new Driver(Driver.safe()).upstreams(4);
     long first = Driver.sentTo(d.request("r1", "c", "k1"));
     assertTrue(sends(d.end("r1", first, Status.FULL, MS)));
@@ -86,9 +86,9 @@
     assertTrue(!sends(end) && Driver.has(end, Reject.class), end::toString);
   }
 
-  /** Its time counts from its last byte, however long that took to come. */
+  /** The deadline counts from the last byte of the body, however long the upload took. */
   @Test
-  void theDeadlineIsThatOfTheWholeBody() {
+  void theDeadlineCountsFromTheEndOfTheBody() {
     Driver d = new Driver(Driver.safe()).upstreams(4);
     d.step(new Request("r", "c", null, "k", d.now + 600_000 * MS, 0, false));
     d.pass(30_000 * MS);
@@ -98,6 +98,6 @@
     assertTrue(sends(d.end(s, Status.ERROR, 1000 * MS)), "half of its time is left");
     d.pass(1500 * MS);
     s = d.outstanding.get(0);
-    assertTrue(Driver.has(d.end(s, Status.ERROR, 500 * MS), Reject.class), "its time is over");
+    assertTrue(Driver.has(d.end(s, Status.ERROR, 500 * MS), Reject.class), "its deadline has passed");
   }
 }
