--- a/decision/src/main/java/cloverpulley/Reason.java
+++ b/decision/src/main/java/cloverpulley/Reason.java
@@ -26,7 +26,7 @@
   UNKNOWN_EARLIER,
   /** A request with the same id is in progress. */
   IN_HAND,
-  /** The attempt records are full, and the request is not safe to retry without one. */
+  /** The table of attempt records is full, and none of them may be evicted. */
   RECORD_FULL,
   /** It is malformed. */
   BAD_REQUEST,
--- a/decision/src/test/java/cloverpulley/PriorAttemptsTest.java
+++ b/decision/src/test/java/cloverpulley/PriorAttemptsTest.java
@@ -89,8 +89,8 @@
   void priorAttemptsCountTowardsTheLimit() {
     Driver d = fleet(Effect.SAFE, DedupScope.ALL, 1, 2, 3, 4);
     PriorAttempt e = first(d, ATTEMPT_AGE, true);
-    Reject refuse = assertInstanceOf(Reject.class, d.step(retry(d, 0, e, e, e, e)).get(0));
-    assertEquals(Reason.ATTEMPTS, refuse.reason());
+    Reject reject = assertInstanceOf(Reject.class, d.step(retry(d, 0, e, e, e, e)).get(0));
+    assertEquals(Reason.ATTEMPTS, reject.reason());
   }
 
   /** Callers that retry everything must not overload the fleet: their retries are limited by the retry budget, too. */
@@ -112,7 +112,7 @@
     List<Action> actions = d.step(retry(d, by));
     assertTrue(actions.contains(new SetTimer("answer", by)), actions.toString());
     d.now = by;
-    Reject refuse = assertInstanceOf(Reject.class, d.step(new TimerFired("answer")).get(0));
-    assertEquals(Reason.NO_UPSTREAM, refuse.reason());
+    Reject reject = assertInstanceOf(Reject.class, d.step(new TimerFired("answer")).get(0));
+    assertEquals(Reason.NO_UPSTREAM, reject.reason());
   }
 }
--- a/decision/src/test/java/cloverpulley/SizeTest.java
+++ b/decision/src/test/java/cloverpulley/SizeTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The policy is meant to be ported to another language by hand, so its size is limited. */
+/** The policy is to be ported by hand later, so its size is limited. */
 class SizeTest {
 
   @Test
