--- a/balancer/src/main/java/cloverpulley/drill/Encoder.java
+++ b/balancer/src/main/java/cloverpulley/drill/Encoder.java
@@ -4,13 +4,13 @@
 import cloverpulley.Balancer.Cancel;
 import cloverpulley.Balancer.CloseIdle;
 import cloverpulley.Balancer.Fail;
-import cloverpulley.Balancer.FetchList;
+import cloverpulley.Balancer.FetchEndpoints;
 import cloverpulley.Balancer.Log;
 import cloverpulley.Balancer.Probe;
-import cloverpulley.Balancer.Refuse;
+import cloverpulley.Balancer.Reject;
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.SetTimer;
-import cloverpulley.Balancer.TellPeer;
+import cloverpulley.Balancer.SendToPeer;
 import cloverpulley.Balancer.Watch;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
@@ -32,7 +32,7 @@
       open(out, "AbortAttempt");
       out.writeStringField("rid", a.id());
       out.writeNumberField("go", a.attempt());
-    } else if (action instanceof Refuse a) {
+    } else if (action instanceof Reject a) {
       open(out, "Decline");
       out.writeStringField("rid", a.id());
       out.writeNumberField("not-before-for-ns", a.retryAfterNanos());
@@ -46,7 +46,7 @@
     } else if (action instanceof Watch a) {
       open(out, "Observe");
       out.writeBooleanField("enable", a.on());
-    } else if (action instanceof FetchList) {
+    } else if (action instanceof FetchEndpoints) {
       open(out, "Resolve");
     } else if (action instanceof Probe a) {
       open(out, "SoundOut");
@@ -54,7 +54,7 @@
     } else if (action instanceof CloseIdle a) {
       open(out, "Release");
       out.writeNumberField("upstream", a.upstream());
-    } else if (action instanceof TellPeer a) {
+    } else if (action instanceof SendToPeer a) {
       open(out, "BroadcastTo");
       out.writeNumberField("recipient", a.to());
       out.writeStringField("octets", Base64.getEncoder().encodeToString(a.data()));
--- a/balancer/src/test/java/cloverpulley/drill/LinkTest.java
+++ b/balancer/src/test/java/cloverpulley/drill/LinkTest.java
@@ -78,14 +78,14 @@
       g.writeStartArray();
       Encoder.write(g, new Balancer.Send("a", 7, 5));
       Encoder.write(g, new Balancer.Cancel("a", 1));
-      Encoder.write(g, new Balancer.Refuse("a", 9, Reason.OVER_RATE));
+      Encoder.write(g, new Balancer.Reject("a", 9, Reason.OVER_RATE));
       Encoder.write(g, new Balancer.Fail("a", Reason.NO_ROOM));
       Encoder.write(g, new Balancer.SetTimer("t", 3));
       Encoder.write(g, new Balancer.Watch(false));
-      Encoder.write(g, new Balancer.FetchList());
+      Encoder.write(g, new Balancer.FetchEndpoints());
       Encoder.write(g, new Balancer.Probe(7));
       Encoder.write(g, new Balancer.CloseIdle(7));
-      Encoder.write(g, new Balancer.TellPeer(-1, "hi 7".getBytes(StandardCharsets.UTF_8)));
+      Encoder.write(g, new Balancer.SendToPeer(-1, "hi 7".getBytes(StandardCharsets.UTF_8)));
       Encoder.write(g, new Balancer.Log("x"));
       g.writeEndArray();
     }
--- a/decision/src/test/java/cloverpulley/FourRulesTest.java
+++ b/decision/src/test/java/cloverpulley/FourRulesTest.java
@@ -7,10 +7,10 @@
 import cloverpulley.Balancer.Action;
 import cloverpulley.Balancer.DedupScope;
 import cloverpulley.Balancer.Effect;
+import cloverpulley.Balancer.Endpoint;
 import cloverpulley.Balancer.Fail;
 import cloverpulley.Balancer.ListKind;
-import cloverpulley.Balancer.Listed;
-import cloverpulley.Balancer.Refuse;
+import cloverpulley.Balancer.Reject;
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.State;
 import cloverpulley.Balancer.Status;
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What may follow an attempt: each effect, outcome and dedup scope, with the expectation written out. */
+/** What may follow an attempt: every effect, outcome and deduplication scope with its expected result. */
 class FourRulesTest {
 
   private static final long FIRST = 1;
@@ -29,67 +29,67 @@
   /** Upstream 1 (zone a, cell 1), 2 (same cell), 3 (same zone), 4 (elsewhere). */
   private static Driver fleet(Effect effect, DedupScope scope, long... ids) {
     Driver d = new Driver(Driver.settings(false, List.of(), Driver.type("c", effect, scope)));
-    d.list(ListKind.CACHED, new Listed(FIRST, "a", 1, State.READY, 0, 1));
-    List<Listed> others = new ArrayList<>();
+    d.list(ListKind.CACHED, new Endpoint(FIRST, "a", 1, State.READY, 0, 1));
+    List<Endpoint> others = new ArrayList<>();
     for (long id : ids) {
-      others.add(new Listed(id, id == 4 ? "b" : "a", id == 2 ? 1 : (int) id, State.READY, 0, 1));
+      others.add(new Endpoint(id, id == 4 ? "b" : "a", id == 2 ? 1 : (int) id, State.READY, 0, 1));
     }
     d.request("r", "c", "k");
-    d.list(ListKind.DELTA, others.toArray(new Listed[0]));
+    d.list(ListKind.DELTA, others.toArray(new Endpoint[0]));
     return d;
   }
 
   @ParameterizedTest
   @CsvSource({
     // effect, scope, outcome, upstreams that may get the next attempt, final answer where there is none
-    "SAFE, ALL, FULL, 2 3 4, Refuse", "SAFE, CELL, CONNECT_FAILED, 2 3 4, Refuse", "SAFE, ALL, ERROR, 2 3 4, Refuse",
-    "SAFE, CELL, RESET, 2 3 4, Refuse", "SAFE, CELL, TIMEOUT, 2 3 4, Refuse", "SAFE, CELL, CANCELLED, 2 3 4, Refuse",
-    "SAFE, CELL, NOT_SENT, 2 3 4, Refuse",
-    "UNSAFE, ALL, FULL, 2 3 4, Refuse", "UNSAFE, ALL, CONNECT_FAILED, 2 3 4, Refuse",
-    "UNSAFE, ALL, NOT_SENT, 2 3 4, Refuse", "UNSAFE, ALL, ERROR, '', Fail", "UNSAFE, ALL, RESET, '', Fail",
+    "SAFE, ALL, FULL, 2 3 4, Reject", "SAFE, CELL, CONNECT_FAILED, 2 3 4, Reject", "SAFE, ALL, ERROR, 2 3 4, Reject",
+    "SAFE, CELL, RESET, 2 3 4, Reject", "SAFE, CELL, TIMEOUT, 2 3 4, Reject", "SAFE, CELL, CANCELLED, 2 3 4, Reject",
+    "SAFE, CELL, NOT_SENT, 2 3 4, Reject",
+    "UNSAFE, ALL, FULL, 2 3 4, Reject", "UNSAFE, ALL, CONNECT_FAILED, 2 3 4, Reject",
+    "UNSAFE, ALL, NOT_SENT, 2 3 4, Reject", "UNSAFE, ALL, ERROR, '', Fail", "UNSAFE, ALL, RESET, '', Fail",
     "UNSAFE, ALL, TIMEOUT, '', Fail", "UNSAFE, ALL, CANCELLED, '', Fail",
-    "KEYED, ALL, FULL, 2 3 4, Refuse", "KEYED, ALL, ERROR, 2 3 4, Refuse", "KEYED, ALL, RESET, 2 3 4, Refuse",
-    "KEYED, ALL, TIMEOUT, 2 3 4, Refuse", "KEYED, ALL, CANCELLED, 2 3 4, Refuse",
-    "KEYED, ZONE, FULL, 2 3 4, Refuse", "KEYED, ZONE, CONNECT_FAILED, 2 3 4, Refuse",
+    "KEYED, ALL, FULL, 2 3 4, Reject", "KEYED, ALL, ERROR, 2 3 4, Reject", "KEYED, ALL, RESET, 2 3 4, Reject",
+    "KEYED, ALL, TIMEOUT, 2 3 4, Reject", "KEYED, ALL, CANCELLED, 2 3 4, Reject",
+    "KEYED, ZONE, FULL, 2 3 4, Reject", "KEYED, ZONE, CONNECT_FAILED, 2 3 4, Reject",
     "KEYED, ZONE, ERROR, 2 3, Fail", "KEYED, ZONE, RESET, 2 3, Fail", "KEYED, ZONE, TIMEOUT, 2 3, Fail",
     "KEYED, ZONE, CANCELLED, 2 3, Fail",
-    "KEYED, CELL, FULL, 2 3 4, Refuse", "KEYED, CELL, NOT_SENT, 2 3 4, Refuse", "KEYED, CELL, ERROR, 2, Fail",
+    "KEYED, CELL, FULL, 2 3 4, Reject", "KEYED, CELL, NOT_SENT, 2 3 4, Reject", "KEYED, CELL, ERROR, 2, Fail",
     "KEYED, CELL, RESET, 2, Fail", "KEYED, CELL, TIMEOUT, 2, Fail", "KEYED, CELL, CANCELLED, 2, Fail"})
   void nextAttemptOrFinalAnswer(Effect effect, DedupScope scope, Status status, String allowed, String end) {
     for (long other = 2; other <= 4; other++) {
       Driver d = fleet(effect, scope, other);
       List<Action> next = d.end("r", FIRST, status, Driver.MS);
-      assertEquals(allowed.contains("" + other) ? other : -1, Driver.sentTo(next), "sent on to " + other);
+      assertEquals(allowed.contains("" + other) ? other : -1, Driver.sentTo(next), "retried at " + other);
     }
     Driver alone = fleet(effect, scope);
     alone.list(ListKind.FULL);
     List<Action> last = new ArrayList<>(alone.end("r", FIRST, status, Driver.MS));
     last.addAll(alone.pass(2000 * Driver.MS));
-    List<Action> finals = last.stream().filter(a -> a instanceof Refuse || a instanceof Fail).toList();
+    List<Action> finals = last.stream().filter(a -> a instanceof Reject || a instanceof Fail).toList();
     assertEquals(1, finals.size());
     assertEquals(end, finals.get(0).getClass().getSimpleName());
   }
 
   @Test
-  void keyedIsNotResentPastItsWindow() {
+  void keyedIsNotRetriedPastItsWindow() {
     Driver d = fleet(Effect.KEYED, DedupScope.ALL, 2, 3);
     d.pass(1999 * Driver.MS);
     assertEquals(-1, Driver.sentTo(d.end("r", FIRST, Status.ERROR, 1999 * Driver.MS)));
   }
 
-  /** The window ends before the deadline: a repeat has to leave within it, and past it the request is ended at once and not held. */
+  /** The window ends before the deadline: a retry has to be sent within it, and past it the request ends at once instead of being queued. */
   @Test
-  void aRepeatLeavesWithinTheWindowAndPastItTheRequestEnds() {
+  void aRetryIsSentWithinTheWindowAndPastItTheRequestEnds() {
     Driver d = new Driver(Driver.settings(false, List.of(), new Balancer.RequestClass("c", Effect.KEYED, DedupScope.CELL, 500 * Driver.MS,
         400 * Driver.MS, 0, 2000 * Driver.MS, 1, 0, false))).upstreams(3);
     long began = d.now;
     Send first = (Send) d.request("r", "c", "k").get(0);
-    assertEquals(0, first.leavesByNanos(), "nothing may have run yet");
+    assertEquals(0, first.sendByNanos(), "nothing may have run yet");
     d.pass(100 * Driver.MS);
     Send second = (Send) d.end("r", first.upstream(), Status.RESET, 100 * Driver.MS).get(0);
-    assertEquals(began + 499 * Driver.MS, second.leavesByNanos(), "from the first that may have run, cut by a tick");
+    assertEquals(began + 499 * Driver.MS, second.sendByNanos(), "from the first attempt that may have run, less a tick");
     d.pass(500 * Driver.MS - (d.now - began));
-    assertTrue(Driver.has(d.end("r", second.upstream(), Status.NOT_SENT, 400 * Driver.MS), Fail.class), "nothing can come of it any more");
+    assertTrue(Driver.has(d.end("r", second.upstream(), Status.NOT_SENT, 400 * Driver.MS), Fail.class), "no retry is possible any more");
   }
 
   @Test
@@ -97,11 +97,11 @@
     Driver d = new Driver(Driver.safe());
     d.list(ListKind.CACHED);
     assertTrue(d.request("r", "c", "k").stream().noneMatch(a -> a instanceof Send));
-    assertTrue(Driver.has(d.pass(2000 * Driver.MS), Refuse.class));
+    assertTrue(Driver.has(d.pass(2000 * Driver.MS), Reject.class));
   }
 
   @Test
-  void attemptsStayUnderTheLimitAndAnAnsweredRequestIsLeftAlone() {
+  void attemptsAreLimitedAndAnAnsweredRequestIsNotRetried() {
     Driver d = new Driver(Driver.safe()).upstreams(12);
     long to = Driver.sentTo(d.request("r", "c", "k"));
     int sent = 0;
@@ -113,30 +113,30 @@
     assertFalse(Driver.has(d.pass(3000 * Driver.MS), Send.class));
   }
 
-  /** Guards against a retry storm: with every attempt failing, retries stay a fraction of the requests. */
+  /** Prevents a retry storm: while every attempt fails, retries stay a fraction of the requests. */
   @Test
   void retriesAreBudgeted() {
     int sends = sendsOf500(Status.ERROR);
     assertTrue(sends > 500 && sends < 500 * 1.2 + 40, "sends: " + sends);
   }
 
-  /** An upstream that holds few connections turns many away, for next to nothing: others can still serve them. Bounded too. */
+  /** An upstream with few connections rejects many requests at next to no cost: others can still serve them. This is bounded, too. */
   @Test
-  void whoIsTurnedAwayUnseenIsSentOnMoreOften() {
+  void requestsRejectedUnprocessedAreRetriedMoreOften() {
     int sends = sendsOf500(Status.FULL);
     assertTrue(sends > 500 * 1.6 && sends < 500 * 1.8 + 100, "sends: " + sends);
   }
 
-  /** Three in ten turned away once, as in a fleet whose upstreams have no connection to spare: nobody is refused for that. */
+  /** Three in ten requests are rejected once, as in a fleet whose upstreams have no connection to spare: all of them are retried. */
   @Test
-  void aThirdTurnedAwayCostsNoRequest() {
+  void rejectionsOfAThirdFailNoRequest() {
     Driver d = new Driver(Driver.safe()).upstreams(12);
     for (int i = 0; i < 500; i++) {
       String id = d.nextId();
       long to = Driver.sentTo(d.request(id, "c", "k" + i));
       if (i % 10 < 3) {
         to = Driver.sentTo(d.end(id, to, Status.FULL, Driver.MS));
-        assertTrue(to >= 0, "request " + i + " was not sent on");
+        assertTrue(to >= 0, "request " + i + " was not retried");
       }
       d.pass(Driver.MS);
       d.end(id, to, Status.SERVED, Driver.MS);
@@ -159,34 +159,34 @@
   }
 
   @Test
-  void theListIsAskedForAndAskedAgainAfterAFailure() {
+  void theListIsRequestedAgainAfterAFailure() {
     Driver d = new Driver(Driver.settings(true, List.of(), Driver.type("c", Effect.SAFE, DedupScope.ALL)));
     assertTrue(Driver.has(d.list(ListKind.CACHED, Driver.up(1)), Watch.class));
     for (int i = 0; i < 8; i++) {
       d.list(ListKind.FAILED);
-      assertTrue(Driver.has(d.pass(2100 * Driver.MS), Watch.class), "asked again inside ask-within");
+      assertTrue(Driver.has(d.pass(2100 * Driver.MS), Watch.class), "requested again within ask-within");
     }
     assertFalse(Driver.has(d.list(ListKind.FULL, Driver.up(1), Driver.up(2)), Watch.class));
-    assertFalse(Driver.has(d.pass(9000 * Driver.MS), Watch.class), "a subscription is not asked for twice");
+    assertFalse(Driver.has(d.pass(9000 * Driver.MS), Watch.class), "a subscription is not requested twice");
   }
 
   @Test
-  void anUpstreamBackWithANewStartIsUsedAgain() {
+  void aRestartedUpstreamIsUsedAgain() {
     Driver d = new Driver(Driver.safe()).upstreams(1);
     d.list(ListKind.FULL);
     assertEquals(-1, d.serve("k", Driver.MS));
-    d.list(ListKind.DELTA, new Listed(100, "a", 0, State.READY, d.now, 1));
+    d.list(ListKind.DELTA, new Endpoint(100, "a", 0, State.READY, d.now, 1));
     d.pass(2000 * Driver.MS);
     assertEquals(100, d.serve("k", Driver.MS));
   }
 
-  /** Guards against losing an answer that streams on past the deadline. */
+  /** A response that is streamed past the deadline must not be lost. */
   @Test
   void aStartedStreamHasNoDeadline() {
     Driver d = new Driver(Driver.safe()).upstreams(1);
     d.request("r", "c", "k");
     d.step(new Balancer.AnswerStarted("r", 0, 100, Driver.MS));
     List<Action> later = d.pass(5000 * Driver.MS);
-    assertTrue(later.stream().noneMatch(a -> a instanceof Fail || a instanceof Refuse || a instanceof Send));
+    assertTrue(later.stream().noneMatch(a -> a instanceof Fail || a instanceof Reject || a instanceof Send));
   }
 }
--- a/engine/src/main/java/cloverpulley/engine/Engine.java
+++ b/engine/src/main/java/cloverpulley/engine/Engine.java
@@ -1,40 +1,40 @@
 package cloverpulley.engine;
 
-import cloverpulley.Balancer;
 import cloverpulley.Balancer.Action;
 import cloverpulley.Balancer.AnswerStarted;
-import cloverpulley.Balancer.Bequeath;
-import cloverpulley.Balancer.Beside;
+import cloverpulley.Balancer.PublishSnapshot;
+import cloverpulley.Balancer.ProcessCountChanged;
 import cloverpulley.Balancer.BodyEnded;
-import cloverpulley.Balancer.CalledBack;
+import cloverpulley.Balancer.UpstreamSetOnline;
 import cloverpulley.Balancer.Cancel;
 import cloverpulley.Balancer.ClientGone;
 import cloverpulley.Balancer.CloseIdle;
+import cloverpulley.Balancer.EndpointUpdate;
 import cloverpulley.Balancer.Event;
 import cloverpulley.Balancer.Fail;
-import cloverpulley.Balancer.FetchList;
-import cloverpulley.Balancer.HandOver;
-import cloverpulley.Balancer.Inherited;
+import cloverpulley.Balancer.FetchEndpoints;
+import cloverpulley.Balancer.SnapshotRequested;
+import cloverpulley.Balancer.SnapshotRestored;
 import cloverpulley.Balancer.ListKind;
-import cloverpulley.Balancer.ListNews;
 import cloverpulley.Balancer.Outcome;
 import cloverpulley.Balancer.PeerMessage;
 import cloverpulley.Balancer.Probe;
 import cloverpulley.Balancer.ProbeResult;
-import cloverpulley.Balancer.Refuse;
+import cloverpulley.Balancer.Reject;
 import cloverpulley.Balancer.Request;
-import cloverpulley.Balancer.Retuned;
+import cloverpulley.Balancer.SettingsChanged;
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.SetTimer;
 import cloverpulley.Balancer.Settings;
 import cloverpulley.Balancer.Status;
-import cloverpulley.Balancer.TakenOut;
-import cloverpulley.Balancer.TellPeer;
+import cloverpulley.Balancer.UpstreamSetOffline;
+import cloverpulley.Balancer.SendToPeer;
 import cloverpulley.Balancer.TimerFired;
-import cloverpulley.Balancer.Unrepeatable;
+import cloverpulley.Balancer.BodyDiscarded;
 import cloverpulley.Balancer.Watch;
+import cloverpulley.Balancer;
 import cloverpulley.Reason;
-import cloverpulley.state.Knowledge;
+import cloverpulley.state.BalancerSnapshot;
 import java.net.SocketAddress;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -74,7 +74,7 @@
   private final Map<String, Exchange> exchanges = new HashMap<>();
   /** What has happened and the module has not been told; an entry is worded when its turn comes. */
   private final ArrayDeque<Supplier<Event>> queue = new ArrayDeque<>();
-  private Consumer<Knowledge> knowledgeTo = k -> { };
+  private Consumer<BalancerSnapshot> knowledgeTo = k -> { };
   private boolean scheduled;
   private Balancer module;
   private long generation;
@@ -159,14 +159,14 @@
   public void news(ListKind kind, ServerList list) {
     if (kind == ListKind.FAILED) {
       witness.listed(kind, ServerList.NONE, List.of());
-      enqueue(() -> new ListNews(kind, List.of()));
+      enqueue(() -> new EndpointUpdate(kind, List.of()));
       return;
     }
-    ListNews news = fleet.take(kind, list);
+    EndpointUpdate news = fleet.take(kind, list);
     if (witness != Witness.NONE) {
-      List<Witness.Numbered> told = new ArrayList<>(news.entries().size());
-      for (int i = 0; i < news.entries().size(); i++) {
-        told.add(new Witness.Numbered(news.entries().get(i).upstream(), list.members().get(i)));
+      List<Witness.Numbered> told = new ArrayList<>(news.endpoints().size());
+      for (int i = 0; i < news.endpoints().size(); i++) {
+        told.add(new Witness.Numbered(news.endpoints().get(i).upstream(), list.members().get(i)));
       }
       witness.listed(kind, list, told);
     }
@@ -183,7 +183,7 @@
   public void takeOut(String id, long forNanos) {
     if (!fleet.out().contains(id)) {
       long upstream = fleet.takeOut(id);
-      enqueue(() -> new TakenOut(upstream, forNanos));
+      enqueue(() -> new UpstreamSetOffline(upstream, forNanos));
       transports.forEach(t -> t.withdraw(u -> !fleet.isReady(u)));
     }
   }
@@ -192,31 +192,31 @@
   public void callBack(String id) {
     Long upstream = fleet.callBack(id);
     if (upstream != null) {
-      enqueue(() -> new CalledBack(upstream));
+      enqueue(() -> new UpstreamSetOnline(upstream));
     }
   }
 
   /** Asks the module what it knows, for a successor; told in the module's turn. */
-  public void knowledge(Consumer<Knowledge> to) {
+  public void knowledge(Consumer<BalancerSnapshot> to) {
     knowledgeTo = to;
-    enqueue(HandOver::new);
+    enqueue(SnapshotRequested::new);
   }
 
   /** What a predecessor's module knew; after the first list. */
-  public void inherit(Knowledge knowledge) {
-    enqueue(() -> new Inherited(knowledge));
+  public void inherit(BalancerSnapshot knowledge) {
+    enqueue(() -> new SnapshotRestored(knowledge));
   }
 
   /** Other settings hold for requests that are taken from here on; those in hand keep theirs. */
   public void retune(Settings to) {
     settings = to;
     retuned = true;
-    enqueue(() -> new Retuned(to));
+    enqueue(() -> new SettingsChanged(to));
   }
 
   /** So many processes serve as this balancer, this one among them. */
   public void beside(int processes) {
-    enqueue(() -> new Beside(processes));
+    enqueue(() -> new ProcessCountChanged(processes));
   }
 
   /** Another balancer has sent a message. */
@@ -318,7 +318,7 @@
 
   /** The beginning of a request's body is not kept any more. */
   public void unrepeatable(Exchange x) {
-    enqueue(() -> known(x) ? new Unrepeatable(x.id) : null);
+    enqueue(() -> known(x) ? new BodyDiscarded(x.id) : null);
   }
 
   private void guard(Exchange x, long due) {
@@ -370,7 +370,7 @@
 
   /** A module that threw is in an unknown state: what it held is answered, and a new one starts from the list. */
   private void restart(Event cause) {
-    if (cause instanceof Retuned || cause instanceof ListNews news && news.kind() == ListKind.CACHED) {
+    if (cause instanceof SettingsChanged || cause instanceof EndpointUpdate news && news.kind() == ListKind.CACHED) {
       LOG.severe("a module can't even start: the process ends");
       failAll();
       loop.execute(() -> Runtime.getRuntime().halt(1));
@@ -388,13 +388,13 @@
     module = modules.apply(++generation);
     if (retuned) {
       Settings now = settings;
-      enqueue(() -> new Retuned(now)); // Before the list: it was made with those of the start.
+      enqueue(() -> new SettingsChanged(now)); // Before the list: it was made with those of the start.
     }
-    ListNews held = fleet.held();
+    EndpointUpdate held = fleet.held();
     enqueue(() -> held);
     fleet.out().forEach(id -> {
       long upstream = fleet.takeOut(id);
-      enqueue(() -> new TakenOut(upstream, 0));
+      enqueue(() -> new UpstreamSetOffline(upstream, 0));
     });
   }
 
@@ -427,7 +427,7 @@
       if (x != null) {
         cancel(x.attempts.get(a.attempt() - x.facts().earlier().size()));
       }
-    } else if (action instanceof Refuse a) {
+    } else if (action instanceof Reject a) {
       end(a.id(), new Verdict(true, a.reason(), a.retryAfterNanos()));
     } else if (action instanceof Fail a) {
       end(a.id(), Verdict.failed(a.reason()));
@@ -437,16 +437,16 @@
           a.atNanos() - clock.now(), TimeUnit.NANOSECONDS);
     } else if (action instanceof Watch a) {
       lists.watch(a.on());
-    } else if (action instanceof FetchList) {
+    } else if (action instanceof FetchEndpoints) {
       lists.fetch();
     } else if (action instanceof Probe a) {
       probe(a.upstream());
     } else if (action instanceof CloseIdle a) {
       transports.forEach(t -> t.closeIdle(a.upstream()));
-    } else if (action instanceof TellPeer a) {
+    } else if (action instanceof SendToPeer a) {
       peers.send(a.to(), a.data());
-    } else if (action instanceof Bequeath a) {
-      knowledgeTo.accept(a.knowledge());
+    } else if (action instanceof PublishSnapshot a) {
+      knowledgeTo.accept(a.snapshot());
     } else if (action instanceof Balancer.Log a) {
       LOG.info(a.text());
     }
@@ -479,7 +479,7 @@
   private void send(Exchange x, Send send) {
     long now = clock.now();
     int number = x.facts().earlier().size() + x.attempts.size();
-    Attempt attempt = new Attempt(x, number, send.upstream(), now, send.leavesByNanos());
+    Attempt attempt = new Attempt(x, number, send.upstream(), now, send.sendByNanos());
     x.attempts.add(attempt);
     x.outstanding++;
     witness.sent(attempt);
@@ -489,7 +489,7 @@
     long left = x.deadline - now;
     long timeout = send.timeoutNanos() == 0 ? left : Math.min(left, send.timeoutNanos());
     SocketAddress address = fleet.address(send.upstream());
-    if (x.isEnded() || timeout <= 0 || number >= x.maxAttempts || send.leavesByNanos() > 0 && now >= send.leavesByNanos()) {
+    if (x.isEnded() || timeout <= 0 || number >= x.maxAttempts || send.sendByNanos() > 0 && now >= send.sendByNanos()) {
       attemptEnded(attempt, Status.NOT_SENT, Map.of(), () -> { });
     } else if (address == null) {
       attemptEnded(attempt, Status.CONNECT_FAILED, Map.of(), () -> { });
--- a/http/src/main/java/cloverpulley/serve/Server.java
+++ b/http/src/main/java/cloverpulley/serve/Server.java
@@ -14,7 +14,7 @@
 import cloverpulley.engine.Sockets;
 import cloverpulley.engine.Witness;
 import cloverpulley.handover.HandoverSnapshot;
-import cloverpulley.state.Knowledge.Known;
+import cloverpulley.state.BalancerSnapshot.UpstreamSnapshot;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
@@ -209,14 +209,14 @@
     Clock clock = new Clock();
     Fleet fleet = new Fleet(clock);
     Sockets sockets = new Sockets(config.sockets() - (config.management() == null ? 0 : ManagementServer.MOST_CALLERS));
-    Counts counts = new Counts(fleet, config.settings().contract().warmWithinNanos());
+    Counts counts = new Counts(fleet, config.settings().contract().slowStartNanos());
     counts.writeOn(loop);
     Bootstrap connections = new Bootstrap().group(group).channelFactory(UpstreamSocket::new)
         .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.WRITE_BUFFER_WATER_MARK, MARKS)
         .option(ChannelOption.RECVBUF_ALLOCATOR, reads());
     UpstreamPool pool = new UpstreamPool(connections, sockets, config.settings().limits().connectTimeoutNanos(),
         config.idleNanos(), fleet::isReady, config.loadReports(), new BufferBudget(config.memoryBytes() / ANSWERS_PART), counts);
-    peers = new Peers(config.settings().me(), config.peers(), config.peersAll());
+    peers = new Peers(config.settings().selfId(), config.peers(), config.peersAll());
     pushed = !config.settings().listOnRequest();
     Engine.ListSource source;
     if (lists == null) {
@@ -251,11 +251,12 @@
 
   /** A predecessor knows when servers started, whatever the wall clocks of the two say. */
   private static void takeOverStarts(Fleet fleet, HandoverSnapshot inherited) {
-    Map<Long, Known> known = inherited.knowledge().upstreams().stream().collect(Collectors.toMap(Known::upstream, k -> k, (a, b) -> a));
+    Map<Long, UpstreamSnapshot> known = inherited.knowledge().upstreams().stream()
+        .collect(Collectors.toMap(UpstreamSnapshot::upstream, k -> k, (a, b) -> a));
     for (ServerList.Server server : inherited.list().members()) {
-      Known k = known.get(fleet.numberOf(server.id()));
+      UpstreamSnapshot k = known.get(fleet.numberOf(server.id()));
       if (k != null) {
-        fleet.started(server, k.startedAgo());
+        fleet.started(server, k.ageNanos());
       }
     }
   }
--- a/http/src/test/java/cloverpulley/serve/AttemptTest.java
+++ b/http/src/test/java/cloverpulley/serve/AttemptTest.java
@@ -5,21 +5,21 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.Reason;
 import cloverpulley.Balancer.Cancel;
 import cloverpulley.Balancer.ClientGone;
 import cloverpulley.Balancer.CloseIdle;
+import cloverpulley.Balancer.EndpointUpdate;
 import cloverpulley.Balancer.Fail;
+import cloverpulley.Balancer.ListKind;
 import cloverpulley.Balancer.Outcome;
 import cloverpulley.Balancer.Probe;
 import cloverpulley.Balancer.ProbeResult;
 import cloverpulley.Balancer.Request;
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.Status;
-import cloverpulley.Balancer.TakenOut;
+import cloverpulley.Balancer.UpstreamSetOffline;
 import cloverpulley.Balancer.Watch;
-import cloverpulley.Balancer.ListKind;
-import cloverpulley.Balancer.ListNews;
+import cloverpulley.Reason;
 import cloverpulley.serve.Rig.Client;
 import cloverpulley.serve.Rig.Script;
 import io.netty.bootstrap.Bootstrap;
@@ -256,7 +256,7 @@
       c.next();
     })) {
       Script module = new Script((event, out) -> {
-        if (event instanceof ListNews n && n.kind() == ListKind.CACHED) {
+        if (event instanceof EndpointUpdate n && n.kind() == ListKind.CACHED) {
           out.accept(new Watch(true));
         } else if (event instanceof Request r) {
           out.accept(new Send(r.id(), Discoveries.number("s-1"), 0));
@@ -282,7 +282,7 @@
     Script module = new Script((event, out) -> {
       if (event instanceof Request r) {
         held[0] = r.id();
-      } else if (event instanceof TakenOut) {
+      } else if (event instanceof UpstreamSetOffline) {
         out.accept(new Send(held[0], Discoveries.number("s-1"), 0));
       } else if (event instanceof Outcome o && !o.finished()) {
         out.accept(new Fail(o.id(), Reason.NO_ROOM));
--- a/http/src/test/java/cloverpulley/serve/ServeTest.java
+++ b/http/src/test/java/cloverpulley/serve/ServeTest.java
@@ -8,9 +8,9 @@
 import cloverpulley.Balancer.ClientGone;
 import cloverpulley.Balancer.Fail;
 import cloverpulley.Balancer.PeerMessage;
-import cloverpulley.Balancer.Refuse;
+import cloverpulley.Balancer.Reject;
 import cloverpulley.Balancer.Request;
-import cloverpulley.Balancer.TellPeer;
+import cloverpulley.Balancer.SendToPeer;
 import cloverpulley.Balancer.TimerFired;
 import cloverpulley.Balancer.SetTimer;
 import cloverpulley.serve.Rig.Client;
@@ -114,7 +114,7 @@
   void aRefusalSaysWhenToComeBackAndGoesOutAtOnce() throws Exception {
     Script module = new Script((event, out) -> {
       if (event instanceof Request r) {
-        out.accept(new Refuse(r.id(), 250_000_001, Reason.OVER_RATE));
+        out.accept(new Reject(r.id(), 250_000_001, Reason.OVER_RATE));
       }
     });
     try (Rig rig = new Rig(Rig.config(NOWHERE, Rig.list(1, true)), module); Client client = rig.client()) {
@@ -156,7 +156,7 @@
         if (r.tenant().equals("bad")) {
           throw new IllegalStateException("on purpose: this trace belongs to a test");
         }
-        out.accept(new Refuse(r.id(), 0, Reason.OVER_RATE));
+        out.accept(new Reject(r.id(), 0, Reason.OVER_RATE));
       }
     });
     try (Rig rig = new Rig(Rig.config(NOWHERE, Rig.list(1, true)), module); Client held = rig.client();
@@ -205,7 +205,7 @@
     Script module = new Script((event, out) -> {
       if (event instanceof Request) {
         out.accept(new SetTimer("now", 0));
-        out.accept(new TellPeer(-1, "hi 1".getBytes(StandardCharsets.UTF_8)));
+        out.accept(new SendToPeer(-1, "hi 1".getBytes(StandardCharsets.UTF_8)));
       }
     });
     try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
--- a/model/src/main/java/cloverpulley/model/Policies.java
+++ b/model/src/main/java/cloverpulley/model/Policies.java
@@ -35,11 +35,11 @@
 
     @Override
     public void handle(long now, Event event, Consumer<Action> to) {
-      if (event instanceof ListNews news) {
+      if (event instanceof EndpointUpdate news) {
         if (news.kind() != ListKind.DELTA && news.kind() != ListKind.FAILED) {
           ready = new ArrayList<>();
         }
-        for (Listed l : news.entries()) {
+        for (Endpoint l : news.endpoints()) {
           ready.remove(l.upstream());
           if (l.state() == State.READY) {
             ready.add(l.upstream());
@@ -47,7 +47,7 @@
         }
       } else if (event instanceof Request r) {
         if (ready.isEmpty()) {
-          to.accept(new Refuse(r.id(), 0, cloverpulley.Reason.NO_UPSTREAM));
+          to.accept(new Reject(r.id(), 0, cloverpulley.Reason.NO_UPSTREAM));
           return;
         }
         long chosen = choose();
--- a/records/src/main/java/cloverpulley/records/Recorder.java
+++ b/records/src/main/java/cloverpulley/records/Recorder.java
@@ -120,7 +120,7 @@
 
   /** What a reader has to know of this life before anything else. */
   private void start(Settings settings) {
-    put(entry(Kind.START).says(front, settings.me(), settings.groupSize()));
+    put(entry(Kind.START).says(front, settings.selfId(), settings.groupSize()));
     for (RequestClass c : settings.classes()) {
       put(new Entry(origin, 0, micros.getAsLong(), Kind.CLASS, 0, null, c.name(), null, 0, 0, 0, null,
           word(c.effect()) + " " + word(c.dedupScope()), c.dedupWindowNanos() / 1000, c.deadlineNanos() / 1000));
@@ -207,7 +207,7 @@
   public void ended(Exchange x, End end, Reason reason) {
     if (queue != null) {
       put(new Entry(origin, 0, micros.getAsLong(), Kind.ENDED, x.number(), x.name(), x.facts().type().name(), x.facts().tenant(), 0,
-          0, 0, null, reason == null ? end == End.SERVED ? "served" : "gone" : reason.word(), 0, end.ordinal()));
+          0, 0, null, reason == null ? end == End.SERVED ? "served" : "gone" : reason.code(), 0, end.ordinal()));
     }
   }
 
