--- a/bench/src/main/java/cloverpulley/bench/IncidentBench.java
+++ b/bench/src/main/java/cloverpulley/bench/IncidentBench.java
@@ -233,15 +233,15 @@
       long latency = 5000 + random.nextInt(40_000);
       int server = random.nextInt(100);
       String name = i > requests / 3 && i < requests / 3 + 1000 ? "rare" : "s" + server;
-      Entry base = Entry.of(o, 0, at, Kind.TAKEN).request(i + 1, id, type, tenant);
-      r.record(base.says(null, 2_000_000, 0));
+      Entry base = Entry.of(o, 0, at, Kind.TAKEN).withRequest(i + 1, id, type, tenant);
+      r.record(base.withDetails(null, 2_000_000, 0));
       if (!refused) {
-        r.record(kind(base, Kind.SENT, at + 50).attempt(0, 1000 + server).server(1000 + server, name));
-        r.record(kind(base, Kind.OUTCOME, at + 50 + latency).attempt(0, 1000 + server).server(1000 + server, name)
-            .says("served", latency, 0));
+        r.record(kind(base, Kind.SENT, at + 50).withAttempt(0, 1000 + server).withServer(1000 + server, name));
+        r.record(kind(base, Kind.OUTCOME, at + 50 + latency).withAttempt(0, 1000 + server).withServer(1000 + server, name)
+            .withDetails("served", latency, 0));
       }
-      r.record(kind(base, Kind.ENDED, at + 60 + latency).says(refused ? "over_rate" : "served", 0, refused ? 1 : 0));
-      r.record(kind(base, Kind.ANSWERED, at + 70).says(refused ? "over_rate" : "served", 70, refused ? 1 : 0));
+      r.record(kind(base, Kind.ENDED, at + 60 + latency).withDetails(refused ? "over_rate" : "served", 0, refused ? 1 : 0));
+      r.record(kind(base, Kind.ANSWERED, at + 70).withDetails(refused ? "over_rate" : "served", 70, refused ? 1 : 0));
     }
     r.close();
   }
--- a/decision/src/main/java/cloverpulley/incident/Audit.java
+++ b/decision/src/main/java/cloverpulley/incident/Audit.java
@@ -122,7 +122,7 @@
 
   private void found(Check check, Entry e, String what, boolean certain) {
     if (findings.size() < MOST_FINDINGS) {
-      findings.add(new Finding(check, e.origin(), e.at(), e.asked(), what, certain));
+      findings.add(new Finding(check, e.origin(), e.at(), e.requestId(), what, certain));
     } else {
       more++;
     }
@@ -166,7 +166,7 @@
       return;
     }
     count(Check.NO_EFFECT_TWICE);
-    List<Sent> before = requests.computeIfAbsent(e.asked(), k -> new ArrayList<>(1));
+    List<Sent> before = requests.computeIfAbsent(e.requestId(), k -> new ArrayList<>(1));
     String group = group(type, to, e);
     for (Sent b : before) {
       String status = b.status[0];
@@ -208,8 +208,8 @@
   private void outcome(Side s, Entry e) {
     s.outcomes++;
     s.out.computeIfPresent(e.request(), (r, n) -> n == 1 ? null : n - 1);
-    if (e.asked() != null && requests.containsKey(e.asked())) {
-      for (Sent b : requests.get(e.asked())) {
+    if (e.requestId() != null && requests.containsKey(e.requestId())) {
+      for (Sent b : requests.get(e.requestId())) {
         if (b.origin.equals(e.origin()) && b.attempt == e.attempt() && !b.over[0]) {
           b.over[0] = true;
           b.status[0] = e.word();
@@ -281,7 +281,7 @@
       }
       if (s.stopped && !s.taken.isEmpty()) {
         Entry one = s.taken.values().iterator().next();
-        all.add(new Finding(Check.ONE_ANSWER, origin, one.at(), one.asked(), s.taken.size()
+        all.add(new Finding(Check.ONE_ANSWER, origin, one.at(), one.requestId(), s.taken.size()
             + " requests without an end though it stopped in order", s.dropped == 0));
       }
       if (s.stopped && out > 0) {
--- a/decision/src/main/java/cloverpulley/incident/Entry.java
+++ b/decision/src/main/java/cloverpulley/incident/Entry.java
@@ -28,7 +28,7 @@
   private static final String[] ANSWERS = {"served", "refused", "failed", "gone"};
 
   /** The word of a final answer's kind. */
-  public static String answer(long other) {
+  public static String answerName(long other) {
     return other >= 0 && other < ANSWERS.length ? ANSWERS[(int) other] : "answer " + other;
   }
 
@@ -37,24 +37,24 @@
     return new Entry(origin, seq, at, kind, 0, null, null, null, 0, 0, 0, null, null, 0, 0);
   }
 
-  public Entry request(long number, String called, String type, String by) {
+  public Entry withRequest(long number, String called, String type, String by) {
     return new Entry(origin, seq, at, kind, number, called, type, by, key, attempt, upstream, name, word, value, other);
   }
 
-  public Entry attempt(int number, long server) {
+  public Entry withAttempt(int number, long server) {
     return new Entry(origin, seq, at, kind, request, id, className, tenant, key, number, server, name, word, value, other);
   }
 
-  public Entry server(long server, String called) {
+  public Entry withServer(long server, String called) {
     return new Entry(origin, seq, at, kind, request, id, className, tenant, key, attempt, server, called, word, value, other);
   }
 
-  public Entry says(String what, long amount, long more) {
+  public Entry withDetails(String what, long amount, long more) {
     return new Entry(origin, seq, at, kind, request, id, className, tenant, key, attempt, upstream, name, what, amount, more);
   }
 
   /** The request across instances: the caller's name for it, or this life's number where it has none; null where it speaks of none. */
-  public String asked() {
+  public String requestId() {
     return id != null ? id : request == 0 ? null : origin.instance() + "/" + origin.start() + "#" + request;
   }
 }
--- a/decision/src/main/java/cloverpulley/incident/Kind.java
+++ b/decision/src/main/java/cloverpulley/incident/Kind.java
@@ -36,14 +36,14 @@
   /** A tenant: {@code value} its share in millionths, {@code other} its quota a second over all processes in thousandths, 0 for none. */
   TENANT(9);
 
-  private final int worth;
+  private final int priority;
 
-  Kind(int worth) {
-    this.worth = worth;
+  Kind(int priority) {
+    this.priority = priority;
   }
 
   /** Which records go first where there is no room: those of the least worth, from 1. Verdicts and what explains a course go last. */
-  public int worth() {
-    return worth;
+  public int priority() {
+    return priority;
   }
 }
--- a/decision/src/main/java/cloverpulley/incident/Query.java
+++ b/decision/src/main/java/cloverpulley/incident/Query.java
@@ -260,8 +260,8 @@
       case "server" -> e.name();
       case "upstream" -> Long.toHexString(e.upstream());
       case "instance" -> e.origin().instance();
-      case "request" -> e.asked();
-      default -> e.kind() == Kind.ANSWERED || e.kind() == Kind.ENDED ? Entry.answer(e.other()) : null;
+      case "request" -> e.requestId();
+      default -> e.kind() == Kind.ANSWERED || e.kind() == Kind.ENDED ? Entry.answerName(e.other()) : null;
     };
   }
 
--- a/decision/src/test/java/cloverpulley/incident/AuditTest.java
+++ b/decision/src/test/java/cloverpulley/incident/AuditTest.java
@@ -46,14 +46,14 @@
     }
 
     void server(long u, String state, long startedMillis) {
-      Entry e = put(Kind.SERVER).request(0, null, "z " + u / 3, null).server(u, "s" + u).says(state, 1, startedMillis);
+      Entry e = put(Kind.SERVER).withRequest(0, null, "z " + u / 3, null).withServer(u, "s" + u).withDetails(state, 1, startedMillis);
       add(e);
     }
 
     List<Entry> play() {
-      add(put(Kind.START).says("process", 0, 1));
+      add(put(Kind.START).withDetails("process", 0, 1));
       for (String type : List.of("safe", "keyed", "unsafe")) {
-        add(put(Kind.CLASS).request(0, null, type, null).says(type + " cell", 2 * S, 3 * S));
+        add(put(Kind.CLASS).withRequest(0, null, type, null).withDetails(type + " cell", 2 * S, 3 * S));
       }
       for (long u = 1; u <= 5; u++) {
         server(u, "ready", 0);
@@ -81,7 +81,7 @@
       };
       long number = ++requests;
       String id = "q" + i;
-      add(put(Kind.TAKEN).request(number, id, type, "t").says(null, 3 * S, 0));
+      add(put(Kind.TAKEN).withRequest(number, id, type, "t").withDetails(null, 3 * S, 0));
       // Cold ones get little, drained ones nothing; those that are left are 2 to 5.
       long u = now == Plant.DRAINED || now == Plant.GONE_SERVER ? 1 : 2 + random.nextInt(4);
       if (now == Plant.DRAINED || now == Plant.GONE_SERVER) {
@@ -107,27 +107,27 @@
       } else if (now == Plant.COLD) {
         for (int k = 0; k < 150; k++) {
           requests++;
-          add(put(Kind.TAKEN).request(requests, "c" + k, "safe", "t").says(null, 3 * S, 0));
+          add(put(Kind.TAKEN).withRequest(requests, "c" + k, "safe", "t").withDetails(null, 3 * S, 0));
           send(requests, "c" + k, "safe", 0, 6, "served", false);
-          add(put(Kind.ENDED).request(requests, "c" + k, "safe", "t").says("served", 0, 0));
+          add(put(Kind.ENDED).withRequest(requests, "c" + k, "safe", "t").withDetails("served", 0, 0));
         }
       }
       if (now == Plant.LATE) {
         at += 4 * S;
       }
       if (now != Plant.NO_END) {
-        add(put(Kind.ENDED).request(number, id, type, "t").says("served", 0, 0));
+        add(put(Kind.ENDED).withRequest(number, id, type, "t").withDetails("served", 0, 0));
       }
       if (now == Plant.TWO_ENDS) {
-        add(put(Kind.ENDED).request(number, id, type, "t").says("deadline", 0, Entry.FAILED));
+        add(put(Kind.ENDED).withRequest(number, id, type, "t").withDetails("deadline", 0, Entry.FAILED));
       }
     }
 
     private void send(long number, String id, String type, int attempt, long u, String status, boolean lost) {
-      add(put(Kind.SENT).request(number, id, type, "t").attempt(attempt, u));
+      add(put(Kind.SENT).withRequest(number, id, type, "t").withAttempt(attempt, u));
       at += 1000 + random.nextInt(2000);
       if (!lost) {
-        add(put(Kind.OUTCOME).request(number, id, type, "t").attempt(attempt, u).says(status, 1000, 0));
+        add(put(Kind.OUTCOME).withRequest(number, id, type, "t").withAttempt(attempt, u).withDetails(status, 1000, 0));
       }
     }
   }
@@ -167,12 +167,12 @@
   void whatDidNotRunMayBeSentAgain() {
     History h = new History(1, Plant.NONE);
     h.add(h.put(Kind.START));
-    h.add(h.put(Kind.CLASS).request(0, null, "unsafe", null).says("unsafe cell", 0, S));
+    h.add(h.put(Kind.CLASS).withRequest(0, null, "unsafe", null).withDetails("unsafe cell", 0, S));
     h.server(1, "ready", 0);
-    h.add(h.put(Kind.TAKEN).request(1, "q", "unsafe", null).says(null, S, 0));
+    h.add(h.put(Kind.TAKEN).withRequest(1, "q", "unsafe", null).withDetails(null, S, 0));
     h.send(1, "q", "unsafe", 0, 1, "connect_failed", false);
     h.send(1, "q", "unsafe", 1, 1, "served", false);
-    h.add(h.put(Kind.ENDED).request(1, "q", "unsafe", null).says("served", 0, 0));
+    h.add(h.put(Kind.ENDED).withRequest(1, "q", "unsafe", null).withDetails("served", 0, 0));
     assertEquals(List.of(), audit(h.all));
   }
 
@@ -181,7 +181,7 @@
   void droppedRecordsMakeSumsUnsettled() {
     List<Entry> history = new History(3, Plant.LOST_OUTCOME).play();
     Entry last = history.get(history.size() - 1);
-    history.add(history.size() - 1, Entry.of(last.origin(), last.seq(), last.at(), Kind.DROPPED).says("outcome", 1, 0));
+    history.add(history.size() - 1, Entry.of(last.origin(), last.seq(), last.at(), Kind.DROPPED).withDetails("outcome", 1, 0));
     List<Finding> findings = audit(history);
     assertTrue(findings.stream().anyMatch(f -> f.check() == Check.SUMS), findings.toString());
     assertTrue(findings.stream().noneMatch(Finding::certain), findings.toString());
--- a/decision/src/test/java/cloverpulley/incident/CausesTest.java
+++ b/decision/src/test/java/cloverpulley/incident/CausesTest.java
@@ -16,11 +16,11 @@
     for (int s = 0; s < seconds; s++) {
       for (int i = 0; i < 100; i++) {
         boolean bad = random.nextDouble() < (rise >= 0 && s >= rise && s < rise + 30 ? after : before);
-        c.add(Entry.of(ORIGIN, 1, s * S, Kind.ANSWERED).says("x", 0, bad ? Entry.REFUSED : Entry.SERVED), s * S + i * 10_000L);
+        c.add(Entry.of(ORIGIN, 1, s * S, Kind.ANSWERED).withDetails("x", 0, bad ? Entry.REFUSED : Entry.SERVED), s * S + i * 10_000L);
       }
     }
     for (int d : drains) {
-      c.add(Entry.of(ORIGIN, 1, d * S, Kind.SERVER).server(d, "s" + d).says("draining", 1, 0), d * S);
+      c.add(Entry.of(ORIGIN, 1, d * S, Kind.SERVER).withServer(d, "s" + d).withDetails("draining", 1, 0), d * S);
     }
     return c;
   }
--- a/decision/src/test/java/cloverpulley/incident/CourseTest.java
+++ b/decision/src/test/java/cloverpulley/incident/CourseTest.java
@@ -19,19 +19,19 @@
   }
 
   private static Entry answer(Origin o, long seq, long at, int answer) {
-    return at(o, seq, at, Kind.ANSWERED).request(0, null, "c", "t").says(answer == 0 ? "served" : "over_rate", 2 * S, answer);
+    return at(o, seq, at, Kind.ANSWERED).withRequest(0, null, "c", "t").withDetails(answer == 0 ? "served" : "over_rate", 2 * S, answer);
   }
 
   /** Two lives of one instance, the first ended by SIGKILL with two requests in hand. */
   @Test
   void aCrashIsAGapAndNeverCalm() {
     Course c = new Course(10 * S, true);
-    c.add(at(FIRST, 1, 100 * S, Kind.START).says("process", 0, 2), CLOCKS);
-    c.add(at(FIRST, 2, 110 * S, Kind.TAKEN).request(1, "a", "c", "t"), CLOCKS);
-    c.add(at(FIRST, 3, 111 * S, Kind.TAKEN).request(2, "b", "c", "t"), CLOCKS);
-    c.add(at(FIRST, 4, 112 * S, Kind.TAKEN).request(3, "c", "c", "t"), CLOCKS);
-    c.add(at(FIRST, 5, 113 * S, Kind.ENDED).request(3, "c", "c", "t").says("served", 0, 0), CLOCKS);
-    c.add(at(SECOND, 1, 200 * S, Kind.START).says("process", 0, 2), CLOCKS);
+    c.add(at(FIRST, 1, 100 * S, Kind.START).withDetails("process", 0, 2), CLOCKS);
+    c.add(at(FIRST, 2, 110 * S, Kind.TAKEN).withRequest(1, "a", "c", "t"), CLOCKS);
+    c.add(at(FIRST, 3, 111 * S, Kind.TAKEN).withRequest(2, "b", "c", "t"), CLOCKS);
+    c.add(at(FIRST, 4, 112 * S, Kind.TAKEN).withRequest(3, "c", "c", "t"), CLOCKS);
+    c.add(at(FIRST, 5, 113 * S, Kind.ENDED).withRequest(3, "c", "c", "t").withDetails("served", 0, 0), CLOCKS);
+    c.add(at(SECOND, 1, 200 * S, Kind.START).withDetails("process", 0, 2), CLOCKS);
     c.add(at(SECOND, 2, 210 * S, Kind.STOP), CLOCKS);
     List<Course.Gap> gaps = c.gaps(CLOCKS);
     Course.Gap crash = gaps.get(0);
@@ -48,7 +48,7 @@
     Course c = new Course(10 * S, true);
     c.add(answer(FIRST, 1, 111 * S, Entry.SERVED), CLOCKS); // Came at 109 s.
     c.add(answer(FIRST, 2, 113 * S, Entry.REFUSED), CLOCKS);
-    c.add(answer(FIRST, 3, 114 * S, Entry.SERVED).says("caller", 2 * S, 0), CLOCKS); // A caller's own: not counted again.
+    c.add(answer(FIRST, 3, 114 * S, Entry.SERVED).withDetails("caller", 2 * S, 0), CLOCKS); // A caller's own: not counted again.
     assertEquals(1, c.count(100 * S, "c", "t", Entry.SERVED));
     assertEquals(1, c.count(110 * S, null, null, Entry.REFUSED));
     assertEquals(2, c.count(null, null, null, null));
@@ -58,8 +58,8 @@
   @Test
   void droppedAndMissingRecordsAreBounds() {
     Course c = new Course(10 * S, true);
-    c.add(at(FIRST, 1, 100 * S, Kind.START).says("process", 0, 1), CLOCKS);
-    c.add(at(FIRST, 5, 101 * S, Kind.DROPPED).says("taken", 7, 0), CLOCKS);
+    c.add(at(FIRST, 1, 100 * S, Kind.START).withDetails("process", 0, 1), CLOCKS);
+    c.add(at(FIRST, 5, 101 * S, Kind.DROPPED).withDetails("taken", 7, 0), CLOCKS);
     c.add(at(FIRST, 6, 102 * S, Kind.STOP), CLOCKS);
     List<Course.Gap> gaps = c.gaps(CLOCKS);
     assertEquals(1, gaps.size(), gaps.toString());
@@ -72,7 +72,7 @@
   void endlesslyManyTenantsAreCountedTogether() {
     Course c = new Course(10 * S, true);
     for (int i = 0; i < 30_000; i++) {
-      c.add(at(FIRST, i + 1, 105 * S, Kind.ANSWERED).request(0, null, "c", "t" + i).says("served", 0, 0), CLOCKS);
+      c.add(at(FIRST, i + 1, 105 * S, Kind.ANSWERED).withRequest(0, null, "c", "t" + i).withDetails("served", 0, 0), CLOCKS);
     }
     assertTrue(c.tenants().size() <= 10_000);
     assertEquals(30_000, c.count(null, null, null, Entry.SERVED));
--- a/decision/src/test/java/cloverpulley/incident/QueryTest.java
+++ b/decision/src/test/java/cloverpulley/incident/QueryTest.java
@@ -13,7 +13,7 @@
 class QueryTest {
 
   private static final Entry ANSWER = Entry.of(new Origin("p1", 5), 1, 1_000_000_000_000_000L, Kind.ANSWERED)
-      .request(7, "q-7", "quote-issue", "agro tehnika").says("over_rate", 450_000, Entry.REFUSED);
+      .withRequest(7, "q-7", "quote-issue", "agro tehnika").withDetails("over_rate", 450_000, Entry.REFUSED);
 
   private static boolean fits(String q) {
     return Query.of(q).test(ANSWER);
--- a/incident/src/main/java/cloverpulley/incident/tool/Console.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/Console.java
@@ -82,7 +82,7 @@
         windowMicros / second, c.count(null, null, null, null), c.count(null, null, null, Entry.SERVED),
         c.count(null, null, null, Entry.REFUSED), c.count(null, null, null, Entry.FAILED), c.unknown()), bold, width));
     for (int answer : new int[] {Entry.SERVED, Entry.REFUSED, Entry.FAILED}) {
-      out.add(line(String.format("%-9s", Entry.answer(answer)) + spark(c, answer, width - 20, now), answer == Entry.SERVED ? plain : red,
+      out.add(line(String.format("%-9s", Entry.answerName(answer)) + spark(c, answer, width - 20, now), answer == Entry.SERVED ? plain : red,
           width));
     }
     out.add(line("", plain, width));
--- a/incident/src/main/java/cloverpulley/incident/tool/HtmlReport.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/HtmlReport.java
@@ -111,7 +111,7 @@
       return;
     }
     c.calledOnly().forEach((answer, n) -> h.append(say("<p class=\"unsure\">%d tries that callers recorded as %s are in no other record: "
-        + "who answered them lost its own.</p>", n, Entry.answer(answer))));
+        + "who answered them lost its own.</p>", n, Entry.answerName(answer))));
     h.append("<table><tr><th>instance</th><th>from</th><th>to</th><th>requests</th><th>why</th></tr>");
     for (Course.Gap g : gaps) {
       h.append("<tr class=\"gap\"><td>").append(Safe.html(g.instance())).append("</td><td>").append(time(g.from())).append("</td><td>")
@@ -203,18 +203,18 @@
         y -= height;
         if (counts[i] > 0) {
           h.append(say("<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"%.1f\" fill=\"%s\"><title>%s: %d %s</title></rect>", x0, y, w,
-              height, COLOURS[i], time(span), counts[i], Entry.answer(i)));
+              height, COLOURS[i], time(span), counts[i], Entry.answerName(i)));
         }
       }
     });
     axis(BAND + 16);
     h.append("</svg><p>");
     for (int i = 0; i < 4; i++) {
-      h.append("<span style=\"color:").append(COLOURS[i]).append("\">&#9632;</span> ").append(Entry.answer(i)).append("&ensp;");
+      h.append("<span style=\"color:").append(COLOURS[i]).append("\">&#9632;</span> ").append(Entry.answerName(i)).append("&ensp;");
     }
     h.append("<span style=\"color:#e9c27a\">&#9632;</span> not known</p><details><summary>the figures</summary><table><tr><th>span</th>");
     for (int i = 0; i < 4; i++) {
-      h.append("<th>").append(Entry.answer(i)).append("</th>");
+      h.append("<th>").append(Entry.answerName(i)).append("</th>");
     }
     h.append("</tr>");
     int rows = 0;
@@ -292,7 +292,7 @@
     Map<String, Long> by = new TreeMap<>();
     c.cells().forEach((cell, n) -> {
       if (cell.answer() != Entry.SERVED) {
-        by.merge(Entry.answer(cell.answer()) + " " + cell.word(), n, Long::sum);
+        by.merge(Entry.answerName(cell.answer()) + " " + cell.word(), n, Long::sum);
       }
     });
     h.append("<h2>Why requests were not served</h2>");
--- a/incident/src/main/java/cloverpulley/incident/tool/Lines.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/Lines.java
@@ -18,13 +18,13 @@
   public static String text(Entry e) {
     StringBuilder t = new StringBuilder(HtmlReport.time(e.at())).append(' ').append(Safe.plain(e.origin().instance())).append(' ')
         .append(e.kind().name().toLowerCase(Locale.ROOT));
-    add(t, "request", e.asked());
+    add(t, "request", e.requestId());
     add(t, "class", e.className());
     add(t, "tenant", e.tenant());
     add(t, "server", e.name());
     add(t, "word", e.word());
     if (e.kind() == cloverpulley.incident.Kind.ANSWERED || e.kind() == cloverpulley.incident.Kind.ENDED) {
-      add(t, "answer", Entry.answer(e.other()));
+      add(t, "answer", Entry.answerName(e.other()));
     } else if (e.other() != 0) {
       t.append(" other=").append(e.other());
     }
@@ -53,7 +53,7 @@
       g.writeNumberField("seq", e.seq());
       g.writeNumberField("at_us", e.at());
       g.writeStringField("kind", e.kind().name().toLowerCase(Locale.ROOT));
-      field(g, "request", e.asked());
+      field(g, "request", e.requestId());
       field(g, "class", e.className());
       field(g, "tenant", e.tenant());
       field(g, "server", e.name());
--- a/incident/src/main/java/cloverpulley/incident/tool/Why.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/Why.java
@@ -45,7 +45,7 @@
     int hash = request.indexOf('#');
     Query q = Query.of(hash < 0 ? "request=\"" + request.replace("\"", "") + "\"" : "");
     archive.read(q, e -> {
-      if (request.equals(e.asked())) {
+      if (request.equals(e.requestId())) {
         own.add(e);
       }
     }, n -> { });
@@ -140,9 +140,9 @@
           + k.allOut + " in all, " + ready + " ready";
       case OUTCOME -> "attempt " + e.attempt() + " at " + server(e, k) + " ended " + Safe.plain(e.word()) + " after " + e.value() / 1000.0
           + " ms";
-      case ENDED -> "ended by the module: " + Entry.answer(e.other()) + ", " + Safe.plain(e.word());
-      case ANSWERED -> "caller".equals(e.word()) ? "its caller had it: " + Entry.answer(e.other()) + " after " + e.value() / 1000.0 + " ms"
-          : "answered: " + Entry.answer(e.other()) + ", " + Safe.plain(e.word()) + "; of " + k.recentAnswers
+      case ENDED -> "ended by the module: " + Entry.answerName(e.other()) + ", " + Safe.plain(e.word());
+      case ANSWERED -> "caller".equals(e.word()) ? "its caller had it: " + Entry.answerName(e.other()) + " after " + e.value() / 1000.0 + " ms"
+          : "answered: " + Entry.answerName(e.other()) + ", " + Safe.plain(e.word()) + "; of " + k.recentAnswers
           + " answers in the minute before " + k.recentRefusals + " were refusals";
       default -> e.kind().name().toLowerCase(Locale.ROOT);
     };
--- a/records/src/main/java/cloverpulley/records/Recorder.java
+++ b/records/src/main/java/cloverpulley/records/Recorder.java
@@ -109,7 +109,7 @@
     }
     store = new Store(config, origin, front, opener);
     if (settings == null) {
-      put(entry(Kind.START).says(front, 0, 0));
+      put(entry(Kind.START).withDetails(front, 0, 0));
     } else {
       start(settings);
     }
@@ -120,7 +120,7 @@
 
   /** What a reader has to know of this life before anything else. */
   private void start(Settings settings) {
-    put(entry(Kind.START).says(front, settings.me(), settings.groupSize()));
+    put(entry(Kind.START).withDetails(front, settings.me(), settings.groupSize()));
     for (RequestClass c : settings.classes()) {
       put(new Entry(origin, 0, micros.getAsLong(), Kind.CLASS, 0, null, c.name(), null, 0, 0, 0, null,
           word(c.effect()) + " " + word(c.dedupScope()), c.dedupWindowNanos() / 1000, c.deadlineNanos() / 1000));
@@ -169,7 +169,7 @@
   // ---- What is told, by any thread -----------------------------------------------------------------------
 
   private void put(Entry e) {
-    int worth = e.kind().worth();
+    int worth = e.kind().priority();
     if (queue.size() >= room[Math.min(WORTHS, worth)] || !queue.offer(e)) {
       dropped.incrementAndGet(e.kind().ordinal());
     }
@@ -254,7 +254,7 @@
     }
     long now = micros.getAsLong();
     if (kind == ListKind.FAILED) {
-      put(Entry.of(origin, 0, now, Kind.LIST).says("failed", 0, 0));
+      put(Entry.of(origin, 0, now, Kind.LIST).withDetails("failed", 0, 0));
       return;
     }
     Set<Long> here = new HashSet<>();
@@ -305,7 +305,7 @@
   @Override
   public void replaced(String event) {
     if (queue != null) {
-      put(entry(Kind.REPLACED).says(event, 0, 0));
+      put(entry(Kind.REPLACED).withDetails(event, 0, 0));
     }
   }
 
@@ -333,7 +333,7 @@
       long now = System.nanoTime();
       if (now - clockAt >= 0) {
         clockAt = now + CLOCK_NANOS;
-        batch.add(entry(Kind.CLOCK).says(null, System.currentTimeMillis() * 1000 - micros.getAsLong(), 0));
+        batch.add(entry(Kind.CLOCK).withDetails(null, System.currentTimeMillis() * 1000 - micros.getAsLong(), 0));
       }
       try {
         for (int i = 0; i < batch.size(); i++) {
@@ -398,7 +398,7 @@
       long n = dropped.getAndSet(i, 0);
       if (n > 0) {
         try {
-          store.add(entry(Kind.DROPPED).says(word(KINDS[i]), n, 0));
+          store.add(entry(Kind.DROPPED).withDetails(word(KINDS[i]), n, 0));
         } catch (IOException e) {
           dropped.addAndGet(i, n); // Told once it can be.
           throw e;
--- a/records/src/main/java/cloverpulley/records/Store.java
+++ b/records/src/main/java/cloverpulley/records/Store.java
@@ -88,7 +88,7 @@
       }
       Files.delete(own.get(i));
       write(Entry.of(origin, 0, now, Kind.REMOVED)
-          .says(own.get(i).getFileName().toString(), records, Math.max(0, until)));
+          .withDetails(own.get(i).getFileName().toString(), records, Math.max(0, until)));
     }
   }
 
