--- a/bench/src/main/java/cloverpulley/bench/IncidentBench.java
+++ b/bench/src/main/java/cloverpulley/bench/IncidentBench.java
@@ -9,7 +9,7 @@
 import cloverpulley.incident.Origin;
 import cloverpulley.incident.Query;
 import cloverpulley.incident.tool.HtmlReport;
-import cloverpulley.incident.tool.Study;
+import cloverpulley.incident.tool.IncidentAnalysis;
 import cloverpulley.load.Driver.Outcome;
 import cloverpulley.load.LoadRun;
 import cloverpulley.load.Plan;
@@ -155,7 +155,7 @@
           + (outcome == Outcome.SERVED ? Entry.SERVED : outcome == Outcome.REFUSED ? Entry.REFUSED : Entry.FAILED), 1L, Long::sum));
       TimeUnit.SECONDS.sleep(2); // What waits is flushed twice a second.
     }
-    Study s = new Study(new Archive(List.of(folder)), Study.Wanted.everything(), n -> { });
+    IncidentAnalysis s = new IncidentAnalysis(new Archive(List.of(folder)), IncidentAnalysis.Wanted.everything(), n -> { });
     s.course.cells().forEach((c, n) -> counted.merge(c.className() + " " + c.answer(), n, Long::sum));
     System.out.println("the generator counted " + asked + ", the records " + counted);
     long off = 0;
@@ -205,7 +205,7 @@
           blocks[0], best[1], blocks[1], best[1] / best[0]);
     }
     long t = System.nanoTime();
-    Study s = new Study(archive, new Study.Wanted(Long.MIN_VALUE, Long.MAX_VALUE, 600_000_000L, null,
+    IncidentAnalysis s = new IncidentAnalysis(archive, new IncidentAnalysis.Wanted(Long.MIN_VALUE, Long.MAX_VALUE, 600_000_000L, null,
         cloverpulley.incident.Audit.Limits.USUAL), n -> { });
     int page = new HtmlReport(s).html().length();
     figures.put("report", (System.nanoTime() - t) / 1e9);
--- a/decision/src/main/java/cloverpulley/incident/Causes.java
+++ b/decision/src/main/java/cloverpulley/incident/ChangePointAnalysis.java
@@ -15,7 +15,7 @@
  * the seconds before and after) and how often a change of its kind would lie that near by chance (Poisson). It is said to have come
  * before, never to have caused.
  */
-public final class Causes {
+public final class ChangePointAnalysis {
 
   private static final int LEAST_SECONDS = 2;
   private static final int MOST_POINTS = 64;
--- a/decision/src/main/java/cloverpulley/incident/Ties.java
+++ b/decision/src/main/java/cloverpulley/incident/Correlations.java
@@ -10,7 +10,7 @@
  * and a caller's request that came to two of them, or that the caller itself recorded. Each thing counts once an instance; how many are
  * kept is bounded.
  */
-public final class Ties {
+public final class Correlations {
 
   /** Between two instances' hearing of one revision: a list is asked for every 10 s at most (Balancer.Contract), a watch answers sooner. */
   public static final long LIST_SLACK = 2_000_000L;
--- a/decision/src/main/java/cloverpulley/incident/Course.java
+++ b/decision/src/main/java/cloverpulley/incident/Timeline.java
@@ -13,7 +13,7 @@
  * each instance was told; the lives of the instances and the gaps between them. What is not known is kept as that: a gap never counts as
  * a time in which nothing happened. Memory is bounded by spans, classes, tenants and servers, and by requests in hand.
  */
-public final class Course {
+public final class Timeline {
 
   /** Requests in hand at one time; more are counted as unknown. */
   private static final int MOST_OPEN = 1_000_000;
@@ -91,7 +91,7 @@
    *
    * @param whole whether all records come, so that a number that does not is one that is missing
    */
-  public Course(long spanMicros, boolean whole) {
+  public Timeline(long spanMicros, boolean whole) {
     span = spanMicros;
     this.whole = whole;
   }
--- a/decision/src/test/java/cloverpulley/incident/CausesTest.java
+++ b/decision/src/test/java/cloverpulley/incident/ChangePointAnalysisTest.java
@@ -6,13 +6,13 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class CausesTest {
+class ChangePointAnalysisTest {
 
   private static final long S = 1_000_000L;
   private static final Origin ORIGIN = new Origin("p", 0);
 
-  private static Causes course(SplittableRandom random, int seconds, int rise, double before, double after, int... drains) {
-    Causes c = new Causes();
+  private static ChangePointAnalysis course(SplittableRandom random, int seconds, int rise, double before, double after, int... drains) {
+    ChangePointAnalysis c = new ChangePointAnalysis();
     for (int s = 0; s < seconds; s++) {
       for (int i = 0; i < 100; i++) {
         boolean bad = random.nextDouble() < (rise >= 0 && s >= rise && s < rise + 30 ? after : before);
@@ -27,9 +27,9 @@
 
   @Test
   void aRiseIsFoundWithTheChangeThatCameBeforeIt() {
-    Causes c = course(new SplittableRandom(1), 300, 120, 0.01, 0.2, 117);
+    ChangePointAnalysis c = course(new SplittableRandom(1), 300, 120, 0.01, 0.2, 117);
     assertEquals(1, c.rises().size(), c.rises().toString());
-    Causes.Rise r = c.rises().get(0);
+    ChangePointAnalysis.Rise r = c.rises().get(0);
     assertTrue(Math.abs(r.at() - 120 * S) <= S, r.toString());
     assertTrue(r.chance() < 1e-9 && r.after() > 0.15, r.toString());
     assertEquals("s117 is draining", c.causes().get(0).what());
@@ -38,7 +38,7 @@
 
   @Test
   void aChangeAfterTheRiseOrLongBeforeIsNotTold() {
-    Causes c = course(new SplittableRandom(2), 300, 120, 0.01, 0.2, 20, 130, 200);
+    ChangePointAnalysis c = course(new SplittableRandom(2), 300, 120, 0.01, 0.2, 20, 130, 200);
     assertEquals(0, c.causes().size(), c.causes().toString());
   }
 
@@ -49,7 +49,7 @@
     for (int i = 0; i < often.length; i++) {
       often[i] = 6 * i;
     }
-    Causes c = course(new SplittableRandom(3), 300, 120, 0.01, 0.2, often);
+    ChangePointAnalysis c = course(new SplittableRandom(3), 300, 120, 0.01, 0.2, often);
     assertTrue(c.causes().stream().allMatch(x -> x.byChance() > 0.2), c.causes().toString());
   }
 
@@ -64,7 +64,7 @@
 
   @Test
   void nothingAtAllIsNoRise() {
-    assertEquals(0, new Causes().rises().size());
-    assertEquals(0, new Causes().causes().size());
+    assertEquals(0, new ChangePointAnalysis().rises().size());
+    assertEquals(0, new ChangePointAnalysis().causes().size());
   }
 }
--- a/decision/src/test/java/cloverpulley/incident/CourseTest.java
+++ b/decision/src/test/java/cloverpulley/incident/TimelineTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-class CourseTest {
+class TimelineTest {
 
   private static final long S = 1_000_000L;
   private static final Origin FIRST = new Origin("p1", 100 * S);
@@ -25,7 +25,7 @@
   /** Two lives of one instance, the first ended by SIGKILL with two requests in hand. */
   @Test
   void aCrashIsAGapAndNeverCalm() {
-    Course c = new Course(10 * S, true);
+    Timeline c = new Timeline(10 * S, true);
     c.add(at(FIRST, 1, 100 * S, Kind.START).withDetails("process", 0, 2), CLOCKS);
     c.add(at(FIRST, 2, 110 * S, Kind.TAKEN).withRequest(1, "a", "c", "t"), CLOCKS);
     c.add(at(FIRST, 3, 111 * S, Kind.TAKEN).withRequest(2, "b", "c", "t"), CLOCKS);
@@ -33,8 +33,8 @@
     c.add(at(FIRST, 5, 113 * S, Kind.ENDED).withRequest(3, "c", "c", "t").withDetails("served", 0, 0), CLOCKS);
     c.add(at(SECOND, 1, 200 * S, Kind.START).withDetails("process", 0, 2), CLOCKS);
     c.add(at(SECOND, 2, 210 * S, Kind.STOP), CLOCKS);
-    List<Course.Gap> gaps = c.gaps(CLOCKS);
-    Course.Gap crash = gaps.get(0);
+    List<Timeline.Gap> gaps = c.gaps(CLOCKS);
+    Timeline.Gap crash = gaps.get(0);
     assertEquals(113 * S, crash.from());
     assertEquals(200 * S, crash.to());
     assertEquals(2, crash.least());
@@ -45,7 +45,7 @@
 
   @Test
   void answersAreCountedWhereTheirRequestsCame() {
-    Course c = new Course(10 * S, true);
+    Timeline c = new Timeline(10 * S, true);
     c.add(answer(FIRST, 1, 111 * S, Entry.SERVED), CLOCKS); // Came at 109 s.
     c.add(answer(FIRST, 2, 113 * S, Entry.REFUSED), CLOCKS);
     c.add(answer(FIRST, 3, 114 * S, Entry.SERVED).withDetails("caller", 2 * S, 0), CLOCKS); // A caller's own: not counted again.
@@ -57,11 +57,11 @@
 
   @Test
   void droppedAndMissingRecordsAreBounds() {
-    Course c = new Course(10 * S, true);
+    Timeline c = new Timeline(10 * S, true);
     c.add(at(FIRST, 1, 100 * S, Kind.START).withDetails("process", 0, 1), CLOCKS);
     c.add(at(FIRST, 5, 101 * S, Kind.DROPPED).withDetails("taken", 7, 0), CLOCKS);
     c.add(at(FIRST, 6, 102 * S, Kind.STOP), CLOCKS);
-    List<Course.Gap> gaps = c.gaps(CLOCKS);
+    List<Timeline.Gap> gaps = c.gaps(CLOCKS);
     assertEquals(1, gaps.size(), gaps.toString());
     assertEquals(10, gaps.get(0).most());
     assertTrue(gaps.get(0).why().contains("taken=7") && gaps.get(0).why().contains("missing 3"), gaps.toString());
@@ -70,7 +70,7 @@
   /** Names come from requests: however many there are, what is kept is bounded, and the sums stay whole. */
   @Test
   void endlesslyManyTenantsAreCountedTogether() {
-    Course c = new Course(10 * S, true);
+    Timeline c = new Timeline(10 * S, true);
     for (int i = 0; i < 30_000; i++) {
       c.add(at(FIRST, i + 1, 105 * S, Kind.ANSWERED).withRequest(0, null, "c", "t" + i).withDetails("served", 0, 0), CLOCKS);
     }
--- a/dist/src/main/java/cloverpulley/cli/DemoRecords.java
+++ b/dist/src/main/java/cloverpulley/cli/DemoRecords.java
@@ -3,7 +3,7 @@
 import cloverpulley.incident.Audit;
 import cloverpulley.incident.Entry;
 import cloverpulley.incident.tool.HtmlReport;
-import cloverpulley.incident.tool.Study;
+import cloverpulley.incident.tool.IncidentAnalysis;
 import cloverpulley.records.Archive;
 import java.io.IOException;
 import java.io.PrintStream;
@@ -20,8 +20,8 @@
 
   /** Makes the report, and says in a line what it counts. */
   static void tell(PrintStream out, Path folder) throws IOException {
-    Study s = new Study(new Archive(List.of(folder.resolve("records"))), new Study.Wanted(Long.MIN_VALUE, Long.MAX_VALUE, SPAN_MICROS,
-        null, Audit.Limits.USUAL), n -> { });
+    IncidentAnalysis s = new IncidentAnalysis(new Archive(List.of(folder.resolve("records"))),
+        new IncidentAnalysis.Wanted(Long.MIN_VALUE, Long.MAX_VALUE, SPAN_MICROS, null, Audit.Limits.USUAL), n -> { });
     Path file = folder.resolve("incident.html");
     Files.writeString(file, new HtmlReport(s).html());
     List<Audit.Finding> findings = s.audit.findings();
--- a/dist/src/main/java/cloverpulley/cli/IncidentCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/IncidentCommand.java
@@ -1,14 +1,14 @@
 package cloverpulley.cli;
 
 import cloverpulley.incident.Audit;
-import cloverpulley.incident.Causes;
+import cloverpulley.incident.ChangePointAnalysis;
 import cloverpulley.incident.Query;
 import cloverpulley.incident.tool.Console;
+import cloverpulley.incident.tool.EntryFormatter;
 import cloverpulley.incident.tool.HtmlReport;
-import cloverpulley.incident.tool.Lines;
-import cloverpulley.incident.tool.Safe;
-import cloverpulley.incident.tool.Study;
-import cloverpulley.incident.tool.Why;
+import cloverpulley.incident.tool.IncidentAnalysis;
+import cloverpulley.incident.tool.RequestExplainer;
+import cloverpulley.incident.tool.Sanitizer;
 import cloverpulley.records.Archive;
 import java.io.IOException;
 import java.nio.file.Files;
@@ -76,12 +76,12 @@
       return archive;
     }
 
-    Study study(double spanSeconds) throws IOException {
+    IncidentAnalysis study(double spanSeconds) throws IOException {
       Archive archive = open();
-      Study.Wanted wanted = new Study.Wanted(from == null ? Long.MIN_VALUE : from, to == null ? Long.MAX_VALUE : to,
+      IncidentAnalysis.Wanted wanted = new IncidentAnalysis.Wanted(from == null ? Long.MIN_VALUE : from, to == null ? Long.MAX_VALUE : to,
           (long) (spanSeconds * 1e6), reference, Audit.Limits.USUAL);
       try (Progress progress = new Progress(archive.octets())) {
-        return new Study(archive, wanted, progress);
+        return new IncidentAnalysis(archive, wanted, progress);
       }
     }
   }
@@ -140,7 +140,7 @@
       if (!(span >= 0.1 && span <= 86_400)) {
         throw new IllegalArgumentException("--span has to be 0.1 to 86400");
       }
-      Study study = source.study(span);
+      IncidentAnalysis study = source.study(span);
       Files.writeString(file, new HtmlReport(study).html());
       System.out.println(file + ": " + study.read.records() + " records, " + study.course.count(null, null, null, null)
           + " requests answered, " + study.course.unknown() + " of which the end is not known, " + study.audit.findings().size()
@@ -177,7 +177,7 @@
       Archive.Read read = source.open().read(q, e -> {
         if (!count && shown[0]++ < most) {
           try {
-            System.out.println(json ? Lines.json(e) : Lines.text(e));
+            System.out.println(json ? EntryFormatter.json(e) : EntryFormatter.text(e));
           } catch (IOException x) {
             throw new java.io.UncheckedIOException(x);
           }
@@ -207,7 +207,7 @@
     public Integer call() throws IOException {
       Source source = new Source();
       source.places = places;
-      if (!new Why(source.open(), request).tell(System.out::println)) {
+      if (!new RequestExplainer(source.open(), request).tell(System.out::println)) {
         throw new IOException("no record of it");
       }
       return 0;
@@ -221,18 +221,18 @@
 
     @Override
     public Integer call() throws IOException {
-      Study s = source.study(1);
-      List<Causes.Cause> causes = s.causes.causes();
-      List<Causes.Rise> rises = s.causes.rises();
+      IncidentAnalysis s = source.study(1);
+      List<ChangePointAnalysis.Cause> causes = s.causes.causes();
+      List<ChangePointAnalysis.Rise> rises = s.causes.rises();
       if (rises.isEmpty()) {
         System.out.println("no rise of bad answers");
       }
-      for (Causes.Rise r : rises) {
+      for (ChangePointAnalysis.Rise r : rises) {
         System.out.printf(Locale.ROOT, "%s  %.2f%% to %.2f%% of %d answers, by chance %.2g%n", instant(r.at()), 100 * r.before(),
             100 * r.after(), r.answers(), r.chance());
         causes.stream().filter(c -> c.rise().equals(r)).limit(8).forEach(c -> System.out.printf(Locale.ROOT,
-            "    %.1f s before it came: %s (told to %s; one as near by chance: %.2g)%n", (r.at() - c.at()) / 1e6, Safe.plain(c.what()), Safe.plain(c.instance()),
-            c.byChance()));
+            "    %.1f s before it came: %s (told to %s; one as near by chance: %.2g)%n", (r.at() - c.at()) / 1e6,
+            Sanitizer.plain(c.what()), Sanitizer.plain(c.instance()), c.byChance()));
       }
       return 0;
     }
@@ -250,15 +250,15 @@
 
     @Override
     public Integer call() throws IOException {
-      Study s = source.study(10);
+      IncidentAnalysis s = source.study(10);
       List<Audit.Finding> findings = s.audit.findings();
       s.audit.checked().forEach((check, n) -> System.out.printf("%-22s checked %9d, broken %d, unsettled %d%n",
           check.name().toLowerCase(Locale.ROOT), n, findings.stream().filter(f -> f.check() == check && f.certain()).count(),
           findings.stream().filter(f -> f.check() == check && !f.certain()).count()));
-      findings.stream().limit(50).forEach(f -> System.out.println(Safe.plain((f.certain() ? "BROKEN " : "unsettled ")
+      findings.stream().limit(50).forEach(f -> System.out.println(Sanitizer.plain((f.certain() ? "BROKEN " : "unsettled ")
           + f.check().name().toLowerCase(Locale.ROOT) + " " + f.origin().instance() + " " + (f.request() == null ? "" : f.request() + " ")
           + f.what())));
-      s.course.gaps(s.clocks).forEach(g -> System.out.println(Safe.plain("not known: " + g.instance() + ", " + g.why())));
+      s.course.gaps(s.clocks).forEach(g -> System.out.println(Sanitizer.plain("not known: " + g.instance() + ", " + g.why())));
       if (s.read.spoiltBlocks() > 0 || s.read.tornOctets() > 0) {
         System.out.println("not known: " + s.read.spoiltBlocks() + " spoilt blocks, " + s.read.tornOctets() + " octets cut off at ends");
       }
--- a/dist/src/main/java/cloverpulley/cli/Logs.java
+++ b/dist/src/main/java/cloverpulley/cli/Logs.java
@@ -6,7 +6,7 @@
 import ch.qos.logback.classic.spi.ILoggingEvent;
 import ch.qos.logback.core.ConsoleAppender;
 import ch.qos.logback.core.encoder.Encoder;
-import cloverpulley.incident.tool.Safe;
+import cloverpulley.incident.tool.Sanitizer;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
 import java.util.Locale;
@@ -104,7 +104,7 @@
   static String event(String logger, String message) {
     String by = logger == null ? "" : logger.substring(logger.lastIndexOf('.') + 1).toLowerCase(Locale.ROOT);
     StringBuilder words = new StringBuilder();
-    for (char c : Safe.plain(message).toCharArray()) {
+    for (char c : Sanitizer.plain(message).toCharArray()) {
       if (Character.isLetter(c)) {
         words.append(Character.toLowerCase(c));
       } else if (c == ' ' || c == '\'') {
--- a/dist/src/test/java/cloverpulley/cli/IncidentIT.java
+++ b/dist/src/test/java/cloverpulley/cli/IncidentIT.java
@@ -5,9 +5,9 @@
 
 import cloverpulley.config.OperatorsFile;
 import cloverpulley.incident.Audit;
-import cloverpulley.incident.Course;
 import cloverpulley.incident.Entry;
-import cloverpulley.incident.tool.Study;
+import cloverpulley.incident.Timeline;
+import cloverpulley.incident.tool.IncidentAnalysis;
 import cloverpulley.load.Driver.Outcome;
 import cloverpulley.load.LoadRun;
 import cloverpulley.load.Plan;
@@ -109,13 +109,13 @@
       });
     }
     assertTrue(killed.get(), "killed in the middle");
-    Study s = new Study(new Archive(List.of(records)), Study.Wanted.everything(), n -> { });
+    IncidentAnalysis s = new IncidentAnalysis(new Archive(List.of(records)), IncidentAnalysis.Wanted.everything(), n -> { });
     long recorded = s.course.count(null, null, null, Entry.SERVED);
     long calledOnly = s.course.calledOnly().getOrDefault(Entry.SERVED, 0L);
     long answeredOnly = s.course.answeredOnly().getOrDefault(Entry.SERVED, 0L);
     assertEquals(served.get(), recorded - answeredOnly + calledOnly);
     assertTrue(recorded > 0, "some of it was in the file");
-    List<Course.Gap> gaps = s.course.gaps(s.clocks);
+    List<Timeline.Gap> gaps = s.course.gaps(s.clocks);
     assertTrue(gaps.stream().anyMatch(g -> g.instance().equals("p1") && g.why().contains("no record of a stop")), gaps.toString());
     assertTrue(s.audit.findings().stream().noneMatch(Audit.Finding::certain), s.audit.findings().toString());
     commands(records);
--- a/incident/src/main/java/cloverpulley/incident/tool/Console.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/Console.java
@@ -1,8 +1,8 @@
 package cloverpulley.incident.tool;
 
 import cloverpulley.incident.Audit;
-import cloverpulley.incident.Course;
 import cloverpulley.incident.Entry;
+import cloverpulley.incident.Timeline;
 import cloverpulley.records.Archive;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -70,14 +70,14 @@
   /** The screen, at a time of this machine's clock. */
   List<AttributedString> draw(int width, long now) throws IOException {
     long second = 1_000_000L;
-    Study.Wanted wanted = new Study.Wanted(now - windowMicros, now + windowMicros, second, null, Audit.Limits.USUAL);
-    Study s = new Study(new Archive(places), wanted, n -> { });
+    IncidentAnalysis.Wanted wanted = new IncidentAnalysis.Wanted(now - windowMicros, now + windowMicros, second, null, Audit.Limits.USUAL);
+    IncidentAnalysis s = new IncidentAnalysis(new Archive(places), wanted, n -> { });
     List<AttributedString> out = new ArrayList<>();
     AttributedStyle plain = AttributedStyle.DEFAULT;
     AttributedStyle bold = AttributedStyle.BOLD;
     AttributedStyle red = AttributedStyle.DEFAULT.foreground(AttributedStyle.RED);
     AttributedStyle yellow = AttributedStyle.DEFAULT.foreground(AttributedStyle.YELLOW);
-    Course c = s.course;
+    Timeline c = s.course;
     out.add(line(String.format(Locale.ROOT, "ashdeck, the last %d s: %d answered, %d served, %d refused, %d failed, %d not known",
         windowMicros / second, c.count(null, null, null, null), c.count(null, null, null, Entry.SERVED),
         c.count(null, null, null, Entry.REFUSED), c.count(null, null, null, Entry.FAILED), c.unknown()), bold, width));
@@ -86,23 +86,23 @@
           width));
     }
     out.add(line("", plain, width));
-    for (Course.Life l : c.lives()) {
-      out.add(line(String.format(Locale.ROOT, "%-20s %-8s %s, taken %d, sent %d, dropped records %d", Safe.plain(l.origin.instance()),
-          Safe.plain(l.front), l.stopped ? "stopped" : "runs", l.taken, l.sent, l.droppedAll()), l.droppedAll() > 0 ? yellow : plain,
+    for (Timeline.Life l : c.lives()) {
+      out.add(line(String.format(Locale.ROOT, "%-20s %-8s %s, taken %d, sent %d, dropped records %d", Sanitizer.plain(l.origin.instance()),
+          Sanitizer.plain(l.front), l.stopped ? "stopped" : "runs", l.taken, l.sent, l.droppedAll()), l.droppedAll() > 0 ? yellow : plain,
           width));
     }
     out.add(line("", plain, width));
     s.audit.findings().stream().filter(Audit.Finding::certain).limit(5)
-        .forEach(f -> out.add(line("BROKEN " + f.check() + " " + Safe.plain(f.what()), red, width)));
-    for (Lanes.Lane lane : Lanes.of(c, now, wanted.limits().warmWithin())) {
-      Lanes.Piece last = lane.pieces().get(lane.pieces().size() - 1);
-      out.add(line(String.format("%-24s %-20s %s", Safe.plain(lane.server()), Safe.plain(lane.instance()), last.state()),
+        .forEach(f -> out.add(line("BROKEN " + f.check() + " " + Sanitizer.plain(f.what()), red, width)));
+    for (Swimlanes.Lane lane : Swimlanes.of(c, now, wanted.limits().warmWithin())) {
+      Swimlanes.Piece last = lane.pieces().get(lane.pieces().size() - 1);
+      out.add(line(String.format("%-24s %-20s %s", Sanitizer.plain(lane.server()), Sanitizer.plain(lane.instance()), last.state()),
           last.state().equals("ready") ? plain : yellow, width));
     }
     return out;
   }
 
-  private static String spark(Course c, int answer, int columns, long now) {
+  private static String spark(Timeline c, int answer, int columns, long now) {
     List<Long> spans = c.spans();
     int from = Math.max(0, spans.size() - columns);
     long most = 0;
--- a/incident/src/main/java/cloverpulley/incident/tool/HtmlReport.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/HtmlReport.java
@@ -1,11 +1,11 @@
 package cloverpulley.incident.tool;
 
 import cloverpulley.incident.Audit;
-import cloverpulley.incident.Causes;
+import cloverpulley.incident.ChangePointAnalysis;
 import cloverpulley.incident.Clocks;
-import cloverpulley.incident.Course;
-import cloverpulley.incident.Course.Cell;
 import cloverpulley.incident.Entry;
+import cloverpulley.incident.Timeline;
+import cloverpulley.incident.Timeline.Cell;
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.List;
@@ -37,15 +37,15 @@
       h2{margin-top:1.8em}.bad{color:#b3261e;font-weight:600}.unsure{color:#8a6100}.gap{background:#fbf0d9}svg{display:block}
       summary{cursor:pointer}text{font-size:11px;fill:#444}""";
 
-  private final Study s;
-  private final Course c;
+  private final IncidentAnalysis s;
+  private final Timeline c;
   private final StringBuilder h = new StringBuilder();
   private final List<Long> spans;
   private final long from;
   private final long to;
-  private final List<Course.Gap> gaps;
+  private final List<Timeline.Gap> gaps;
 
-  public HtmlReport(Study study) {
+  public HtmlReport(IncidentAnalysis study) {
     s = study;
     c = study.course;
     List<Long> all = c.spans();
@@ -53,7 +53,7 @@
     gaps = c.gaps(s.clocks);
     long least = Long.MAX_VALUE;
     long most = Long.MIN_VALUE;
-    for (Course.Life l : c.lives()) {
+    for (Timeline.Life l : c.lives()) {
       long o = s.clocks.offset(l.origin.instance(), l.first).middle();
       least = Math.min(least, l.first + o);
       most = Math.max(most, l.last + o);
@@ -97,7 +97,7 @@
   }
 
   private void query(String question) {
-    h.append("<p>Records: <code>ashdeck incident query '").append(Safe.html(question)).append("' DIR</code></p>");
+    h.append("<p>Records: <code>ashdeck incident query '").append(Sanitizer.html(question)).append("' DIR</code></p>");
   }
 
   // ---- What is not known ---------------------------------------------------------------------------------
@@ -113,10 +113,10 @@
     c.calledOnly().forEach((answer, n) -> h.append(say("<p class=\"unsure\">%d tries that callers recorded as %s are in no other record: "
         + "who answered them lost its own.</p>", n, Entry.answerName(answer))));
     h.append("<table><tr><th>instance</th><th>from</th><th>to</th><th>requests</th><th>why</th></tr>");
-    for (Course.Gap g : gaps) {
-      h.append("<tr class=\"gap\"><td>").append(Safe.html(g.instance())).append("</td><td>").append(time(g.from())).append("</td><td>")
+    for (Timeline.Gap g : gaps) {
+      h.append("<tr class=\"gap\"><td>").append(Sanitizer.html(g.instance())).append("</td><td>").append(time(g.from())).append("</td><td>")
           .append(time(g.to())).append("</td><td>").append(g.isOpen() ? g.least() + " or more" : g.least() == g.most() ? "" + g.most()
-              : g.least() + " to " + g.most()).append("</td><td>").append(Safe.html(g.why())).append("</td></tr>");
+              : g.least() + " to " + g.most()).append("</td><td>").append(Sanitizer.html(g.why())).append("</td></tr>");
     }
     h.append("</table>");
     if (s.read.spoiltBlocks() > 0 || s.read.tornOctets() > 0) {
@@ -124,7 +124,7 @@
           s.read.lostOctets(), s.read.tornOctets()));
     }
     s.read.unread().forEach(u -> reasons.merge(String.valueOf(u.problem()), 1L, Long::sum));
-    reasons.forEach((why, n) -> h.append("<p class=\"unsure\">").append(n).append(" segments were not read: ").append(Safe.html(why))
+    reasons.forEach((why, n) -> h.append("<p class=\"unsure\">").append(n).append(" segments were not read: ").append(Sanitizer.html(why))
         .append("</p>"));
   }
 
@@ -155,8 +155,8 @@
     if (!findings.isEmpty()) {
       h.append("<details><summary>").append(findings.size()).append(" findings</summary><table>");
       findings.stream().limit(MOST_ROWS).forEach(f -> h.append("<tr><td>").append(f.at() == 0 ? "" : time(f.at())).append("</td><td>")
-          .append(Safe.html(f.origin().instance())).append("</td><td><code>").append(Safe.html(f.request())).append("</code></td><td>")
-          .append(Safe.html(f.what())).append(f.certain() ? "" : " (records are missing that could explain it)").append("</td></tr>"));
+          .append(Sanitizer.html(f.origin().instance())).append("</td><td><code>").append(Sanitizer.html(f.request())).append("</code></td><td>")
+          .append(Sanitizer.html(f.what())).append(f.certain() ? "" : " (records are missing that could explain it)").append("</td></tr>"));
       h.append("</table></details>");
     }
   }
@@ -172,9 +172,9 @@
   }
 
   private void shadeGaps(int height) {
-    for (Course.Gap g : gaps) {
+    for (Timeline.Gap g : gaps) {
       h.append(say("<rect x=\"%.1f\" y=\"0\" width=\"%.1f\" height=\"%d\" fill=\"#f3d9a4\" opacity=\".45\"><title>not known: %s, %s"
-          + "</title></rect>", x(g.from()), Math.max(1, x(g.to()) - x(g.from())), height, Safe.html(g.instance()), Safe.html(g.why())));
+          + "</title></rect>", x(g.from()), Math.max(1, x(g.to()) - x(g.from())), height, Sanitizer.html(g.instance()), Sanitizer.html(g.why())));
     }
   }
 
@@ -273,7 +273,7 @@
         n[i] = classes ? c.count(null, name, null, i) : c.count(null, null, name, i);
         all += n[i];
       }
-      h.append("<tr><td>").append(name.isEmpty() ? "(none)" : Safe.html(name)).append("</td><td>").append(all).append("</td>");
+      h.append("<tr><td>").append(name.isEmpty() ? "(none)" : Sanitizer.html(name)).append("</td><td>").append(all).append("</td>");
       for (long count : n) {
         h.append("<td>").append(count).append("</td>");
       }
@@ -301,7 +301,7 @@
       return;
     }
     h.append("<table>");
-    by.forEach((word, n) -> h.append("<tr><td>").append(Safe.html(word)).append("</td><td>").append(n).append("</td></tr>"));
+    by.forEach((word, n) -> h.append("<tr><td>").append(Sanitizer.html(word)).append("</td><td>").append(n).append("</td></tr>"));
     h.append("</table>");
     query("kind=answered and answer!=served");
   }
@@ -317,7 +317,7 @@
       return;
     }
     h.append("<table>");
-    by.forEach((what, n) -> h.append("<tr><td>").append(Safe.html(what)).append("</td><td>").append(n).append("</td></tr>"));
+    by.forEach((what, n) -> h.append("<tr><td>").append(Sanitizer.html(what)).append("</td><td>").append(n).append("</td></tr>"));
     h.append("</table>");
     query("kind=outcome and attempt>0");
   }
@@ -326,14 +326,14 @@
 
   private void lanes() {
     h.append("<h2>The fleet, as each instance was told</h2>");
-    List<Lanes.Lane> all = Lanes.of(c, to, s.wanted.limits().warmWithin());
-    Map<String, List<Lanes.Lane>> byServer = all.stream().collect(Collectors.groupingBy(Lanes.Lane::server, TreeMap::new,
+    List<Swimlanes.Lane> all = Swimlanes.of(c, to, s.wanted.limits().warmWithin());
+    Map<String, List<Swimlanes.Lane>> byServer = all.stream().collect(Collectors.groupingBy(Swimlanes.Lane::server, TreeMap::new,
         Collectors.toList()));
     // Where all were told the same, one lane stands for all.
-    List<Lanes.Lane> shown = new ArrayList<>();
+    List<Swimlanes.Lane> shown = new ArrayList<>();
     byServer.forEach((server, lanes) -> {
-      if (lanes.size() > 1 && !Lanes.disagree(lanes, s.wanted.limits().drainGrace())) {
-        shown.add(new Lanes.Lane(server, "all " + lanes.size(), lanes.get(0).pieces()));
+      if (lanes.size() > 1 && !Swimlanes.disagree(lanes, s.wanted.limits().drainGrace())) {
+        shown.add(new Swimlanes.Lane(server, "all " + lanes.size(), lanes.get(0).pieces()));
       } else {
         shown.addAll(lanes);
       }
@@ -341,14 +341,14 @@
     int rows = Math.min(MOST_ROWS, shown.size());
     svg(rows * LANE + 24);
     for (int i = 0; i < rows; i++) {
-      Lanes.Lane lane = shown.get(i);
+      Swimlanes.Lane lane = shown.get(i);
       int y = i * LANE;
-      h.append(say("<text x=\"0\" y=\"%d\">%s</text>", y + 12, Safe.html(clip(lane.server()) + ", " + clip(lane.instance()))));
-      for (Lanes.Piece p : lane.pieces()) {
+      h.append(say("<text x=\"0\" y=\"%d\">%s</text>", y + 12, Sanitizer.html(clip(lane.server()) + ", " + clip(lane.instance()))));
+      for (Swimlanes.Piece p : lane.pieces()) {
         if (p.to() >= from && p.from() <= to) {
           h.append(say("<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"%s\"><title>%s %s to %s</title></rect>", x(p.from()),
               y + 2, Math.max(0.5, x(p.to()) - x(p.from())), LANE - 4, STATE_COLOURS.getOrDefault(p.state(), "#999"),
-              Safe.html(p.state()), time(p.from()), time(p.to())));
+              Sanitizer.html(p.state()), time(p.from()), time(p.to())));
         }
       }
     }
@@ -368,23 +368,23 @@
 
   private void causes() {
     h.append("<h2>What came before the rises of bad answers</h2>");
-    List<Causes.Rise> rises = s.causes.rises();
+    List<ChangePointAnalysis.Rise> rises = s.causes.rises();
     if (rises.isEmpty()) {
       h.append("<p>No rise.</p>");
       return;
     }
-    List<Causes.Cause> causes = s.causes.causes();
-    for (Causes.Rise r : rises) {
+    List<ChangePointAnalysis.Cause> causes = s.causes.causes();
+    for (ChangePointAnalysis.Rise r : rises) {
       h.append(say("<p>%s: from %.2f%% to %.2f%% of %d answers (by chance: %.2g).</p>", time(r.at()), 100 * r.before(), 100 * r.after(),
           r.answers(), r.chance()));
-      List<Causes.Cause> mine = causes.stream().filter(x -> x.rise().equals(r)).limit(8).toList();
+      List<ChangePointAnalysis.Cause> mine = causes.stream().filter(x -> x.rise().equals(r)).limit(8).toList();
       if (mine.isEmpty()) {
         h.append("<p class=\"unsure\">Nothing that is recorded came before it.</p>");
         continue;
       }
       h.append("<table><tr><th>came before</th><th>told to</th><th>before it by</th><th>one as near by chance</th></tr>");
-      for (Causes.Cause x : mine) {
-        h.append("<tr><td>").append(Safe.html(x.what())).append("</td><td>").append(Safe.html(x.instance())).append("</td><td>")
+      for (ChangePointAnalysis.Cause x : mine) {
+        h.append("<tr><td>").append(Sanitizer.html(x.what())).append("</td><td>").append(Sanitizer.html(x.instance())).append("</td><td>")
             .append(seconds(r.at() - x.at())).append(say("</td><td>%.2g</td></tr>", x.byChance()));
       }
       h.append("</table>");
@@ -392,16 +392,16 @@
   }
 
   private void clocks() {
-    h.append("<h2>Clocks, against that of ").append(Safe.html(s.clocks.reference())).append("</h2><table><tr><th>instance</th>"
+    h.append("<h2>Clocks, against that of ").append(Sanitizer.html(s.clocks.reference())).append("</h2><table><tr><th>instance</th>"
         + "<th>offset at the start</th><th>at the end</th><th>known to</th></tr>");
     for (String instance : s.clocks.instances()) {
-      Course.Life first = c.lives().stream().filter(l -> l.origin.instance().equals(instance)).findFirst().orElse(null);
+      Timeline.Life first = c.lives().stream().filter(l -> l.origin.instance().equals(instance)).findFirst().orElse(null);
       if (first == null) {
         continue;
       }
       Clocks.Offset a = s.clocks.offset(instance, first.first);
       Clocks.Offset b = s.clocks.offset(instance, first.last);
-      h.append("<tr><td>").append(Safe.html(instance)).append("</td>");
+      h.append("<tr><td>").append(Sanitizer.html(instance)).append("</td>");
       if (a.isKnown()) {
         h.append(say("<td>%s</td><td>%s</td><td>&plusmn; %s</td></tr>", seconds(a.middle()), seconds(b.middle()),
             seconds(Math.max(a.width(), b.width()) / 2)));
@@ -411,7 +411,7 @@
     }
     h.append("</table>");
     for (Clocks.Step step : s.clocks.steps()) {
-      h.append(say("<p class=\"unsure\">%s stepped between %s and %s by its own clock: from %s to %s.</p>", Safe.html(step.instance()),
+      h.append(say("<p class=\"unsure\">%s stepped between %s and %s by its own clock: from %s to %s.</p>", Sanitizer.html(step.instance()),
           time(step.from()), time(step.to()), seconds(step.before().middle()), seconds(step.after().middle())));
     }
     if (!s.clocks.contradicted().isEmpty()) {
--- a/incident/src/main/java/cloverpulley/incident/tool/Study.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/IncidentAnalysis.java
@@ -1,13 +1,13 @@
 package cloverpulley.incident.tool;
 
 import cloverpulley.incident.Audit;
-import cloverpulley.incident.Causes;
+import cloverpulley.incident.ChangePointAnalysis;
 import cloverpulley.incident.Clocks;
-import cloverpulley.incident.Course;
+import cloverpulley.incident.Correlations;
 import cloverpulley.incident.Entry;
 import cloverpulley.incident.Origin;
 import cloverpulley.incident.Query;
-import cloverpulley.incident.Ties;
+import cloverpulley.incident.Timeline;
 import cloverpulley.records.Archive;
 import java.io.IOException;
 import java.util.HashMap;
@@ -20,7 +20,7 @@
  * An incident, read: the clocks first, out of what several instances saw; then the course, the rules and what came before the rises,
  * on one clock and between two times of it.
  */
-public final class Study {
+public final class IncidentAnalysis {
 
   /** An instance's clock is bounded for so long from its start at least, whatever it said. */
   private static final long LEAST_SPAN = 60_000_000L;
@@ -36,19 +36,19 @@
   }
 
   public final Clocks clocks;
-  public final Course course;
+  public final Timeline course;
   public final Audit audit;
-  public final Causes causes = new Causes();
+  public final ChangePointAnalysis causes = new ChangePointAnalysis();
   public final Archive.Read read;
   public final Archive archive;
   public final Wanted wanted;
 
-  public Study(Archive archive, Wanted wanted, LongConsumer octetsDone) throws IOException {
+  public IncidentAnalysis(Archive archive, Wanted wanted, LongConsumer octetsDone) throws IOException {
     this.archive = archive;
     this.wanted = wanted;
     clocks = clocks(archive, wanted.reference);
     boolean whole = wanted.from == Long.MIN_VALUE && wanted.to == Long.MAX_VALUE;
-    course = new Course(wanted.spanMicros, whole);
+    course = new Timeline(wanted.spanMicros, whole);
     audit = new Audit(wanted.limits, whole);
     if (whole) {
       read = archive.all(this::take, octetsDone);
@@ -81,7 +81,7 @@
 
   /** The clocks of all instances with records, against that of {@code reference}, or of the first that has a caller's records, or the first. */
   static Clocks clocks(Archive archive, String reference) throws IOException {
-    Ties ties = new Ties();
+    Correlations ties = new Correlations();
     Map<String, long[]> spans = new TreeMap<>();
     archive.lives().forEach((instance, lives) -> {
       long[] span = spans.computeIfAbsent(instance, i -> new long[] {Long.MAX_VALUE, Long.MIN_VALUE});
--- a/incident/src/main/java/cloverpulley/incident/tool/Why.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/RequestExplainer.java
@@ -18,14 +18,14 @@
  * The decisions of one request, each with what its instance knew then: what it had been told of the server, how many were ready, how much
  * was out there and in all. Out of the records alone; what they don't hold is said.
  */
-public final class Why {
+public final class RequestExplainer {
 
   private static final long LOOK_BACK = 60_000_000L;
 
   private final Archive archive;
   private final String request;
 
-  public Why(Archive archive, String request) {
+  public RequestExplainer(Archive archive, String request) {
     this.archive = archive;
     this.request = request;
   }
@@ -52,7 +52,7 @@
     if (own.isEmpty()) {
       return false;
     }
-    Clocks clocks = Study.clocks(archive, null);
+    Clocks clocks = IncidentAnalysis.clocks(archive, null);
     Map<Origin, List<Entry>> lives = new HashMap<>();
     own.forEach(e -> lives.computeIfAbsent(e.origin(), o -> new ArrayList<>()).add(e));
     // In the order of the reference clock as far as it settles it; within a life the records' own.
@@ -63,14 +63,14 @@
     });
     for (Origin o : order) {
       List<Entry> mine = lives.get(o);
-      line.accept(Safe.plain(o.instance()) + ", started " + HtmlReport.time(o.start()) + ":");
+      line.accept(Sanitizer.plain(o.instance()) + ", started " + HtmlReport.time(o.start()) + ":");
       life(o, mine, line);
     }
     for (int i = 1; i < order.size(); i++) {
       Origin a = order.get(i - 1);
       Origin b = order.get(i);
       if (clocks.order(a.instance(), lives.get(a).get(0).at(), b.instance(), lives.get(b).get(0).at()) == 0) {
-        line.accept("the order of " + Safe.plain(a.instance()) + " and " + Safe.plain(b.instance()) + " is not settled by their clocks");
+        line.accept("the order of " + Sanitizer.plain(a.instance()) + " and " + Sanitizer.plain(b.instance()) + " is not settled by their clocks");
       }
     }
     return true;
@@ -134,15 +134,15 @@
     long ready = k.servers.values().stream().filter(s -> s.word().equals("ready")).count();
     String after = String.format(Locale.ROOT, "+%.1f ms: ", (e.at() - first) / 1000.0);
     return after + switch (e.kind()) {
-      case TAKEN -> "taken as " + Safe.plain(e.className()) + (e.tenant() == null ? "" : " of " + Safe.plain(e.tenant())) + ", good for "
+      case TAKEN -> "taken as " + Sanitizer.plain(e.className()) + (e.tenant() == null ? "" : " of " + Sanitizer.plain(e.tenant())) + ", good for "
           + e.value() / 1000 + " ms; " + ready + " servers ready, " + k.allOut + " attempts out";
       case SENT -> "attempt " + e.attempt() + " to " + server(e, k) + "; " + k.out.getOrDefault(e.upstream(), 0) + " out there, "
           + k.allOut + " in all, " + ready + " ready";
-      case OUTCOME -> "attempt " + e.attempt() + " at " + server(e, k) + " ended " + Safe.plain(e.word()) + " after " + e.value() / 1000.0
+      case OUTCOME -> "attempt " + e.attempt() + " at " + server(e, k) + " ended " + Sanitizer.plain(e.word()) + " after " + e.value() / 1000.0
           + " ms";
-      case ENDED -> "ended by the module: " + Entry.answerName(e.other()) + ", " + Safe.plain(e.word());
+      case ENDED -> "ended by the module: " + Entry.answerName(e.other()) + ", " + Sanitizer.plain(e.word());
       case ANSWERED -> "caller".equals(e.word()) ? "its caller had it: " + Entry.answerName(e.other()) + " after " + e.value() / 1000.0 + " ms"
-          : "answered: " + Entry.answerName(e.other()) + ", " + Safe.plain(e.word()) + "; of " + k.recentAnswers
+          : "answered: " + Entry.answerName(e.other()) + ", " + Sanitizer.plain(e.word()) + "; of " + k.recentAnswers
           + " answers in the minute before " + k.recentRefusals + " were refusals";
       default -> e.kind().name().toLowerCase(Locale.ROOT);
     };
@@ -150,11 +150,11 @@
 
   private static String server(Entry e, Known k) {
     Entry s = k.servers.get(e.upstream());
-    String name = Safe.plain(e.name() == null ? Long.toHexString(e.upstream()) : e.name());
+    String name = Sanitizer.plain(e.name() == null ? Long.toHexString(e.upstream()) : e.name());
     if (s == null) {
       return name + " (nothing told of it)";
     }
     long age = e.at() / 1000 - s.other();
-    return name + " (" + Safe.plain(s.word()) + (s.other() > 0 ? ", up for " + age / 1000 + " s" : "") + ")";
+    return name + " (" + Sanitizer.plain(s.word()) + (s.other() > 0 ? ", up for " + age / 1000 + " s" : "") + ")";
   }
 }
--- a/incident/src/main/java/cloverpulley/incident/tool/Safe.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/Sanitizer.java
@@ -1,11 +1,11 @@
 package cloverpulley.incident.tool;
 
 /** Text that came from requests, made harmless for where it is shown. Tenants, ids and names are whatever somebody sent. */
-public final class Safe {
+public final class Sanitizer {
 
   private static final int MOST = 200;
 
-  private Safe() {}
+  private Sanitizer() {}
 
   /** For HTML, in text and in attributes within quotes. */
   static String html(String s) {
--- a/incident/src/main/java/cloverpulley/incident/tool/Lanes.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/Swimlanes.java
@@ -1,7 +1,7 @@
 package cloverpulley.incident.tool;
 
-import cloverpulley.incident.Course;
-import cloverpulley.incident.Course.Told;
+import cloverpulley.incident.Timeline;
+import cloverpulley.incident.Timeline.Told;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -9,7 +9,7 @@
 import java.util.TreeMap;
 
 /** Each server's states as each instance was told: pieces of time, a cold start after each start. */
-final class Lanes {
+final class Swimlanes {
 
   /** A piece of a lane. */
   record Piece(long from, long to, String state) {}
@@ -17,10 +17,10 @@
   /** What one instance was told of one server. */
   record Lane(String server, String instance, List<Piece> pieces) {}
 
-  private Lanes() {}
+  private Swimlanes() {}
 
   /** Lanes up to {@code end}; a server is cold for {@code warmWithin} microseconds from its start. */
-  static List<Lane> of(Course course, long end, long warmWithin) {
+  static List<Lane> of(Timeline course, long end, long warmWithin) {
     Map<String, Map<String, List<Told>>> by = new TreeMap<>();
     for (Told t : course.told()) {
       by.computeIfAbsent(t.server(), s -> new TreeMap<>()).computeIfAbsent(t.instance(), i -> new ArrayList<>()).add(t);
--- a/incident/src/test/java/cloverpulley/incident/tool/SafeTest.java
+++ b/incident/src/test/java/cloverpulley/incident/tool/SanitizerTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** Hostile text in every field reaches page, terminal and JSON harmless. */
-class SafeTest {
+class SanitizerTest {
 
   private static final List<String> HOSTILE = List.of("<script>alert(1)</script>", "\"><img src=x onerror=alert(1)>", "\u001b[2J\u001b]0;x\u0007",
       "a\r\nb", "\u202Eevil", "'; drop", "&lt;", "\u0000", "\ud800", "x".repeat(5000), "</title><style>", "{\"a\":1}\n{");
@@ -36,7 +36,7 @@
       r.replaced(h);
     }
     r.close();
-    Study s = new Study(new Archive(List.of(folder)), Study.Wanted.everything(), n -> { });
+    IncidentAnalysis s = new IncidentAnalysis(new Archive(List.of(folder)), IncidentAnalysis.Wanted.everything(), n -> { });
     String html = new HtmlReport(s).html();
     for (String bad : List.of("<script", "<img", "\u001b", "\u202E", "\u0000", "</title><style>alert", "onerror=alert(1)>")) {
       assertFalse(html.contains(bad), bad);
@@ -44,10 +44,10 @@
     assertEquals(1, html.split("<style>", -1).length - 1, "only our own");
     int[] lines = {0};
     s.archive.all(e -> {
-      String text = Lines.text(e);
+      String text = EntryFormatter.text(e);
       assertTrue(text.chars().noneMatch(c -> Character.isISOControl(c) || c == 0x202E), text);
-      try (JsonParser p = new JsonFactory().createParser(Lines.json(e))) {
-        assertFalse(Lines.json(e).contains("\n"));
+      try (JsonParser p = new JsonFactory().createParser(EntryFormatter.json(e))) {
+        assertFalse(EntryFormatter.json(e).contains("\n"));
         while (p.nextToken() != null) {
           lines[0] += p.currentToken().isStructEnd() ? 1 : 0;
         }
@@ -63,9 +63,10 @@
   @Test
   void anEmptyCourseIsAPageToo() throws Exception {
     Recorder.open(RecordsConfig.of(folder, "p"), "process", null).close();
-    Study s = new Study(new Archive(List.of(folder)), new Study.Wanted(0, Long.MAX_VALUE, 1_000_000L, null, Audit.Limits.USUAL), n -> { });
+    IncidentAnalysis s = new IncidentAnalysis(new Archive(List.of(folder)),
+        new IncidentAnalysis.Wanted(0, Long.MAX_VALUE, 1_000_000L, null, Audit.Limits.USUAL), n -> { });
     assertTrue(new HtmlReport(s).html().contains("never put to the test"));
     Entry e = Entry.of(new Origin("p", 1), 1, 1, Kind.CLOCK);
-    assertTrue(Lines.text(e).startsWith("1970-01-01T00:00:00.000001Z p clock"), Lines.text(e));
+    assertTrue(EntryFormatter.text(e).startsWith("1970-01-01T00:00:00.000001Z p clock"), EntryFormatter.text(e));
   }
 }
--- a/incident/src/test/java/cloverpulley/incident/tool/ScriptedIncidentTest.java
+++ b/incident/src/test/java/cloverpulley/incident/tool/ScriptedIncidentTest.java
@@ -13,8 +13,8 @@
 import cloverpulley.fleet.FleetSource;
 import cloverpulley.incident.Audit;
 import cloverpulley.incident.Clocks;
-import cloverpulley.incident.Course;
 import cloverpulley.incident.Entry;
+import cloverpulley.incident.Timeline;
 import cloverpulley.load.Driver.Outcome;
 import cloverpulley.load.LoadRun;
 import cloverpulley.load.Plan;
@@ -297,11 +297,11 @@
   }
 
   private void check() throws Exception {
-    Study study = new Study(new Archive(List.of(folder)), new Study.Wanted(Long.MIN_VALUE, Long.MAX_VALUE, SPAN_S * S, "caller",
-        Audit.Limits.USUAL), n -> { });
+    IncidentAnalysis study = new IncidentAnalysis(new Archive(List.of(folder)),
+        new IncidentAnalysis.Wanted(Long.MIN_VALUE, Long.MAX_VALUE, SPAN_S * S, "caller", Audit.Limits.USUAL), n -> { });
     // The clocks: within their bounds, and known well enough.
     Clocks clocks = study.clocks;
-    for (Course.Life l : study.course.lives()) {
+    for (Timeline.Life l : study.course.lives()) {
       long off = Map.of("p1", 40 * S, "n1", -3 * S).getOrDefault(l.origin.instance(), 0L);
       Clocks.Offset o = clocks.offset(l.origin.instance(), l.first);
       assertTrue(o.isKnown() && o.least() - 20_000 <= off && off <= o.most() + 20_000, l.origin + " " + o);
@@ -322,14 +322,14 @@
     Map<Audit.Check, Long> checked = study.audit.checked();
     assertEquals(List.of(), study.audit.findings());
     checked.forEach((check, n) -> assertTrue(n > 0, check + " was never put to the test"));
-    List<Course.Gap> gaps = study.course.gaps(clocks);
+    List<Timeline.Gap> gaps = study.course.gaps(clocks);
     assertEquals(1, gaps.size(), gaps.toString());
     assertTrue(gaps.get(0).instance().equals("p2") && gaps.get(0).why().contains("between a stop"), gaps.toString());
     page(study);
     why(study);
   }
 
-  private void page(Study study) throws Exception {
+  private void page(IncidentAnalysis study) throws Exception {
     String html = new HtmlReport(study).html();
     Files.writeString(folder.resolve("incident.html"), html);
     for (String part : List.of("agro-tehnika", "between a stop and the next start", "1 one final answer each", "d5", "cold", "no_upstream",
@@ -339,16 +339,16 @@
     assertFalse(html.contains("<script"));
   }
 
-  private void why(Study study) throws Exception {
+  private void why(IncidentAnalysis study) throws Exception {
     String[] one = new String[1];
     study.archive.read(cloverpulley.incident.Query.of("kind=answered and class=quote-issue and instance=p1"), e -> one[0] = e.id(),
         n -> { });
     List<String> lines = new ArrayList<>();
-    assertTrue(new Why(study.archive, one[0]).tell(lines::add));
+    assertTrue(new RequestExplainer(study.archive, one[0]).tell(lines::add));
     String all = String.join("\n", lines);
     assertTrue(all.contains("taken as quote-issue") && all.contains("answered: served"), all);
     assertTrue(all.matches("(?s).*attempt 0 to d\\d \\(.*\\d ready.*"), all);
-    assertFalse(new Why(study.archive, "nobody's").tell(lines::add));
+    assertFalse(new RequestExplainer(study.archive, "nobody's").tell(lines::add));
     Map<String, Integer> order = new HashMap<>();
     for (int i = 0; i < lines.size(); i++) {
       order.putIfAbsent(lines.get(i).replaceAll(".*ms: (\\w+).*", "$1"), i);
