--- a/bench/src/main/java/cloverpulley/bench/IncidentBench.java
+++ b/bench/src/main/java/cloverpulley/bench/IncidentBench.java
@@ -156,7 +156,7 @@
       TimeUnit.SECONDS.sleep(2); // What waits is flushed twice a second.
     }
     IncidentAnalysis s = new IncidentAnalysis(new Archive(List.of(folder)), IncidentAnalysis.Wanted.everything(), n -> { });
-    s.course.cells().forEach((c, n) -> counted.merge(c.className() + " " + c.answer(), n, Long::sum));
+    s.course.answerCounts().forEach((c, n) -> counted.merge(c.className() + " " + c.answer(), n, Long::sum));
     System.out.println("the generator counted " + asked + ", the records " + counted);
     long off = 0;
     for (String k : Stream.concat(asked.keySet().stream(), counted.keySet().stream()).distinct().toList()) {
--- a/decision/src/main/java/cloverpulley/incident/Timeline.java
+++ b/decision/src/main/java/cloverpulley/incident/Timeline.java
@@ -21,29 +21,29 @@
   private static final String OTHER = "(others)";
 
   /** What is counted: a class's and a tenant's answers of one kind and word in one span. */
-  public record Cell(long span, String className, String tenant, int answer, String word) {}
+  public record CounterKey(long interval, String className, String tenant, int answer, String word) {}
 
   /** A time of an instance of which nothing, or not all, is known. */
-  public record Gap(String instance, long from, long to, String why, long least, long most) {
+  public record Gap(String instance, long from, long to, String reason, long minUnknown, long maxUnknown) {
     /** Whether nothing bounds how much happened in it. */
-    public boolean isOpen() {
-      return most < 0;
+    public boolean isUnbounded() {
+      return maxUnknown < 0;
     }
   }
 
   /** What an instance was told of a server. */
-  public record Told(String instance, long at, String server, long upstream, String state, long revision, long startedMillis) {}
+  public record ServerUpdate(String instance, long at, String server, long upstream, String state, long revision, long startedMillis) {}
 
   /** One life of an instance. */
-  public static final class Life {
+  public static final class Incarnation {
     public final Origin origin;
-    public String front = "";
+    public String frontend = "";
     public long first = Long.MAX_VALUE;
     public long last = Long.MIN_VALUE;
     public boolean started;
     public boolean stopped;
     public long processes;
-    public long taken;
+    public long accepted;
     public long ended;
     public long sent;
     public long outcomes;
@@ -54,7 +54,7 @@
     private long missing;
     private long lastSeq;
 
-    Life(Origin origin) {
+    Incarnation(Origin origin) {
       this.origin = origin;
     }
 
@@ -63,25 +63,25 @@
       return Math.max(0, missing - removed);
     }
 
-    public long droppedAll() {
+    public long droppedTotal() {
       return dropped.values().stream().mapToLong(n -> n).sum();
     }
   }
 
-  private final long span;
+  private final long interval;
   private final boolean whole;
-  private final Map<Cell, Long> cells = new HashMap<>();
-  private final Map<Origin, Life> lives = new TreeMap<>();
-  private final List<Told> told = new ArrayList<>();
+  private final Map<CounterKey, Long> answerCounts = new HashMap<>();
+  private final Map<Origin, Incarnation> incarnations = new TreeMap<>();
+  private final List<ServerUpdate> serverUpdates = new ArrayList<>();
   private final Map<Long, String> names = new HashMap<>();
-  private final Map<Origin, Map<Long, Entry>> open = new HashMap<>();
-  private final Map<Cell, Long> attempts = new HashMap<>();
+  private final Map<Origin, Map<Long, Entry>> openRequests = new HashMap<>();
+  private final Map<CounterKey, Long> retryOutcomes = new HashMap<>();
   private final TreeMap<Long, long[]> latency = new TreeMap<>();
   private final TreeSet<String> classes = new TreeSet<>();
   private final TreeSet<String> tenants = new TreeSet<>();
   private long unheld;
-  private final Map<String, Integer> called = new HashMap<>();
-  private final Map<String, Integer> answeredOnly = new HashMap<>();
+  private final Map<String, Integer> callerOnly = new HashMap<>();
+  private final Map<String, Integer> calleeOnly = new HashMap<>();
   private long unmatched;
   /** Shares in millionths, as the instances were told. */
   private final Map<String, Long> shares = new TreeMap<>();
@@ -91,18 +91,18 @@
    *
    * @param whole whether all records come, so that a number that does not is one that is missing
    */
-  public Timeline(long spanMicros, boolean whole) {
-    span = spanMicros;
+  public Timeline(long intervalMicros, boolean whole) {
+    interval = intervalMicros;
     this.whole = whole;
   }
 
-  public long span() {
-    return span;
+  public long interval() {
+    return interval;
   }
 
   /** Takes a record; those of one origin come in the order of their numbers. */
   public void add(Entry e, Clocks clocks) {
-    Life life = lives.computeIfAbsent(e.origin(), Life::new);
+    Incarnation life = incarnations.computeIfAbsent(e.origin(), Incarnation::new);
     life.records++;
     life.first = Math.min(life.first, e.at());
     life.last = Math.max(life.last, e.at());
@@ -113,14 +113,14 @@
     switch (e.kind()) {
       case START -> {
         life.started = true;
-        life.front = e.word() == null ? "" : e.word();
+        life.frontend = e.word() == null ? "" : e.word();
         life.processes = e.other();
       }
       case STOP -> life.stopped = true;
       case TENANT -> shares.put(e.tenant(), e.value());
       case TAKEN -> {
-        life.taken++;
-        Map<Long, Entry> mine = open.computeIfAbsent(e.origin(), o -> new HashMap<>());
+        life.accepted++;
+        Map<Long, Entry> mine = openRequests.computeIfAbsent(e.origin(), o -> new HashMap<>());
         if (mine.size() < MOST_OPEN) {
           mine.put(e.request(), e);
         } else {
@@ -129,7 +129,7 @@
       }
       case ENDED -> {
         life.ended++;
-        Map<Long, Entry> mine = open.get(e.origin());
+        Map<Long, Entry> mine = openRequests.get(e.origin());
         if (mine != null) {
           mine.remove(e.request());
         }
@@ -138,7 +138,7 @@
       case OUTCOME -> {
         life.outcomes++;
         if (e.attempt() > 0) {
-          attempts.merge(new Cell(spanOf(e, clocks), name(classes, e.className()), "", 0, e.word()), 1L, Long::sum);
+          retryOutcomes.merge(new CounterKey(spanOf(e, clocks), name(classes, e.className()), "", 0, e.word()), 1L, Long::sum);
         }
       }
       case ANSWERED -> answered(e, clocks);
@@ -148,7 +148,7 @@
         if (names.size() < MOST_NAMES) {
           names.put(e.upstream(), e.name());
         }
-        told.add(new Told(e.origin().instance(), at(e, clocks), e.name(), e.upstream(), e.word(), e.value(), e.other()));
+        serverUpdates.add(new ServerUpdate(e.origin().instance(), at(e, clocks), e.name(), e.upstream(), e.word(), e.value(), e.other()));
       }
       default -> { }
     }
@@ -163,15 +163,15 @@
       return; // Its callee counts it.
     }
     long at = spanOf(e, clocks);
-    cells.merge(new Cell(at, name(classes, e.className()), name(tenants, e.tenant()), (int) e.other(), e.word()), 1L, Long::sum);
+    answerCounts.merge(new CounterKey(at, name(classes, e.className()), name(tenants, e.tenant()), (int) e.other(), e.word()), 1L, Long::sum);
     long[] histogram = latency.computeIfAbsent(at, s -> new long[64]);
     histogram[bucket(e.value())]++;
   }
 
   /** Callers' own words against those of who was called: what only a caller tells of was answered by one whose records are lost. */
   private void match(Entry e, boolean caller) {
-    Map<String, Integer> mine = caller ? called : answeredOnly;
-    Map<String, Integer> theirs = caller ? answeredOnly : called;
+    Map<String, Integer> mine = caller ? callerOnly : calleeOnly;
+    Map<String, Integer> theirs = caller ? calleeOnly : callerOnly;
     if (theirs.remove(e.id()) == null) {
       if (mine.size() >= MOST_OPEN) {
         unmatched++;
@@ -182,34 +182,34 @@
   }
 
   /** Tries that callers had an answer to and of which no other record tells, by what the answer was; none where no caller recorded. */
-  public Map<Integer, Long> calledOnly() {
+  public Map<Integer, Long> callerOnly() {
     Map<Integer, Long> by = new TreeMap<>();
-    called.values().forEach(answer -> by.merge(answer, 1L, Long::sum));
+    callerOnly.values().forEach(answer -> by.merge(answer, 1L, Long::sum));
     return by;
   }
 
   /** The other side: answers of which no caller tells, though callers recorded; the caller may have gone before it came. */
-  public Map<Integer, Long> answeredOnly() {
+  public Map<Integer, Long> calleeOnly() {
     Map<Integer, Long> by = new TreeMap<>();
-    answeredOnly.values().forEach(answer -> by.merge(answer, 1L, Long::sum));
+    calleeOnly.values().forEach(answer -> by.merge(answer, 1L, Long::sum));
     return by;
   }
 
-  /** Whether there were more calls than could be held against one another: then {@link #calledOnly} is too high by this at most. */
+  /** Whether there were more calls than could be held against one another: then {@link #callerOnly} is too high by this at most. */
   public long unmatched() {
     return unmatched;
   }
 
   /** Names that come from requests are bounded: past the bound they are counted together. */
   private static String name(TreeSet<String> known, String name) {
-    String called = name == null ? "" : name;
-    if (!known.contains(called)) {
+    String key = name == null ? "" : name;
+    if (!known.contains(key)) {
       if (known.size() >= MOST_NAMES) {
         return OTHER;
       }
-      known.add(called);
+      known.add(key);
     }
-    return called;
+    return key;
   }
 
   private long at(Entry e, Clocks clocks) {
@@ -218,7 +218,7 @@
 
   /** By when the request came, on the reference's clock: an answer is counted where its request is. */
   private long spanOf(Entry e, Clocks clocks) {
-    return Math.floorDiv(at(e, clocks) - e.value(), span) * span;
+    return Math.floorDiv(at(e, clocks) - e.value(), interval) * interval;
   }
 
   // ---- Latency, in buckets of a factor of the square root of two -----------------------------------------
@@ -228,7 +228,7 @@
   }
 
   /** A percentile of a span's latencies, microseconds, as the upper edge of its bucket: too high by a factor of 1.42 at most. */
-  public long latency(long at, double percentile) {
+  public long latencyPercentile(long at, double percentile) {
     long[] histogram = latency.getOrDefault(at, new long[64]);
     long all = 0;
     for (long n : histogram) {
@@ -246,21 +246,21 @@
 
   // ---- What came of it ------------------------------------------------------------------------------------
 
-  public Map<Cell, Long> cells() {
-    return cells;
+  public Map<CounterKey, Long> answerCounts() {
+    return answerCounts;
   }
 
   /** Outcomes of attempts after the first, by class. */
-  public Map<Cell, Long> retries() {
-    return attempts;
+  public Map<CounterKey, Long> retryOutcomes() {
+    return retryOutcomes;
   }
 
   /** Answers that fit; null stands for any. */
   public long count(Long at, String className, String tenant, Integer answer) {
     long sum = 0;
-    for (Map.Entry<Cell, Long> e : cells.entrySet()) {
-      Cell c = e.getKey();
-      if ((at == null || c.span == at) && (className == null || c.className.equals(className))
+    for (Map.Entry<CounterKey, Long> e : answerCounts.entrySet()) {
+      CounterKey c = e.getKey();
+      if ((at == null || c.interval == at) && (className == null || c.className.equals(className))
           && (tenant == null || c.tenant.equals(tenant)) && (answer == null || c.answer == answer)) {
         sum += e.getValue();
       }
@@ -268,12 +268,12 @@
     return sum;
   }
 
-  public List<Life> lives() {
-    return List.copyOf(lives.values());
+  public List<Incarnation> incarnations() {
+    return List.copyOf(incarnations.values());
   }
 
-  public List<Told> told() {
-    return told;
+  public List<ServerUpdate> serverUpdates() {
+    return serverUpdates;
   }
 
   /** The tenants' shares, in millionths of the whole. */
@@ -282,7 +282,7 @@
   }
 
   /** What the lists called a server; its number where they never did. */
-  public String server(long upstream) {
+  public String serverName(long upstream) {
     return names.getOrDefault(upstream, Long.toHexString(upstream));
   }
 
@@ -295,10 +295,10 @@
   }
 
   /** The spans in which anything was answered, and all between them. */
-  public List<Long> spans() {
+  public List<Long> intervals() {
     List<Long> all = new ArrayList<>();
     if (!latency.isEmpty()) {
-      for (long s = latency.firstKey(); s <= latency.lastKey(); s += span) {
+      for (long s = latency.firstKey(); s <= latency.lastKey(); s += interval) {
         all.add(s);
       }
     }
@@ -306,13 +306,13 @@
   }
 
   /** Requests that an origin took and of which no end is recorded. */
-  public long open(Origin origin) {
-    return open.getOrDefault(origin, Map.of()).size();
+  public long openRequests(Origin origin) {
+    return openRequests.getOrDefault(origin, Map.of()).size();
   }
 
   /** Tells of each request without an end. */
-  public void eachOpen(Consumer<Entry> to) {
-    open.values().forEach(all -> all.values().forEach(to));
+  public void forEachOpen(Consumer<Entry> to) {
+    openRequests.values().forEach(all -> all.values().forEach(to));
   }
 
   /**
@@ -321,9 +321,9 @@
    */
   public List<Gap> gaps(Clocks clocks) {
     List<Gap> gaps = new ArrayList<>();
-    long end = lives.values().stream().mapToLong(l -> l.last + clocks.offset(l.origin.instance(), l.last).middle()).max().orElse(0);
-    Life before = null;
-    for (Life life : lives.values()) {
+    long end = incarnations.values().stream().mapToLong(l -> l.last + clocks.offset(l.origin.instance(), l.last).middle()).max().orElse(0);
+    Incarnation before = null;
+    for (Incarnation life : incarnations.values()) {
       boolean same = before != null && before.origin.instance().equals(life.origin.instance());
       if (same && before.last < life.first) {
         gap(gaps, clocks, before, life.first);
@@ -335,44 +335,44 @@
         gaps.add(new Gap(life.origin.instance(), life.origin.start() + o, life.first + o, "the oldest " + life.removed
             + " records went for younger ones", 0, life.removed));
       }
-      if (life.droppedAll() + life.missing() > 0) {
-        long most = life.droppedAll() + life.missing();
-        String why = (life.droppedAll() > 0 ? "records dropped " + life.dropped : "")
-            + (life.missing() > 0 ? (life.droppedAll() > 0 ? ", " : "") + "records missing " + life.missing() : "");
+      if (life.droppedTotal() + life.missing() > 0) {
+        long lost = life.droppedTotal() + life.missing();
+        String reason = (life.droppedTotal() > 0 ? "records dropped " + life.dropped : "")
+            + (life.missing() > 0 ? (life.droppedTotal() > 0 ? ", " : "") + "records missing " + life.missing() : "");
         long o = clocks.offset(life.origin.instance(), life.first).middle();
-        gaps.add(new Gap(life.origin.instance(), life.first + o, life.last + o, why, 0, most));
+        gaps.add(new Gap(life.origin.instance(), life.first + o, life.last + o, reason, 0, lost));
       }
       before = life;
     }
     if (before != null && !before.stopped) {
       endOf(gaps, clocks, before, end);
     }
-    long processes = lives.values().stream().mapToLong(l -> l.processes).max().orElse(0);
-    long seen = lives.values().stream().map(l -> l.origin.instance()).distinct().count();
+    long processes = incarnations.values().stream().mapToLong(l -> l.processes).max().orElse(0);
+    long seen = incarnations.values().stream().map(l -> l.origin.instance()).distinct().count();
     for (long i = seen; i < processes; i++) {
-      long first = lives.values().stream().mapToLong(l -> l.first + clocks.offset(l.origin.instance(), l.first).middle()).min().orElse(0);
+      long first = incarnations.values().stream().mapToLong(l -> l.first + clocks.offset(l.origin.instance(), l.first).middle()).min().orElse(0);
       gaps.add(new Gap("(an instance without records)", first, end, "of " + processes + " processes " + seen + " have records", 0, -1));
     }
     return gaps;
   }
 
-  private void gap(List<Gap> gaps, Clocks clocks, Life before, long next) {
+  private void gap(List<Gap> gaps, Clocks clocks, Incarnation before, long next) {
     long o = clocks.offset(before.origin.instance(), before.last).middle();
-    long lost = open(before.origin);
-    String why = before.stopped ? "between a stop and the next start" : "ended without a stop" + (lost > 0 ? ", " + lost + " in hand" : "");
-    gaps.add(new Gap(before.origin.instance(), before.last + o, next + o, why, before.stopped ? 0 : lost, before.stopped ? 0 : -1));
+    long lost = openRequests(before.origin);
+    String reason = before.stopped ? "between a stop and the next start" : "ended without a stop" + (lost > 0 ? ", " + lost + " in hand" : "");
+    gaps.add(new Gap(before.origin.instance(), before.last + o, next + o, reason, before.stopped ? 0 : lost, before.stopped ? 0 : -1));
   }
 
-  private void endOf(List<Gap> gaps, Clocks clocks, Life life, long end) {
+  private void endOf(List<Gap> gaps, Clocks clocks, Incarnation life, long end) {
     long o = clocks.offset(life.origin.instance(), life.last).middle();
-    if (life.last + o < end || open(life.origin) > 0) {
-      gaps.add(new Gap(life.origin.instance(), life.last + o, end, "no record of a stop, " + open(life.origin) + " in hand",
-          open(life.origin), -1));
+    if (life.last + o < end || openRequests(life.origin) > 0) {
+      gaps.add(new Gap(life.origin.instance(), life.last + o, end, "no record of a stop, " + openRequests(life.origin) + " in hand",
+          openRequests(life.origin), -1));
     }
   }
 
   /** Requests of which the end is not known: in hand where records end, and such as could not be held. */
-  public long unknown() {
-    return open.values().stream().mapToLong(Map::size).sum() + unheld;
+  public long unresolvedRequests() {
+    return openRequests.values().stream().mapToLong(Map::size).sum() + unheld;
   }
 }
--- a/decision/src/test/java/cloverpulley/incident/TimelineTest.java
+++ b/decision/src/test/java/cloverpulley/incident/TimelineTest.java
@@ -37,10 +37,10 @@
     Timeline.Gap crash = gaps.get(0);
     assertEquals(113 * S, crash.from());
     assertEquals(200 * S, crash.to());
-    assertEquals(2, crash.least());
-    assertTrue(crash.isOpen(), crash.toString());
+    assertEquals(2, crash.minUnknown());
+    assertTrue(crash.isUnbounded(), crash.toString());
     assertTrue(gaps.stream().anyMatch(g -> g.instance().contains("without records")), "one of two processes has none: " + gaps);
-    assertEquals(2, c.unknown());
+    assertEquals(2, c.unresolvedRequests());
   }
 
   @Test
@@ -52,7 +52,7 @@
     assertEquals(1, c.count(100 * S, "c", "t", Entry.SERVED));
     assertEquals(1, c.count(110 * S, null, null, Entry.REFUSED));
     assertEquals(2, c.count(null, null, null, null));
-    assertTrue(c.latency(100 * S, 50) >= 2 * S && c.latency(100 * S, 50) < 3 * S, "" + c.latency(100 * S, 50));
+    assertTrue(c.latencyPercentile(100 * S, 50) >= 2 * S && c.latencyPercentile(100 * S, 50) < 3 * S, "" + c.latencyPercentile(100 * S, 50));
   }
 
   @Test
@@ -63,8 +63,8 @@
     c.add(at(FIRST, 6, 102 * S, Kind.STOP), CLOCKS);
     List<Timeline.Gap> gaps = c.gaps(CLOCKS);
     assertEquals(1, gaps.size(), gaps.toString());
-    assertEquals(10, gaps.get(0).most());
-    assertTrue(gaps.get(0).why().contains("taken=7") && gaps.get(0).why().contains("missing 3"), gaps.toString());
+    assertEquals(10, gaps.get(0).maxUnknown());
+    assertTrue(gaps.get(0).reason().contains("taken=7") && gaps.get(0).reason().contains("missing 3"), gaps.toString());
   }
 
   /** Names come from requests: however many there are, what is kept is bounded, and the sums stay whole. */
--- a/dist/src/main/java/cloverpulley/cli/DemoRecords.java
+++ b/dist/src/main/java/cloverpulley/cli/DemoRecords.java
@@ -26,7 +26,7 @@
     Files.writeString(file, new HtmlReport(s).html());
     List<Audit.Finding> findings = s.audit.findings();
     out.printf("by the fronts' records: %d answered, %d of them served, %d with an end that is not known; rules broken: %d%n",
-        s.course.count(null, null, null, null), s.course.count(null, null, null, Entry.SERVED), s.course.unknown(),
+        s.course.count(null, null, null, null), s.course.count(null, null, null, Entry.SERVED), s.course.unresolvedRequests(),
         findings.stream().filter(Audit.Finding::certain).count());
     findings.stream().limit(5).forEach(f -> out.println("  " + f.check() + ": " + f.what()));
     out.println("report: " + file);
--- a/dist/src/main/java/cloverpulley/cli/IncidentCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/IncidentCommand.java
@@ -143,7 +143,7 @@
       IncidentAnalysis study = source.study(span);
       Files.writeString(file, new HtmlReport(study).html());
       System.out.println(file + ": " + study.read.records() + " records, " + study.course.count(null, null, null, null)
-          + " requests answered, " + study.course.unknown() + " of which the end is not known, " + study.audit.findings().size()
+          + " requests answered, " + study.course.unresolvedRequests() + " of which the end is not known, " + study.audit.findings().size()
           + " findings");
       return 0;
     }
@@ -258,7 +258,7 @@
       findings.stream().limit(50).forEach(f -> System.out.println(Sanitizer.plain((f.certain() ? "BROKEN " : "unsettled ")
           + f.check().name().toLowerCase(Locale.ROOT) + " " + f.origin().instance() + " " + (f.request() == null ? "" : f.request() + " ")
           + f.what())));
-      s.course.gaps(s.clocks).forEach(g -> System.out.println(Sanitizer.plain("not known: " + g.instance() + ", " + g.why())));
+      s.course.gaps(s.clocks).forEach(g -> System.out.println(Sanitizer.plain("not known: " + g.instance() + ", " + g.reason())));
       if (s.read.spoiltBlocks() > 0 || s.read.tornOctets() > 0) {
         System.out.println("not known: " + s.read.spoiltBlocks() + " spoilt blocks, " + s.read.tornOctets() + " octets cut off at ends");
       }
--- a/incident/src/main/java/cloverpulley/incident/tool/Console.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/Console.java
@@ -80,15 +80,15 @@
     Timeline c = s.course;
     out.add(line(String.format(Locale.ROOT, "ashdeck, the last %d s: %d answered, %d served, %d refused, %d failed, %d not known",
         windowMicros / second, c.count(null, null, null, null), c.count(null, null, null, Entry.SERVED),
-        c.count(null, null, null, Entry.REFUSED), c.count(null, null, null, Entry.FAILED), c.unknown()), bold, width));
+        c.count(null, null, null, Entry.REFUSED), c.count(null, null, null, Entry.FAILED), c.unresolvedRequests()), bold, width));
     for (int answer : new int[] {Entry.SERVED, Entry.REFUSED, Entry.FAILED}) {
       out.add(line(String.format("%-9s", Entry.answerName(answer)) + spark(c, answer, width - 20, now), answer == Entry.SERVED ? plain : red,
           width));
     }
     out.add(line("", plain, width));
-    for (Timeline.Life l : c.lives()) {
+    for (Timeline.Incarnation l : c.incarnations()) {
       out.add(line(String.format(Locale.ROOT, "%-20s %-8s %s, taken %d, sent %d, dropped records %d", Sanitizer.plain(l.origin.instance()),
-          Sanitizer.plain(l.front), l.stopped ? "stopped" : "runs", l.taken, l.sent, l.droppedAll()), l.droppedAll() > 0 ? yellow : plain,
+          Sanitizer.plain(l.frontend), l.stopped ? "stopped" : "runs", l.accepted, l.sent, l.droppedTotal()), l.droppedTotal() > 0 ? yellow : plain,
           width));
     }
     out.add(line("", plain, width));
@@ -103,7 +103,7 @@
   }
 
   private static String spark(Timeline c, int answer, int columns, long now) {
-    List<Long> spans = c.spans();
+    List<Long> spans = c.intervals();
     int from = Math.max(0, spans.size() - columns);
     long most = 0;
     for (long span : spans) {
--- a/incident/src/main/java/cloverpulley/incident/tool/HtmlReport.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/HtmlReport.java
@@ -5,7 +5,7 @@
 import cloverpulley.incident.Clocks;
 import cloverpulley.incident.Entry;
 import cloverpulley.incident.Timeline;
-import cloverpulley.incident.Timeline.Cell;
+import cloverpulley.incident.Timeline.CounterKey;
 import java.time.Instant;
 import java.util.ArrayList;
 import java.util.List;
@@ -48,12 +48,12 @@
   public HtmlReport(IncidentAnalysis study) {
     s = study;
     c = study.course;
-    List<Long> all = c.spans();
+    List<Long> all = c.intervals();
     spans = all.size() > MOST_SPANS ? all.subList(0, MOST_SPANS) : all;
     gaps = c.gaps(s.clocks);
     long least = Long.MAX_VALUE;
     long most = Long.MIN_VALUE;
-    for (Timeline.Life l : c.lives()) {
+    for (Timeline.Incarnation l : c.incarnations()) {
       long o = s.clocks.offset(l.origin.instance(), l.first).middle();
       least = Math.min(least, l.first + o);
       most = Math.max(most, l.last + o);
@@ -80,7 +80,7 @@
         .append("</style></head><body><h1>Incident ").append(time(from)).append(" to ").append(time(to)).append("</h1>");
     h.append(say("<p>%d records, %d instances, %d requests answered, %d retries, %d requests whose end is not known.</p>",
         s.read.records(), s.clocks.instances().size(), c.count(null, null, null, null),
-        c.retries().values().stream().mapToLong(n -> n).sum(), c.unknown()));
+        c.retryOutcomes().values().stream().mapToLong(n -> n).sum(), c.unresolvedRequests()));
     unknown();
     rules();
     requests();
@@ -106,17 +106,17 @@
     h.append("<h2>What is not known</h2>");
     Map<String, Long> reasons = new TreeMap<>();
     if (gaps.isEmpty() && s.read.spoiltBlocks() == 0 && s.read.tornOctets() == 0 && s.read.unread().isEmpty()
-        && c.calledOnly().isEmpty()) {
+        && c.callerOnly().isEmpty()) {
       h.append("<p>Nothing: every instance told its start and its end, no record was dropped, none is spoilt.</p>");
       return;
     }
-    c.calledOnly().forEach((answer, n) -> h.append(say("<p class=\"unsure\">%d tries that callers recorded as %s are in no other record: "
+    c.callerOnly().forEach((answer, n) -> h.append(say("<p class=\"unsure\">%d tries that callers recorded as %s are in no other record: "
         + "who answered them lost its own.</p>", n, Entry.answerName(answer))));
     h.append("<table><tr><th>instance</th><th>from</th><th>to</th><th>requests</th><th>why</th></tr>");
     for (Timeline.Gap g : gaps) {
       h.append("<tr class=\"gap\"><td>").append(Sanitizer.html(g.instance())).append("</td><td>").append(time(g.from())).append("</td><td>")
-          .append(time(g.to())).append("</td><td>").append(g.isOpen() ? g.least() + " or more" : g.least() == g.most() ? "" + g.most()
-              : g.least() + " to " + g.most()).append("</td><td>").append(Sanitizer.html(g.why())).append("</td></tr>");
+          .append(time(g.to())).append("</td><td>").append(g.isUnbounded() ? g.minUnknown() + " or more"
+              : g.minUnknown() == g.maxUnknown() ? "" + g.maxUnknown() : g.minUnknown() + " to " + g.maxUnknown()).append("</td><td>").append(Sanitizer.html(g.reason())).append("</td></tr>");
     }
     h.append("</table>");
     if (s.read.spoiltBlocks() > 0 || s.read.tornOctets() > 0) {
@@ -174,7 +174,7 @@
   private void shadeGaps(int height) {
     for (Timeline.Gap g : gaps) {
       h.append(say("<rect x=\"%.1f\" y=\"0\" width=\"%.1f\" height=\"%d\" fill=\"#f3d9a4\" opacity=\".45\"><title>not known: %s, %s"
-          + "</title></rect>", x(g.from()), Math.max(1, x(g.to()) - x(g.from())), height, Sanitizer.html(g.instance()), Sanitizer.html(g.why())));
+          + "</title></rect>", x(g.from()), Math.max(1, x(g.to()) - x(g.from())), height, Sanitizer.html(g.instance()), Sanitizer.html(g.reason())));
     }
   }
 
@@ -187,16 +187,16 @@
   }
 
   private void requests() {
-    h.append("<h2>Requests by answer, in spans of ").append(c.span() / 1_000_000.0).append(" s</h2>");
+    h.append("<h2>Requests by answer, in spans of ").append(c.interval() / 1_000_000.0).append(" s</h2>");
     Map<Long, long[]> bars = new TreeMap<>();
-    c.cells().forEach((cell, n) -> bars.computeIfAbsent(cell.span(), k -> new long[4])[Math.min(3, cell.answer())] += n);
+    c.answerCounts().forEach((cell, n) -> bars.computeIfAbsent(cell.interval(), k -> new long[4])[Math.min(3, cell.answer())] += n);
     long most = Math.max(1, bars.values().stream().mapToLong(b -> b[0] + b[1] + b[2] + b[3]).max().orElse(1));
     svg(BAND + 30);
     shadeGaps(BAND);
     h.append(say("<text x=\"5\" y=\"14\">%d a span</text>", most));
     bars.forEach((span, counts) -> {
       double x0 = x(span);
-      double w = Math.max(0.5, x(span + c.span()) - x0 - 0.5);
+      double w = Math.max(0.5, x(span + c.interval()) - x0 - 0.5);
       double y = BAND;
       for (int i = 0; i < 4; i++) {
         double height = counts[i] * (BAND - 10.0) / most;
@@ -238,7 +238,7 @@
     double most = 1;
     double[] percentiles = {50, 90, 99};
     for (long span : spans) {
-      most = Math.max(most, c.latency(span, 99));
+      most = Math.max(most, c.latencyPercentile(span, 99));
     }
     svg(BAND + 30);
     shadeGaps(BAND);
@@ -246,7 +246,8 @@
     for (int i = 0; i < percentiles.length; i++) {
       StringBuilder points = new StringBuilder();
       for (long span : spans) {
-        points.append(say("%.1f,%.1f ", x(span + c.span() / 2), BAND - (BAND - 10) * Math.sqrt(c.latency(span, percentiles[i]) / most)));
+        points.append(say("%.1f,%.1f ", x(span + c.interval() / 2),
+            BAND - (BAND - 10) * Math.sqrt(c.latencyPercentile(span, percentiles[i]) / most)));
       }
       h.append("<polyline fill=\"none\" stroke-width=\"1.5\" stroke=\"").append(COLOURS[i]).append("\" points=\"").append(points)
           .append("\"/>");
@@ -290,7 +291,7 @@
 
   private void reasons() {
     Map<String, Long> by = new TreeMap<>();
-    c.cells().forEach((cell, n) -> {
+    c.answerCounts().forEach((cell, n) -> {
       if (cell.answer() != Entry.SERVED) {
         by.merge(Entry.answerName(cell.answer()) + " " + cell.word(), n, Long::sum);
       }
@@ -309,7 +310,7 @@
   private void retries() {
     h.append("<h2>Retries by class</h2>");
     Map<String, Long> by = new TreeMap<>();
-    for (Map.Entry<Cell, Long> e : c.retries().entrySet()) {
+    for (Map.Entry<CounterKey, Long> e : c.retryOutcomes().entrySet()) {
       by.merge(e.getKey().className() + " ended " + e.getKey().word(), e.getValue(), Long::sum);
     }
     if (by.isEmpty()) {
@@ -395,7 +396,7 @@
     h.append("<h2>Clocks, against that of ").append(Sanitizer.html(s.clocks.reference())).append("</h2><table><tr><th>instance</th>"
         + "<th>offset at the start</th><th>at the end</th><th>known to</th></tr>");
     for (String instance : s.clocks.instances()) {
-      Timeline.Life first = c.lives().stream().filter(l -> l.origin.instance().equals(instance)).findFirst().orElse(null);
+      Timeline.Incarnation first = c.incarnations().stream().filter(l -> l.origin.instance().equals(instance)).findFirst().orElse(null);
       if (first == null) {
         continue;
       }
--- a/incident/src/main/java/cloverpulley/incident/tool/Swimlanes.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/Swimlanes.java
@@ -1,7 +1,7 @@
 package cloverpulley.incident.tool;
 
 import cloverpulley.incident.Timeline;
-import cloverpulley.incident.Timeline.Told;
+import cloverpulley.incident.Timeline.ServerUpdate;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -21,16 +21,16 @@
 
   /** Lanes up to {@code end}; a server is cold for {@code warmWithin} microseconds from its start. */
   static List<Lane> of(Timeline course, long end, long warmWithin) {
-    Map<String, Map<String, List<Told>>> by = new TreeMap<>();
-    for (Told t : course.told()) {
+    Map<String, Map<String, List<ServerUpdate>>> by = new TreeMap<>();
+    for (ServerUpdate t : course.serverUpdates()) {
       by.computeIfAbsent(t.server(), s -> new TreeMap<>()).computeIfAbsent(t.instance(), i -> new ArrayList<>()).add(t);
     }
     List<Lane> lanes = new ArrayList<>();
     by.forEach((server, instances) -> instances.forEach((instance, told) -> {
-      told.sort(Comparator.comparingLong(Told::at));
+      told.sort(Comparator.comparingLong(ServerUpdate::at));
       List<Piece> pieces = new ArrayList<>();
       for (int i = 0; i < told.size(); i++) {
-        Told t = told.get(i);
+        ServerUpdate t = told.get(i);
         long to = i + 1 < told.size() ? told.get(i + 1).at() : Math.max(end, t.at());
         long warm = t.startedMillis() * 1000 + warmWithin;
         if (t.state().equals("ready") && t.startedMillis() > 0 && warm > t.at()) {
--- a/incident/src/test/java/cloverpulley/incident/tool/ScriptedIncidentTest.java
+++ b/incident/src/test/java/cloverpulley/incident/tool/ScriptedIncidentTest.java
@@ -301,30 +301,30 @@
         new IncidentAnalysis.Wanted(Long.MIN_VALUE, Long.MAX_VALUE, SPAN_S * S, "caller", Audit.Limits.USUAL), n -> { });
     // The clocks: within their bounds, and known well enough.
     Clocks clocks = study.clocks;
-    for (Timeline.Life l : study.course.lives()) {
+    for (Timeline.Incarnation l : study.course.incarnations()) {
       long off = Map.of("p1", 40 * S, "n1", -3 * S).getOrDefault(l.origin.instance(), 0L);
       Clocks.Offset o = clocks.offset(l.origin.instance(), l.first);
       assertTrue(o.isKnown() && o.least() - 20_000 <= off && off <= o.most() + 20_000, l.origin + " " + o);
     }
-    assertTrue(clocks.order("p1", study.course.lives().get(0).first, "p2", study.course.lives().get(0).first + 60 * S) < 0);
+    assertTrue(clocks.order("p1", study.course.incarnations().get(0).first, "p2", study.course.incarnations().get(0).first + 60 * S) < 0);
     // Counts: by span, class, tenant and answer.
     Map<String, Long> counted = new TreeMap<>();
-    study.course.cells().forEach((c, n) -> counted.merge(c.span() + " " + c.className() + " " + c.tenant() + " " + c.answer(), n,
+    study.course.answerCounts().forEach((c, n) -> counted.merge(c.interval() + " " + c.className() + " " + c.tenant() + " " + c.answer(), n,
         Long::sum));
     Map<String, Long> asked = new TreeMap<>();
     tally.forEach((k, n) -> asked.put(k, n.get()));
     assertEquals(asked, counted);
     assertTrue(asked.values().stream().mapToLong(n -> n).sum() > 1500, "enough was asked: " + asked);
     assertTrue(asked.keySet().stream().anyMatch(k -> !k.endsWith(" 0")), "some of it was not served: " + asked);
-    assertEquals(Map.of(), study.course.calledOnly());
-    assertEquals(0, study.course.unknown());
+    assertEquals(Map.of(), study.course.callerOnly());
+    assertEquals(0, study.course.unresolvedRequests());
     // The rules, from the records alone.
     Map<Audit.Check, Long> checked = study.audit.checked();
     assertEquals(List.of(), study.audit.findings());
     checked.forEach((check, n) -> assertTrue(n > 0, check + " was never put to the test"));
     List<Timeline.Gap> gaps = study.course.gaps(clocks);
     assertEquals(1, gaps.size(), gaps.toString());
-    assertTrue(gaps.get(0).instance().equals("p2") && gaps.get(0).why().contains("between a stop"), gaps.toString());
+    assertTrue(gaps.get(0).instance().equals("p2") && gaps.get(0).reason().contains("between a stop"), gaps.toString());
     page(study);
     why(study);
   }
