--- a/bench/src/main/java/cloverpulley/bench/IncidentBench.java
+++ b/bench/src/main/java/cloverpulley/bench/IncidentBench.java
@@ -255,13 +255,13 @@
   /** The largest error of the middle in milliseconds over ten minutes, 40 s apart with a drift of 200 ppm; and how often a bound broke. */
   private static double[] clocks() {
     SplittableRandom random = new SplittableRandom(SEED);
-    List<Clocks.Tie> ties = new ArrayList<>();
+    List<Clocks.Correlation> ties = new ArrayList<>();
     long seconds = 600;
     for (int i = 0; i < 20_000; i++) {
       long at = DAY + random.nextLong(seconds * 1_000_000);
       long there = 100 + random.nextLong(2000);
       long back = 100 + random.nextLong(2000);
-      ties.add(new Clocks.Tie("a", at, "b", shown(at + there), 0, there + back, "call"));
+      ties.add(new Clocks.Correlation("a", at, "b", shown(at + there), 0, there + back, "call"));
     }
     Map<String, long[]> spans = new TreeMap<>(Map.of("a", new long[] {DAY, DAY + seconds * 1_000_000}, "b",
         new long[] {shown(DAY), shown(DAY + seconds * 1_000_000)}));
@@ -271,8 +271,8 @@
     for (long t = DAY; t < DAY + seconds * 1_000_000; t += 997_000) {
       Clocks.Offset o = c.offset("b", shown(t));
       long truth = t - shown(t);
-      worst = Math.max(worst, Math.abs(o.middle() - truth) / 1000.0);
-      broken += truth < o.least() || truth > o.most() ? 1 : 0;
+      worst = Math.max(worst, Math.abs(o.midpoint() - truth) / 1000.0);
+      broken += truth < o.min() || truth > o.max() ? 1 : 0;
     }
     System.out.printf("clocks: worst error %.2f ms, bounds broken %.0f times%n", worst, broken);
     return new double[] {worst, broken};
--- a/decision/src/main/java/cloverpulley/incident/Clocks.java
+++ b/decision/src/main/java/cloverpulley/incident/Clocks.java
@@ -9,7 +9,7 @@
 
 /**
  * Brings the clocks of several instances together. Each instance's offset (what is to be added to its time) is a piecewise line with knots
- * {@link #KNOT} apart; two readings at instants of which it is known which came first, and by how much at most, bound the difference of
+ * {@link #KNOT_INTERVAL} apart; two readings at instants of which it is known which came first, and by how much at most, bound the difference of
  * two offsets; between neighbouring knots it changes by the drift at most. That is a system of difference constraints (Cormen et al.,
  * Introduction to Algorithms, 24.4): shortest paths from and to a reference clock give each knot its tightest bounds, and what no path
  * reaches is unknown. A negative cycle says that the constraints contradict one another: a clock stepped, or two readings were taken for
@@ -18,35 +18,35 @@
 public final class Clocks {
 
   /** Distance of an instance's knots, microseconds: shorter finds a step's place better, longer is cheaper. */
-  public static final long KNOT = 10_000_000L;
+  public static final long KNOT_INTERVAL = 10_000_000L;
   /** Far more than quartz does: parts in a million. */
-  public static final long MOST_DRIFT_PPM = 500;
+  public static final long MAX_DRIFT_PPM = 500;
   private static final long NONE = Long.MAX_VALUE / 4;
   /** Contradictions mended before the rest is given up: each takes a pass. */
   private static final int MOST_MENDS = 200;
 
   /**
-   * One instant at two instances, or two with a known order: {@code b} happened no earlier than {@code least} and no later than
-   * {@code most} microseconds after {@code a}.
+   * One instant at two instances, or two with a known order: {@code b} happened no earlier than {@code minDelta} and no later than
+   * {@code maxDelta} microseconds after {@code a}.
    */
-  public record Tie(String a, long atA, String b, long atB, long least, long most, String what) {}
+  public record Correlation(String a, long atA, String b, long atB, long minDelta, long maxDelta, String description) {}
 
   /** An offset in microseconds, between its bounds, both included. */
-  public record Offset(long least, long most) {
+  public record Offset(long min, long max) {
     /** Nothing bounds it. */
     public static final Offset UNKNOWN = new Offset(-NONE, NONE);
 
     public boolean isKnown() {
-      return least > -NONE / 2 && most < NONE / 2;
+      return min > -NONE / 2 && max < NONE / 2;
     }
 
     /** The best single guess: 0 for an unknown one. */
-    public long middle() {
-      return isKnown() ? least + (most - least) / 2 : 0;
+    public long midpoint() {
+      return isKnown() ? min + (max - min) / 2 : 0;
     }
 
     public long width() {
-      return isKnown() ? most - least : NONE;
+      return isKnown() ? max - min : NONE;
     }
   }
 
@@ -61,8 +61,8 @@
   private final Map<String, TreeMap<Long, Integer>> knots = new TreeMap<>();
   private final List<String> nodeInstance = new ArrayList<>();
   private final List<Long> nodeKnot = new ArrayList<>();
-  private final List<Tie> ties;
-  private final List<Tie> contradicted = new ArrayList<>();
+  private final List<Correlation> correlations;
+  private final List<Correlation> rejected = new ArrayList<>();
   /** Knots after which a clock may have stepped. */
   private final List<Integer> cuts = new ArrayList<>();
   private long[] most;
@@ -74,16 +74,16 @@
    * @param reference the clock that counts as true
    * @param spans of each instance the first and the last reading
    */
-  public Clocks(String reference, Map<String, long[]> spans, List<Tie> ties) {
+  public Clocks(String reference, Map<String, long[]> spans, List<Correlation> correlations) {
     this.reference = reference;
-    this.ties = List.copyOf(ties);
+    this.correlations = List.copyOf(correlations);
     spans.forEach((instance, span) -> {
       names.add(instance);
       for (long k = knotOf(span[0]); k <= knotOf(span[1]) + 1; k++) {
         node(instance, k);
       }
     });
-    for (Tie t : ties) {
+    for (Correlation t : correlations) {
       node(t.a, knotOf(t.atA));
       node(t.b, knotOf(t.atB));
     }
@@ -91,7 +91,7 @@
   }
 
   private static long knotOf(long at) {
-    return Math.floorDiv(at, KNOT);
+    return Math.floorDiv(at, KNOT_INTERVAL);
   }
 
   private int node(String instance, long knot) {
@@ -104,7 +104,7 @@
 
   /** The most that an offset changes over so long; the reference's, by definition, never does. */
   private long drift(String instance, long micros) {
-    return instance.equals(reference) ? 0 : micros * MOST_DRIFT_PPM / 1_000_000 + 1;
+    return instance.equals(reference) ? 0 : micros * MAX_DRIFT_PPM / 1_000_000 + 1;
   }
 
   private void solve() {
@@ -114,7 +114,7 @@
       Long before = null;
       for (Map.Entry<Long, Integer> e : byKnot.entrySet()) {
         if (before != null) {
-          long d = drift(instance, (e.getKey() - before) * KNOT);
+          long d = drift(instance, (e.getKey() - before) * KNOT_INTERVAL);
           int a = byKnot.get(before);
           edges.add(new Edge(a, e.getValue(), d, -1, a));
           edges.add(new Edge(e.getValue(), a, d, -1, a));
@@ -124,14 +124,14 @@
     });
     // Of many ties between the same two knots only the tightest count.
     Map<Long, Edge> tightest = new HashMap<>();
-    for (int i = 0; i < ties.size(); i++) {
-      Tie t = ties.get(i);
+    for (int i = 0; i < correlations.size(); i++) {
+      Correlation t = correlations.get(i);
       int a = node(t.a, knotOf(t.atA));
       int b = node(t.b, knotOf(t.atB));
-      long slack = drift(t.a, t.atA - knotOf(t.atA) * KNOT) + drift(t.b, t.atB - knotOf(t.atB) * KNOT);
+      long slack = drift(t.a, t.atA - knotOf(t.atA) * KNOT_INTERVAL) + drift(t.b, t.atB - knotOf(t.atB) * KNOT_INTERVAL);
       // atB + oB - (atA + oA) lies between least and most.
-      tight(tightest, new Edge(a, b, t.most - t.atB + t.atA + slack, i, -1));
-      tight(tightest, new Edge(b, a, t.atB - t.atA - t.least + slack, i, -1));
+      tight(tightest, new Edge(a, b, t.maxDelta - t.atB + t.atA + slack, i, -1));
+      tight(tightest, new Edge(b, a, t.atB - t.atA - t.minDelta + slack, i, -1));
     }
     edges.addAll(tightest.values());
     for (int mends = 0; mends < MOST_MENDS; mends++) {
@@ -176,15 +176,15 @@
       edges.removeAll(cycle);
       return;
     }
-    Tie wrong = ties.get(widest.origin);
-    contradicted.add(wrong);
+    Correlation wrong = correlations.get(widest.origin);
+    rejected.add(wrong);
     int origin = widest.origin;
     edges.removeIf(e -> e.origin == origin);
   }
 
   private long width(Edge e) {
-    Tie t = ties.get(e.origin);
-    return t.most - t.least;
+    Correlation t = correlations.get(e.origin);
+    return t.maxDelta - t.minDelta;
   }
 
   /** Bellman and Ford from everywhere at once; the edges of a cycle of negative length, or null. */
@@ -251,8 +251,8 @@
     if (!x.isKnown() || !y.isKnown()) {
       return x.isKnown() ? x : y;
     }
-    Offset both = new Offset(Math.max(x.least, y.least), Math.min(x.most, y.most));
-    return both.least <= both.most ? both : x;
+    Offset both = new Offset(Math.max(x.min, y.min), Math.min(x.max, y.max));
+    return both.min <= both.max ? both : x;
   }
 
   /** What a knot says of a reading beside it. */
@@ -261,7 +261,7 @@
     if (most[node] >= NONE || least[node] >= NONE) {
       return Offset.UNKNOWN;
     }
-    long d = drift(instance, Math.abs(at - knot.getKey() * KNOT));
+    long d = drift(instance, Math.abs(at - knot.getKey() * KNOT_INTERVAL));
     return new Offset(-least[node] - d, most[node] + d);
   }
 
@@ -270,9 +270,9 @@
   }
 
   /** When a reading was, on the reference's clock: bounds, both included. */
-  public Offset when(String instance, long at) {
+  public Offset referenceTime(String instance, long at) {
     Offset o = offset(instance, at);
-    return o.isKnown() ? new Offset(at + o.least, at + o.most) : Offset.UNKNOWN;
+    return o.isKnown() ? new Offset(at + o.min, at + o.max) : Offset.UNKNOWN;
   }
 
   /** Which came first: below 0 the first reading, above 0 the second; 0 where the bounds do not settle it. */
@@ -280,12 +280,12 @@
     if (a.equals(b)) {
       return Long.compare(atA, atB);
     }
-    Offset x = when(a, atA);
-    Offset y = when(b, atB);
+    Offset x = referenceTime(a, atA);
+    Offset y = referenceTime(b, atB);
     if (!x.isKnown() || !y.isKnown()) {
       return 0;
     }
-    return x.most < y.least ? -1 : y.most < x.least ? 1 : 0;
+    return x.max < y.min ? -1 : y.max < x.min ? 1 : 0;
   }
 
   /** Clocks that were found to have stepped. */
@@ -295,20 +295,20 @@
       String instance = nodeInstance.get(cut);
       long knot = nodeKnot.get(cut);
       Long next = knots.get(instance).higherKey(knot);
-      long to = (next == null ? knot + 1 : next) * KNOT;
-      Offset before = offset(instance, knot * KNOT);
+      long to = (next == null ? knot + 1 : next) * KNOT_INTERVAL;
+      Offset before = offset(instance, knot * KNOT_INTERVAL);
       Offset after = offset(instance, to);
-      if (before.isKnown() && after.isKnown() && before.most >= after.least && after.most >= before.least) {
+      if (before.isKnown() && after.isKnown() && before.max >= after.min && after.max >= before.min) {
         continue; // The bounds on both sides meet: cut on the way to another, and not known to be one.
       }
-      steps.add(new Step(instance, knot * KNOT, to, before, after));
+      steps.add(new Step(instance, knot * KNOT_INTERVAL, to, before, after));
     }
     return steps;
   }
 
   /** Readings that no step explains: they were not of one instant. */
-  public List<Tie> contradicted() {
-    return List.copyOf(contradicted);
+  public List<Correlation> rejected() {
+    return List.copyOf(rejected);
   }
 
   public String reference() {
--- a/decision/src/main/java/cloverpulley/incident/Correlations.java
+++ b/decision/src/main/java/cloverpulley/incident/Correlations.java
@@ -26,7 +26,7 @@
 
   private final Map<Held, List<Seen>> revisions = new HashMap<>();
   private final Map<String, Entry> calls = new HashMap<>();
-  private final List<Clocks.Tie> ties = new ArrayList<>();
+  private final List<Clocks.Correlation> correlations = new ArrayList<>();
 
   /** Takes a record, of any instance, in any order. */
   public void add(Entry e) {
@@ -43,7 +43,7 @@
   /** A caller's own record of a call holds the callee's whole: sent before it came, answered after it left (Cristian's bound). */
   private void answered(Entry e) {
     Entry other = calls.size() < MOST_SEEN ? calls.putIfAbsent(e.id(), e) : calls.get(e.id());
-    if (other == null || other == e || other.origin().instance().equals(e.origin().instance()) || ties.size() >= MOST_TIES) {
+    if (other == null || other == e || other.origin().instance().equals(e.origin().instance()) || correlations.size() >= MOST_TIES) {
       return;
     }
     boolean callerFirst = isCaller(other);
@@ -52,12 +52,12 @@
     }
     Entry caller = callerFirst ? other : e;
     Entry callee = callerFirst ? e : other;
-    if (ties.size() > ENOUGH && (caller.id().hashCode() & 7) != 0) {
+    if (correlations.size() > ENOUGH && (caller.id().hashCode() & 7) != 0) {
       return;
     }
     // Both records tell of the end, and of how long it had taken.
     long spare = Math.max(0, caller.value() - callee.value());
-    ties.add(new Clocks.Tie(caller.origin().instance(), caller.at() - caller.value(), callee.origin().instance(),
+    correlations.add(new Clocks.Correlation(caller.origin().instance(), caller.at() - caller.value(), callee.origin().instance(),
         callee.at() - callee.value(), 0, spare, "call " + caller.id()));
   }
 
@@ -66,13 +66,13 @@
   }
 
   /** All ties found. */
-  public List<Clocks.Tie> all() {
-    List<Clocks.Tie> all = new ArrayList<>(ties);
+  public List<Clocks.Correlation> all() {
+    List<Clocks.Correlation> all = new ArrayList<>(correlations);
     revisions.forEach((revision, seen) -> {
       for (int i = 1; i < seen.size(); i++) {
         Seen a = seen.get(0);
         Seen b = seen.get(i);
-        all.add(new Clocks.Tie(a.instance, a.at, b.instance, b.at, -LIST_SLACK, LIST_SLACK, "revision " + revision.revision));
+        all.add(new Clocks.Correlation(a.instance, a.at, b.instance, b.at, -LIST_SLACK, LIST_SLACK, "revision " + revision.revision));
       }
     });
     return all;
--- a/decision/src/main/java/cloverpulley/incident/Timeline.java
+++ b/decision/src/main/java/cloverpulley/incident/Timeline.java
@@ -213,7 +213,7 @@
   }
 
   private long at(Entry e, Clocks clocks) {
-    return e.at() + clocks.offset(e.origin().instance(), e.at()).middle();
+    return e.at() + clocks.offset(e.origin().instance(), e.at()).midpoint();
   }
 
   /** By when the request came, on the reference's clock: an answer is counted where its request is. */
@@ -321,7 +321,7 @@
    */
   public List<Gap> gaps(Clocks clocks) {
     List<Gap> gaps = new ArrayList<>();
-    long end = incarnations.values().stream().mapToLong(l -> l.last + clocks.offset(l.origin.instance(), l.last).middle()).max().orElse(0);
+    long end = incarnations.values().stream().mapToLong(l -> l.last + clocks.offset(l.origin.instance(), l.last).midpoint()).max().orElse(0);
     Incarnation before = null;
     for (Incarnation life : incarnations.values()) {
       boolean same = before != null && before.origin.instance().equals(life.origin.instance());
@@ -331,7 +331,7 @@
         endOf(gaps, clocks, before, end);
       }
       if (life.removed > 0) {
-        long o = clocks.offset(life.origin.instance(), life.first).middle();
+        long o = clocks.offset(life.origin.instance(), life.first).midpoint();
         gaps.add(new Gap(life.origin.instance(), life.origin.start() + o, life.first + o, "the oldest " + life.removed
             + " records went for younger ones", 0, life.removed));
       }
@@ -339,7 +339,7 @@
         long lost = life.droppedTotal() + life.missing();
         String reason = (life.droppedTotal() > 0 ? "records dropped " + life.dropped : "")
             + (life.missing() > 0 ? (life.droppedTotal() > 0 ? ", " : "") + "records missing " + life.missing() : "");
-        long o = clocks.offset(life.origin.instance(), life.first).middle();
+        long o = clocks.offset(life.origin.instance(), life.first).midpoint();
         gaps.add(new Gap(life.origin.instance(), life.first + o, life.last + o, reason, 0, lost));
       }
       before = life;
@@ -350,21 +350,21 @@
     long processes = incarnations.values().stream().mapToLong(l -> l.processes).max().orElse(0);
     long seen = incarnations.values().stream().map(l -> l.origin.instance()).distinct().count();
     for (long i = seen; i < processes; i++) {
-      long first = incarnations.values().stream().mapToLong(l -> l.first + clocks.offset(l.origin.instance(), l.first).middle()).min().orElse(0);
+      long first = incarnations.values().stream().mapToLong(l -> l.first + clocks.offset(l.origin.instance(), l.first).midpoint()).min().orElse(0);
       gaps.add(new Gap("(an instance without records)", first, end, "of " + processes + " processes " + seen + " have records", 0, -1));
     }
     return gaps;
   }
 
   private void gap(List<Gap> gaps, Clocks clocks, Incarnation before, long next) {
-    long o = clocks.offset(before.origin.instance(), before.last).middle();
+    long o = clocks.offset(before.origin.instance(), before.last).midpoint();
     long lost = openRequests(before.origin);
     String reason = before.stopped ? "between a stop and the next start" : "ended without a stop" + (lost > 0 ? ", " + lost + " in hand" : "");
     gaps.add(new Gap(before.origin.instance(), before.last + o, next + o, reason, before.stopped ? 0 : lost, before.stopped ? 0 : -1));
   }
 
   private void endOf(List<Gap> gaps, Clocks clocks, Incarnation life, long end) {
-    long o = clocks.offset(life.origin.instance(), life.last).middle();
+    long o = clocks.offset(life.origin.instance(), life.last).midpoint();
     if (life.last + o < end || openRequests(life.origin) > 0) {
       gaps.add(new Gap(life.origin.instance(), life.last + o, end, "no record of a stop, " + openRequests(life.origin) + " in hand",
           openRequests(life.origin), -1));
--- a/decision/src/test/java/cloverpulley/incident/ClocksTest.java
+++ b/decision/src/test/java/cloverpulley/incident/ClocksTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cloverpulley.incident.Clocks.Offset;
-import cloverpulley.incident.Clocks.Tie;
+import cloverpulley.incident.Clocks.Correlation;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -27,17 +27,17 @@
   }
 
   /** Calls from a true clock "a" to "b" that take up to 40 ms there and back. */
-  private static List<Tie> calls(SplittableRandom random, Shown b, int count, long seconds) {
-    List<Tie> ties = new ArrayList<>();
+  private static List<Correlation> calls(SplittableRandom random, Shown b, int count, long seconds) {
+    List<Correlation> correlations = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       long sent = EPOCH + random.nextLong(seconds * S);
       long there = 100 + random.nextLong(20_000);
       long back = 100 + random.nextLong(20_000);
       long work = random.nextLong(5_000);
-      ties.add(new Tie("a", sent, "b", b.at(sent + there), 0, there + back, "call " + i));
+      correlations.add(new Correlation("a", sent, "b", b.at(sent + there), 0, there + back, "call " + i));
       assertTrue(work >= 0);
     }
-    return ties;
+    return correlations;
   }
 
   private static Map<String, long[]> spans(long seconds, String... names) {
@@ -55,11 +55,11 @@
     for (long t = EPOCH; t < EPOCH + 300 * S; t += 7 * S) {
       Offset o = c.offset("b", b.at(t));
       long truth = t - b.at(t);
-      assertTrue(o.least() <= truth && truth <= o.most(), t + ": " + truth + " in " + o);
+      assertTrue(o.min() <= truth && truth <= o.max(), t + ": " + truth + " in " + o);
       assertTrue(o.width() < 50_000, "known to " + o.width());
     }
     assertTrue(c.steps().isEmpty());
-    assertTrue(c.contradicted().isEmpty());
+    assertTrue(c.rejected().isEmpty());
   }
 
   @Test
@@ -69,12 +69,12 @@
     Clocks c = new Clocks("a", spans(300, "a", "b"), calls(new SplittableRandom(2), b, 3000, 300));
     assertFalse(c.steps().isEmpty());
     for (Clocks.Step s : c.steps()) {
-      assertTrue(s.from() <= b.at(step - 1) && s.to() >= b.at(step) - Clocks.KNOT, s.toString());
+      assertTrue(s.from() <= b.at(step - 1) && s.to() >= b.at(step) - Clocks.KNOT_INTERVAL, s.toString());
     }
     for (long t : new long[] {EPOCH + 20 * S, EPOCH + 100 * S, EPOCH + 200 * S, EPOCH + 280 * S}) {
       Offset o = c.offset("b", b.at(t));
       long truth = t - b.at(t);
-      assertTrue(o.least() <= truth && truth <= o.most(), (t - EPOCH) / S + " s: " + truth + " in " + o);
+      assertTrue(o.min() <= truth && truth <= o.max(), (t - EPOCH) / S + " s: " + truth + " in " + o);
     }
   }
 
@@ -84,13 +84,13 @@
     assertFalse(c.offset("b", EPOCH).isKnown());
     assertEquals(0, c.order("a", EPOCH, "b", EPOCH + 50 * S));
     assertTrue(c.order("b", EPOCH, "b", EPOCH + 1) < 0, "one clock orders its own");
-    assertEquals(0, c.offset("a", EPOCH).middle());
+    assertEquals(0, c.offset("a", EPOCH).midpoint());
     assertFalse(c.offset("unheard of", EPOCH).isKnown());
   }
 
   @Test
   void ordersAreSettledOnlyBeyondTheUncertainty() {
-    Tie t = new Tie("a", EPOCH, "b", EPOCH + 10 * S, 0, 100_000, "x");
+    Correlation t = new Correlation("a", EPOCH, "b", EPOCH + 10 * S, 0, 100_000, "x");
     Clocks c = new Clocks("a", spans(20, "a", "b"), List.of(t));
     assertTrue(c.order("a", EPOCH, "b", EPOCH + 11 * S) < 0);
     assertTrue(c.order("a", EPOCH + 2 * S, "b", EPOCH + 10 * S) > 0);
@@ -99,12 +99,12 @@
 
   @Test
   void aWrongReadingIsPutAsideAndNotBelieved() {
-    List<Tie> ties = new ArrayList<>(calls(new SplittableRandom(3), t -> t + 5 * S, 500, 30));
+    List<Correlation> correlations = new ArrayList<>(calls(new SplittableRandom(3), t -> t + 5 * S, 500, 30));
     // Two readings that were taken for one instant and are 20 s apart; it is the widest of all.
-    ties.add(new Tie("a", EPOCH + 15 * S, "b", EPOCH + 40 * S, -2 * S, 2 * S, "wrong"));
-    Clocks c = new Clocks("a", spans(30, "a", "b"), ties);
+    correlations.add(new Correlation("a", EPOCH + 15 * S, "b", EPOCH + 40 * S, -2 * S, 2 * S, "wrong"));
+    Clocks c = new Clocks("a", spans(30, "a", "b"), correlations);
     Offset o = c.offset("b", EPOCH + 5 * S + 2 * S);
-    assertTrue(o.isKnown() && Math.abs(o.middle() + 5 * S) < 50_000, o.toString());
+    assertTrue(o.isKnown() && Math.abs(o.midpoint() + 5 * S) < 50_000, o.toString());
   }
 
   /** Bounds by shortest paths are those of the linear program, for random systems of one knot each (no drift comes in). */
@@ -117,45 +117,46 @@
       for (int i = 1; i < n; i++) {
         truth[i] = random.nextLong(-30 * S, 30 * S);
       }
-      List<Tie> ties = new ArrayList<>();
-      long knot = EPOCH / Clocks.KNOT * Clocks.KNOT;
+      List<Correlation> correlations = new ArrayList<>();
+      long knot = EPOCH / Clocks.KNOT_INTERVAL * Clocks.KNOT_INTERVAL;
       for (int k = 0; k < 3 * n; k++) {
         int i = random.nextInt(n);
         int j = random.nextInt(n);
         if (i != j) {
           // Readings at the knots themselves, so that no drift is allowed for.
-          long at = knot + 100 * Clocks.KNOT;
-          long atB = knot + 100 * Clocks.KNOT;
+          long at = knot + 100 * Clocks.KNOT_INTERVAL;
+          long atB = knot + 100 * Clocks.KNOT_INTERVAL;
           long apart = atB + truth[j] - at - truth[i];
-          ties.add(new Tie("i" + i, at, "i" + j, atB, apart - random.nextLong(S), apart + random.nextLong(S), "t" + k));
+          correlations.add(new Correlation("i" + i, at, "i" + j, atB, apart - random.nextLong(S), apart + random.nextLong(S), "t" + k));
         }
       }
       Map<String, long[]> spans = new TreeMap<>();
       for (int i = 0; i < n; i++) {
-        spans.put("i" + i, new long[] {knot + 100 * Clocks.KNOT, knot + 100 * Clocks.KNOT});
+        spans.put("i" + i, new long[] {knot + 100 * Clocks.KNOT_INTERVAL, knot + 100 * Clocks.KNOT_INTERVAL});
       }
-      Clocks c = new Clocks("i0", spans, ties);
+      Clocks c = new Clocks("i0", spans, correlations);
       for (int i = 1; i < n; i++) {
-        Offset o = c.offset("i" + i, knot + 100 * Clocks.KNOT);
+        Offset o = c.offset("i" + i, knot + 100 * Clocks.KNOT_INTERVAL);
         if (o.isKnown()) {
-          assertEquals(solve(n, ties, i, true), o.most(), 20, "seed 20261201, round " + round);
-          assertEquals(solve(n, ties, i, false), o.least(), 20, "seed 20261201, round " + round);
+          assertEquals(solve(n, correlations, i, true), o.max(), 20, "seed 20261201, round " + round);
+          assertEquals(solve(n, correlations, i, false), o.min(), 20, "seed 20261201, round " + round);
         }
       }
     }
   }
 
-  private static double solve(int n, List<Tie> ties, int which, boolean most) {
+  private static double solve(int n, List<Correlation> correlations, int which, boolean most) {
     ExpressionsBasedModel model = new ExpressionsBasedModel();
     Variable[] o = new Variable[n];
     for (int i = 0; i < n; i++) {
       o[i] = model.newVariable("o" + i).lower(-100 * S).upper(100 * S);
     }
     o[0].lower(0).upper(0);
-    for (Tie t : ties) {
+    for (Correlation t : correlations) {
       int a = Integer.parseInt(t.a().substring(1));
       int b = Integer.parseInt(t.b().substring(1));
-      model.newExpression(t.what()).set(o[b], 1).set(o[a], -1).lower(t.least() - (t.atB() - t.atA())).upper(t.most() - (t.atB() - t.atA()));
+      model.newExpression(t.description()).set(o[b], 1).set(o[a], -1).lower(t.minDelta() - (t.atB() - t.atA()))
+          .upper(t.maxDelta() - (t.atB() - t.atA()));
     }
     o[which].weight(1);
     Optimisation.Result r = most ? model.maximise() : model.minimise();
--- a/incident/src/main/java/cloverpulley/incident/tool/HtmlReport.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/HtmlReport.java
@@ -54,7 +54,7 @@
     long least = Long.MAX_VALUE;
     long most = Long.MIN_VALUE;
     for (Timeline.Incarnation l : c.incarnations()) {
-      long o = s.clocks.offset(l.origin.instance(), l.first).middle();
+      long o = s.clocks.offset(l.origin.instance(), l.first).midpoint();
       least = Math.min(least, l.first + o);
       most = Math.max(most, l.last + o);
     }
@@ -116,7 +116,8 @@
     for (Timeline.Gap g : gaps) {
       h.append("<tr class=\"gap\"><td>").append(Sanitizer.html(g.instance())).append("</td><td>").append(time(g.from())).append("</td><td>")
           .append(time(g.to())).append("</td><td>").append(g.isUnbounded() ? g.minUnknown() + " or more"
-              : g.minUnknown() == g.maxUnknown() ? "" + g.maxUnknown() : g.minUnknown() + " to " + g.maxUnknown()).append("</td><td>").append(Sanitizer.html(g.reason())).append("</td></tr>");
+              : g.minUnknown() == g.maxUnknown() ? "" + g.maxUnknown() : g.minUnknown() + " to " + g.maxUnknown())
+          .append("</td><td>").append(Sanitizer.html(g.reason())).append("</td></tr>");
     }
     h.append("</table>");
     if (s.read.spoiltBlocks() > 0 || s.read.tornOctets() > 0) {
@@ -404,7 +405,7 @@
       Clocks.Offset b = s.clocks.offset(instance, first.last);
       h.append("<tr><td>").append(Sanitizer.html(instance)).append("</td>");
       if (a.isKnown()) {
-        h.append(say("<td>%s</td><td>%s</td><td>&plusmn; %s</td></tr>", seconds(a.middle()), seconds(b.middle()),
+        h.append(say("<td>%s</td><td>%s</td><td>&plusmn; %s</td></tr>", seconds(a.midpoint()), seconds(b.midpoint()),
             seconds(Math.max(a.width(), b.width()) / 2)));
       } else {
         h.append("<td colspan=\"3\" class=\"unsure\">not tied to the others: shown by its own clock, orders across are not settled</td></tr>");
@@ -413,10 +414,10 @@
     h.append("</table>");
     for (Clocks.Step step : s.clocks.steps()) {
       h.append(say("<p class=\"unsure\">%s stepped between %s and %s by its own clock: from %s to %s.</p>", Sanitizer.html(step.instance()),
-          time(step.from()), time(step.to()), seconds(step.before().middle()), seconds(step.after().middle())));
+          time(step.from()), time(step.to()), seconds(step.before().midpoint()), seconds(step.after().midpoint())));
     }
-    if (!s.clocks.contradicted().isEmpty()) {
-      h.append("<p class=\"unsure\">").append(s.clocks.contradicted().size()).append(" readings that no step explains were put aside.</p>");
+    if (!s.clocks.rejected().isEmpty()) {
+      h.append("<p class=\"unsure\">").append(s.clocks.rejected().size()).append(" readings that no step explains were put aside.</p>");
     }
   }
 }
--- a/incident/src/main/java/cloverpulley/incident/tool/IncidentAnalysis.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/IncidentAnalysis.java
@@ -62,11 +62,11 @@
   }
 
   private long shift(Origin o) {
-    return clocks.offset(o.instance(), o.start()).middle();
+    return clocks.offset(o.instance(), o.start()).midpoint();
   }
 
   private void takeState(Entry e) {
-    long at = e.at() + clocks.offset(e.origin().instance(), e.at()).middle();
+    long at = e.at() + clocks.offset(e.origin().instance(), e.at()).midpoint();
     if (at < wanted.from) {
       audit.add(e);
       course.add(e, clocks);
@@ -76,12 +76,12 @@
   private void take(Entry e) {
     course.add(e, clocks);
     audit.add(e);
-    causes.add(e, e.at() + clocks.offset(e.origin().instance(), e.at()).middle());
+    causes.add(e, e.at() + clocks.offset(e.origin().instance(), e.at()).midpoint());
   }
 
   /** The clocks of all instances with records, against that of {@code reference}, or of the first that has a caller's records, or the first. */
   static Clocks clocks(Archive archive, String reference) throws IOException {
-    Correlations ties = new Correlations();
+    Correlations correlations = new Correlations();
     Map<String, long[]> spans = new TreeMap<>();
     archive.lives().forEach((instance, lives) -> {
       long[] span = spans.computeIfAbsent(instance, i -> new long[] {Long.MAX_VALUE, Long.MIN_VALUE});
@@ -89,23 +89,23 @@
     });
     Map<String, Long> callers = new HashMap<>();
     if (spans.size() > 1) {
-      archive.read(Query.of("kind=list"), ties::add, n -> { });
+      archive.read(Query.of("kind=list"), correlations::add, n -> { });
       archive.read(Query.of("word=caller"), e -> {
         callers.merge(e.origin().instance(), 1L, Long::sum);
-        ties.add(e);
+        correlations.add(e);
       }, n -> { });
       if (!callers.isEmpty()) {
-        archive.read(Query.of("kind=answered and word!=caller"), ties::add, n -> { });
+        archive.read(Query.of("kind=answered and word!=caller"), correlations::add, n -> { });
       }
     }
     spans.values().forEach(s -> s[1] = Math.max(s[1], s[0] + LEAST_SPAN));
-    for (Clocks.Tie t : ties.all()) {
-      stretch(spans, t.a(), t.atA());
-      stretch(spans, t.b(), t.atB());
+    for (Clocks.Correlation c : correlations.all()) {
+      stretch(spans, c.a(), c.atA());
+      stretch(spans, c.b(), c.atB());
     }
     String by = reference != null ? reference : !callers.isEmpty() ? callers.keySet().iterator().next()
         : spans.isEmpty() ? "" : spans.keySet().iterator().next();
-    return new Clocks(by, spans, ties.all());
+    return new Clocks(by, spans, correlations.all());
   }
 
   private static void stretch(Map<String, long[]> spans, String instance, long at) {
--- a/incident/src/test/java/cloverpulley/incident/tool/ScriptedIncidentTest.java
+++ b/incident/src/test/java/cloverpulley/incident/tool/ScriptedIncidentTest.java
@@ -304,7 +304,7 @@
     for (Timeline.Incarnation l : study.course.incarnations()) {
       long off = Map.of("p1", 40 * S, "n1", -3 * S).getOrDefault(l.origin.instance(), 0L);
       Clocks.Offset o = clocks.offset(l.origin.instance(), l.first);
-      assertTrue(o.isKnown() && o.least() - 20_000 <= off && off <= o.most() + 20_000, l.origin + " " + o);
+      assertTrue(o.isKnown() && o.min() - 20_000 <= off && off <= o.max() + 20_000, l.origin + " " + o);
     }
     assertTrue(clocks.order("p1", study.course.incarnations().get(0).first, "p2", study.course.incarnations().get(0).first + 60 * S) < 0);
     // Counts: by span, class, tenant and answer.
