--- a/decision/src/main/java/cloverpulley/incident/Correlations.java
+++ b/decision/src/main/java/cloverpulley/incident/Correlations.java
@@ -6,72 +6,78 @@
 import java.util.Map;
 
 /**
- * Finds what several instances saw of one and the same thing, which ties their clocks together: the first telling of a list's revision,
- * and a caller's request that came to two of them, or that the caller itself recorded. Each thing counts once an instance; how many are
- * kept is bounded.
+ * Finds events that several instances recorded, which constrain the offsets between their clocks: the first time an instance received a
+ * revision of the endpoint list, and a request that its caller recorded as well as the instance that answered it. Each event counts once
+ * per instance, and the number kept is bounded.
  */
 public final class Correlations {
 
-  /** Between two instances' hearing of one revision: a list is asked for every 10 s at most (Balancer.Contract), a watch answers sooner. */
+  /**
+   * Maximum time between two instances' receipt of the same revision. The list is requested at intervals of 10 s at most
+   * (Balancer.Contract); a watch delivers it sooner.
+   */
   public static final long LIST_SLACK = 2_000_000L;
-  private static final int MOST_SEEN = 200_000;
-  private static final int MOST_TIES = 200_000;
-  /** Of a caller's calls one in so many is kept once there are enough: each is worth no more than the tightest between two knots. */
-  private static final int ENOUGH = 50_000;
+  private static final int MAX_EVENTS = 200_000;
+  private static final int MAX_CORRELATIONS = 200_000;
+  /** Beyond this number only one call in eight is kept: between two knots only the tightest correlation has any effect. */
+  private static final int SAMPLING_THRESHOLD = 50_000;
 
-  private record Seen(String instance, long at) {}
+  private record Receipt(String instance, long at) {}
 
-  /** A list: two fleets may use one number. */
-  private record Held(long revision, long holds) {}
+  /** A revision of the endpoint list. The content hash is part of the key because two fleets may use the same revision number. */
+  private record ListRevision(long revision, long contentHash) {}
 
-  private final Map<Held, List<Seen>> revisions = new HashMap<>();
-  private final Map<String, Entry> calls = new HashMap<>();
+  private final Map<ListRevision, List<Receipt>> revisions = new HashMap<>();
+  private final Map<String, Entry> callsById = new HashMap<>();
   private final List<Clocks.Correlation> correlations = new ArrayList<>();
 
-  /** Takes a record, of any instance, in any order. */
+  /** Adds a record, of any instance, in any order. */
   public void add(Entry e) {
     if (e.kind() == Kind.LIST && e.value() > 0) {
-      List<Seen> all = revisions.computeIfAbsent(new Held(e.value(), e.key()), r -> new ArrayList<>(2));
-      if (revisions.size() <= MOST_SEEN && all.stream().noneMatch(s -> s.instance.equals(e.origin().instance()))) {
-        all.add(new Seen(e.origin().instance(), e.at()));
+      List<Receipt> all = revisions.computeIfAbsent(new ListRevision(e.value(), e.key()), r -> new ArrayList<>(2));
+      if (revisions.size() <= MAX_EVENTS && all.stream().noneMatch(s -> s.instance.equals(e.origin().instance()))) {
+        all.add(new Receipt(e.origin().instance(), e.at()));
       }
     } else if (e.kind() == Kind.ANSWERED && e.id() != null) {
-      answered(e);
+      correlateCall(e);
     }
   }
 
-  /** A caller's own record of a call holds the callee's whole: sent before it came, answered after it left (Cristian's bound). */
-  private void answered(Entry e) {
-    Entry other = calls.size() < MOST_SEEN ? calls.putIfAbsent(e.id(), e) : calls.get(e.id());
-    if (other == null || other == e || other.origin().instance().equals(e.origin().instance()) || correlations.size() >= MOST_TIES) {
+  /**
+   * Correlates a caller's record of a call with the callee's. The call was sent before the callee received it and its answer arrived after
+   * the callee sent it, so the caller's interval contains the callee's (Cristian's algorithm).
+   */
+  private void correlateCall(Entry e) {
+    Entry other = callsById.size() < MAX_EVENTS ? callsById.putIfAbsent(e.id(), e) : callsById.get(e.id());
+    if (other == null || other == e || other.origin().instance().equals(e.origin().instance()) || correlations.size() >= MAX_CORRELATIONS) {
       return;
     }
     boolean callerFirst = isCaller(other);
     if (callerFirst == isCaller(e)) {
-      return; // Two callees of one request: nothing is known of their order.
+      return; // Two callees of one request: their order is unknown.
     }
     Entry caller = callerFirst ? other : e;
     Entry callee = callerFirst ? e : other;
-    if (correlations.size() > ENOUGH && (caller.id().hashCode() & 7) != 0) {
+    if (correlations.size() > SAMPLING_THRESHOLD && (caller.id().hashCode() & 7) != 0) {
       return;
     }
-    // Both records tell of the end, and of how long it had taken.
-    long spare = Math.max(0, caller.value() - callee.value());
+    // Both records have the time of the end and the latency.
+    long slack = Math.max(0, caller.value() - callee.value());
     correlations.add(new Clocks.Correlation(caller.origin().instance(), caller.at() - caller.value(), callee.origin().instance(),
-        callee.at() - callee.value(), 0, spare, "call " + caller.id()));
+        callee.at() - callee.value(), 0, slack, "call " + caller.id()));
   }
 
   private static boolean isCaller(Entry e) {
     return "caller".equals(e.word());
   }
 
-  /** All ties found. */
+  /** All correlations found. */
   public List<Clocks.Correlation> all() {
     List<Clocks.Correlation> all = new ArrayList<>(correlations);
-    revisions.forEach((revision, seen) -> {
-      for (int i = 1; i < seen.size(); i++) {
-        Seen a = seen.get(0);
-        Seen b = seen.get(i);
+    revisions.forEach((revision, receipts) -> {
+      for (int i = 1; i < receipts.size(); i++) {
+        Receipt a = receipts.get(0);
+        Receipt b = receipts.get(i);
         all.add(new Clocks.Correlation(a.instance, a.at, b.instance, b.at, -LIST_SLACK, LIST_SLACK, "revision " + revision.revision));
       }
     });
--- a/decision/src/main/java/cloverpulley/incident/Kind.java
+++ b/decision/src/main/java/cloverpulley/incident/Kind.java
@@ -1,39 +1,42 @@
 package cloverpulley.incident;
 
-/** What a record tells. The numbers are those of the files: they stay, and new ones are added at the end. */
+/** The kind of a record. Ordinals are stored in the record files: constants must not be reordered, and new ones are added at the end. */
 public enum Kind {
-  /** An incarnation starts; {@code value} its number among {@code other} processes, {@code word} its front. */
+  /** An incarnation starts; {@code value} its number among {@code other} processes, {@code word} its frontend. */
   START(9),
-  /** It ends in order. */
+  /** An incarnation shuts down cleanly. */
   STOP(9),
-  /** A class that it serves: {@code className}, {@code word} its effect and scope, {@code value} its dedup window, {@code other} its deadline. */
+  /** A class it serves: {@code className}, {@code word} its effect and dedup scope, {@code value} its dedup window, {@code other} its deadline. */
   CLASS(9),
-  /** The engine took a request; {@code value} is how long an answer is of use, {@code other} its hint, {@code key} a hash of its key. */
+  /** The engine accepted a request; {@code value} its deadline as a duration, {@code other} its hint, {@code key} a hash of its key. */
   TAKEN(1),
-  /** An attempt went out: {@code attempt}, {@code upstream}. */
+  /** An attempt was sent: {@code attempt}, {@code upstream}. */
   SENT(2),
-  /** It ended: {@code word} the status, {@code value} its latency. */
+  /** An attempt ended: {@code word} the status, {@code value} its latency. */
   OUTCOME(3),
-  /** The engine's one end of a request: {@code word} "served" or the reason; {@code other} as in {@link Entry}. */
+  /** The engine completed a request, which happens once: {@code word} "served" or the reason; {@code other} as in {@link Entry}. */
   ENDED(4),
-  /** A front's final answer to a client: {@code value} its latency, {@code other} what it was. */
+  /** The frontend's final answer to a client: {@code value} its latency, {@code other} its result as in {@link Entry}. */
   ANSWERED(5),
   /**
-   * News of the list: {@code word} the kind, {@code value} the revision, {@code other} how many servers it speaks of, {@code key} a hash of
-   * all that it holds.
+   * An update of the endpoint list: {@code word} its kind, {@code value} the revision, {@code other} how many servers it names,
+   * {@code key} a hash of the resulting list.
    */
   LIST(8),
-  /** What it says of one: {@code name}, {@code word} ready, draining or gone, {@code value} the revision, {@code other} its start. */
+  /**
+   * State of one server in the list: {@code name}, {@code word} ready, draining or gone, {@code value} the revision, {@code other} its
+   * start time in milliseconds.
+   */
   SERVER(8),
-  /** The wall clock was read: {@code value} is its distance from the clock of the records. */
+  /** A reading of the wall clock: {@code value} is its offset from the clock of the records. */
   CLOCK(6),
-  /** Records that there was no room for: {@code word} their kind, {@code value} how many. */
+  /** Records dropped because the queue was full: {@code word} their kind, {@code value} how many. */
   DROPPED(9),
-  /** Records that went with an old segment: {@code value} how many, {@code other} the time of the last of them. */
+  /** Records removed with an old segment: {@code value} how many, {@code other} the time of the last of them. */
   REMOVED(9),
-  /** The module failed and was replaced; {@code word} at which event. */
+  /** The decision module failed and was replaced; {@code word} is the event it failed on. */
   REPLACED(9),
-  /** A tenant: {@code value} its share in millionths, {@code other} its quota a second over all processes in thousandths, 0 for none. */
+  /** A tenant: {@code value} its share in millionths, {@code other} its quota per second across all processes in thousandths, 0 for none. */
   TENANT(9);
 
   private final int priority;
@@ -42,7 +45,7 @@
     this.priority = priority;
   }
 
-  /** Which records go first where there is no room: those of the least worth, from 1. Verdicts and what explains a course go last. */
+  /** Retention priority from 1: lower ones are dropped first as the queue fills. Final answers and records that explain others go last. */
   public int priority() {
     return priority;
   }
--- a/decision/src/main/java/cloverpulley/incident/Origin.java
+++ b/decision/src/main/java/cloverpulley/incident/Origin.java
@@ -1,16 +1,16 @@
 package cloverpulley.incident;
 
 /**
- * Who wrote a record: one life of one instance.
+ * The incarnation of an instance that wrote a record.
  *
- * @param instance its name, which its successors carry on
- * @param start when this life began, microseconds by its own clock: two lives never share one
+ * @param instance name of the instance; a restarted process keeps it
+ * @param start when this incarnation began, in microseconds of its own clock; no two incarnations of an instance share a value
  */
 public record Origin(String instance, long start) implements Comparable<Origin> {
 
   @Override
   public int compareTo(Origin o) {
-    int by = instance.compareTo(o.instance);
-    return by != 0 ? by : Long.compare(start, o.start);
+    int byInstance = instance.compareTo(o.instance);
+    return byInstance != 0 ? byInstance : Long.compare(start, o.start);
   }
 }
--- a/decision/src/main/java/cloverpulley/incident/Query.java
+++ b/decision/src/main/java/cloverpulley/incident/Query.java
@@ -9,35 +9,35 @@
 import java.util.Map;
 
 /**
- * A question for records: comparisons of fields with words and numbers, joined by {@code and}, {@code or}, {@code not} and parentheses.
+ * A filter over records: comparisons of fields with words and numbers, joined by {@code and}, {@code or}, {@code not} and parentheses.
  *
  * <pre>
  * kind=answered and tenant=agro-tehnika and (answer=refused or latency_ms&gt;400) and at&gt;=2026-12-01T10:00:00Z
  * </pre>
  *
  * Fields are {@code kind, word, class, tenant, server, upstream, instance, request, answer} (text: = != ~, the last for "contains"),
- * {@code attempt, latency_ms, value, number} (numbers) and {@code at} (a time in ISO 8601, or Unix seconds). Words with blanks stand in
- * double quotes. What a question bounds for sure, its time and its equalities, lets a reader pass over what can't fit.
+ * {@code attempt, latency_ms, value, number} (numbers) and {@code at} (a time in ISO 8601, or Unix seconds). Values with blanks are written
+ * in double quotes. The time range and the equalities that every match must satisfy let a reader skip blocks that cannot match.
  */
 public final class Query {
 
-  /** A field of which an index may know. */
+  /** A field that an index may cover. The constants are stored in the index by name. */
   public enum IndexedField { KIND, WORD, CLASS, TENANT, SERVER, UPSTREAM, REQUEST }
 
-  /** All of them have to hold for a record to fit. */
+  /** Necessary conditions for a match: a record that violates one of them does not match. */
   public record Constraints(long from, long to, Map<IndexedField, String> equalities) {}
 
-  private static final int MOST_LENGTH = 4096;
-  private static final int MOST_DEPTH = 50;
+  private static final int MAX_LENGTH = 4096;
+  private static final int MAX_DEPTH = 50;
 
   private interface Node {
     boolean test(Entry e);
 
-    /** What must hold, added to what is known to: only a conjunction can. */
-    default void need(Bounds b) {}
+    /** Adds the conditions that every match must satisfy. Only comparisons and conjunctions have any. */
+    default void addConstraints(ConstraintBuilder b) {}
   }
 
-  private static final class Bounds {
+  private static final class ConstraintBuilder {
     long from = Long.MIN_VALUE;
     long to = Long.MAX_VALUE;
     final Map<IndexedField, String> equal = new HashMap<>();
@@ -50,52 +50,52 @@
 
   private Query(String text) {
     this.text = text;
-    if (text.length() > MOST_LENGTH) {
-      throw wrong("longer than " + MOST_LENGTH + " characters");
+    if (text.length() > MAX_LENGTH) {
+      throw error("longer than " + MAX_LENGTH + " characters");
     }
-    skip();
+    skipBlanks();
     root = at == text.length() ? e -> true : or();
-    skip();
+    skipBlanks();
     if (at < text.length()) {
-      throw wrong("expected and, or, or the end");
+      throw error("expected and, or, or the end of the query");
     }
   }
 
   /**
-   * Reads a question; an empty one fits all.
+   * Parses a query; an empty one matches every record.
    *
-   * @throws IllegalArgumentException says where it can't be read, and what was expected there
+   * @throws IllegalArgumentException if the text is not a valid query; the message has the position and what was expected there
    */
   public static Query of(String text) {
     return new Query(text);
   }
 
-  /** Whether a record fits. */
+  /** Whether a record matches. */
   public boolean test(Entry e) {
     return root.test(e);
   }
 
-  /** What has to hold for any record that fits. */
+  /** The conditions that every matching record satisfies. */
   public Constraints constraints() {
-    Bounds b = new Bounds();
-    root.need(b);
+    ConstraintBuilder b = new ConstraintBuilder();
+    root.addConstraints(b);
     return new Constraints(b.from, b.to, Map.copyOf(b.equal));
   }
 
-  private IllegalArgumentException wrong(String what) {
-    return new IllegalArgumentException("question, character " + (at + 1) + ": " + what);
+  private IllegalArgumentException error(String message) {
+    return new IllegalArgumentException("query, character " + (at + 1) + ": " + message);
   }
 
-  // ---- Reading -------------------------------------------------------------------------------------------
+  // ---- Parsing -----------------------------------------------------------------------------------------
 
-  private void skip() {
+  private void skipBlanks() {
     while (at < text.length() && Character.isWhitespace(text.charAt(at))) {
       at++;
     }
   }
 
-  private boolean take(String word) {
-    skip();
+  private boolean accept(String word) {
+    skipBlanks();
     int end = at + word.length();
     if (!text.regionMatches(true, at, word, 0, word.length())) {
       return false;
@@ -109,11 +109,11 @@
   }
 
   private Node or() {
-    if (++depth > MOST_DEPTH) {
-      throw wrong("nested deeper than " + MOST_DEPTH);
+    if (++depth > MAX_DEPTH) {
+      throw error("nested deeper than " + MAX_DEPTH);
     }
     List<Node> any = new ArrayList<>(List.of(and()));
-    while (take("or")) {
+    while (accept("or")) {
       any.add(and());
     }
     depth--;
@@ -122,7 +122,7 @@
 
   private Node and() {
     List<Node> all = new ArrayList<>(List.of(not()));
-    while (take("and")) {
+    while (accept("and")) {
       all.add(not());
     }
     return all.size() == 1 ? all.get(0) : new Node() {
@@ -137,25 +137,25 @@
       }
 
       @Override
-      public void need(Bounds b) {
-        all.forEach(n -> n.need(b));
+      public void addConstraints(ConstraintBuilder b) {
+        all.forEach(n -> n.addConstraints(b));
       }
     };
   }
 
   private Node not() {
-    if (take("not")) {
-      if (++depth > MOST_DEPTH) {
-        throw wrong("nested deeper than " + MOST_DEPTH);
+    if (accept("not")) {
+      if (++depth > MAX_DEPTH) {
+        throw error("nested deeper than " + MAX_DEPTH);
       }
       Node n = not();
       depth--;
       return e -> !n.test(e);
     }
-    if (take("(")) {
+    if (accept("(")) {
       Node n = or();
-      if (!take(")")) {
-        throw wrong("expected )");
+      if (!accept(")")) {
+        throw error("expected )");
       }
       return n;
     }
@@ -163,44 +163,44 @@
   }
 
   private Node comparison() {
-    skip();
+    skipBlanks();
     int start = at;
     while (at < text.length() && (Character.isLetterOrDigit(text.charAt(at)) || text.charAt(at) == '_')) {
       at++;
     }
     String field = text.substring(start, at).toLowerCase(Locale.ROOT);
     if (field.isEmpty()) {
-      throw wrong("expected a field");
+      throw error("expected a field");
     }
     String operator = null;
     for (String o : List.of("!=", "<=", ">=", "=", "<", ">", "~")) {
-      if (take(o)) {
+      if (accept(o)) {
         operator = o;
         break;
       }
     }
     if (operator == null) {
-      throw wrong("expected = != ~ < <= > or >= after " + field);
+      throw error("expected = != ~ < <= > or >= after " + field);
     }
     String value = value();
     return switch (field) {
-      case "kind", "word", "class", "tenant", "server", "upstream", "instance", "request", "answer" -> texts(field, operator, value);
-      case "attempt", "latency_ms", "value", "number" -> numbers(field, operator, number(value));
-      case "at" -> times(operator, time(value));
+      case "kind", "word", "class", "tenant", "server", "upstream", "instance", "request", "answer" -> textComparison(field, operator, value);
+      case "attempt", "latency_ms", "value", "number" -> numberComparison(field, operator, number(value));
+      case "at" -> timeComparison(operator, time(value));
       default -> {
         at = start;
-        throw wrong("unknown field " + field + ", known are kind, word, class, tenant, server, upstream, instance, request, answer, "
+        throw error("unknown field " + field + ", known are kind, word, class, tenant, server, upstream, instance, request, answer, "
             + "attempt, latency_ms, value, number, at");
       }
     };
   }
 
   private String value() {
-    skip();
+    skipBlanks();
     if (at < text.length() && text.charAt(at) == '"') {
       int end = text.indexOf('"', at + 1);
       if (end < 0) {
-        throw wrong("expected another \" after this one");
+        throw error("expected a closing \"");
       }
       String value = text.substring(at + 1, end);
       at = end + 1;
@@ -211,7 +211,7 @@
       at++;
     }
     if (start == at) {
-      throw wrong("expected a value");
+      throw error("expected a value");
     }
     return text.substring(start, at);
   }
@@ -223,12 +223,12 @@
         return n;
       }
     } catch (NumberFormatException e) {
-      // Said below.
+      // Reported below.
     }
-    throw wrong("expected a number, got " + value);
+    throw error("expected a number, got " + value);
   }
 
-  /** Microseconds of Unix time. */
+  /** Parses an ISO 8601 time or Unix seconds into microseconds of Unix time. */
   public static long parseTime(String value) {
     try {
       if (value.matches("\\d{1,12}(\\.\\d{1,6})?")) {
@@ -245,11 +245,11 @@
     try {
       return parseTime(value);
     } catch (IllegalArgumentException e) {
-      throw wrong(e.getMessage());
+      throw error(e.getMessage());
     }
   }
 
-  // ---- What is compared ----------------------------------------------------------------------------------
+  // ---- Comparisons -------------------------------------------------------------------------------------
 
   private static String field(String field, Entry e) {
     return switch (field) {
@@ -265,9 +265,9 @@
     };
   }
 
-  private Node texts(String field, String operator, String value) {
+  private Node textComparison(String field, String operator, String value) {
     if (operator.startsWith("<") || operator.startsWith(">")) {
-      throw wrong(field + " is a text: expected = != or ~");
+      throw error(field + " is a text field: expected = != or ~");
     }
     if (!operator.equals("=")) {
       return operator.equals("~") ? e -> field(field, e) != null && field(field, e).contains(value) : e -> !value.equals(field(field, e));
@@ -283,7 +283,7 @@
       }
 
       @Override
-      public void need(Bounds b) {
+      public void addConstraints(ConstraintBuilder b) {
         if (term != null) {
           b.equal.putIfAbsent(term, value);
         }
@@ -291,7 +291,7 @@
     };
   }
 
-  private Node numbers(String field, String operator, double value) {
+  private Node numberComparison(String field, String operator, double value) {
     return e -> {
       double n = switch (field) {
         case "attempt" -> e.attempt();
@@ -303,7 +303,7 @@
     };
   }
 
-  /** Nothing compares with what has no such number, not even by !=. */
+  /** Compares two numbers. NaN, which stands for a missing number, matches no operator, not even !=. */
   private static boolean compares(String operator, double a, double b) {
     return switch (operator) {
       case "=" -> a == b;
@@ -316,9 +316,9 @@
     };
   }
 
-  private Node times(String operator, long value) {
+  private Node timeComparison(String operator, long value) {
     if (operator.equals("~")) {
-      throw wrong("at is a time: expected = != < <= > or >=");
+      throw error("at is a time field: expected = != < <= > or >=");
     }
     return new Node() {
       @Override
@@ -328,7 +328,7 @@
       }
 
       @Override
-      public void need(Bounds b) {
+      public void addConstraints(ConstraintBuilder b) {
         if (operator.equals("=") || operator.startsWith(">")) {
           b.from = Math.max(b.from, value);
         }
