--- a/decision/src/main/java/cloverpulley/incident/Timeline.java
+++ b/decision/src/main/java/cloverpulley/incident/Timeline.java
@@ -9,32 +9,37 @@
 import java.util.function.Consumer;
 
 /**
- * The course of an incident, gathered record by record: counts by span of time, class, tenant and answer; the states of each server as
- * each instance was told; the lives of the instances and the gaps between them. What is not known is kept as that: a gap never counts as
- * a time in which nothing happened. Memory is bounded by spans, classes, tenants and servers, and by requests in hand.
+ * The timeline of an incident, built record by record: answer counts by interval, class, tenant and result; the server states that each
+ * instance received; the incarnations of the instances and the gaps between them. Unknowns are kept as unknowns: a gap never counts as a
+ * period without events. Memory is bounded by the number of intervals, classes, tenants, servers and pending requests.
  */
 public final class Timeline {
 
-  /** Requests in hand at one time; more are counted as unknown. */
-  private static final int MOST_OPEN = 1_000_000;
-  private static final int MOST_NAMES = 10_000;
-  private static final String OTHER = "(others)";
+  /** Pending requests tracked per incarnation; further ones are counted as unresolved. */
+  private static final int MAX_OPEN = 1_000_000;
+  private static final int MAX_NAMES = 10_000;
+  private static final String OTHERS = "(others)";
 
-  /** What is counted: a class's and a tenant's answers of one kind and word in one span. */
+  /** Key of a counter: an interval (by its start), class, tenant, result of the answer and its reason. */
   public record CounterKey(long interval, String className, String tenant, int answer, String word) {}
 
-  /** A time of an instance of which nothing, or not all, is known. */
+  /**
+   * A period of an instance of which some or all records are missing.
+   *
+   * @param minUnknown least number of requests or records affected
+   * @param maxUnknown the most of them; negative if unbounded
+   */
   public record Gap(String instance, long from, long to, String reason, long minUnknown, long maxUnknown) {
-    /** Whether nothing bounds how much happened in it. */
+    /** Whether there is no upper bound for what happened in it. */
     public boolean isUnbounded() {
       return maxUnknown < 0;
     }
   }
 
-  /** What an instance was told of a server. */
+  /** A server state that an instance received. */
   public record ServerUpdate(String instance, long at, String server, long upstream, String state, long revision, long startedMillis) {}
 
-  /** One life of an instance. */
+  /** One incarnation of an instance: a single run of its process. */
   public static final class Incarnation {
     public final Origin origin;
     public String frontend = "";
@@ -49,7 +54,7 @@
     public long outcomes;
     public long records;
     public final Map<String, Long> dropped = new TreeMap<>();
-    /** Records that went with old segments. */
+    /** Records removed with old segments. */
     public long removed;
     private long missing;
     private long lastSeq;
@@ -58,7 +63,7 @@
       this.origin = origin;
     }
 
-    /** Records that are not there, without a word on them: spoilt, or lost with a disk. */
+    /** Records missing without a record of their removal: corrupt, or lost with a disk. */
     public long missing() {
       return Math.max(0, missing - removed);
     }
@@ -69,182 +74,184 @@
   }
 
   private final long interval;
-  private final boolean whole;
+  private final boolean complete;
   private final Map<CounterKey, Long> answerCounts = new HashMap<>();
   private final Map<Origin, Incarnation> incarnations = new TreeMap<>();
   private final List<ServerUpdate> serverUpdates = new ArrayList<>();
-  private final Map<Long, String> names = new HashMap<>();
+  private final Map<Long, String> serverNames = new HashMap<>();
   private final Map<Origin, Map<Long, Entry>> openRequests = new HashMap<>();
   private final Map<CounterKey, Long> retryOutcomes = new HashMap<>();
   private final TreeMap<Long, long[]> latency = new TreeMap<>();
   private final TreeSet<String> classes = new TreeSet<>();
   private final TreeSet<String> tenants = new TreeSet<>();
-  private long unheld;
+  private long untracked;
   private final Map<String, Integer> callerOnly = new HashMap<>();
   private final Map<String, Integer> calleeOnly = new HashMap<>();
   private long unmatched;
-  /** Shares in millionths, as the instances were told. */
+  /** Shares in millionths, as configured at the instances. */
   private final Map<String, Long> shares = new TreeMap<>();
 
   /**
-   * A course counted in spans of so many microseconds.
+   * Creates an empty timeline.
    *
-   * @param whole whether all records come, so that a number that does not is one that is missing
+   * @param intervalMicros length of the intervals that answers are counted by
+   * @param complete whether all records are added, so that a skipped sequence number is a missing record
    */
-  public Timeline(long intervalMicros, boolean whole) {
+  public Timeline(long intervalMicros, boolean complete) {
     interval = intervalMicros;
-    this.whole = whole;
+    this.complete = complete;
   }
 
   public long interval() {
     return interval;
   }
 
-  /** Takes a record; those of one origin come in the order of their numbers. */
+  /** Adds a record. The records of one origin must come in the order of their sequence numbers. */
   public void add(Entry e, Clocks clocks) {
-    Incarnation life = incarnations.computeIfAbsent(e.origin(), Incarnation::new);
-    life.records++;
-    life.first = Math.min(life.first, e.at());
-    life.last = Math.max(life.last, e.at());
-    if (whole && e.seq() > life.lastSeq + 1) {
-      life.missing += e.seq() - life.lastSeq - 1;
+    Incarnation incarnation = incarnations.computeIfAbsent(e.origin(), Incarnation::new);
+    incarnation.records++;
+    incarnation.first = Math.min(incarnation.first, e.at());
+    incarnation.last = Math.max(incarnation.last, e.at());
+    if (complete && e.seq() > incarnation.lastSeq + 1) {
+      incarnation.missing += e.seq() - incarnation.lastSeq - 1;
     }
-    life.lastSeq = Math.max(life.lastSeq, e.seq());
+    incarnation.lastSeq = Math.max(incarnation.lastSeq, e.seq());
     switch (e.kind()) {
       case START -> {
-        life.started = true;
-        life.frontend = e.word() == null ? "" : e.word();
-        life.processes = e.other();
+        incarnation.started = true;
+        incarnation.frontend = e.word() == null ? "" : e.word();
+        incarnation.processes = e.other();
       }
-      case STOP -> life.stopped = true;
+      case STOP -> incarnation.stopped = true;
       case TENANT -> shares.put(e.tenant(), e.value());
       case TAKEN -> {
-        life.accepted++;
-        Map<Long, Entry> mine = openRequests.computeIfAbsent(e.origin(), o -> new HashMap<>());
-        if (mine.size() < MOST_OPEN) {
-          mine.put(e.request(), e);
+        incarnation.accepted++;
+        Map<Long, Entry> pending = openRequests.computeIfAbsent(e.origin(), o -> new HashMap<>());
+        if (pending.size() < MAX_OPEN) {
+          pending.put(e.request(), e);
         } else {
-          unheld++;
+          untracked++;
         }
       }
       case ENDED -> {
-        life.ended++;
-        Map<Long, Entry> mine = openRequests.get(e.origin());
-        if (mine != null) {
-          mine.remove(e.request());
+        incarnation.ended++;
+        Map<Long, Entry> pending = openRequests.get(e.origin());
+        if (pending != null) {
+          pending.remove(e.request());
         }
       }
-      case SENT -> life.sent++;
+      case SENT -> incarnation.sent++;
       case OUTCOME -> {
-        life.outcomes++;
+        incarnation.outcomes++;
         if (e.attempt() > 0) {
-          retryOutcomes.merge(new CounterKey(spanOf(e, clocks), name(classes, e.className()), "", 0, e.word()), 1L, Long::sum);
+          retryOutcomes.merge(new CounterKey(intervalOf(e, clocks), boundedName(classes, e.className()), "", 0, e.word()), 1L, Long::sum);
         }
       }
-      case ANSWERED -> answered(e, clocks);
-      case REMOVED -> life.removed += Math.max(0, e.value());
-      case DROPPED -> life.dropped.merge(e.word(), e.value(), Long::sum);
+      case ANSWERED -> recordAnswer(e, clocks);
+      case REMOVED -> incarnation.removed += Math.max(0, e.value());
+      case DROPPED -> incarnation.dropped.merge(e.word(), e.value(), Long::sum);
       case SERVER -> {
-        if (names.size() < MOST_NAMES) {
-          names.put(e.upstream(), e.name());
+        if (serverNames.size() < MAX_NAMES) {
+          serverNames.put(e.upstream(), e.name());
         }
-        serverUpdates.add(new ServerUpdate(e.origin().instance(), at(e, clocks), e.name(), e.upstream(), e.word(), e.value(), e.other()));
+        serverUpdates.add(new ServerUpdate(e.origin().instance(), referenceTime(e, clocks), e.name(), e.upstream(), e.word(), e.value(), e.other()));
       }
       default -> { }
     }
   }
 
-  private void answered(Entry e, Clocks clocks) {
+  private void recordAnswer(Entry e, Clocks clocks) {
     boolean caller = "caller".equals(e.word());
     if (e.id() != null && !(caller && e.other() == Entry.GONE)) {
       match(e, caller);
     }
     if (caller) {
-      return; // Its callee counts it.
+      return; // Counted by the callee's record.
     }
-    long at = spanOf(e, clocks);
-    answerCounts.merge(new CounterKey(at, name(classes, e.className()), name(tenants, e.tenant()), (int) e.other(), e.word()), 1L, Long::sum);
+    long at = intervalOf(e, clocks);
+    answerCounts.merge(new CounterKey(at, boundedName(classes, e.className()), boundedName(tenants, e.tenant()), (int) e.other(), e.word()),
+        1L, Long::sum);
     long[] histogram = latency.computeIfAbsent(at, s -> new long[64]);
-    histogram[bucket(e.value())]++;
+    histogram[latencyBucket(e.value())]++;
   }
 
-  /** Callers' own words against those of who was called: what only a caller tells of was answered by one whose records are lost. */
+  /** Matches callers' records with callees': an answer that only the caller recorded came from an instance that lost its records. */
   private void match(Entry e, boolean caller) {
-    Map<String, Integer> mine = caller ? callerOnly : calleeOnly;
-    Map<String, Integer> theirs = caller ? calleeOnly : callerOnly;
-    if (theirs.remove(e.id()) == null) {
-      if (mine.size() >= MOST_OPEN) {
+    Map<String, Integer> sameSide = caller ? callerOnly : calleeOnly;
+    Map<String, Integer> otherSide = caller ? calleeOnly : callerOnly;
+    if (otherSide.remove(e.id()) == null) {
+      if (sameSide.size() >= MAX_OPEN) {
         unmatched++;
       } else {
-        mine.put(e.id(), (int) e.other());
+        sameSide.put(e.id(), (int) e.other());
       }
     }
   }
 
-  /** Tries that callers had an answer to and of which no other record tells, by what the answer was; none where no caller recorded. */
+  /** Attempts whose answer only the caller recorded, by result; empty if no caller keeps records. */
   public Map<Integer, Long> callerOnly() {
-    Map<Integer, Long> by = new TreeMap<>();
-    callerOnly.values().forEach(answer -> by.merge(answer, 1L, Long::sum));
-    return by;
+    Map<Integer, Long> counts = new TreeMap<>();
+    callerOnly.values().forEach(answer -> counts.merge(answer, 1L, Long::sum));
+    return counts;
   }
 
-  /** The other side: answers of which no caller tells, though callers recorded; the caller may have gone before it came. */
+  /** Answers that no caller recorded, by result; the caller may have disconnected before the answer arrived. */
   public Map<Integer, Long> calleeOnly() {
-    Map<Integer, Long> by = new TreeMap<>();
-    calleeOnly.values().forEach(answer -> by.merge(answer, 1L, Long::sum));
-    return by;
+    Map<Integer, Long> counts = new TreeMap<>();
+    calleeOnly.values().forEach(answer -> counts.merge(answer, 1L, Long::sum));
+    return counts;
   }
 
-  /** Whether there were more calls than could be held against one another: then {@link #callerOnly} is too high by this at most. */
+  /** Number of records not matched because too many were waiting for a match: {@link #callerOnly} is too high by this at most. */
   public long unmatched() {
     return unmatched;
   }
 
-  /** Names that come from requests are bounded: past the bound they are counted together. */
-  private static String name(TreeSet<String> known, String name) {
+  /** Bounds the names that come from requests: beyond the bound they share one counter. */
+  private static String boundedName(TreeSet<String> known, String name) {
     String key = name == null ? "" : name;
     if (!known.contains(key)) {
-      if (known.size() >= MOST_NAMES) {
-        return OTHER;
+      if (known.size() >= MAX_NAMES) {
+        return OTHERS;
       }
       known.add(key);
     }
     return key;
   }
 
-  private long at(Entry e, Clocks clocks) {
+  private long referenceTime(Entry e, Clocks clocks) {
     return e.at() + clocks.offset(e.origin().instance(), e.at()).midpoint();
   }
 
-  /** By when the request came, on the reference's clock: an answer is counted where its request is. */
-  private long spanOf(Entry e, Clocks clocks) {
-    return Math.floorDiv(at(e, clocks) - e.value(), interval) * interval;
+  /** The interval in which the request arrived, in reference time: an answer counts where its request does. */
+  private long intervalOf(Entry e, Clocks clocks) {
+    return Math.floorDiv(referenceTime(e, clocks) - e.value(), interval) * interval;
   }
 
   // ---- Latency, in buckets of a factor of the square root of two -----------------------------------------
 
-  private static int bucket(long micros) {
+  private static int latencyBucket(long micros) {
     return micros <= 1 ? 0 : Math.min(63, (int) (2 * Math.log(micros) / Math.log(2)));
   }
 
-  /** A percentile of a span's latencies, microseconds, as the upper edge of its bucket: too high by a factor of 1.42 at most. */
+  /** A percentile of an interval's latencies in microseconds, as the upper edge of its bucket: too high by a factor of 1.42 at most. */
   public long latencyPercentile(long at, double percentile) {
     long[] histogram = latency.getOrDefault(at, new long[64]);
     long all = 0;
     for (long n : histogram) {
       all += n;
     }
-    long upTo = (long) Math.ceil(all * percentile / 100);
+    long remaining = (long) Math.ceil(all * percentile / 100);
     for (int i = 0; i < histogram.length && all > 0; i++) {
-      upTo -= histogram[i];
-      if (upTo <= 0) {
+      remaining -= histogram[i];
+      if (remaining <= 0) {
         return (long) Math.pow(2, (i + 1) / 2.0);
       }
     }
     return 0;
   }
 
-  // ---- What came of it ------------------------------------------------------------------------------------
+  // ---- Results --------------------------------------------------------------------------------------------
 
   public Map<CounterKey, Long> answerCounts() {
     return answerCounts;
@@ -255,7 +262,7 @@
     return retryOutcomes;
   }
 
-  /** Answers that fit; null stands for any. */
+  /** Number of matching answers; null matches any. */
   public long count(Long at, String className, String tenant, Integer answer) {
     long sum = 0;
     for (Map.Entry<CounterKey, Long> e : answerCounts.entrySet()) {
@@ -281,9 +288,9 @@
     return shares;
   }
 
-  /** What the lists called a server; its number where they never did. */
+  /** The name of a server in the endpoint lists, or its number if no list named it. */
   public String serverName(long upstream) {
-    return names.getOrDefault(upstream, Long.toHexString(upstream));
+    return serverNames.getOrDefault(upstream, Long.toHexString(upstream));
   }
 
   public TreeSet<String> classes() {
@@ -294,7 +301,7 @@
     return tenants;
   }
 
-  /** The spans in which anything was answered, and all between them. */
+  /** The starts of all intervals from the first to the last with an answer. */
   public List<Long> intervals() {
     List<Long> all = new ArrayList<>();
     if (!latency.isEmpty()) {
@@ -305,74 +312,75 @@
     return all;
   }
 
-  /** Requests that an origin took and of which no end is recorded. */
+  /** Number of requests that an origin accepted and that have no recorded end. */
   public long openRequests(Origin origin) {
     return openRequests.getOrDefault(origin, Map.of()).size();
   }
 
-  /** Tells of each request without an end. */
+  /** Visits each request without a recorded end. */
   public void forEachOpen(Consumer<Entry> to) {
     openRequests.values().forEach(all -> all.values().forEach(to));
   }
 
   /**
-   * What is not known: the time from a life's last word to its successor's first where it never said that it stopped; records dropped; an
-   * instance of a group of which there is none.
+   * The gaps: from the last record of an incarnation to the first of the next one, or to the end if there is no record of a stop; periods
+   * with dropped, removed or missing records; instances of a group that have no records at all.
    */
   public List<Gap> gaps(Clocks clocks) {
     List<Gap> gaps = new ArrayList<>();
     long end = incarnations.values().stream().mapToLong(l -> l.last + clocks.offset(l.origin.instance(), l.last).midpoint()).max().orElse(0);
-    Incarnation before = null;
-    for (Incarnation life : incarnations.values()) {
-      boolean same = before != null && before.origin.instance().equals(life.origin.instance());
-      if (same && before.last < life.first) {
-        gap(gaps, clocks, before, life.first);
-      } else if (before != null && !same && !before.stopped) {
-        endOf(gaps, clocks, before, end);
+    Incarnation previous = null;
+    for (Incarnation incarnation : incarnations.values()) {
+      boolean same = previous != null && previous.origin.instance().equals(incarnation.origin.instance());
+      if (same && previous.last < incarnation.first) {
+        addGap(gaps, clocks, previous, incarnation.first);
+      } else if (previous != null && !same && !previous.stopped) {
+        addFinalGap(gaps, clocks, previous, end);
       }
-      if (life.removed > 0) {
-        long o = clocks.offset(life.origin.instance(), life.first).midpoint();
-        gaps.add(new Gap(life.origin.instance(), life.origin.start() + o, life.first + o, "the oldest " + life.removed
-            + " records went for younger ones", 0, life.removed));
+      if (incarnation.removed > 0) {
+        long o = clocks.offset(incarnation.origin.instance(), incarnation.first).midpoint();
+        gaps.add(new Gap(incarnation.origin.instance(), incarnation.origin.start() + o, incarnation.first + o,
+            "the oldest " + incarnation.removed + " records were removed to make room for newer ones", 0, incarnation.removed));
       }
-      if (life.droppedTotal() + life.missing() > 0) {
-        long lost = life.droppedTotal() + life.missing();
-        String reason = (life.droppedTotal() > 0 ? "records dropped " + life.dropped : "")
-            + (life.missing() > 0 ? (life.droppedTotal() > 0 ? ", " : "") + "records missing " + life.missing() : "");
-        long o = clocks.offset(life.origin.instance(), life.first).midpoint();
-        gaps.add(new Gap(life.origin.instance(), life.first + o, life.last + o, reason, 0, lost));
+      if (incarnation.droppedTotal() + incarnation.missing() > 0) {
+        long lost = incarnation.droppedTotal() + incarnation.missing();
+        String reason = (incarnation.droppedTotal() > 0 ? "records dropped " + incarnation.dropped : "")
+            + (incarnation.missing() > 0 ? (incarnation.droppedTotal() > 0 ? ", " : "") + "records missing " + incarnation.missing() : "");
+        long o = clocks.offset(incarnation.origin.instance(), incarnation.first).midpoint();
+        gaps.add(new Gap(incarnation.origin.instance(), incarnation.first + o, incarnation.last + o, reason, 0, lost));
       }
-      before = life;
+      previous = incarnation;
     }
-    if (before != null && !before.stopped) {
-      endOf(gaps, clocks, before, end);
+    if (previous != null && !previous.stopped) {
+      addFinalGap(gaps, clocks, previous, end);
     }
     long processes = incarnations.values().stream().mapToLong(l -> l.processes).max().orElse(0);
-    long seen = incarnations.values().stream().map(l -> l.origin.instance()).distinct().count();
-    for (long i = seen; i < processes; i++) {
+    long instancesWithRecords = incarnations.values().stream().map(l -> l.origin.instance()).distinct().count();
+    for (long i = instancesWithRecords; i < processes; i++) {
       long first = incarnations.values().stream().mapToLong(l -> l.first + clocks.offset(l.origin.instance(), l.first).midpoint()).min().orElse(0);
-      gaps.add(new Gap("(an instance without records)", first, end, "of " + processes + " processes " + seen + " have records", 0, -1));
+      gaps.add(new Gap("(an instance without records)", first, end,
+          "of " + processes + " processes " + instancesWithRecords + " have records", 0, -1));
     }
     return gaps;
   }
 
-  private void gap(List<Gap> gaps, Clocks clocks, Incarnation before, long next) {
-    long o = clocks.offset(before.origin.instance(), before.last).midpoint();
-    long lost = openRequests(before.origin);
-    String reason = before.stopped ? "between a stop and the next start" : "ended without a stop" + (lost > 0 ? ", " + lost + " in hand" : "");
-    gaps.add(new Gap(before.origin.instance(), before.last + o, next + o, reason, before.stopped ? 0 : lost, before.stopped ? 0 : -1));
+  private void addGap(List<Gap> gaps, Clocks clocks, Incarnation previous, long next) {
+    long o = clocks.offset(previous.origin.instance(), previous.last).midpoint();
+    long lost = openRequests(previous.origin);
+    String reason = previous.stopped ? "between a stop and the next start" : "ended without a stop" + (lost > 0 ? ", " + lost + " pending" : "");
+    gaps.add(new Gap(previous.origin.instance(), previous.last + o, next + o, reason, previous.stopped ? 0 : lost, previous.stopped ? 0 : -1));
   }
 
-  private void endOf(List<Gap> gaps, Clocks clocks, Incarnation life, long end) {
-    long o = clocks.offset(life.origin.instance(), life.last).midpoint();
-    if (life.last + o < end || openRequests(life.origin) > 0) {
-      gaps.add(new Gap(life.origin.instance(), life.last + o, end, "no record of a stop, " + openRequests(life.origin) + " in hand",
-          openRequests(life.origin), -1));
+  private void addFinalGap(List<Gap> gaps, Clocks clocks, Incarnation incarnation, long end) {
+    long o = clocks.offset(incarnation.origin.instance(), incarnation.last).midpoint();
+    if (incarnation.last + o < end || openRequests(incarnation.origin) > 0) {
+      gaps.add(new Gap(incarnation.origin.instance(), incarnation.last + o, end,
+          "no record of a stop, " + openRequests(incarnation.origin) + " pending", openRequests(incarnation.origin), -1));
     }
   }
 
-  /** Requests of which the end is not known: in hand where records end, and such as could not be held. */
+  /** Requests with an unknown end: pending where the records end, or not tracked because too many were pending. */
   public long unresolvedRequests() {
-    return openRequests.values().stream().mapToLong(Map::size).sum() + unheld;
+    return openRequests.values().stream().mapToLong(Map::size).sum() + untracked;
   }
 }
