--- a/decision/src/main/java/cloverpulley/incident/ChangePointAnalysis.java
+++ b/decision/src/main/java/cloverpulley/incident/ChangePointAnalysis.java
@@ -9,38 +9,38 @@
 import org.apache.commons.statistics.distribution.PoissonDistribution;
 
 /**
- * What came before a rise of bad answers. Rises are change points of the part of bad answers by second: binary segmentation on the
- * binomial likelihood, each split worth more than its penalty (Scott and Knott 1974; penalty as in BIC). A change (a server's state, a
- * start or a stop, a failed list) within reach before a rise is told with two figures: how surely the rise is one (Fisher's exact test of
- * the seconds before and after) and how often a change of its kind would lie that near by chance (Poisson). It is said to have come
- * before, never to have caused.
+ * Finds rises of the ratio of unserved answers and the changes that preceded them. Rises are change points of the ratio by second, found by
+ * binary segmentation on the binomial likelihood, where each split must gain more than a penalty (Scott and Knott 1974; penalty as in
+ * BIC). A change (of a server's state, a start or a stop, a failed list update) shortly before a rise is reported with two p-values: that of
+ * the rise (Fisher's exact test of the seconds before and after) and that of a change of its kind being that close by chance (Poisson). Such
+ * a change is reported as having preceded the rise, never as its cause.
  */
 public final class ChangePointAnalysis {
 
-  private static final int LEAST_SECONDS = 2;
-  private static final int MOST_POINTS = 64;
-  /** Seconds that are segmented; longer courses are looked at in wider buckets. */
-  private static final int MOST_BUCKETS = 20_000;
+  private static final int MIN_SECONDS = 2;
+  private static final int MAX_POINTS = 64;
+  /** Maximum number of buckets to segment, one second each; longer timelines use wider buckets. */
+  private static final int MAX_BUCKETS = 20_000;
   private static final long SECOND = 1_000_000L;
-  /** A change comes this much before a rise at most: a list poll, an ejection and the longest aim lie within. */
-  private static final long REACH = 15 * SECOND;
-  /** A rise's place is known to a bucket on either side. */
-  private static final int PLACE = 1;
+  /** Maximum time from a change to a rise: covers a list poll, an ejection and the longest target latency. */
+  private static final long MAX_DISTANCE = 15 * SECOND;
+  /** Uncertainty of the position of a rise, in buckets on either side. */
+  private static final int POSITION_UNCERTAINTY = 1;
 
-  /** A rise: when, from which part of bad answers to which, and the chance that the same part gives both sides. */
+  /** A rise of the ratio of unserved answers; {@code pValue} is the probability that the same ratio produced both sides. */
   public record Rise(long at, double ratioBefore, double ratioAfter, long answers, double pValue) {}
 
-  /** A change that came before a rise; {@code pValue} is the chance of one of its kind as near without any tie between them. */
+  /** A change that preceded a rise; {@code pValue} is the probability of one of its kind being as close if the two are independent. */
   public record CandidateCause(Rise rise, long at, String description, String instance, double pValue) {}
 
   private record Change(long at, String kind, String description, String instance) {}
 
-  private final TreeMap<Long, long[]> seconds = new TreeMap<>();
+  private final TreeMap<Long, long[]> countsBySecond = new TreeMap<>();
   private final List<Change> changes = new ArrayList<>();
   private long first = Long.MAX_VALUE;
   private long last = Long.MIN_VALUE;
 
-  /** Takes a record; {@code at} is its time on the reference's clock. */
+  /** Adds a record; {@code at} is its reference time. */
   public void add(Entry e, long at) {
     first = Math.min(first, at);
     last = Math.max(last, at);
@@ -48,7 +48,7 @@
     switch (e.kind()) {
       case ANSWERED -> {
         if (!"caller".equals(e.word()) && e.other() != Entry.GONE) {
-          long[] n = seconds.computeIfAbsent(Math.floorDiv(at, SECOND), s -> new long[2]);
+          long[] n = countsBySecond.computeIfAbsent(Math.floorDiv(at, SECOND), s -> new long[2]);
           n[0]++;
           n[1] += e.other() == Entry.SERVED ? 0 : 1;
         }
@@ -59,25 +59,25 @@
       case REPLACED -> changes.add(new Change(at, "replaced", "the module of " + instance + " failed and was replaced", instance));
       case LIST -> {
         if ("failed".equals(e.word())) {
-          changes.add(new Change(at, "list failed", "the list could not be had", instance));
+          changes.add(new Change(at, "list failed", "the endpoint list could not be fetched", instance));
         }
       }
       default -> { }
     }
   }
 
-  /** The rises, in order of time. */
+  /** The rises in chronological order. */
   public List<Rise> rises() {
-    if (seconds.isEmpty()) {
+    if (countsBySecond.isEmpty()) {
       return List.of();
     }
-    long from = seconds.firstKey();
-    long span = seconds.lastKey() - from + 1;
-    long width = Math.max(1, (span + MOST_BUCKETS - 1) / MOST_BUCKETS);
+    long from = countsBySecond.firstKey();
+    long span = countsBySecond.lastKey() - from + 1;
+    long width = Math.max(1, (span + MAX_BUCKETS - 1) / MAX_BUCKETS);
     int n = (int) ((span + width - 1) / width);
     long[] all = new long[n + 1];
     long[] bad = new long[n + 1];
-    for (Map.Entry<Long, long[]> e : seconds.entrySet()) {
+    for (Map.Entry<Long, long[]> e : countsBySecond.entrySet()) {
       int i = (int) ((e.getKey() - from) / width);
       all[i + 1] += e.getValue()[0];
       bad[i + 1] += e.getValue()[1];
@@ -96,28 +96,28 @@
       int a = points.get(i - 1);
       int m = points.get(i);
       int b = points.get(i + 1);
-      double before = part(all, bad, a, m);
-      double after = part(all, bad, m, b);
+      double before = ratio(all, bad, a, m);
+      double after = ratio(all, bad, m, b);
       if (after > before) {
-        rises.add(new Rise((from + m * width) * SECOND, before, after, all[b] - all[m], chance(all, bad, a, m, b)));
+        rises.add(new Rise((from + m * width) * SECOND, before, after, all[b] - all[m], fisherPValue(all, bad, a, m, b)));
       }
     }
     return rises;
   }
 
-  private static double part(long[] all, long[] bad, int a, int b) {
+  private static double ratio(long[] all, long[] bad, int a, int b) {
     long n = all[b] - all[a];
     return n == 0 ? 0 : (bad[b] - bad[a]) / (double) n;
   }
 
   private static void split(long[] all, long[] bad, int a, int b, double penalty, List<Integer> points) {
-    if (b - a < 2 * LEAST_SECONDS || points.size() >= MOST_POINTS) {
+    if (b - a < 2 * MIN_SECONDS || points.size() >= MAX_POINTS) {
       return;
     }
     double whole = likelihood(all, bad, a, b);
     double best = penalty;
     int at = -1;
-    for (int m = a + LEAST_SECONDS; m <= b - LEAST_SECONDS; m++) {
+    for (int m = a + MIN_SECONDS; m <= b - MIN_SECONDS; m++) {
       double gain = likelihood(all, bad, a, m) + likelihood(all, bad, m, b) - whole;
       if (gain > best) {
         best = gain;
@@ -137,38 +137,38 @@
     return n == 0 || k == 0 || k == n ? 0 : k * Math.log(k / (double) n) + (n - k) * Math.log(1 - k / (double) n);
   }
 
-  /** Fisher's exact test, one-sided: so many bad ones or more after, of all there were. */
-  private static double chance(long[] all, long[] bad, int a, int m, int b) {
-    // Counts beyond the distribution's whole numbers are scaled; the chance is then far too small to matter.
-    long most = Math.max(1, (all[b] - all[a]) / 1_000_000);
-    int population = (int) ((all[b] - all[a]) / most);
-    int marked = (int) ((bad[b] - bad[a]) / most);
-    int sample = (int) ((all[b] - all[m]) / most);
-    int hits = (int) ((bad[b] - bad[m]) / most);
-    if (population == 0 || marked == 0 || sample == 0 || sample > population || marked > population) {
+  /** Fisher's exact test, one-sided: the probability of at least as many unserved answers after the split, given the total. */
+  private static double fisherPValue(long[] all, long[] bad, int a, int m, int b) {
+    // Scales counts beyond the distribution's int range; the p-value is negligible by then.
+    long scale = Math.max(1, (all[b] - all[a]) / 1_000_000);
+    int population = (int) ((all[b] - all[a]) / scale);
+    int unserved = (int) ((bad[b] - bad[a]) / scale);
+    int sample = (int) ((all[b] - all[m]) / scale);
+    int hits = (int) ((bad[b] - bad[m]) / scale);
+    if (population == 0 || unserved == 0 || sample == 0 || sample > population || unserved > population) {
       return 1;
     }
-    return HypergeometricDistribution.of(population, marked, sample).survivalProbability(hits - 1);
+    return HypergeometricDistribution.of(population, unserved, sample).survivalProbability(hits - 1);
   }
 
-  /** For each rise the changes that came before it, the least likely by chance first; a rise without any is told by nothing. */
+  /** The changes that preceded each rise, the smallest p-value first; a rise without any has no entry. */
   public List<CandidateCause> candidateCauses() {
     List<CandidateCause> candidateCauses = new ArrayList<>();
     double span = Math.max(1, last - first);
     Map<String, Long> kinds = new TreeMap<>();
     changes.forEach(c -> kinds.merge(c.kind, 1L, Long::sum));
     for (Rise rise : rises()) {
-      List<CandidateCause> mine = new ArrayList<>();
+      List<CandidateCause> preceding = new ArrayList<>();
       for (Change c : changes) {
         long distance = rise.at - c.at;
-        if (distance >= -PLACE * SECOND && distance <= REACH) {
-          // The chance that at least one of so many of its kind, spread evenly over all the time, lies this near before.
-          double expected = kinds.get(c.kind) * (Math.max(0, distance) + 2 * PLACE * SECOND) / span;
-          mine.add(new CandidateCause(rise, c.at, c.description, c.instance, PoissonDistribution.of(expected).survivalProbability(0)));
+        if (distance >= -POSITION_UNCERTAINTY * SECOND && distance <= MAX_DISTANCE) {
+          // The probability that at least one of the changes of its kind, spread evenly over the timeline, is this close before.
+          double expected = kinds.get(c.kind) * (Math.max(0, distance) + 2 * POSITION_UNCERTAINTY * SECOND) / span;
+          preceding.add(new CandidateCause(rise, c.at, c.description, c.instance, PoissonDistribution.of(expected).survivalProbability(0)));
         }
       }
-      mine.sort(Comparator.comparingDouble(CandidateCause::pValue).thenComparing(CandidateCause::description));
-      candidateCauses.addAll(mine);
+      preceding.sort(Comparator.comparingDouble(CandidateCause::pValue).thenComparing(CandidateCause::description));
+      candidateCauses.addAll(preceding);
     }
     return candidateCauses;
   }
--- a/decision/src/main/java/cloverpulley/incident/Timeline.java
+++ b/decision/src/main/java/cloverpulley/incident/Timeline.java
@@ -228,7 +228,7 @@
     return Math.floorDiv(referenceTime(e, clocks) - e.value(), interval) * interval;
   }
 
-  // ---- Latency, in buckets of a factor of the square root of two -----------------------------------------
+  // ---- Latency, in buckets of a factor of the square root of two ---------------------------------------
 
   private static int latencyBucket(long micros) {
     return micros <= 1 ? 0 : Math.min(63, (int) (2 * Math.log(micros) / Math.log(2)));
@@ -251,7 +251,7 @@
     return 0;
   }
 
-  // ---- Results --------------------------------------------------------------------------------------------
+  // ---- Results -----------------------------------------------------------------------------------------
 
   public Map<CounterKey, Long> answerCounts() {
     return answerCounts;
