--- a/incident/src/main/java/cloverpulley/incident/tool/Console.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/Console.java
@@ -19,22 +19,22 @@
 import org.jline.utils.InfoCmp;
 import org.jline.utils.NonBlockingReader;
 
-/** The last minutes of an installation in a terminal, drawn anew each second from the records as they are written; {@code q} leaves. */
+/** Shows the last minutes of a deployment in a terminal, redrawn each second from the records as they are written; {@code q} quits. */
 public final class Console {
 
   private static final long REDRAW_MILLIS = 1000;
-  private static final int LEAST_WIDTH = 40;
+  private static final int MIN_WIDTH = 40;
   private static final String BARS = " ▁▂▃▄▅▆▇█";
 
-  private final List<Path> places;
+  private final List<Path> paths;
   private final long windowMicros;
 
-  public Console(List<Path> places, long windowMicros) {
-    this.places = places;
+  public Console(List<Path> paths, long windowMicros) {
+    this.paths = paths;
     this.windowMicros = windowMicros;
   }
 
-  /** Runs until {@code q}, the end of input or so many redraws; 0 for no such end. */
+  /** Runs until {@code q}, the end of input or the given number of redraws; 0 for no limit. */
   public void run(int redraws) throws IOException {
     try (Terminal terminal = TerminalBuilder.builder().system(true).dumb(true).build()) {
       Attributes before = terminal.enterRawMode();
@@ -43,7 +43,7 @@
       NonBlockingReader keys = terminal.reader();
       try {
         for (int i = 0; redraws == 0 || i < redraws; i++) {
-          int width = Math.max(LEAST_WIDTH, terminal.getWidth());
+          int width = Math.max(MIN_WIDTH, terminal.getWidth());
           int height = Math.max(10, terminal.getHeight());
           display.resize(height, width);
           List<AttributedString> lines = draw(width, System.currentTimeMillis() * 1000);
@@ -63,38 +63,40 @@
   }
 
   private static AttributedString line(String text, AttributedStyle style, int width) {
-    AttributedString s = new AttributedStringBuilder().append(text, style).toAttributedString();
-    return s.columnLength() <= width ? s : s.columnSubSequence(0, width);
+    AttributedString styled = new AttributedStringBuilder().append(text, style).toAttributedString();
+    return styled.columnLength() <= width ? styled : styled.columnSubSequence(0, width);
   }
 
-  /** The screen, at a time of this machine's clock. */
+  /** Renders the screen; {@code now} is read from this machine's clock. */
   List<AttributedString> draw(int width, long now) throws IOException {
     long second = 1_000_000L;
     IncidentAnalysis.Options options = new IncidentAnalysis.Options(now - windowMicros, now + windowMicros, second, null, Audit.Limits.DEFAULT);
-    IncidentAnalysis s = new IncidentAnalysis(new Archive(places), options, n -> { });
+    IncidentAnalysis analysis = new IncidentAnalysis(new Archive(paths), options, n -> { });
     List<AttributedString> out = new ArrayList<>();
     AttributedStyle plain = AttributedStyle.DEFAULT;
     AttributedStyle bold = AttributedStyle.BOLD;
     AttributedStyle red = AttributedStyle.DEFAULT.foreground(AttributedStyle.RED);
     AttributedStyle yellow = AttributedStyle.DEFAULT.foreground(AttributedStyle.YELLOW);
-    Timeline c = s.timeline;
-    out.add(line(String.format(Locale.ROOT, "ashdeck, the last %d s: %d answered, %d served, %d refused, %d failed, %d not known",
-        windowMicros / second, c.count(null, null, null, null), c.count(null, null, null, Entry.SERVED),
-        c.count(null, null, null, Entry.REFUSED), c.count(null, null, null, Entry.FAILED), c.unresolvedRequests()), bold, width));
+    Timeline timeline = analysis.timeline;
+    out.add(line(String.format(Locale.ROOT, "ashdeck, the last %d s: %d answered, %d served, %d refused, %d failed, %d unresolved",
+        windowMicros / second, timeline.count(null, null, null, null), timeline.count(null, null, null, Entry.SERVED),
+        timeline.count(null, null, null, Entry.REFUSED), timeline.count(null, null, null, Entry.FAILED), timeline.unresolvedRequests()), bold,
+        width));
     for (int answer : new int[] {Entry.SERVED, Entry.REFUSED, Entry.FAILED}) {
-      out.add(line(String.format("%-9s", Entry.answerName(answer)) + spark(c, answer, width - 20, now), answer == Entry.SERVED ? plain : red,
-          width));
+      out.add(line(String.format("%-9s", Entry.answerName(answer)) + sparkline(timeline, answer, width - 20, now),
+          answer == Entry.SERVED ? plain : red, width));
     }
     out.add(line("", plain, width));
-    for (Timeline.Incarnation l : c.incarnations()) {
-      out.add(line(String.format(Locale.ROOT, "%-20s %-8s %s, taken %d, sent %d, dropped records %d", Sanitizer.printable(l.origin.instance()),
-          Sanitizer.printable(l.frontend), l.stopped ? "stopped" : "runs", l.accepted, l.sent, l.droppedTotal()),
-          l.droppedTotal() > 0 ? yellow : plain, width));
+    for (Timeline.Incarnation incarnation : timeline.incarnations()) {
+      out.add(line(String.format(Locale.ROOT, "%-20s %-8s %s, taken %d, sent %d, dropped records %d",
+          Sanitizer.printable(incarnation.origin.instance()), Sanitizer.printable(incarnation.frontend),
+          incarnation.stopped ? "stopped" : "runs", incarnation.accepted, incarnation.sent, incarnation.droppedTotal()),
+          incarnation.droppedTotal() > 0 ? yellow : plain, width));
     }
     out.add(line("", plain, width));
-    s.audit.findings().stream().filter(Audit.Finding::certain).limit(5)
+    analysis.audit.findings().stream().filter(Audit.Finding::certain).limit(5)
         .forEach(f -> out.add(line("BROKEN " + f.check() + " " + Sanitizer.printable(f.description()), red, width)));
-    for (Swimlanes.Lane lane : Swimlanes.of(c, now, options.limits().warmUpTime())) {
+    for (Swimlanes.Lane lane : Swimlanes.of(timeline, now, options.limits().warmUpTime())) {
       Swimlanes.StateInterval last = lane.intervals().get(lane.intervals().size() - 1);
       out.add(line(String.format("%-24s %-20s %s", Sanitizer.printable(lane.server()), Sanitizer.printable(lane.instance()), last.state()),
           last.state().equals("ready") ? plain : yellow, width));
@@ -102,18 +104,18 @@
     return out;
   }
 
-  private static String spark(Timeline c, int answer, int columns, long now) {
-    List<Long> spans = c.intervals();
-    int from = Math.max(0, spans.size() - columns);
-    long most = 0;
-    for (long span : spans) {
-      most = Math.max(most, c.count(span, null, null, answer));
+  private static String sparkline(Timeline timeline, int answer, int columns, long now) {
+    List<Long> intervals = timeline.intervals();
+    int from = Math.max(0, intervals.size() - columns);
+    long max = 0;
+    for (long interval : intervals) {
+      max = Math.max(max, timeline.count(interval, null, null, answer));
     }
-    StringBuilder t = new StringBuilder();
-    for (int i = from; i < spans.size(); i++) {
-      long n = c.count(spans.get(i), null, null, answer);
-      t.append(BARS.charAt((int) Math.ceil(n * 8.0 / Math.max(1, most))));
+    StringBuilder bars = new StringBuilder();
+    for (int i = from; i < intervals.size(); i++) {
+      long n = timeline.count(intervals.get(i), null, null, answer);
+      bars.append(BARS.charAt((int) Math.ceil(n * 8.0 / Math.max(1, max))));
     }
-    return t + " most " + most;
+    return bars + " most " + max;
   }
 }
--- a/incident/src/main/java/cloverpulley/incident/tool/EntryFormatter.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/EntryFormatter.java
@@ -7,24 +7,24 @@
 import java.io.StringWriter;
 import java.util.Locale;
 
-/** A record as a line: for a person, or as JSON. */
+/** Formats a record as a line of text or JSON. */
 public final class EntryFormatter {
 
   private static final JsonFactory FACTORY = new JsonFactory();
 
   private EntryFormatter() {}
 
-  /** For a person; nothing in it moves a terminal. */
+  /** As a line of text, without control characters. */
   public static String text(Entry e) {
     StringBuilder t = new StringBuilder(HtmlReport.time(e.at())).append(' ').append(Sanitizer.printable(e.origin().instance())).append(' ')
         .append(e.kind().name().toLowerCase(Locale.ROOT));
-    add(t, "request", e.requestId());
-    add(t, "class", e.className());
-    add(t, "tenant", e.tenant());
-    add(t, "server", e.name());
-    add(t, "word", e.word());
+    append(t, "request", e.requestId());
+    append(t, "class", e.className());
+    append(t, "tenant", e.tenant());
+    append(t, "server", e.name());
+    append(t, "word", e.word());
     if (e.kind() == cloverpulley.incident.Kind.ANSWERED || e.kind() == cloverpulley.incident.Kind.ENDED) {
-      add(t, "answer", Entry.answerName(e.other()));
+      append(t, "answer", Entry.answerName(e.other()));
     } else if (e.other() != 0) {
       t.append(" other=").append(e.other());
     }
@@ -37,7 +37,7 @@
     return t.toString();
   }
 
-  private static void add(StringBuilder t, String name, String value) {
+  private static void append(StringBuilder t, String name, String value) {
     if (value != null) {
       t.append(' ').append(name).append('=').append(Sanitizer.printable(value));
     }
--- a/incident/src/main/java/cloverpulley/incident/tool/HtmlReport.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/HtmlReport.java
@@ -15,18 +15,18 @@
 import java.util.stream.Collectors;
 
 /**
- * An incident on one page of HTML that needs nothing else: no script, no picture from elsewhere. What came from requests is escaped
- * everywhere. Each figure names the question that lists its records.
+ * Renders an incident as one self-contained page of HTML, without scripts or external resources. Text from requests is always escaped. Each
+ * section names the query that lists its records.
  */
 public final class HtmlReport {
 
   private static final int WIDTH = 960;
-  private static final int LEFT = 150;
-  private static final int BAND = 150;
-  private static final int LANE = 16;
-  /** Rows of a table or lanes beyond this are counted and not drawn. */
-  private static final int MOST_ROWS = 200;
-  private static final int MOST_SPANS = 2000;
+  private static final int CHART_LEFT = 150;
+  private static final int CHART_HEIGHT = 150;
+  private static final int LANE_HEIGHT = 16;
+  /** Maximum number of table rows or lanes; further ones are counted but not drawn. */
+  private static final int MAX_ROWS = 200;
+  private static final int MAX_INTERVALS = 2000;
   private static final String[] COLOURS = {"#3a9d5d", "#e2a33b", "#c8443c", "#8a8f98"};
   private static final Map<String, String> STATE_COLOURS =
       Map.of("ready", "#3a9d5d", "cold", "#7fb7e6", "draining", "#e2a33b", "gone", "#c9ccd1");
@@ -40,7 +40,7 @@
   private final IncidentAnalysis s;
   private final Timeline c;
   private final StringBuilder h = new StringBuilder();
-  private final List<Long> spans;
+  private final List<Long> intervals;
   private final long from;
   private final long to;
   private final List<Timeline.Gap> gaps;
@@ -49,20 +49,20 @@
     s = study;
     c = study.timeline;
     List<Long> all = c.intervals();
-    spans = all.size() > MOST_SPANS ? all.subList(0, MOST_SPANS) : all;
+    intervals = all.size() > MAX_INTERVALS ? all.subList(0, MAX_INTERVALS) : all;
     gaps = c.gaps(s.clocks);
-    long least = Long.MAX_VALUE;
-    long most = Long.MIN_VALUE;
+    long earliest = Long.MAX_VALUE;
+    long latest = Long.MIN_VALUE;
     for (Timeline.Incarnation l : c.incarnations()) {
       long o = s.clocks.offset(l.origin.instance(), l.first).midpoint();
-      least = Math.min(least, l.first + o);
-      most = Math.max(most, l.last + o);
+      earliest = Math.min(earliest, l.first + o);
+      latest = Math.max(latest, l.last + o);
     }
-    from = Math.max(least, s.options.from());
-    to = Math.max(from + 1, Math.min(most, s.options.to()));
+    from = Math.max(earliest, s.options.from());
+    to = Math.max(from + 1, Math.min(latest, s.options.to()));
   }
 
-  private static String say(String format, Object... args) {
+  private static String formatted(String format, Object... args) {
     return String.format(Locale.ROOT, format, args);
   }
 
@@ -71,14 +71,14 @@
   }
 
   private static String seconds(long micros) {
-    return say("%.3f s", micros / 1e6);
+    return formatted("%.3f s", micros / 1e6);
   }
 
-  /** The page. */
+  /** Renders the page. */
   public String html() {
     h.append("<!DOCTYPE html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>Incident</title><style>").append(CSS)
         .append("</style></head><body><h1>Incident ").append(time(from)).append(" to ").append(time(to)).append("</h1>");
-    h.append(say("<p>%d records, %d instances, %d requests answered, %d retries, %d requests whose end is not known.</p>",
+    h.append(formatted("<p>%d records, %d instances, %d requests answered, %d retries, %d requests with an unknown end.</p>",
         s.read.records(), s.clocks.instances().size(), c.count(null, null, null, null),
         c.retryOutcomes().values().stream().mapToLong(n -> n).sum(), c.unresolvedRequests()));
     unknown();
@@ -96,22 +96,22 @@
     return h.toString();
   }
 
-  private void query(String question) {
-    h.append("<p>Records: <code>ashdeck incident query '").append(Sanitizer.html(question)).append("' DIR</code></p>");
+  private void query(String expression) {
+    h.append("<p>Records: <code>ashdeck incident query '").append(Sanitizer.html(expression)).append("' DIR</code></p>");
   }
 
-  // ---- What is not known ---------------------------------------------------------------------------------
+  // ---- Gaps and unknowns -------------------------------------------------------------------------------
 
   private void unknown() {
     h.append("<h2>What is not known</h2>");
     Map<String, Long> reasons = new TreeMap<>();
     if (gaps.isEmpty() && s.read.spoiltBlocks() == 0 && s.read.tornOctets() == 0 && s.read.unread().isEmpty()
         && c.callerOnly().isEmpty()) {
-      h.append("<p>Nothing: every instance told its start and its end, no record was dropped, none is spoilt.</p>");
+      h.append("<p>Nothing: every instance recorded its start and its stop, no record was dropped, none is corrupt.</p>");
       return;
     }
-    c.callerOnly().forEach((answer, n) -> h.append(say("<p class=\"unsure\">%d tries that callers recorded as %s are in no other record: "
-        + "who answered them lost its own.</p>", n, Entry.answerName(answer))));
+    c.callerOnly().forEach((answer, n) -> h.append(formatted("<p class=\"unsure\">%d attempts that callers recorded as %s are in no other record: "
+        + "the instances that answered them lost their records.</p>", n, Entry.answerName(answer))));
     h.append("<table><tr><th>instance</th><th>from</th><th>to</th><th>requests</th><th>why</th></tr>");
     for (Timeline.Gap g : gaps) {
       h.append("<tr class=\"gap\"><td>").append(Sanitizer.html(g.instance())).append("</td><td>").append(time(g.from())).append("</td><td>")
@@ -121,22 +121,22 @@
     }
     h.append("</table>");
     if (s.read.spoiltBlocks() > 0 || s.read.tornOctets() > 0) {
-      h.append(say("<p class=\"unsure\">%d blocks (%d octets) are spoilt, %d octets at ends are cut off.</p>", s.read.spoiltBlocks(),
-          s.read.lostOctets(), s.read.tornOctets()));
+      h.append(formatted("<p class=\"unsure\">%d blocks (%d bytes) are corrupt, %d bytes at the ends of segments are truncated.</p>",
+          s.read.spoiltBlocks(), s.read.lostOctets(), s.read.tornOctets()));
     }
     s.read.unread().forEach(u -> reasons.merge(String.valueOf(u.problem()), 1L, Long::sum));
     reasons.forEach((why, n) -> h.append("<p class=\"unsure\">").append(n).append(" segments were not read: ").append(Sanitizer.html(why))
         .append("</p>"));
   }
 
-  // ---- The rules -----------------------------------------------------------------------------------------
+  // ---- The rules ---------------------------------------------------------------------------------------
 
-  private static String word(Audit.Check check) {
+  private static String label(Audit.Check check) {
     return switch (check) {
       case ONE_ANSWER -> "1 one final answer each, in time";
       case NO_EFFECT_TWICE -> "2 no effect twice";
       case NOTHING_TO_DRAINED -> "3 nothing new to a drained server after 2 s";
-      case COLD_NOT_PUSHED_OVER -> "4 no cold server pushed over";
+      case COLD_NOT_PUSHED_OVER -> "4 no server overloaded during slow start";
       case SUMS -> "sums: taken = ended + open, sends = outcomes + out";
     };
   }
@@ -147,34 +147,34 @@
     List<Audit.Finding> findings = s.audit.findings();
     s.audit.checkCounts().forEach((check, n) -> {
       long broken = findings.stream().filter(f -> f.check() == check && f.certain()).count();
-      long unsure = findings.stream().filter(f -> f.check() == check && !f.certain()).count();
-      h.append("<tr><td>").append(word(check)).append("</td><td>").append(n == 0 ? "never put to the test" : n).append("</td><td")
+      long uncertain = findings.stream().filter(f -> f.check() == check && !f.certain()).count();
+      h.append("<tr><td>").append(label(check)).append("</td><td>").append(n == 0 ? "never put to the test" : n).append("</td><td")
           .append(broken > 0 ? " class=\"bad\"" : "").append(">").append(broken).append("</td><td")
-          .append(unsure > 0 ? " class=\"unsure\"" : "").append(">").append(unsure).append("</td></tr>");
+          .append(uncertain > 0 ? " class=\"unsure\"" : "").append(">").append(uncertain).append("</td></tr>");
     });
     h.append("</table>");
     if (!findings.isEmpty()) {
       h.append("<details><summary>").append(findings.size()).append(" findings</summary><table>");
-      findings.stream().limit(MOST_ROWS).forEach(f -> h.append("<tr><td>").append(f.at() == 0 ? "" : time(f.at())).append("</td><td>")
+      findings.stream().limit(MAX_ROWS).forEach(f -> h.append("<tr><td>").append(f.at() == 0 ? "" : time(f.at())).append("</td><td>")
           .append(Sanitizer.html(f.origin().instance())).append("</td><td><code>").append(Sanitizer.html(f.request())).append("</code></td><td>")
-          .append(Sanitizer.html(f.description())).append(f.certain() ? "" : " (records are missing that could explain it)").append("</td></tr>"));
+          .append(Sanitizer.html(f.description())).append(f.certain() ? "" : " (missing records could explain it)").append("</td></tr>"));
       h.append("</table></details>");
     }
   }
 
-  // ---- Requests over time --------------------------------------------------------------------------------
+  // ---- Requests over time ------------------------------------------------------------------------------
 
   private double x(long at) {
-    return LEFT + (WIDTH - LEFT - 10.0) * Math.max(0, Math.min(1, (at - from) / (double) (to - from)));
+    return CHART_LEFT + (WIDTH - CHART_LEFT - 10.0) * Math.max(0, Math.min(1, (at - from) / (double) (to - from)));
   }
 
   private void svg(int height) {
-    h.append(say("<svg width=\"%d\" height=\"%d\" viewBox=\"0 0 %d %d\" role=\"img\">", WIDTH, height, WIDTH, height));
+    h.append(formatted("<svg width=\"%d\" height=\"%d\" viewBox=\"0 0 %d %d\" role=\"img\">", WIDTH, height, WIDTH, height));
   }
 
   private void shadeGaps(int height) {
     for (Timeline.Gap g : gaps) {
-      h.append(say("<rect x=\"%.1f\" y=\"0\" width=\"%.1f\" height=\"%d\" fill=\"#f3d9a4\" opacity=\".45\"><title>not known: %s, %s"
+      h.append(formatted("<rect x=\"%.1f\" y=\"0\" width=\"%.1f\" height=\"%d\" fill=\"#f3d9a4\" opacity=\".45\"><title>not known: %s, %s"
           + "</title></rect>", x(g.from()), Math.max(1, x(g.to()) - x(g.from())), height, Sanitizer.html(g.instance()), Sanitizer.html(g.reason())));
     }
   }
@@ -182,46 +182,46 @@
   private void axis(int y) {
     for (int i = 0; i <= 6; i++) {
       long at = from + (to - from) * i / 6;
-      h.append(say("<text x=\"%.0f\" y=\"%d\" text-anchor=\"%s\">%s</text>", x(at), y, i == 6 ? "end" : "middle",
+      h.append(formatted("<text x=\"%.0f\" y=\"%d\" text-anchor=\"%s\">%s</text>", x(at), y, i == 6 ? "end" : "middle",
           time(at).substring(11, 19)));
     }
   }
 
   private void requests() {
-    h.append("<h2>Requests by answer, in spans of ").append(c.interval() / 1_000_000.0).append(" s</h2>");
+    h.append("<h2>Requests by answer, in intervals of ").append(c.interval() / 1_000_000.0).append(" s</h2>");
     Map<Long, long[]> bars = new TreeMap<>();
     c.answerCounts().forEach((cell, n) -> bars.computeIfAbsent(cell.interval(), k -> new long[4])[Math.min(3, cell.answer())] += n);
-    long most = Math.max(1, bars.values().stream().mapToLong(b -> b[0] + b[1] + b[2] + b[3]).max().orElse(1));
-    svg(BAND + 30);
-    shadeGaps(BAND);
-    h.append(say("<text x=\"5\" y=\"14\">%d a span</text>", most));
-    bars.forEach((span, counts) -> {
-      double x0 = x(span);
-      double w = Math.max(0.5, x(span + c.interval()) - x0 - 0.5);
-      double y = BAND;
+    long max = Math.max(1, bars.values().stream().mapToLong(b -> b[0] + b[1] + b[2] + b[3]).max().orElse(1));
+    svg(CHART_HEIGHT + 30);
+    shadeGaps(CHART_HEIGHT);
+    h.append(formatted("<text x=\"5\" y=\"14\">%d per interval</text>", max));
+    bars.forEach((interval, counts) -> {
+      double x0 = x(interval);
+      double w = Math.max(0.5, x(interval + c.interval()) - x0 - 0.5);
+      double y = CHART_HEIGHT;
       for (int i = 0; i < 4; i++) {
-        double height = counts[i] * (BAND - 10.0) / most;
+        double height = counts[i] * (CHART_HEIGHT - 10.0) / max;
         y -= height;
         if (counts[i] > 0) {
-          h.append(say("<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"%.1f\" fill=\"%s\"><title>%s: %d %s</title></rect>", x0, y, w,
-              height, COLOURS[i], time(span), counts[i], Entry.answerName(i)));
+          h.append(formatted("<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"%.1f\" fill=\"%s\"><title>%s: %d %s</title></rect>", x0, y, w,
+              height, COLOURS[i], time(interval), counts[i], Entry.answerName(i)));
         }
       }
     });
-    axis(BAND + 16);
+    axis(CHART_HEIGHT + 16);
     h.append("</svg><p>");
     for (int i = 0; i < 4; i++) {
       h.append("<span style=\"color:").append(COLOURS[i]).append("\">&#9632;</span> ").append(Entry.answerName(i)).append("&ensp;");
     }
-    h.append("<span style=\"color:#e9c27a\">&#9632;</span> not known</p><details><summary>the figures</summary><table><tr><th>span</th>");
+    h.append("<span style=\"color:#e9c27a\">&#9632;</span> not known</p><details><summary>values</summary><table><tr><th>interval</th>");
     for (int i = 0; i < 4; i++) {
       h.append("<th>").append(Entry.answerName(i)).append("</th>");
     }
     h.append("</tr>");
     int rows = 0;
     for (Map.Entry<Long, long[]> b : bars.entrySet()) {
-      if (rows++ >= MOST_ROWS) {
-        h.append("<tr><td>").append(bars.size() - MOST_ROWS).append(" more spans</td></tr>");
+      if (rows++ >= MAX_ROWS) {
+        h.append("<tr><td>").append(bars.size() - MAX_ROWS).append(" more intervals</td></tr>");
         break;
       }
       h.append("<tr><td>").append(time(b.getKey())).append("</td>");
@@ -236,37 +236,37 @@
 
   private void latency() {
     h.append("<h2>Latency</h2>");
-    double most = 1;
+    double max = 1;
     double[] percentiles = {50, 90, 99};
-    for (long span : spans) {
-      most = Math.max(most, c.latencyPercentile(span, 99));
+    for (long interval : intervals) {
+      max = Math.max(max, c.latencyPercentile(interval, 99));
     }
-    svg(BAND + 30);
-    shadeGaps(BAND);
-    h.append(say("<text x=\"5\" y=\"14\">%.1f ms</text>", most / 1000));
+    svg(CHART_HEIGHT + 30);
+    shadeGaps(CHART_HEIGHT);
+    h.append(formatted("<text x=\"5\" y=\"14\">%.1f ms</text>", max / 1000));
     for (int i = 0; i < percentiles.length; i++) {
       StringBuilder points = new StringBuilder();
-      for (long span : spans) {
-        points.append(say("%.1f,%.1f ", x(span + c.interval() / 2),
-            BAND - (BAND - 10) * Math.sqrt(c.latencyPercentile(span, percentiles[i]) / most)));
+      for (long interval : intervals) {
+        points.append(formatted("%.1f,%.1f ", x(interval + c.interval() / 2),
+            CHART_HEIGHT - (CHART_HEIGHT - 10) * Math.sqrt(c.latencyPercentile(interval, percentiles[i]) / max)));
       }
       h.append("<polyline fill=\"none\" stroke-width=\"1.5\" stroke=\"").append(COLOURS[i]).append("\" points=\"").append(points)
           .append("\"/>");
     }
-    axis(BAND + 16);
-    h.append("</svg><p>p50 green, p90 yellow, p99 red; the scale is that of the square root.</p>");
+    axis(CHART_HEIGHT + 16);
+    h.append("</svg><p>p50 green, p90 yellow, p99 red; square-root scale.</p>");
   }
 
-  // ---- Tables --------------------------------------------------------------------------------------------
+  // ---- Tables ------------------------------------------------------------------------------------------
 
   private void table(String title, List<String> names, boolean classes) {
     h.append("<h2>").append(title).append("</h2><table><tr><th></th><th>answered</th><th>served</th><th>refused</th><th>failed</th>"
-        + "<th>gone</th><th>part served</th>").append(classes ? "" : "<th>of all served</th><th>due</th>").append("</tr>");
+        + "<th>gone</th><th>served ratio</th>").append(classes ? "" : "<th>share of all served</th><th>configured share</th>").append("</tr>");
     long allServed = c.count(null, null, null, Entry.SERVED);
     int rows = 0;
     for (String name : names) {
-      if (rows++ >= MOST_ROWS) {
-        h.append("<tr><td>").append(names.size() - MOST_ROWS).append(" more</td></tr>");
+      if (rows++ >= MAX_ROWS) {
+        h.append("<tr><td>").append(names.size() - MAX_ROWS).append(" more</td></tr>");
         break;
       }
       long[] n = new long[4];
@@ -279,11 +279,11 @@
       for (long count : n) {
         h.append("<td>").append(count).append("</td>");
       }
-      h.append(say("<td>%.2f%%</td>", all - n[3] == 0 ? 0 : 100.0 * n[0] / (all - n[3])));
+      h.append(formatted("<td>%.2f%%</td>", all - n[3] == 0 ? 0 : 100.0 * n[0] / (all - n[3])));
       if (!classes) {
-        Long due = c.shares().get(name);
-        h.append(say("<td>%.1f%%</td><td>%s</td>", allServed == 0 ? 0 : 100.0 * n[0] / allServed, due == null ? "-"
-            : say("%.1f%%", due / 1e4)));
+        Long configured = c.shares().get(name);
+        h.append(formatted("<td>%.1f%%</td><td>%s</td>", allServed == 0 ? 0 : 100.0 * n[0] / allServed, configured == null ? "-"
+            : formatted("%.1f%%", configured / 1e4)));
       }
       h.append("</tr>");
     }
@@ -299,7 +299,7 @@
     });
     h.append("<h2>Why requests were not served</h2>");
     if (by.isEmpty()) {
-      h.append("<p>All were.</p>");
+      h.append("<p>All were served.</p>");
       return;
     }
     h.append("<table>");
@@ -324,14 +324,14 @@
     query("kind=outcome and attempt>0");
   }
 
-  // ---- The fleet -----------------------------------------------------------------------------------------
+  // ---- The fleet ---------------------------------------------------------------------------------------
 
   private void lanes() {
-    h.append("<h2>The fleet, as each instance was told</h2>");
+    h.append("<h2>The fleet, as seen by each instance</h2>");
     List<Swimlanes.Lane> all = Swimlanes.of(c, to, s.options.limits().warmUpTime());
     Map<String, List<Swimlanes.Lane>> byServer = all.stream().collect(Collectors.groupingBy(Swimlanes.Lane::server, TreeMap::new,
         Collectors.toList()));
-    // Where all were told the same, one lane stands for all.
+    // Instances that received the same states share one lane.
     List<Swimlanes.Lane> shown = new ArrayList<>();
     byServer.forEach((server, lanes) -> {
       if (lanes.size() > 1 && !Swimlanes.differ(lanes, s.options.limits().drainGrace())) {
@@ -340,21 +340,21 @@
         shown.addAll(lanes);
       }
     });
-    int rows = Math.min(MOST_ROWS, shown.size());
-    svg(rows * LANE + 24);
+    int rows = Math.min(MAX_ROWS, shown.size());
+    svg(rows * LANE_HEIGHT + 24);
     for (int i = 0; i < rows; i++) {
       Swimlanes.Lane lane = shown.get(i);
-      int y = i * LANE;
-      h.append(say("<text x=\"0\" y=\"%d\">%s</text>", y + 12, Sanitizer.html(clip(lane.server()) + ", " + clip(lane.instance()))));
+      int y = i * LANE_HEIGHT;
+      h.append(formatted("<text x=\"0\" y=\"%d\">%s</text>", y + 12, Sanitizer.html(clip(lane.server()) + ", " + clip(lane.instance()))));
       for (Swimlanes.StateInterval p : lane.intervals()) {
         if (p.to() >= from && p.from() <= to) {
-          h.append(say("<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"%s\"><title>%s %s to %s</title></rect>", x(p.from()),
-              y + 2, Math.max(0.5, x(p.to()) - x(p.from())), LANE - 4, STATE_COLOURS.getOrDefault(p.state(), "#999"),
+          h.append(formatted("<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"%s\"><title>%s %s to %s</title></rect>", x(p.from()),
+              y + 2, Math.max(0.5, x(p.to()) - x(p.from())), LANE_HEIGHT - 4, STATE_COLOURS.getOrDefault(p.state(), "#999"),
               Sanitizer.html(p.state()), time(p.from()), time(p.to())));
         }
       }
     }
-    axis(rows * LANE + 16);
+    axis(rows * LANE_HEIGHT + 16);
     h.append("</svg><p>");
     STATE_COLOURS.forEach((state, colour) -> h.append("<span style=\"color:").append(colour).append("\">&#9632;</span> ").append(state)
         .append("&ensp;"));
@@ -366,7 +366,7 @@
     return name == null ? "" : name.length() <= 14 ? name : name.substring(0, 13) + "…";
   }
 
-  // ---- What came before ----------------------------------------------------------------------------------
+  // ---- Change points and clocks ------------------------------------------------------------------------
 
   private void causes() {
     h.append("<h2>What came before the rises of bad answers</h2>");
@@ -377,17 +377,17 @@
     }
     List<ChangePointAnalysis.CandidateCause> causes = s.changePoints.candidateCauses();
     for (ChangePointAnalysis.Rise r : rises) {
-      h.append(say("<p>%s: from %.2f%% to %.2f%% of %d answers (by chance: %.2g).</p>", time(r.at()), 100 * r.ratioBefore(),
+      h.append(formatted("<p>%s: from %.2f%% to %.2f%% of %d answers (p = %.2g).</p>", time(r.at()), 100 * r.ratioBefore(),
           100 * r.ratioAfter(), r.answers(), r.pValue()));
-      List<ChangePointAnalysis.CandidateCause> mine = causes.stream().filter(x -> x.rise().equals(r)).limit(8).toList();
-      if (mine.isEmpty()) {
-        h.append("<p class=\"unsure\">Nothing that is recorded came before it.</p>");
+      List<ChangePointAnalysis.CandidateCause> preceding = causes.stream().filter(x -> x.rise().equals(r)).limit(8).toList();
+      if (preceding.isEmpty()) {
+        h.append("<p class=\"unsure\">No recorded change came before it.</p>");
         continue;
       }
-      h.append("<table><tr><th>came before</th><th>told to</th><th>before it by</th><th>one as near by chance</th></tr>");
-      for (ChangePointAnalysis.CandidateCause x : mine) {
+      h.append("<table><tr><th>change</th><th>instance</th><th>time before the rise</th><th>p-value</th></tr>");
+      for (ChangePointAnalysis.CandidateCause x : preceding) {
         h.append("<tr><td>").append(Sanitizer.html(x.description())).append("</td><td>").append(Sanitizer.html(x.instance())).append("</td><td>")
-            .append(seconds(r.at() - x.at())).append(say("</td><td>%.2g</td></tr>", x.pValue()));
+            .append(seconds(r.at() - x.at())).append(formatted("</td><td>%.2g</td></tr>", x.pValue()));
       }
       h.append("</table>");
     }
@@ -395,7 +395,7 @@
 
   private void clocks() {
     h.append("<h2>Clocks, against that of ").append(Sanitizer.html(s.clocks.reference())).append("</h2><table><tr><th>instance</th>"
-        + "<th>offset at the start</th><th>at the end</th><th>known to</th></tr>");
+        + "<th>offset at the start</th><th>at the end</th><th>uncertainty</th></tr>");
     for (String instance : s.clocks.instances()) {
       Timeline.Incarnation first = c.incarnations().stream().filter(l -> l.origin.instance().equals(instance)).findFirst().orElse(null);
       if (first == null) {
@@ -405,19 +405,20 @@
       Clocks.Offset b = s.clocks.offset(instance, first.last);
       h.append("<tr><td>").append(Sanitizer.html(instance)).append("</td>");
       if (a.isKnown()) {
-        h.append(say("<td>%s</td><td>%s</td><td>&plusmn; %s</td></tr>", seconds(a.midpoint()), seconds(b.midpoint()),
+        h.append(formatted("<td>%s</td><td>%s</td><td>&plusmn; %s</td></tr>", seconds(a.midpoint()), seconds(b.midpoint()),
             seconds(Math.max(a.width(), b.width()) / 2)));
       } else {
-        h.append("<td colspan=\"3\" class=\"unsure\">not tied to the others: shown by its own clock, orders across are not settled</td></tr>");
+        h.append("<td colspan=\"3\" class=\"unsure\">offset unknown: shown in its own time, its order relative to others is unknown</td></tr>");
       }
     }
     h.append("</table>");
     for (Clocks.Step step : s.clocks.steps()) {
-      h.append(say("<p class=\"unsure\">%s stepped between %s and %s by its own clock: from %s to %s.</p>", Sanitizer.html(step.instance()),
+      h.append(formatted("<p class=\"unsure\">%s stepped between %s and %s by its own clock: from %s to %s.</p>", Sanitizer.html(step.instance()),
           time(step.from()), time(step.to()), seconds(step.before().midpoint()), seconds(step.after().midpoint())));
     }
     if (!s.clocks.rejected().isEmpty()) {
-      h.append("<p class=\"unsure\">").append(s.clocks.rejected().size()).append(" readings that no step explains were put aside.</p>");
+      h.append("<p class=\"unsure\">").append(s.clocks.rejected().size())
+          .append(" contradictory correlations without a clock step as the explanation were ignored.</p>");
     }
   }
 }
--- a/incident/src/main/java/cloverpulley/incident/tool/IncidentAnalysis.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/IncidentAnalysis.java
@@ -17,18 +17,22 @@
 import java.util.function.LongConsumer;
 
 /**
- * An incident, read: the clocks first, out of what several instances saw; then the course, the rules and what came before the rises,
- * on one clock and between two times of it.
+ * The analysis of an incident from an archive: first aligns the clocks by events that several instances recorded, then builds the timeline,
+ * the audit and the change points in reference time, between two times of it.
  */
 public final class IncidentAnalysis {
 
-  /** An instance's clock is bounded for so long from its start at least, whatever it said. */
-  private static final long LEAST_SPAN = 60_000_000L;
+  /** Minimum time from an instance's start for which its clock offset is computed, even without any correlation. */
+  private static final long MIN_RANGE = 60_000_000L;
 
-  /** What holds from when it is told on. */
-  private static final List<String> STATE = List.of("start", "class", "tenant", "server");
+  /** Kinds of records that stay in effect until a later record changes them. */
+  private static final List<String> STATE_KINDS = List.of("start", "class", "tenant", "server");
 
-  /** What to read, and how. */
+  /**
+   * What to read, and how.
+   *
+   * @param reference instance whose clock is the reference; null to choose one
+   */
   public record Options(long from, long to, long intervalMicros, String reference, Audit.Limits limits) {
     public static Options allRecords() {
       return new Options(Long.MIN_VALUE, Long.MAX_VALUE, 10_000_000L, null, Audit.Limits.DEFAULT);
@@ -43,29 +47,29 @@
   public final Archive archive;
   public final Options options;
 
-  public IncidentAnalysis(Archive archive, Options options, LongConsumer octetsDone) throws IOException {
+  public IncidentAnalysis(Archive archive, Options options, LongConsumer progress) throws IOException {
     this.archive = archive;
     this.options = options;
     clocks = clocks(archive, options.reference);
-    boolean whole = options.from == Long.MIN_VALUE && options.to == Long.MAX_VALUE;
-    timeline = new Timeline(options.intervalMicros, whole);
-    audit = new Audit(options.limits, whole);
-    if (whole) {
-      read = archive.all(this::take, octetsDone);
+    boolean complete = options.from == Long.MIN_VALUE && options.to == Long.MAX_VALUE;
+    timeline = new Timeline(options.intervalMicros, complete);
+    audit = new Audit(options.limits, complete);
+    if (complete) {
+      read = archive.all(this::addRecord, progress);
     } else {
-      // The state of servers and classes is told before the time asked for: that much of the past is read, by the index.
-      for (String kind : STATE) {
-        archive.read(Query.of("kind=" + kind), this::takeState, n -> { });
+      // State still in effect may have been recorded before the requested period: those older records are read by the index.
+      for (String kind : STATE_KINDS) {
+        archive.read(Query.of("kind=" + kind), this::addState, n -> { });
       }
-      read = archive.between(options.from, options.to, this::shift, this::take, octetsDone);
+      read = archive.between(options.from, options.to, this::startOffset, this::addRecord, progress);
     }
   }
 
-  private long shift(Origin o) {
+  private long startOffset(Origin o) {
     return clocks.offset(o.instance(), o.start()).midpoint();
   }
 
-  private void takeState(Entry e) {
+  private void addState(Entry e) {
     long at = e.at() + clocks.offset(e.origin().instance(), e.at()).midpoint();
     if (at < options.from) {
       audit.add(e);
@@ -73,22 +77,25 @@
     }
   }
 
-  private void take(Entry e) {
+  private void addRecord(Entry e) {
     timeline.add(e, clocks);
     audit.add(e);
     changePoints.add(e, e.at() + clocks.offset(e.origin().instance(), e.at()).midpoint());
   }
 
-  /** The clocks of all instances with records, against that of {@code reference}, or of the first that has a caller's records, or the first. */
+  /**
+   * Aligns the clocks of all instances with records with that of {@code reference}; if it is null, with that of an instance that has a
+   * caller's records, or else of the first instance.
+   */
   static Clocks clocks(Archive archive, String reference) throws IOException {
     Correlations correlations = new Correlations();
-    Map<String, long[]> spans = new TreeMap<>();
+    Map<String, long[]> ranges = new TreeMap<>();
     archive.lives().forEach((instance, lives) -> {
-      long[] span = spans.computeIfAbsent(instance, i -> new long[] {Long.MAX_VALUE, Long.MIN_VALUE});
-      lives.forEach(o -> span[0] = Math.min(span[0], o.start()));
+      long[] range = ranges.computeIfAbsent(instance, i -> new long[] {Long.MAX_VALUE, Long.MIN_VALUE});
+      lives.forEach(o -> range[0] = Math.min(range[0], o.start()));
     });
     Map<String, Long> callers = new HashMap<>();
-    if (spans.size() > 1) {
+    if (ranges.size() > 1) {
       archive.read(Query.of("kind=list"), correlations::add, n -> { });
       archive.read(Query.of("word=caller"), e -> {
         callers.merge(e.origin().instance(), 1L, Long::sum);
@@ -98,21 +105,21 @@
         archive.read(Query.of("kind=answered and word!=caller"), correlations::add, n -> { });
       }
     }
-    spans.values().forEach(s -> s[1] = Math.max(s[1], s[0] + LEAST_SPAN));
+    ranges.values().forEach(s -> s[1] = Math.max(s[1], s[0] + MIN_RANGE));
     for (Clocks.Correlation c : correlations.all()) {
-      stretch(spans, c.a(), c.atA());
-      stretch(spans, c.b(), c.atB());
+      extend(ranges, c.a(), c.atA());
+      extend(ranges, c.b(), c.atB());
     }
-    String by = reference != null ? reference : !callers.isEmpty() ? callers.keySet().iterator().next()
-        : spans.isEmpty() ? "" : spans.keySet().iterator().next();
-    return new Clocks(by, spans, correlations.all());
+    String referenceInstance = reference != null ? reference : !callers.isEmpty() ? callers.keySet().iterator().next()
+        : ranges.isEmpty() ? "" : ranges.keySet().iterator().next();
+    return new Clocks(referenceInstance, ranges, correlations.all());
   }
 
-  private static void stretch(Map<String, long[]> spans, String instance, long at) {
-    long[] span = spans.get(instance);
-    if (span != null) {
-      span[0] = Math.min(span[0], at);
-      span[1] = Math.max(span[1], at);
+  private static void extend(Map<String, long[]> ranges, String instance, long at) {
+    long[] range = ranges.get(instance);
+    if (range != null) {
+      range[0] = Math.min(range[0], at);
+      range[1] = Math.max(range[1], at);
     }
   }
 }
--- a/incident/src/main/java/cloverpulley/incident/tool/RequestExplainer.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/RequestExplainer.java
@@ -15,12 +15,12 @@
 import java.util.function.Consumer;
 
 /**
- * The decisions of one request, each with what its instance knew then: what it had been told of the server, how many were ready, how much
- * was out there and in all. Out of the records alone; what they don't hold is said.
+ * Explains the decisions about one request, each with the state its instance had at the time: the state of the server, the number of ready
+ * servers, and the attempts in flight to that server and in total. Uses the records alone and reports what they lack.
  */
 public final class RequestExplainer {
 
-  private static final long LOOK_BACK = 60_000_000L;
+  private static final long LOOKBACK = 60_000_000L;
 
   private final Archive archive;
   private final String request;
@@ -30,76 +30,76 @@
     this.request = request;
   }
 
-  /** What one instance knew, walked through its records up to the request's own. */
-  private static final class Known {
+  /** The state of one instance, replayed from its records up to those of the request. */
+  private static final class InstanceState {
     final Map<Long, Entry> servers = new HashMap<>();
-    final Map<Long, Integer> out = new HashMap<>();
-    int allOut;
-    int recentRefusals;
+    final Map<Long, Integer> inFlight = new HashMap<>();
+    int totalInFlight;
+    int recentRejections;
     int recentAnswers;
   }
 
-  /** Tells it, a line a decision; whether anything was found. */
+  /** Writes one line for each decision. Returns whether any record of the request was found. */
   public boolean explain(Consumer<String> line) throws IOException {
-    List<Entry> own = new ArrayList<>();
+    List<Entry> records = new ArrayList<>();
     int hash = request.indexOf('#');
     Query q = Query.of(hash < 0 ? "request=\"" + request.replace("\"", "") + "\"" : "");
     archive.read(q, e -> {
       if (request.equals(e.requestId())) {
-        own.add(e);
+        records.add(e);
       }
     }, n -> { });
-    if (own.isEmpty()) {
+    if (records.isEmpty()) {
       return false;
     }
     Clocks clocks = IncidentAnalysis.clocks(archive, null);
-    Map<Origin, List<Entry>> lives = new HashMap<>();
-    own.forEach(e -> lives.computeIfAbsent(e.origin(), o -> new ArrayList<>()).add(e));
-    // In the order of the reference clock as far as it settles it; within a life the records' own.
-    List<Origin> order = new ArrayList<>(lives.keySet());
+    Map<Origin, List<Entry>> byOrigin = new HashMap<>();
+    records.forEach(e -> byOrigin.computeIfAbsent(e.origin(), o -> new ArrayList<>()).add(e));
+    // Ordered by reference time where the clock bounds allow it; within an incarnation, by its records.
+    List<Origin> order = new ArrayList<>(byOrigin.keySet());
     order.sort((a, b) -> {
-      int by = clocks.order(a.instance(), lives.get(a).get(0).at(), b.instance(), lives.get(b).get(0).at());
-      return by != 0 ? by : a.compareTo(b);
+      int byClock = clocks.order(a.instance(), byOrigin.get(a).get(0).at(), b.instance(), byOrigin.get(b).get(0).at());
+      return byClock != 0 ? byClock : a.compareTo(b);
     });
     for (Origin o : order) {
-      List<Entry> mine = lives.get(o);
+      List<Entry> ownRecords = byOrigin.get(o);
       line.accept(Sanitizer.printable(o.instance()) + ", started " + HtmlReport.time(o.start()) + ":");
-      life(o, mine, line);
+      explainIncarnation(o, ownRecords, line);
     }
     for (int i = 1; i < order.size(); i++) {
       Origin a = order.get(i - 1);
       Origin b = order.get(i);
-      if (clocks.order(a.instance(), lives.get(a).get(0).at(), b.instance(), lives.get(b).get(0).at()) == 0) {
+      if (clocks.order(a.instance(), byOrigin.get(a).get(0).at(), b.instance(), byOrigin.get(b).get(0).at()) == 0) {
         line.accept("the order of " + Sanitizer.printable(a.instance()) + " and " + Sanitizer.printable(b.instance())
-            + " is not settled by their clocks");
+            + " cannot be determined from their clocks");
       }
     }
     return true;
   }
 
-  private void life(Origin o, List<Entry> mine, Consumer<String> line) throws IOException {
-    Known k = new Known();
-    long first = mine.get(0).at();
-    long last = mine.get(mine.size() - 1).at();
+  private void explainIncarnation(Origin o, List<Entry> ownRecords, Consumer<String> line) throws IOException {
+    InstanceState k = new InstanceState();
+    long first = ownRecords.get(0).at();
+    long last = ownRecords.get(ownRecords.size() - 1).at();
     int[] next = {0};
-    Query state = Query.of("kind=server and at<" + seconds(first - LOOK_BACK));
+    Query state = Query.of("kind=server and at<" + seconds(first - LOOKBACK));
     archive.read(state, e -> {
       if (e.origin().equals(o)) {
-        know(k, e);
+        update(k, e);
       }
     }, n -> { });
-    archive.read(Query.of("at>=" + seconds(first - LOOK_BACK) + " and at<=" + seconds(last + 1)), e -> {
+    archive.read(Query.of("at>=" + seconds(first - LOOKBACK) + " and at<=" + seconds(last + 1)), e -> {
       if (!e.origin().equals(o)) {
         return;
       }
-      if (next[0] < mine.size() && e.seq() == mine.get(next[0]).seq()) {
-        line.accept("  " + HtmlReport.time(e.at()).substring(11) + "  " + say(e, k, first));
+      if (next[0] < ownRecords.size() && e.seq() == ownRecords.get(next[0]).seq()) {
+        line.accept("  " + HtmlReport.time(e.at()).substring(11) + "  " + describe(e, k, first));
         next[0]++;
       }
-      know(k, e);
+      update(k, e);
     }, n -> { });
-    if (mine.get(mine.size() - 1).kind() == Kind.SENT || mine.get(mine.size() - 1).kind() == Kind.TAKEN) {
-      line.accept("  no end of it is recorded");
+    if (ownRecords.get(ownRecords.size() - 1).kind() == Kind.SENT || ownRecords.get(ownRecords.size() - 1).kind() == Kind.TAKEN) {
+      line.accept("  its end is not recorded");
     }
   }
 
@@ -107,17 +107,17 @@
     return String.format(Locale.ROOT, "%d.%06d", Math.max(0, micros) / 1_000_000, Math.max(0, micros) % 1_000_000);
   }
 
-  private static void know(Known k, Entry e) {
+  private static void update(InstanceState k, Entry e) {
     switch (e.kind()) {
       case SERVER -> k.servers.put(e.upstream(), e);
       case SENT -> {
-        k.out.merge(e.upstream(), 1, Integer::sum);
-        k.allOut++;
+        k.inFlight.merge(e.upstream(), 1, Integer::sum);
+        k.totalInFlight++;
       }
       case OUTCOME -> {
-        if (k.out.getOrDefault(e.upstream(), 0) > 0) { // One that was sent before the look back is not counted.
-          k.out.merge(e.upstream(), -1, Integer::sum);
-          k.allOut--;
+        if (k.inFlight.getOrDefault(e.upstream(), 0) > 0) { // An attempt sent before the lookback period was not counted.
+          k.inFlight.merge(e.upstream(), -1, Integer::sum);
+          k.totalInFlight--;
         }
       }
       case ANSWERED -> {
@@ -125,35 +125,35 @@
           return;
         }
         k.recentAnswers++;
-        k.recentRefusals += e.other() == Entry.REFUSED ? 1 : 0;
+        k.recentRejections += e.other() == Entry.REFUSED ? 1 : 0;
       }
       default -> { }
     }
   }
 
-  private static String say(Entry e, Known k, long first) {
+  private static String describe(Entry e, InstanceState k, long first) {
     long ready = k.servers.values().stream().filter(s -> s.word().equals("ready")).count();
     String after = String.format(Locale.ROOT, "+%.1f ms: ", (e.at() - first) / 1000.0);
     return after + switch (e.kind()) {
       case TAKEN -> "taken as " + Sanitizer.printable(e.className()) + (e.tenant() == null ? "" : " of " + Sanitizer.printable(e.tenant()))
-          + ", good for " + e.value() / 1000 + " ms; " + ready + " servers ready, " + k.allOut + " attempts out";
-      case SENT -> "attempt " + e.attempt() + " to " + server(e, k) + "; " + k.out.getOrDefault(e.upstream(), 0) + " out there, "
-          + k.allOut + " in all, " + ready + " ready";
+          + ", deadline after " + e.value() / 1000 + " ms; " + ready + " servers ready, " + k.totalInFlight + " attempts in flight";
+      case SENT -> "attempt " + e.attempt() + " to " + server(e, k) + "; " + k.inFlight.getOrDefault(e.upstream(), 0) + " in flight there, "
+          + k.totalInFlight + " in total, " + ready + " ready";
       case OUTCOME -> "attempt " + e.attempt() + " at " + server(e, k) + " ended " + Sanitizer.printable(e.word()) + " after " + e.value() / 1000.0
           + " ms";
       case ENDED -> "ended by the module: " + Entry.answerName(e.other()) + ", " + Sanitizer.printable(e.word());
-      case ANSWERED -> "caller".equals(e.word()) ? "its caller had it: " + Entry.answerName(e.other()) + " after " + e.value() / 1000.0 + " ms"
+      case ANSWERED -> "caller".equals(e.word()) ? "recorded by the caller: " + Entry.answerName(e.other()) + " after " + e.value() / 1000.0 + " ms"
           : "answered: " + Entry.answerName(e.other()) + ", " + Sanitizer.printable(e.word()) + "; of " + k.recentAnswers
-          + " answers in the minute before " + k.recentRefusals + " were refusals";
+          + " answers in the minute before " + k.recentRejections + " were refused";
       default -> e.kind().name().toLowerCase(Locale.ROOT);
     };
   }
 
-  private static String server(Entry e, Known k) {
+  private static String server(Entry e, InstanceState k) {
     Entry s = k.servers.get(e.upstream());
     String name = Sanitizer.printable(e.name() == null ? Long.toHexString(e.upstream()) : e.name());
     if (s == null) {
-      return name + " (nothing told of it)";
+      return name + " (no state received)";
     }
     long age = e.at() / 1000 - s.other();
     return name + " (" + Sanitizer.printable(s.word()) + (s.other() > 0 ? ", up for " + age / 1000 + " s" : "") + ")";
--- a/incident/src/main/java/cloverpulley/incident/tool/Sanitizer.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/Sanitizer.java
@@ -1,13 +1,13 @@
 package cloverpulley.incident.tool;
 
-/** Text that came from requests, made harmless for where it is shown. Tenants, ids and names are whatever somebody sent. */
+/** Sanitizes untrusted text for output. Tenants, IDs and names come from requests and may contain anything. */
 public final class Sanitizer {
 
-  private static final int MOST = 200;
+  private static final int MAX_LENGTH = 200;
 
   private Sanitizer() {}
 
-  /** For HTML, in text and in attributes within quotes. */
+  /** Escapes for HTML text and quoted attributes. */
   static String html(String s) {
     StringBuilder t = new StringBuilder();
     for (char c : printable(s).toCharArray()) {
@@ -23,19 +23,19 @@
     return t.toString();
   }
 
-  /** For a terminal: nothing that moves the cursor, colours, or turns the direction of writing. */
+  /** Replaces control and bidirectional formatting characters and unpaired surrogates, and truncates long text. */
   public static String printable(String s) {
     if (s == null) {
       return "";
     }
     StringBuilder t = new StringBuilder();
-    for (int i = 0; i < s.length() && t.length() < MOST; i++) {
+    for (int i = 0; i < s.length() && t.length() < MAX_LENGTH; i++) {
       char c = s.charAt(i);
-      boolean turns = c >= '\u202A' && c <= '\u202E' || c >= '\u2066' && c <= '\u2069' || c == '\u200E' || c == '\u200F';
-      boolean half = Character.isSurrogate(c) && !(i + 1 < s.length() && Character.isSurrogatePair(c, s.charAt(i + 1))
+      boolean bidiControl = c >= '\u202A' && c <= '\u202E' || c >= '\u2066' && c <= '\u2069' || c == '\u200E' || c == '\u200F';
+      boolean unpairedSurrogate = Character.isSurrogate(c) && !(i + 1 < s.length() && Character.isSurrogatePair(c, s.charAt(i + 1))
           || i > 0 && Character.isSurrogatePair(s.charAt(i - 1), c));
-      t.append(Character.isISOControl(c) || turns || half || c == '\uFFFE' || c == '\uFFFF' ? '?' : c);
+      t.append(Character.isISOControl(c) || bidiControl || unpairedSurrogate || c == '\uFFFE' || c == '\uFFFF' ? '?' : c);
     }
-    return s.length() > MOST ? t + "..." : t.toString();
+    return s.length() > MAX_LENGTH ? t + "..." : t.toString();
   }
 }
--- a/incident/src/main/java/cloverpulley/incident/tool/package-info.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/package-info.java
@@ -1,2 +1,2 @@
-/** What an operator sees of an incident: report, console and questions; the findings are made in {@code cloverpulley.incident}. */
+/** The operator's view of an incident: report, console and queries. The analysis itself is in {@code cloverpulley.incident}. */
 package cloverpulley.incident.tool;
