--- a/incident/src/main/java/cloverpulley/incident/tool/IncidentAnalysis.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/IncidentAnalysis.java
@@ -23,7 +23,7 @@
 public final class IncidentAnalysis {
 
   /** Minimum time from an instance's start for which its clock offset is computed, even without any correlation. */
-  private static final long MIN_RANGE = 60_000_000L;
+  private static final long MIN_SPAN = 60_000_000L;
 
   /** Kinds of records that stay in effect until a later record changes them. */
   private static final List<String> STATE_KINDS = List.of("start", "class", "tenant", "server");
@@ -89,13 +89,13 @@
    */
   static Clocks clocks(Archive archive, String reference) throws IOException {
     Correlations correlations = new Correlations();
-    Map<String, long[]> ranges = new TreeMap<>();
+    Map<String, long[]> spans = new TreeMap<>();
     archive.lives().forEach((instance, lives) -> {
-      long[] range = ranges.computeIfAbsent(instance, i -> new long[] {Long.MAX_VALUE, Long.MIN_VALUE});
-      lives.forEach(o -> range[0] = Math.min(range[0], o.start()));
+      long[] span = spans.computeIfAbsent(instance, i -> new long[] {Long.MAX_VALUE, Long.MIN_VALUE});
+      lives.forEach(o -> span[0] = Math.min(span[0], o.start()));
     });
     Map<String, Long> callers = new HashMap<>();
-    if (ranges.size() > 1) {
+    if (spans.size() > 1) {
       archive.read(Query.of("kind=list"), correlations::add, n -> { });
       archive.read(Query.of("word=caller"), e -> {
         callers.merge(e.origin().instance(), 1L, Long::sum);
@@ -105,21 +105,21 @@
         archive.read(Query.of("kind=answered and word!=caller"), correlations::add, n -> { });
       }
     }
-    ranges.values().forEach(s -> s[1] = Math.max(s[1], s[0] + MIN_RANGE));
+    spans.values().forEach(s -> s[1] = Math.max(s[1], s[0] + MIN_SPAN));
     for (Clocks.Correlation c : correlations.all()) {
-      extend(ranges, c.a(), c.atA());
-      extend(ranges, c.b(), c.atB());
+      extend(spans, c.a(), c.atA());
+      extend(spans, c.b(), c.atB());
     }
     String referenceInstance = reference != null ? reference : !callers.isEmpty() ? callers.keySet().iterator().next()
-        : ranges.isEmpty() ? "" : ranges.keySet().iterator().next();
-    return new Clocks(referenceInstance, ranges, correlations.all());
+        : spans.isEmpty() ? "" : spans.keySet().iterator().next();
+    return new Clocks(referenceInstance, spans, correlations.all());
   }
 
-  private static void extend(Map<String, long[]> ranges, String instance, long at) {
-    long[] range = ranges.get(instance);
-    if (range != null) {
-      range[0] = Math.min(range[0], at);
-      range[1] = Math.max(range[1], at);
+  private static void extend(Map<String, long[]> spans, String instance, long at) {
+    long[] span = spans.get(instance);
+    if (span != null) {
+      span[0] = Math.min(span[0], at);
+      span[1] = Math.max(span[1], at);
     }
   }
 }
