--- a/decision/src/test/java/cloverpulley/incident/AuditTest.java
+++ b/decision/src/test/java/cloverpulley/incident/AuditTest.java
@@ -12,29 +12,29 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Seeded histories that keep the rules, and the same with one break planted. */
+/** Audits random histories that keep the rules, and the same histories with one violation injected. */
 class AuditTest {
 
   private static final long S = 1_000_000L;
   private static final long EPOCH = 1_764_580_000L * S;
   private static final int HISTORIES = 200;
 
-  /** What is planted. */
-  enum Plant { NONE, TWO_ENDS, NO_END, LATE, UNSAFE_TWICE, KEYED_OUTSIDE, KEYED_TOO_LATE, DRAINED, GONE_SERVER, COLD, LOST_OUTCOME }
+  /** The violation to inject. */
+  enum Violation { NONE, TWO_ENDS, NO_END, LATE, UNSAFE_TWICE, KEYED_OUTSIDE, KEYED_TOO_LATE, DRAINED, GONE_SERVER, COLD, LOST_OUTCOME }
 
-  /** A history of one instance: requests of three classes to five servers in two cells, one of which drains and one starts cold. */
+  /** A history of one instance: requests of three classes to five servers in two cells; one server drains and a sixth starts during it. */
   private static final class History {
     final Origin origin = new Origin("p", EPOCH);
     final List<Entry> all = new ArrayList<>();
     final SplittableRandom random;
-    final Plant plant;
+    final Violation violation;
     long seq;
     long at = EPOCH;
     long requests;
 
-    History(long seed, Plant plant) {
+    History(long seed, Violation violation) {
       random = new SplittableRandom(seed);
-      this.plant = plant;
+      this.violation = violation;
     }
 
     Entry put(Kind kind) {
@@ -50,7 +50,7 @@
       add(e);
     }
 
-    List<Entry> play() {
+    List<Entry> generate() {
       add(put(Kind.START).withDetails("process", 0, 1));
       for (String type : List.of("safe", "keyed", "unsafe")) {
         add(put(Kind.CLASS).withRequest(0, null, type, null).withDetails(type + " cell", 2 * S, 3 * S));
@@ -58,7 +58,7 @@
       for (long u = 1; u <= 5; u++) {
         server(u, "ready", 0);
       }
-      int planted = 150 + random.nextInt(100);
+      int violationAt = 150 + random.nextInt(100);
       for (int i = 0; i < 400; i++) {
         at += 2000 + random.nextInt(8000);
         if (i == 100) {
@@ -66,14 +66,14 @@
         } else if (i == 130) {
           server(6, "ready", at / 1000);
         }
-        request(i, i == planted ? plant : Plant.NONE);
+        request(i, i == violationAt ? violation : Violation.NONE);
       }
       at += 5 * S;
       add(put(Kind.STOP));
       return all;
     }
 
-    private void request(int i, Plant now) {
+    private void request(int i, Violation now) {
       String type = switch (now) {
         case UNSAFE_TWICE -> "unsafe";
         case KEYED_OUTSIDE, KEYED_TOO_LATE -> "keyed";
@@ -82,29 +82,29 @@
       long number = ++requests;
       String id = "q" + i;
       add(put(Kind.TAKEN).withRequest(number, id, type, "t").withDetails(null, 3 * S, 0));
-      // Cold ones get little, drained ones nothing; those that are left are 2 to 5.
-      long u = now == Plant.DRAINED || now == Plant.GONE_SERVER ? 1 : 2 + random.nextInt(4);
-      if (now == Plant.DRAINED || now == Plant.GONE_SERVER) {
-        if (now == Plant.GONE_SERVER) {
+      // Servers 2 to 5 get the attempts: 1 drains and 6 is in slow start.
+      long u = now == Violation.DRAINED || now == Violation.GONE_SERVER ? 1 : 2 + random.nextInt(4);
+      if (now == Violation.DRAINED || now == Violation.GONE_SERVER) {
+        if (now == Violation.GONE_SERVER) {
           server(1, "gone", 0);
         }
         at += 3 * S;
       }
       int attempts = type.equals("safe") && random.nextInt(10) == 0 ? 2 : 1;
       for (int a = 0; a < attempts; a++) {
-        send(number, id, type, a, u, a + 1 < attempts ? "timeout" : "served", now == Plant.LOST_OUTCOME);
+        send(number, id, type, a, u, a + 1 < attempts ? "timeout" : "served", now == Violation.LOST_OUTCOME);
       }
       if (type.equals("keyed") && random.nextInt(10) == 0) {
-        send(number, id, type, 1, u, "served", false); // Again in the same group at once: allowed.
+        send(number, id, type, 1, u, "served", false); // An immediate retry in the same group is allowed.
       }
-      if (now == Plant.UNSAFE_TWICE) {
+      if (now == Violation.UNSAFE_TWICE) {
         send(number, id, type, 1, u, "served", false);
-      } else if (now == Plant.KEYED_OUTSIDE) {
+      } else if (now == Violation.KEYED_OUTSIDE) {
         send(number, id, type, 1, u < 3 ? 3 : 2, "served", false);
-      } else if (now == Plant.KEYED_TOO_LATE) {
+      } else if (now == Violation.KEYED_TOO_LATE) {
         at += 2 * S + 1000;
         send(number, id, type, 1, u, "served", false);
-      } else if (now == Plant.COLD) {
+      } else if (now == Violation.COLD) {
         for (int k = 0; k < 150; k++) {
           requests++;
           add(put(Kind.TAKEN).withRequest(requests, "c" + k, "safe", "t").withDetails(null, 3 * S, 0));
@@ -112,13 +112,13 @@
           add(put(Kind.ENDED).withRequest(requests, "c" + k, "safe", "t").withDetails("served", 0, 0));
         }
       }
-      if (now == Plant.LATE) {
+      if (now == Violation.LATE) {
         at += 4 * S;
       }
-      if (now != Plant.NO_END) {
+      if (now != Violation.NO_END) {
         add(put(Kind.ENDED).withRequest(number, id, type, "t").withDetails("served", 0, 0));
       }
-      if (now == Plant.TWO_ENDS) {
+      if (now == Violation.TWO_ENDS) {
         add(put(Kind.ENDED).withRequest(number, id, type, "t").withDetails("deadline", 0, Entry.FAILED));
       }
     }
@@ -138,7 +138,7 @@
     return audit.findings();
   }
 
-  private static Check expected(Plant p) {
+  private static Check expected(Violation p) {
     return switch (p) {
       case TWO_ENDS, NO_END, LATE -> Check.ONE_ANSWER;
       case UNSAFE_TWICE, KEYED_OUTSIDE, KEYED_TOO_LATE -> Check.NO_EFFECT_TWICE;
@@ -149,23 +149,23 @@
   }
 
   @ParameterizedTest
-  @EnumSource(Plant.class)
-  void eachPlantedBreakIsFoundAndNoneWhereNoneWasPlanted(Plant plant) {
+  @EnumSource(Violation.class)
+  void findsEachInjectedViolationAndNoneWithoutOne(Violation violation) {
     for (long seed = 1; seed <= HISTORIES; seed++) {
-      List<Finding> findings = audit(new History(seed, plant).play());
-      String at = plant + ", seed " + seed + ": " + findings;
-      if (plant == Plant.NONE) {
+      List<Finding> findings = audit(new History(seed, violation).generate());
+      String at = violation + ", seed " + seed + ": " + findings;
+      if (violation == Violation.NONE) {
         assertTrue(findings.isEmpty(), at);
       } else {
-        assertTrue(findings.stream().anyMatch(f -> f.check() == expected(plant) && f.certain()), at);
+        assertTrue(findings.stream().anyMatch(f -> f.check() == expected(violation) && f.certain()), at);
       }
     }
   }
 
-  /** A first attempt that surely did not run may be followed by another, also of what is unsafe. */
+  /** An unsafe request may be retried if the first attempt was certainly not executed. */
   @Test
-  void whatDidNotRunMayBeSentAgain() {
-    History h = new History(1, Plant.NONE);
+  void attemptsNotExecutedMayBeRetried() {
+    History h = new History(1, Violation.NONE);
     h.add(h.put(Kind.START));
     h.add(h.put(Kind.CLASS).withRequest(0, null, "unsafe", null).withDetails("unsafe cell", 0, S));
     h.server(1, "ready", 0);
@@ -176,10 +176,10 @@
     assertEquals(List.of(), audit(h.all));
   }
 
-  /** What records that were dropped could explain is not called broken. */
+  /** A violation that dropped records could explain must not be reported as certain. */
   @Test
-  void droppedRecordsMakeSumsUnsettled() {
-    List<Entry> history = new History(3, Plant.LOST_OUTCOME).play();
+  void droppedRecordsMakeFindingsUncertain() {
+    List<Entry> history = new History(3, Violation.LOST_OUTCOME).generate();
     Entry last = history.get(history.size() - 1);
     history.add(history.size() - 1, Entry.of(last.origin(), last.seq(), last.at(), Kind.DROPPED).withDetails("outcome", 1, 0));
     List<Finding> findings = audit(history);
@@ -187,10 +187,10 @@
     assertTrue(findings.stream().noneMatch(Finding::certain), findings.toString());
   }
 
-  /** Without the beginning no sums are drawn. */
+  /** The counts of a history without its beginning do not balance, which must not be reported as a violation. */
   @Test
-  void aCourseReadInPartIsNotTakenForABrokenOne() {
-    List<Entry> history = new History(5, Plant.NONE).play();
+  void balanceIsNotCheckedForIncompleteHistories() {
+    List<Entry> history = new History(5, Violation.NONE).generate();
     Audit audit = new Audit(Audit.Limits.DEFAULT, false);
     history.subList(200, history.size()).forEach(audit::add);
     assertTrue(audit.findings().stream().noneMatch(f -> f.check() == Check.SUMS), audit.findings().toString());
--- a/decision/src/test/java/cloverpulley/incident/ChangePointAnalysisTest.java
+++ b/decision/src/test/java/cloverpulley/incident/ChangePointAnalysisTest.java
@@ -11,7 +11,7 @@
   private static final long S = 1_000_000L;
   private static final Origin ORIGIN = new Origin("p", 0);
 
-  private static ChangePointAnalysis course(SplittableRandom random, int seconds, int rise, double before, double after, int... drains) {
+  private static ChangePointAnalysis analysis(SplittableRandom random, int seconds, int rise, double before, double after, int... drains) {
     ChangePointAnalysis c = new ChangePointAnalysis();
     for (int s = 0; s < seconds; s++) {
       for (int i = 0; i < 100; i++) {
@@ -26,8 +26,8 @@
   }
 
   @Test
-  void aRiseIsFoundWithTheChangeThatCameBeforeIt() {
-    ChangePointAnalysis c = course(new SplittableRandom(1), 300, 120, 0.01, 0.2, 117);
+  void findsARiseAndTheChangeThatPrecededIt() {
+    ChangePointAnalysis c = analysis(new SplittableRandom(1), 300, 120, 0.01, 0.2, 117);
     assertEquals(1, c.rises().size(), c.rises().toString());
     ChangePointAnalysis.Rise r = c.rises().get(0);
     assertTrue(Math.abs(r.at() - 120 * S) <= S, r.toString());
@@ -37,33 +37,33 @@
   }
 
   @Test
-  void aChangeAfterTheRiseOrLongBeforeIsNotTold() {
-    ChangePointAnalysis c = course(new SplittableRandom(2), 300, 120, 0.01, 0.2, 20, 130, 200);
+  void ignoresChangesAfterOrLongBeforeTheRise() {
+    ChangePointAnalysis c = analysis(new SplittableRandom(2), 300, 120, 0.01, 0.2, 20, 130, 200);
     assertEquals(0, c.candidateCauses().size(), c.candidateCauses().toString());
   }
 
-  /** What happens all the time came before as well, and is told to be no wonder. */
+  /** A frequent kind of change precedes any rise by chance, and gets a high p-value. */
   @Test
-  void aFrequentChangeIsLikelyByChance() {
-    int[] often = new int[50];
-    for (int i = 0; i < often.length; i++) {
-      often[i] = 6 * i;
+  void frequentChangesHaveAHighPValue() {
+    int[] frequent = new int[50];
+    for (int i = 0; i < frequent.length; i++) {
+      frequent[i] = 6 * i;
     }
-    ChangePointAnalysis c = course(new SplittableRandom(3), 300, 120, 0.01, 0.2, often);
+    ChangePointAnalysis c = analysis(new SplittableRandom(3), 300, 120, 0.01, 0.2, frequent);
     assertTrue(c.candidateCauses().stream().allMatch(x -> x.pValue() > 0.2), c.candidateCauses().toString());
   }
 
   @Test
-  void noRiseIsSeenWhereThereIsNone() {
+  void findsNoRiseInConstantErrorRatios() {
     int found = 0;
     for (int seed = 0; seed < 100; seed++) {
-      found += course(new SplittableRandom(seed), 300, -1, 0.05, 0.05).rises().size();
+      found += analysis(new SplittableRandom(seed), 300, -1, 0.05, 0.05).rises().size();
     }
-    assertTrue(found <= 5, "in 100 calm courses " + found);
+    assertTrue(found <= 5, "rises in 100 timelines without any: " + found);
   }
 
   @Test
-  void nothingAtAllIsNoRise() {
+  void emptyTimelineHasNoRise() {
     assertEquals(0, new ChangePointAnalysis().rises().size());
     assertEquals(0, new ChangePointAnalysis().candidateCauses().size());
   }
--- a/decision/src/test/java/cloverpulley/incident/ClocksTest.java
+++ b/decision/src/test/java/cloverpulley/incident/ClocksTest.java
@@ -21,13 +21,13 @@
   private static final long S = 1_000_000L;
   private static final long EPOCH = 1_764_580_000L * S;
 
-  /** What a clock shows at a true time. */
-  private interface Shown {
+  /** A simulated clock: its reading at a true time. */
+  private interface SimulatedClock {
     long at(long trueTime);
   }
 
-  /** Calls from a true clock "a" to "b" that take up to 40 ms there and back. */
-  private static List<Correlation> calls(SplittableRandom random, Shown b, int count, long seconds) {
+  /** Calls from "a", whose clock is true, to "b" with a round trip of up to 40 ms. */
+  private static List<Correlation> calls(SplittableRandom random, SimulatedClock b, int count, long seconds) {
     List<Correlation> correlations = new ArrayList<>();
     for (int i = 0; i < count; i++) {
       long sent = EPOCH + random.nextLong(seconds * S);
@@ -49,23 +49,23 @@
   }
 
   @Test
-  void fortySecondsOffAndADriftOf200PpmLieWithinTheBounds() {
-    Shown b = t -> t - 40 * S + (t - EPOCH) / 5000;
+  void boundsContainAnOffsetOf40SecondsWithADriftOf200Ppm() {
+    SimulatedClock b = t -> t - 40 * S + (t - EPOCH) / 5000;
     Clocks c = new Clocks("a", spans(300, "a", "b"), calls(new SplittableRandom(1), b, 3000, 300));
     for (long t = EPOCH; t < EPOCH + 300 * S; t += 7 * S) {
       Offset o = c.offset("b", b.at(t));
       long truth = t - b.at(t);
       assertTrue(o.min() <= truth && truth <= o.max(), t + ": " + truth + " in " + o);
-      assertTrue(o.width() < 50_000, "known to " + o.width());
+      assertTrue(o.width() < 50_000, "width " + o.width());
     }
     assertTrue(c.steps().isEmpty());
     assertTrue(c.rejected().isEmpty());
   }
 
   @Test
-  void aStepBackOf3SecondsIsFoundAndBothSidesAreBounded() {
+  void findsABackwardStepOf3SecondsAndBoundsBothSides() {
     long step = EPOCH + 151 * S;
-    Shown b = t -> t + 40 * S - (t >= step ? 3 * S : 0);
+    SimulatedClock b = t -> t + 40 * S - (t >= step ? 3 * S : 0);
     Clocks c = new Clocks("a", spans(300, "a", "b"), calls(new SplittableRandom(2), b, 3000, 300));
     assertFalse(c.steps().isEmpty());
     for (Clocks.Step s : c.steps()) {
@@ -79,17 +79,17 @@
   }
 
   @Test
-  void withoutAnythingSharedNothingIsKnownAndNoOrderIsSettled() {
+  void withoutCorrelationsOffsetsAndOrderAreUnknown() {
     Clocks c = new Clocks("a", spans(60, "a", "b"), List.of());
     assertFalse(c.offset("b", EPOCH).isKnown());
     assertEquals(0, c.order("a", EPOCH, "b", EPOCH + 50 * S));
-    assertTrue(c.order("b", EPOCH, "b", EPOCH + 1) < 0, "one clock orders its own");
+    assertTrue(c.order("b", EPOCH, "b", EPOCH + 1) < 0, "readings of one clock are ordered");
     assertEquals(0, c.offset("a", EPOCH).midpoint());
-    assertFalse(c.offset("unheard of", EPOCH).isKnown());
+    assertFalse(c.offset("unknown", EPOCH).isKnown());
   }
 
   @Test
-  void ordersAreSettledOnlyBeyondTheUncertainty() {
+  void ordersReadingsOnlyBeyondTheUncertainty() {
     Correlation t = new Correlation("a", EPOCH, "b", EPOCH + 10 * S, 0, 100_000, "x");
     Clocks c = new Clocks("a", spans(20, "a", "b"), List.of(t));
     assertTrue(c.order("a", EPOCH, "b", EPOCH + 11 * S) < 0);
@@ -98,18 +98,18 @@
   }
 
   @Test
-  void aWrongReadingIsPutAsideAndNotBelieved() {
+  void wrongCorrelationDoesNotChangeTheOffset() {
     List<Correlation> correlations = new ArrayList<>(calls(new SplittableRandom(3), t -> t + 5 * S, 500, 30));
-    // Two readings that were taken for one instant and are 20 s apart; it is the widest of all.
+    // A wrong correlation of two readings 20 s apart, with the loosest bounds of all.
     correlations.add(new Correlation("a", EPOCH + 15 * S, "b", EPOCH + 40 * S, -2 * S, 2 * S, "wrong"));
     Clocks c = new Clocks("a", spans(30, "a", "b"), correlations);
     Offset o = c.offset("b", EPOCH + 5 * S + 2 * S);
     assertTrue(o.isKnown() && Math.abs(o.midpoint() + 5 * S) < 50_000, o.toString());
   }
 
-  /** Bounds by shortest paths are those of the linear program, for random systems of one knot each (no drift comes in). */
+  /** Compares the bounds from shortest paths with a linear program, for random systems with one knot per instance, so without drift. */
   @Test
-  void theBoundsAreThoseOfTheLinearProgram() {
+  void boundsEqualThoseOfTheLinearProgram() {
     SplittableRandom random = new SplittableRandom(20261201);
     for (int round = 0; round < 40; round++) {
       int n = 3 + random.nextInt(4);
@@ -123,7 +123,7 @@
         int i = random.nextInt(n);
         int j = random.nextInt(n);
         if (i != j) {
-          // Readings at the knots themselves, so that no drift is allowed for.
+          // Readings at the knots themselves, so that there is no drift.
           long at = knot + 100 * Clocks.KNOT_INTERVAL;
           long atB = knot + 100 * Clocks.KNOT_INTERVAL;
           long apart = atB + truth[j] - at - truth[i];
--- a/decision/src/test/java/cloverpulley/incident/TimelineTest.java
+++ b/decision/src/test/java/cloverpulley/incident/TimelineTest.java
@@ -22,9 +22,9 @@
     return at(o, seq, at, Kind.ANSWERED).withRequest(0, null, "c", "t").withDetails(answer == 0 ? "served" : "over_rate", 2 * S, answer);
   }
 
-  /** Two lives of one instance, the first ended by SIGKILL with two requests in hand. */
+  /** Two incarnations of one instance, the first killed with two pending requests: the time between them must be reported as a gap. */
   @Test
-  void aCrashIsAGapAndNeverCalm() {
+  void crashLeavesAnUnboundedGap() {
     Timeline c = new Timeline(10 * S, true);
     c.add(at(FIRST, 1, 100 * S, Kind.START).withDetails("process", 0, 2), CLOCKS);
     c.add(at(FIRST, 2, 110 * S, Kind.TAKEN).withRequest(1, "a", "c", "t"), CLOCKS);
@@ -44,11 +44,11 @@
   }
 
   @Test
-  void answersAreCountedWhereTheirRequestsCame() {
+  void answersAreCountedInTheIntervalTheirRequestsArrived() {
     Timeline c = new Timeline(10 * S, true);
-    c.add(answer(FIRST, 1, 111 * S, Entry.SERVED), CLOCKS); // Came at 109 s.
+    c.add(answer(FIRST, 1, 111 * S, Entry.SERVED), CLOCKS); // Arrived at 109 s.
     c.add(answer(FIRST, 2, 113 * S, Entry.REFUSED), CLOCKS);
-    c.add(answer(FIRST, 3, 114 * S, Entry.SERVED).withDetails("caller", 2 * S, 0), CLOCKS); // A caller's own: not counted again.
+    c.add(answer(FIRST, 3, 114 * S, Entry.SERVED).withDetails("caller", 2 * S, 0), CLOCKS); // The caller's record: not counted again.
     assertEquals(1, c.count(100 * S, "c", "t", Entry.SERVED));
     assertEquals(1, c.count(110 * S, null, null, Entry.REFUSED));
     assertEquals(2, c.count(null, null, null, null));
@@ -67,9 +67,9 @@
     assertTrue(gaps.get(0).reason().contains("taken=7") && gaps.get(0).reason().contains("missing 3"), gaps.toString());
   }
 
-  /** Names come from requests: however many there are, what is kept is bounded, and the sums stay whole. */
+  /** Tenant names come from requests: their number is bounded, and the ones beyond it are still included in the totals. */
   @Test
-  void endlesslyManyTenantsAreCountedTogether() {
+  void tenantsBeyondTheBoundShareOneCounter() {
     Timeline c = new Timeline(10 * S, true);
     for (int i = 0; i < 30_000; i++) {
       c.add(at(FIRST, i + 1, 105 * S, Kind.ANSWERED).withRequest(0, null, "c", "t" + i).withDetails("served", 0, 0), CLOCKS);
--- a/incident/src/test/java/cloverpulley/incident/tool/SanitizerTest.java
+++ b/incident/src/test/java/cloverpulley/incident/tool/SanitizerTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Hostile text in every field reaches page, terminal and JSON harmless. */
+/** Hostile text in any field must be escaped in the HTML report, on the terminal and in JSON. */
 class SanitizerTest {
 
   private static final List<String> HOSTILE = List.of("<script>alert(1)</script>", "\"><img src=x onerror=alert(1)>", "\u001b[2J\u001b]0;x\u0007",
@@ -28,7 +28,7 @@
   Path folder;
 
   @Test
-  void eachFieldIsHarmlessEverywhere() throws Exception {
+  void hostileTextIsEscapedInAllOutputs() throws Exception {
     Recorder r = Recorder.open(RecordsConfig.of(folder, "p"), "process", null);
     for (String h : HOSTILE) {
       r.answered(0, h, h, h, h, Entry.FAILED, 1000);
@@ -41,7 +41,7 @@
     for (String bad : List.of("<script", "<img", "\u001b", "\u202E", "\u0000", "</title><style>alert", "onerror=alert(1)>")) {
       assertFalse(html.contains(bad), bad);
     }
-    assertEquals(1, html.split("<style>", -1).length - 1, "only our own");
+    assertEquals(1, html.split("<style>", -1).length - 1, "only the report's own");
     int[] lines = {0};
     s.archive.all(e -> {
       String text = EntryFormatter.text(e);
@@ -55,13 +55,13 @@
         throw new AssertionError(x);
       }
     }, n -> { });
-    assertEquals(s.read.records(), lines[0], "an object a record");
+    assertEquals(s.read.records(), lines[0], "one object per record");
     new Console(List.of(folder), 60_000_000L).draw(80, System.currentTimeMillis() * 1000)
         .forEach(l -> assertTrue(l.toString().chars().noneMatch(Character::isISOControl), l.toString()));
   }
 
   @Test
-  void anEmptyCourseIsAPageToo() throws Exception {
+  void emptyTimelineRenders() throws Exception {
     Recorder.open(RecordsConfig.of(folder, "p"), "process", null).close();
     IncidentAnalysis s = new IncidentAnalysis(new Archive(List.of(folder)),
         new IncidentAnalysis.Options(0, Long.MAX_VALUE, 1_000_000L, null, Audit.Limits.DEFAULT), n -> { });
--- a/incident/src/test/java/cloverpulley/incident/tool/ScriptedIncidentTest.java
+++ b/incident/src/test/java/cloverpulley/incident/tool/ScriptedIncidentTest.java
@@ -48,13 +48,13 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * An incident over sockets: two processors and two DNS fronts before one fleet, their clocks up to 40 s apart; a drain, two deaths, a cold
- * successor, a moment without any server, a restart. What the report counts is what the generators counted, to the last request.
+ * An incident over sockets: two processors and two DNS frontends with one fleet, and clocks up to 40 s apart. Servers drain and crash, one
+ * starts cold, for a moment none is ready, and a processor restarts. The analysis must count exactly what the load generators counted.
  */
 @Timeout(120)
 class ScriptedIncidentTest {
 
-  private static final long SPAN_S = 6;
+  private static final long INTERVAL_S = 6;
   private static final long S = 1_000_000L;
 
   private static final String SERVICE = """
@@ -160,10 +160,10 @@
       deadline_ms = 3000.0
       """;
 
-  private record Told(Settings settings, ProcessorConfig processor, FleetSource fleet, DnsConfig dns) {
-    static Told read(Section file) {
+  private record ParsedConfig(Settings settings, ProcessorConfig processor, FleetSource fleet, DnsConfig dns) {
+    static ParsedConfig read(Section file) {
       Settings settings = ServiceSection.read(file);
-      return new Told(settings, ProcessorConfig.read(file.table("processor"), 1), FleetSource.read(file.table("fleet")),
+      return new ParsedConfig(settings, ProcessorConfig.read(file.table("processor"), 1), FleetSource.read(file.table("fleet")),
           DnsConfig.read(file.table("dns"), settings));
     }
   }
@@ -172,12 +172,12 @@
   Path folder;
 
   private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-  private final Map<String, AtomicLong> tally = new ConcurrentHashMap<>();
+  private final Map<String, AtomicLong> generatorCounts = new ConcurrentHashMap<>();
   private final Map<String, StandInDns> servers = new TreeMap<>();
-  private Told told;
+  private ParsedConfig config;
 
-  private Recorder recorder(String instance, String front, Settings settings, long offMicros, double ppm) {
-    return Recorder.skewed(RecordsConfig.of(folder.resolve(instance), instance), front, settings, offMicros, ppm);
+  private Recorder recorder(String instance, String front, Settings settings, long offsetMicros, double ppm) {
+    return Recorder.skewed(RecordsConfig.of(folder.resolve(instance), instance), front, settings, offsetMicros, ppm);
   }
 
   private Plan plan(String protocol, InetSocketAddress address, long seed) throws Exception {
@@ -186,15 +186,15 @@
         Plan::read);
   }
 
-  /** Plays a plan, and adds what its generator counted to the tally of the span. */
-  private void play(Plan plan, Recorder caller, long span) {
+  /** Runs a plan, and adds what its generator counted to the counts of the interval. */
+  private void runPlan(Plan plan, Recorder caller, long interval) {
     try {
       Results results = LoadRun.play(plan, r -> { }, (planned, id, outcome, took) -> {
         String type = plan.types().get(planned.type()).name();
         String tenant = plan.tenants().get(planned.tenant()).name();
         int answer = outcome == Outcome.SERVED ? Entry.SERVED : outcome == Outcome.REFUSED ? Entry.REFUSED
             : outcome == Outcome.FAILED ? Entry.FAILED : Entry.GONE;
-        tally.computeIfAbsent(span + " " + type + " " + tenant + " " + answer, k -> new AtomicLong()).incrementAndGet();
+        generatorCounts.computeIfAbsent(interval + " " + type + " " + tenant + " " + answer, k -> new AtomicLong()).incrementAndGet();
         if (plan.target().protocol() == Plan.Protocol.EXT_PROC) {
           caller.called(id, type, tenant, answer, took);
         }
@@ -205,9 +205,9 @@
     }
   }
 
-  /** Waits for the time in a span at which the load begins, so that none of it comes near an edge; the span, in microseconds. */
-  private static long begin() throws InterruptedException {
-    long period = SPAN_S * 1000;
+  /** Waits for the next start of the load within an interval, away from its edges. Returns the start of the interval in microseconds. */
+  private static long awaitStart() throws InterruptedException {
+    long period = INTERVAL_S * 1000;
     long now = System.currentTimeMillis();
     long start = Math.floorDiv(now, period) * period + 1500;
     start += start < now ? period : 0;
@@ -216,9 +216,9 @@
   }
 
   private void phase(Recorder caller, ExecutorService threads, List<Plan> plans, Script script) throws Exception {
-    long span = begin();
+    long interval = awaitStart();
     List<CompletableFuture<Void>> runs = new ArrayList<>();
-    plans.forEach(p -> runs.add(CompletableFuture.runAsync(() -> play(p, caller, span), threads)));
+    plans.forEach(p -> runs.add(CompletableFuture.runAsync(() -> runPlan(p, caller, interval), threads)));
     script.run();
     for (CompletableFuture<Void> r : runs) {
       r.get(60, TimeUnit.SECONDS);
@@ -234,13 +234,13 @@
   }
 
   @Test
-  void theReportCountsWhatTheGeneratorsCounted() throws Exception {
+  void analysisCountsWhatTheGeneratorsCounted() throws Exception {
     try (StandInDiscovery discovery = new StandInDiscovery(group)) {
       for (int i = 0; i < 5; i++) {
         servers.put("d" + i, new StandInDns(group, StandInDns.addresses("10.0.0.1")));
         set(discovery, "d" + i, "ready", 0);
       }
-      told = OperatorsFile.parse("test", SERVICE.replace("DISCOVERY", discovery.address()), Told::read);
+      config = OperatorsFile.parse("test", SERVICE.replace("DISCOVERY", discovery.address()), ParsedConfig::read);
       incident(discovery);
     } finally {
       servers.values().forEach(StandInDns::close);
@@ -252,14 +252,14 @@
   private void incident(StandInDiscovery discovery) throws Exception {
     ExecutorService threads = Executors.newCachedThreadPool();
     Recorder caller = Recorder.caller(folder.resolve("caller"), "caller");
-    Recorder r1 = recorder("p1", "process", told.settings(), -40 * S, 200);
-    Recorder r2 = recorder("p2", "process", told.settings(), 0, 0);
-    Recorder r3 = recorder("n1", "dns", told.dns().settings(), 3 * S, -100);
-    Recorder r4 = recorder("n2", "dns", told.dns().settings(), 0, 0);
-    ProcessorServer p1 = ProcessorServer.start(told.processor(), told.settings(), told.fleet(), 1, r1);
-    ProcessorServer p2 = ProcessorServer.start(told.processor(), told.settings(), told.fleet(), 2, r2);
-    DnsServer n1 = DnsServer.start(told.dns(), null, 3, r3);
-    DnsServer n2 = DnsServer.start(told.dns(), null, 4, r4);
+    Recorder r1 = recorder("p1", "process", config.settings(), -40 * S, 200);
+    Recorder r2 = recorder("p2", "process", config.settings(), 0, 0);
+    Recorder r3 = recorder("n1", "dns", config.dns().settings(), 3 * S, -100);
+    Recorder r4 = recorder("n2", "dns", config.dns().settings(), 0, 0);
+    ProcessorServer p1 = ProcessorServer.start(config.processor(), config.settings(), config.fleet(), 1, r1);
+    ProcessorServer p2 = ProcessorServer.start(config.processor(), config.settings(), config.fleet(), 2, r2);
+    DnsServer n1 = DnsServer.start(config.dns(), null, 3, r3);
+    DnsServer n2 = DnsServer.start(config.dns(), null, 4, r4);
     phase(caller, threads, List.of(plan("ext_proc", p1.address(), 11), plan("ext_proc", p2.address(), 12),
         plan("dns_udp", n1.address(), 13), plan("dns_tcp", n2.address(), 14)), () -> {
           TimeUnit.MILLISECONDS.sleep(500);
@@ -268,11 +268,11 @@
           servers.get("d1").close();
           servers.get("d2").close();
         });
-    // The second processor ends in order and starts anew, under its old name.
+    // The second processor stops cleanly and restarts under its old name.
     p2.stop();
     r2.close();
-    Recorder r5 = recorder("p2", "process", told.settings(), 0, 0);
-    ProcessorServer p3 = ProcessorServer.start(told.processor(), told.settings(), told.fleet(), 5, r5);
+    Recorder r5 = recorder("p2", "process", config.settings(), 0, 0);
+    ProcessorServer p3 = ProcessorServer.start(config.processor(), config.settings(), config.fleet(), 5, r5);
     phase(caller, threads, List.of(plan("ext_proc", p1.address(), 21), plan("ext_proc", p3.address(), 22),
         plan("dns_udp", n2.address(), 23), plan("dns_tcp", n1.address(), 24)), () -> {
           set(discovery, "d1", "gone", 0);
@@ -297,40 +297,40 @@
   }
 
   private void check() throws Exception {
-    IncidentAnalysis study = new IncidentAnalysis(new Archive(List.of(folder)),
-        new IncidentAnalysis.Options(Long.MIN_VALUE, Long.MAX_VALUE, SPAN_S * S, "caller", Audit.Limits.DEFAULT), n -> { });
-    // The clocks: within their bounds, and known well enough.
-    Clocks clocks = study.clocks;
-    for (Timeline.Incarnation l : study.timeline.incarnations()) {
+    IncidentAnalysis analysis = new IncidentAnalysis(new Archive(List.of(folder)),
+        new IncidentAnalysis.Options(Long.MIN_VALUE, Long.MAX_VALUE, INTERVAL_S * S, "caller", Audit.Limits.DEFAULT), n -> { });
+    // Clocks: the true offset lies within the bounds.
+    Clocks clocks = analysis.clocks;
+    for (Timeline.Incarnation l : analysis.timeline.incarnations()) {
       long off = Map.of("p1", 40 * S, "n1", -3 * S).getOrDefault(l.origin.instance(), 0L);
       Clocks.Offset o = clocks.offset(l.origin.instance(), l.first);
       assertTrue(o.isKnown() && o.min() - 20_000 <= off && off <= o.max() + 20_000, l.origin + " " + o);
     }
-    assertTrue(clocks.order("p1", study.timeline.incarnations().get(0).first, "p2", study.timeline.incarnations().get(0).first + 60 * S) < 0);
-    // Counts: by span, class, tenant and answer.
+    assertTrue(clocks.order("p1", analysis.timeline.incarnations().get(0).first, "p2", analysis.timeline.incarnations().get(0).first + 60 * S) < 0);
+    // Counts by interval, class, tenant and result.
     Map<String, Long> counted = new TreeMap<>();
-    study.timeline.answerCounts().forEach((c, n) -> counted.merge(c.interval() + " " + c.className() + " " + c.tenant() + " " + c.answer(), n,
+    analysis.timeline.answerCounts().forEach((c, n) -> counted.merge(c.interval() + " " + c.className() + " " + c.tenant() + " " + c.answer(), n,
         Long::sum));
-    Map<String, Long> asked = new TreeMap<>();
-    tally.forEach((k, n) -> asked.put(k, n.get()));
-    assertEquals(asked, counted);
-    assertTrue(asked.values().stream().mapToLong(n -> n).sum() > 1500, "enough was asked: " + asked);
-    assertTrue(asked.keySet().stream().anyMatch(k -> !k.endsWith(" 0")), "some of it was not served: " + asked);
-    assertEquals(Map.of(), study.timeline.callerOnly());
-    assertEquals(0, study.timeline.unresolvedRequests());
-    // The rules, from the records alone.
-    Map<Audit.Check, Long> checked = study.audit.checkCounts();
-    assertEquals(List.of(), study.audit.findings());
-    checked.forEach((check, n) -> assertTrue(n > 0, check + " was never put to the test"));
-    List<Timeline.Gap> gaps = study.timeline.gaps(clocks);
+    Map<String, Long> expected = new TreeMap<>();
+    generatorCounts.forEach((k, n) -> expected.put(k, n.get()));
+    assertEquals(expected, counted);
+    assertTrue(expected.values().stream().mapToLong(n -> n).sum() > 1500, "enough requests: " + expected);
+    assertTrue(expected.keySet().stream().anyMatch(k -> !k.endsWith(" 0")), "some requests not served: " + expected);
+    assertEquals(Map.of(), analysis.timeline.callerOnly());
+    assertEquals(0, analysis.timeline.unresolvedRequests());
+    // The rules, checked from the records alone.
+    Map<Audit.Check, Long> checked = analysis.audit.checkCounts();
+    assertEquals(List.of(), analysis.audit.findings());
+    checked.forEach((check, n) -> assertTrue(n > 0, check + " was never exercised"));
+    List<Timeline.Gap> gaps = analysis.timeline.gaps(clocks);
     assertEquals(1, gaps.size(), gaps.toString());
     assertTrue(gaps.get(0).instance().equals("p2") && gaps.get(0).reason().contains("between a stop"), gaps.toString());
-    page(study);
-    why(study);
+    page(analysis);
+    why(analysis);
   }
 
-  private void page(IncidentAnalysis study) throws Exception {
-    String html = new HtmlReport(study).html();
+  private void page(IncidentAnalysis analysis) throws Exception {
+    String html = new HtmlReport(analysis).html();
     Files.writeString(folder.resolve("incident.html"), html);
     for (String part : List.of("agro-tehnika", "between a stop and the next start", "1 one final answer each", "d5", "cold", "no_upstream",
         "What came before")) {
@@ -339,16 +339,16 @@
     assertFalse(html.contains("<script"));
   }
 
-  private void why(IncidentAnalysis study) throws Exception {
+  private void why(IncidentAnalysis analysis) throws Exception {
     String[] one = new String[1];
-    study.archive.read(cloverpulley.incident.Query.of("kind=answered and class=quote-issue and instance=p1"), e -> one[0] = e.id(),
+    analysis.archive.read(cloverpulley.incident.Query.of("kind=answered and class=quote-issue and instance=p1"), e -> one[0] = e.id(),
         n -> { });
     List<String> lines = new ArrayList<>();
-    assertTrue(new RequestExplainer(study.archive, one[0]).explain(lines::add));
+    assertTrue(new RequestExplainer(analysis.archive, one[0]).explain(lines::add));
     String all = String.join("\n", lines);
     assertTrue(all.contains("taken as quote-issue") && all.contains("answered: served"), all);
     assertTrue(all.matches("(?s).*attempt 0 to d\\d \\(.*\\d ready.*"), all);
-    assertFalse(new RequestExplainer(study.archive, "nobody's").explain(lines::add));
+    assertFalse(new RequestExplainer(analysis.archive, "nobody's").explain(lines::add));
     Map<String, Integer> order = new HashMap<>();
     for (int i = 0; i < lines.size(); i++) {
       order.putIfAbsent(lines.get(i).replaceAll(".*ms: (\\w+).*", "$1"), i);
