--- a/decision/src/main/java/cloverpulley/incident/ChangePointAnalysis.java
+++ b/decision/src/main/java/cloverpulley/incident/ChangePointAnalysis.java
@@ -76,18 +76,18 @@
     long width = Math.max(1, (span + MAX_BUCKETS - 1) / MAX_BUCKETS);
     int n = (int) ((span + width - 1) / width);
     long[] all = new long[n + 1];
-    long[] bad = new long[n + 1];
+    long[] unserved = new long[n + 1];
     for (Map.Entry<Long, long[]> e : countsBySecond.entrySet()) {
       int i = (int) ((e.getKey() - from) / width);
       all[i + 1] += e.getValue()[0];
-      bad[i + 1] += e.getValue()[1];
+      unserved[i + 1] += e.getValue()[1];
     }
     for (int i = 0; i < n; i++) {
       all[i + 1] += all[i];
-      bad[i + 1] += bad[i];
+      unserved[i + 1] += unserved[i];
     }
     List<Integer> points = new ArrayList<>();
-    split(all, bad, 0, n, 3 * Math.log(Math.max(2, n)), points);
+    split(all, unserved, 0, n, 3 * Math.log(Math.max(2, n)), points);
     points.sort(Comparator.naturalOrder());
     points.add(0, 0);
     points.add(n);
@@ -96,29 +96,29 @@
       int a = points.get(i - 1);
       int m = points.get(i);
       int b = points.get(i + 1);
-      double before = ratio(all, bad, a, m);
-      double after = ratio(all, bad, m, b);
+      double before = ratio(all, unserved, a, m);
+      double after = ratio(all, unserved, m, b);
       if (after > before) {
-        rises.add(new Rise((from + m * width) * SECOND, before, after, all[b] - all[m], fisherPValue(all, bad, a, m, b)));
+        rises.add(new Rise((from + m * width) * SECOND, before, after, all[b] - all[m], fisherPValue(all, unserved, a, m, b)));
       }
     }
     return rises;
   }
 
-  private static double ratio(long[] all, long[] bad, int a, int b) {
+  private static double ratio(long[] all, long[] unserved, int a, int b) {
     long n = all[b] - all[a];
-    return n == 0 ? 0 : (bad[b] - bad[a]) / (double) n;
+    return n == 0 ? 0 : (unserved[b] - unserved[a]) / (double) n;
   }
 
-  private static void split(long[] all, long[] bad, int a, int b, double penalty, List<Integer> points) {
+  private static void split(long[] all, long[] unserved, int a, int b, double penalty, List<Integer> points) {
     if (b - a < 2 * MIN_SECONDS || points.size() >= MAX_POINTS) {
       return;
     }
-    double whole = likelihood(all, bad, a, b);
+    double whole = likelihood(all, unserved, a, b);
     double best = penalty;
     int at = -1;
     for (int m = a + MIN_SECONDS; m <= b - MIN_SECONDS; m++) {
-      double gain = likelihood(all, bad, a, m) + likelihood(all, bad, m, b) - whole;
+      double gain = likelihood(all, unserved, a, m) + likelihood(all, unserved, m, b) - whole;
       if (gain > best) {
         best = gain;
         at = m;
@@ -126,29 +126,29 @@
     }
     if (at >= 0) {
       points.add(at);
-      split(all, bad, a, at, penalty, points);
-      split(all, bad, at, b, penalty, points);
+      split(all, unserved, a, at, penalty, points);
+      split(all, unserved, at, b, penalty, points);
     }
   }
 
-  private static double likelihood(long[] all, long[] bad, int a, int b) {
+  private static double likelihood(long[] all, long[] unserved, int a, int b) {
     long n = all[b] - all[a];
-    long k = bad[b] - bad[a];
+    long k = unserved[b] - unserved[a];
     return n == 0 || k == 0 || k == n ? 0 : k * Math.log(k / (double) n) + (n - k) * Math.log(1 - k / (double) n);
   }
 
   /** Fisher's exact test, one-sided: the probability of at least as many unserved answers after the split, given the total. */
-  private static double fisherPValue(long[] all, long[] bad, int a, int m, int b) {
+  private static double fisherPValue(long[] all, long[] unserved, int a, int m, int b) {
     // Scales counts beyond the distribution's int range; the p-value is negligible by then.
     long scale = Math.max(1, (all[b] - all[a]) / 1_000_000);
     int population = (int) ((all[b] - all[a]) / scale);
-    int unserved = (int) ((bad[b] - bad[a]) / scale);
+    int successes = (int) ((unserved[b] - unserved[a]) / scale);
     int sample = (int) ((all[b] - all[m]) / scale);
-    int hits = (int) ((bad[b] - bad[m]) / scale);
-    if (population == 0 || unserved == 0 || sample == 0 || sample > population || unserved > population) {
+    int hits = (int) ((unserved[b] - unserved[m]) / scale);
+    if (population == 0 || successes == 0 || sample == 0 || sample > population || successes > population) {
       return 1;
     }
-    return HypergeometricDistribution.of(population, unserved, sample).survivalProbability(hits - 1);
+    return HypergeometricDistribution.of(population, successes, sample).survivalProbability(hits - 1);
   }
 
   /** The changes that preceded each rise, the smallest p-value first; a rise without any has no entry. */
