--- a/bench/src/main/java/cloverpulley/bench/IncidentBench.java
+++ b/bench/src/main/java/cloverpulley/bench/IncidentBench.java
@@ -9,7 +9,7 @@
 import cloverpulley.incident.Origin;
 import cloverpulley.incident.Query;
 import cloverpulley.incident.tool.HtmlReport;
-import cloverpulley.incident.tool.Study;
+import cloverpulley.incident.tool.IncidentAnalysis;
 import cloverpulley.load.Driver.Outcome;
 import cloverpulley.load.LoadRun;
 import cloverpulley.load.Plan;
@@ -155,8 +155,8 @@
           + (outcome == Outcome.SERVED ? Entry.SERVED : outcome == Outcome.REFUSED ? Entry.REFUSED : Entry.FAILED), 1L, Long::sum));
       TimeUnit.SECONDS.sleep(2); // What waits is flushed twice a second.
     }
-    Study s = new Study(new Archive(List.of(folder)), Study.Wanted.everything(), n -> { });
-    s.course.cells().forEach((c, n) -> counted.merge(c.className() + " " + c.answer(), n, Long::sum));
+    IncidentAnalysis s = new IncidentAnalysis(new Archive(List.of(folder)), IncidentAnalysis.Options.allRecords(), n -> { });
+    s.timeline.answerCounts().forEach((c, n) -> counted.merge(c.className() + " " + c.answer(), n, Long::sum));
     System.out.println("the generator counted " + asked + ", the records " + counted);
     long off = 0;
     for (String k : Stream.concat(asked.keySet().stream(), counted.keySet().stream()).distinct().toList()) {
@@ -205,8 +205,8 @@
           blocks[0], best[1], blocks[1], best[1] / best[0]);
     }
     long t = System.nanoTime();
-    Study s = new Study(archive, new Study.Wanted(Long.MIN_VALUE, Long.MAX_VALUE, 600_000_000L, null,
-        cloverpulley.incident.Audit.Limits.USUAL), n -> { });
+    IncidentAnalysis s = new IncidentAnalysis(archive, new IncidentAnalysis.Options(Long.MIN_VALUE, Long.MAX_VALUE, 600_000_000L, null,
+        cloverpulley.incident.Audit.Limits.DEFAULT), n -> { });
     int page = new HtmlReport(s).html().length();
     figures.put("report", (System.nanoTime() - t) / 1e9);
     System.out.printf("report of the day: %.1f s, %d octets, %d findings%n", figures.get("report"), page, s.audit.findings().size());
@@ -233,15 +233,15 @@
       long latency = 5000 + random.nextInt(40_000);
       int server = random.nextInt(100);
       String name = i > requests / 3 && i < requests / 3 + 1000 ? "rare" : "s" + server;
-      Entry base = Entry.of(o, 0, at, Kind.TAKEN).request(i + 1, id, type, tenant);
-      r.record(base.says(null, 2_000_000, 0));
+      Entry base = Entry.of(o, 0, at, Kind.TAKEN).withRequest(i + 1, id, type, tenant);
+      r.record(base.withDetails(null, 2_000_000, 0));
       if (!refused) {
-        r.record(kind(base, Kind.SENT, at + 50).attempt(0, 1000 + server).server(1000 + server, name));
-        r.record(kind(base, Kind.OUTCOME, at + 50 + latency).attempt(0, 1000 + server).server(1000 + server, name)
-            .says("served", latency, 0));
+        r.record(kind(base, Kind.SENT, at + 50).withAttempt(0, 1000 + server).withServer(1000 + server, name));
+        r.record(kind(base, Kind.OUTCOME, at + 50 + latency).withAttempt(0, 1000 + server).withServer(1000 + server, name)
+            .withDetails("served", latency, 0));
       }
-      r.record(kind(base, Kind.ENDED, at + 60 + latency).says(refused ? "over_rate" : "served", 0, refused ? 1 : 0));
-      r.record(kind(base, Kind.ANSWERED, at + 70).says(refused ? "over_rate" : "served", 70, refused ? 1 : 0));
+      r.record(kind(base, Kind.ENDED, at + 60 + latency).withDetails(refused ? "over_rate" : "served", 0, refused ? 1 : 0));
+      r.record(kind(base, Kind.ANSWERED, at + 70).withDetails(refused ? "over_rate" : "served", 70, refused ? 1 : 0));
     }
     r.close();
   }
@@ -255,13 +255,13 @@
   /** The largest error of the middle in milliseconds over ten minutes, 40 s apart with a drift of 200 ppm; and how often a bound broke. */
   private static double[] clocks() {
     SplittableRandom random = new SplittableRandom(SEED);
-    List<Clocks.Tie> ties = new ArrayList<>();
+    List<Clocks.Correlation> ties = new ArrayList<>();
     long seconds = 600;
     for (int i = 0; i < 20_000; i++) {
       long at = DAY + random.nextLong(seconds * 1_000_000);
       long there = 100 + random.nextLong(2000);
       long back = 100 + random.nextLong(2000);
-      ties.add(new Clocks.Tie("a", at, "b", shown(at + there), 0, there + back, "call"));
+      ties.add(new Clocks.Correlation("a", at, "b", shown(at + there), 0, there + back, "call"));
     }
     Map<String, long[]> spans = new TreeMap<>(Map.of("a", new long[] {DAY, DAY + seconds * 1_000_000}, "b",
         new long[] {shown(DAY), shown(DAY + seconds * 1_000_000)}));
@@ -271,8 +271,8 @@
     for (long t = DAY; t < DAY + seconds * 1_000_000; t += 997_000) {
       Clocks.Offset o = c.offset("b", shown(t));
       long truth = t - shown(t);
-      worst = Math.max(worst, Math.abs(o.middle() - truth) / 1000.0);
-      broken += truth < o.least() || truth > o.most() ? 1 : 0;
+      worst = Math.max(worst, Math.abs(o.midpoint() - truth) / 1000.0);
+      broken += truth < o.min() || truth > o.max() ? 1 : 0;
     }
     System.out.printf("clocks: worst error %.2f ms, bounds broken %.0f times%n", worst, broken);
     return new double[] {worst, broken};
