--- a/agree/src/main/java/cloverpulley/agree/LedgerMachine.java
+++ b/agree/src/main/java/cloverpulley/agree/LedgerMachine.java
@@ -1,7 +1,7 @@
 package cloverpulley.agree;
 
 import cloverpulley.outs.Command;
-import cloverpulley.outs.Ledger;
+import cloverpulley.outs.DisruptionLedger;
 import cloverpulley.outs.State;
 import io.microraft.statemachine.StateMachine;
 import java.io.IOException;
@@ -13,10 +13,10 @@
 /** The ledger as Raft's state machine. Commands come on Raft's thread, looks from others: a look is a value, made once for an index. */
 final class LedgerMachine implements StateMachine {
 
-  private final Ledger ledger;
+  private final DisruptionLedger ledger;
   private State looked;
 
-  LedgerMachine(Ledger ledger) {
+  LedgerMachine(DisruptionLedger ledger) {
     this.ledger = ledger;
   }
 
--- a/agree/src/main/java/cloverpulley/agree/SimulatedVoter.java
+++ b/agree/src/main/java/cloverpulley/agree/SimulatedVoter.java
@@ -1,7 +1,7 @@
 package cloverpulley.agree;
 
 import cloverpulley.outs.Command;
-import cloverpulley.outs.Ledger;
+import cloverpulley.outs.DisruptionLedger;
 import cloverpulley.outs.Reply;
 import cloverpulley.outs.State;
 import io.microraft.Ordered;
@@ -105,7 +105,7 @@
     up = true;
     paused = false;
     behind.clear();
-    machine = new LedgerMachine(new Ledger());
+    machine = new LedgerMachine(new DisruptionLedger());
     Life l = new Life();
     RaftNode.RaftNodeBuilder b = RaftNode.newBuilder().setGroupId("outs").setConfig(Pace.config(SNAPSHOT_EVERY)).setExecutor(l).setTransport(l)
         .setClock(Pace.clock(time::micros)).setRandom(random).setStateMachine(machine).setStore(store);
@@ -200,7 +200,7 @@
 
   /** A defect put in on purpose: says yes by what this one holds, without asking the others. */
   Reply withoutAsking(Command c) {
-    Ledger copy = new Ledger();
+    DisruptionLedger copy = new DisruptionLedger();
     copy.restore(machine.state());
     return copy.apply(machine.index() + 1, time.millis(), c);
   }
--- a/agree/src/main/java/cloverpulley/agree/Voter.java
+++ b/agree/src/main/java/cloverpulley/agree/Voter.java
@@ -1,7 +1,7 @@
 package cloverpulley.agree;
 
 import cloverpulley.outs.Command;
-import cloverpulley.outs.Ledger;
+import cloverpulley.outs.DisruptionLedger;
 import cloverpulley.outs.Look;
 import cloverpulley.outs.Replacing;
 import cloverpulley.outs.Reply;
@@ -45,7 +45,7 @@
 
   private final AgreeConfig config;
   private final Pace pace = new Pace();
-  private final LedgerMachine machine = new LedgerMachine(new Ledger());
+  private final LedgerMachine machine = new LedgerMachine(new DisruptionLedger());
   private final RaftJournal journal;
   private final RaftLink link;
   private final RaftNode node;
--- a/agree/src/test/java/cloverpulley/agree/JsonTest.java
+++ b/agree/src/test/java/cloverpulley/agree/JsonTest.java
@@ -8,7 +8,7 @@
 import cloverpulley.outs.Command;
 import cloverpulley.outs.Health;
 import cloverpulley.outs.Kind;
-import cloverpulley.outs.Ledger;
+import cloverpulley.outs.DisruptionLedger;
 import cloverpulley.outs.Limit;
 import cloverpulley.outs.Reply;
 import cloverpulley.outs.State;
@@ -31,7 +31,7 @@
 
   @Test
   void whatIsWrittenIsReadAgain() throws IOException {
-    Ledger ledger = new Ledger();
+    DisruptionLedger ledger = new DisruptionLedger();
     long at = 0;
     for (Command c : ALL) {
       assertEquals(c, Json.read(Json.write(c), Command.class));
@@ -61,7 +61,7 @@
             continue;
           }
           taken++;
-          Ledger ledger = new Ledger();
+          DisruptionLedger ledger = new DisruptionLedger();
           long at = 0;
           for (Command before : ALL.subList(0, 2)) {
             ledger.apply(++at, at, before);
@@ -85,10 +85,10 @@
   /** A wait longer than there is time does not end at once. */
   @Test
   void theLongestWaitWaits() {
-    Ledger ledger = new Ledger();
+    DisruptionLedger ledger = new DisruptionLedger();
     ledger.apply(1, 1, new Command.Enrol("m", Kind.UPSTREAM, List.of()));
     ledger.apply(2, 1, new Command.Halt("h", "op", ""));
     assertEquals(Word.WAITING, ledger.apply(3, 1_700_000_000_000L, new Command.Ask("a", "m", "op", "", Long.MAX_VALUE, false)).word());
-    assertEquals(1, ledger.waiting());
+    assertEquals(1, ledger.queueLength());
   }
 }
--- a/bench/src/main/java/cloverpulley/bench/OutsBench.java
+++ b/bench/src/main/java/cloverpulley/bench/OutsBench.java
@@ -7,7 +7,7 @@
 import cloverpulley.outs.Command;
 import cloverpulley.outs.Health;
 import cloverpulley.outs.Kind;
-import cloverpulley.outs.Ledger;
+import cloverpulley.outs.DisruptionLedger;
 import cloverpulley.outs.Look;
 import cloverpulley.outs.Limit;
 import cloverpulley.outs.Reply;
@@ -251,7 +251,7 @@
 
   /** A rolling restart of many by the pure ledger on a virtual clock, all asked for at once: its time over the least there is. */
   private static double rolling(int members, int most, long downMillis, long warmMillis) {
-    Ledger l = new Ledger();
+    DisruptionLedger l = new DisruptionLedger();
     long[] index = {0};
     l.apply(++index[0], 0, new Command.Rules(1, Map.of("all", new Limit(most, 1, most)), 1, 10_000, 1, 1));
     for (int i = 0; i < members; i++) {
@@ -262,21 +262,21 @@
     long now = 0;
     int asked = 0;
     while (begun.size() < members || !due.isEmpty()) {
-      while (asked < members && l.waiting() < Ledger.MOST_WAITING) {
+      while (asked < members && l.queueLength() < DisruptionLedger.MAX_QUEUED) {
         l.apply(++index[0], now, new Command.Ask("a" + asked, "s" + asked, "roll", "", Long.MAX_VALUE / 4, false));
         asked++;
         if (asked % 500 == 0) {
           break;
         }
       }
-      for (String out : l.outs().keySet()) {
+      for (String out : l.permits().keySet()) {
         if (begun.add(out)) {
           due.add(Map.entry(now + downMillis + warmMillis, out));
         }
       }
       Map.Entry<Long, String> next = due.poll();
       now = next.getKey();
-      l.apply(++index[0], now - 1, new Command.Return(next.getValue(), "roll", l.outs().get(next.getValue()).epoch()));
+      l.apply(++index[0], now - 1, new Command.Return(next.getValue(), "roll", l.permits().get(next.getValue()).epoch()));
       l.apply(++index[0], now, new Command.Seen("b", next.getValue(), Health.WARM, index[0]));
     }
     long least = (long) Math.ceil((double) members / most) * (downMillis + warmMillis);
--- a/decision/src/main/java/cloverpulley/outs/Ledger.java
+++ b/decision/src/main/java/cloverpulley/outs/DisruptionLedger.java
@@ -35,20 +35,20 @@
  * <p>Safe directions: what can't be told counts as out. A member that is unwell counts beside those that were granted; it is well again only
  * by fresh words. Nothing here asks for agreement to come back: {@link Return} says what happened.
  */
-public final class Ledger {
+public final class DisruptionLedger {
 
   /** Bounds on what others can make the ledger keep. */
-  public static final int MOST_MEMBERS = 20_000;
-  public static final int MOST_WAITING = 2_000;
-  public static final int MOST_HALTS = 100;
+  public static final int MAX_MEMBERS = 20_000;
+  public static final int MAX_QUEUED = 2_000;
+  public static final int MAX_HALTS = 100;
   private static final int MOST_ANSWERED = 4_000;
   private static final int MOST_HISTORY = 500;
   private static final int MOST_OBSERVERS = 8;
   private static final int SHOWN_HOLDERS = 10;
   /** The halt that comes by itself. */
-  public static final String DEAD = "dead-above-bound";
+  public static final String DEAD_HALT = "dead-above-bound";
   /** The halt that who leads asks for where most instances refuse too much. */
-  public static final String REFUSED = "refused-above-bound";
+  public static final String REJECTION_HALT = "refused-above-bound";
 
   private static final Rules NONE = new Rules(0, Map.of(), 1, 10_000, 1, 1);
 
@@ -103,7 +103,7 @@
       if (!b.group().isEmpty() && tally.members(b.group()) == 0) {
         return say(Word.UNKNOWN_GROUP);
       }
-      if (back.size() >= MOST_HALTS) {
+      if (back.size() >= MAX_HALTS) {
         return say(Word.TOO_MANY);
       }
       back.add(b.group());
@@ -138,7 +138,7 @@
 
   private Reply enrol(Enrol e) {
     Member was = members.get(e.member());
-    if (was == null && members.size() >= MOST_MEMBERS) {
+    if (was == null && members.size() >= MAX_MEMBERS) {
       return say(Word.TOO_MANY);
     }
     if (was != null && was.kind() == e.kind() && was.groups().equals(e.groups())) {
@@ -223,7 +223,7 @@
     if (a.waitMillis() <= 0) {
       return answer(a.ask(), no);
     }
-    if (queue.size() >= MOST_WAITING) {
+    if (queue.size() >= MAX_QUEUED) {
       return say(Word.TOO_MANY);
     }
     queue.add(new Waiting(a.ask(), a.member(), a.by(), a.why(), now + a.waitMillis()));
@@ -402,7 +402,7 @@
   }
 
   private Reply halt(String name, String by, String why) {
-    if (halts.size() >= MOST_HALTS && !halts.containsKey(name)) {
+    if (halts.size() >= MAX_HALTS && !halts.containsKey(name)) {
       return say(Word.TOO_MANY);
     }
     if (halts.putIfAbsent(name, new Halted(by, why, now)) == null) {
@@ -447,9 +447,9 @@
   private void haltItself() {
     for (Kind kind : Kind.values()) {
       int sick = unwell.getOrDefault(kind, 0);
-      if (sick > 0 && rules.deadPart() < 1 && !halts.containsKey(DEAD)) {
+      if (sick > 0 && rules.deadPart() < 1 && !halts.containsKey(DEAD_HALT)) {
         if (sick > rules.deadPart() * all.get(kind)) {
-          halt(DEAD, "ledger", sick + " of " + all.get(kind) + " unwell");
+          halt(DEAD_HALT, "ledger", sick + " of " + all.get(kind) + " unwell");
         }
       }
     }
@@ -516,12 +516,12 @@
   }
 
   /** Who is out by permit, as it is now and not later. */
-  public Map<String, Out> outs() {
+  public Map<String, Out> permits() {
     return java.util.Collections.unmodifiableMap(outs);
   }
 
   /** How many wait for their turn. */
-  public int waiting() {
+  public int queueLength() {
     return queue.size();
   }
 
--- a/decision/src/main/java/cloverpulley/outs/Roll.java
+++ b/decision/src/main/java/cloverpulley/outs/Roll.java
@@ -110,13 +110,13 @@
    */
   private void press(List<Command> told, long now, State s) {
     double bound = s.rules().refusedPart();
-    if (bound >= 1 || s.halts().containsKey(Ledger.REFUSED)) {
+    if (bound >= 1 || s.halts().containsKey(DisruptionLedger.REJECTION_HALT)) {
       return;
     }
     List<Heard> there = heard.values().stream().filter(h -> now - h.atMillis() <= silentMillis).toList();
     long pressed = there.stream().filter(h -> h.refused() >= bound).count();
     if (pressed >= LEAST_PRESSED && 2 * pressed > there.size()) {
-      told.add(new Command.Halt(Ledger.REFUSED, "ledger", pressed + " of " + there.size() + " instances refuse too much"));
+      told.add(new Command.Halt(DisruptionLedger.REJECTION_HALT, "ledger", pressed + " of " + there.size() + " instances refuse too much"));
     }
   }
 
--- a/decision/src/main/java/cloverpulley/outs/State.java
+++ b/decision/src/main/java/cloverpulley/outs/State.java
@@ -13,7 +13,7 @@
     Map<String, Halted> halts, List<String> back, Map<String, Reply> answered, List<Change> history) {
 
   /** Of a ledger that has been told nothing. */
-  public static final State EMPTY = new Ledger().state();
+  public static final State EMPTY = new DisruptionLedger().state();
 
   /** What an instance needs: those that are out or unwell, and halts. As long as that is little, so is this, however large the fleet. */
   public State slim() {
--- a/decision/src/main/java/cloverpulley/outs/Watch.java
+++ b/decision/src/main/java/cloverpulley/outs/Watch.java
@@ -12,7 +12,7 @@
 public final class Watch {
 
   private static final int FAILURES = 3;
-  private static final int MOST = Ledger.MOST_MEMBERS;
+  private static final int MOST = DisruptionLedger.MAX_MEMBERS;
 
   private static final class Own {
     int failures;
--- a/decision/src/test/java/cloverpulley/outs/LedgerTest.java
+++ b/decision/src/test/java/cloverpulley/outs/DisruptionLedgerTest.java
@@ -11,9 +11,9 @@
 import org.junit.jupiter.api.Test;
 
 /** Who may be out, command by command. */
-class LedgerTest {
+class DisruptionLedgerTest {
 
-  private final Ledger ledger = new Ledger();
+  private final DisruptionLedger ledger = new DisruptionLedger();
   private long index;
   private long now = 1_000_000;
   private int asks;
@@ -213,11 +213,11 @@
     for (int i = 0; i < 3; i++) {
       seen("s" + i, Health.DEAD, "b2");
     }
-    assertEquals(List.of(Ledger.DEAD), List.copyOf(ledger.state().halts().keySet()));
-    tell(new Command.Resume(Ledger.DEAD, "op"));
+    assertEquals(List.of(DisruptionLedger.DEAD_HALT), List.copyOf(ledger.state().halts().keySet()));
+    tell(new Command.Resume(DisruptionLedger.DEAD_HALT, "op"));
     assertFalse(ledger.state().halts().isEmpty(), "not while it still holds");
     warm("s0");
-    tell(new Command.Resume(Ledger.DEAD, "op"));
+    tell(new Command.Resume(DisruptionLedger.DEAD_HALT, "op"));
     assertTrue(ledger.state().halts().isEmpty());
   }
 
@@ -229,7 +229,7 @@
     tell(new Command.Ask("f1", "s5", "op", "why", 0, true));
     tell(new Command.Ask("f2", "s1", "op", "why", 0, true));
     tell(new Command.Back("", "op"));
-    Ledger other = new Ledger();
+    DisruptionLedger other = new DisruptionLedger();
     other.restore(ledger.state());
     assertEquals(ledger.state(), other.state());
     for (String expected : List.of("s0", "s4", "s5", "s1")) {
@@ -290,7 +290,7 @@
     assertEquals(Word.GRANTED, ask("s1", 0).word());
     warm("s0");
     assertEquals(1, ledger.state().outs().size());
-    Ledger other = new Ledger();
+    DisruptionLedger other = new DisruptionLedger();
     other.restore(ledger.state());
     assertEquals(Word.GRANTED, other.apply(++index, ++now, new Command.Ask("z", "s4", "op", "", 0, false)).word());
   }
@@ -302,14 +302,14 @@
     assertThrows(IllegalArgumentException.class, () -> new Command.Enrol(big, Kind.UPSTREAM, List.of()));
     assertThrows(IllegalArgumentException.class, () -> new Command.Ask("q", "s0", "op", big, 0, false));
     tell(new Command.Halt("h", "op", ""));
-    for (int i = 0; i < Ledger.MOST_WAITING; i++) {
+    for (int i = 0; i < DisruptionLedger.MAX_QUEUED; i++) {
       tell(new Command.Ask("w" + i, "s0", "op", "", 60_000, false));
     }
     assertEquals(Word.TOO_MANY, tell(new Command.Ask("more", "s0", "op", "", 60_000, false)).word());
-    for (int i = 0; i < 2 * Ledger.MOST_HALTS; i++) {
+    for (int i = 0; i < 2 * DisruptionLedger.MAX_HALTS; i++) {
       tell(new Command.Halt("h" + i, "op", ""));
     }
-    assertEquals(Ledger.MOST_HALTS, ledger.state().halts().size());
+    assertEquals(DisruptionLedger.MAX_HALTS, ledger.state().halts().size());
     assertTrue(ledger.state().history().size() <= 500);
   }
 }
--- a/decision/src/test/java/cloverpulley/outs/InstancesTest.java
+++ b/decision/src/test/java/cloverpulley/outs/InstancesTest.java
@@ -10,7 +10,7 @@
 /** What an instance does about the ledger, tells it of upstreams, and what who leads tells it of instances. */
 class InstancesTest {
 
-  private final Ledger ledger = new Ledger();
+  private final DisruptionLedger ledger = new DisruptionLedger();
   private long index;
   private long now = 5000;
 
@@ -163,13 +163,13 @@
         roll.heard(i, "b" + b, new Look("p", List.of(), 0, told[i][b]));
       }
       tellAll(roll.look(i, true, ledger.state()));
-      assertEquals(i == 2, ledger.state().halts().containsKey(Ledger.REFUSED), "at step " + i);
+      assertEquals(i == 2, ledger.state().halts().containsKey(DisruptionLedger.REJECTION_HALT), "at step " + i);
     }
     assertEquals(Word.HALTED, tell(new Command.Ask("a", "s1", "op", "", 0, false)).word());
-    tell(new Command.Resume(Ledger.REFUSED, "op"));
+    tell(new Command.Resume(DisruptionLedger.REJECTION_HALT, "op"));
     tellAll(roll.look(4, true, ledger.state()));
-    assertTrue(ledger.state().halts().containsKey(Ledger.REFUSED), "it holds still");
-    tell(new Command.Resume(Ledger.REFUSED, "op"));
+    assertTrue(ledger.state().halts().containsKey(DisruptionLedger.REJECTION_HALT), "it holds still");
+    tell(new Command.Resume(DisruptionLedger.REJECTION_HALT, "op"));
     tellAll(roll.look(5000, true, ledger.state()));
     assertEquals(Map.of(), ledger.state().halts(), "words that are old say nothing");
   }
--- a/dist/src/main/java/cloverpulley/cli/OutsCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/OutsCommand.java
@@ -4,7 +4,7 @@
 import cloverpulley.agree.AgreeConfig;
 import cloverpulley.config.BadFileException;
 import cloverpulley.outs.Command;
-import cloverpulley.outs.Ledger;
+import cloverpulley.outs.DisruptionLedger;
 import cloverpulley.outs.Limit;
 import cloverpulley.outs.Phase;
 import cloverpulley.outs.Replacing;
@@ -252,7 +252,7 @@
             + (out.phase() == Phase.RETURNING ? "; counts as out until it is seen warm" : ""));
         return 0;
       }
-      Ledger copy = new Ledger();
+      DisruptionLedger copy = new DisruptionLedger();
       copy.restore(s);
       Reply r = copy.apply(s.index() + 1, s.nowMillis(), new Command.Ask("why " + UUID.randomUUID(), id, "why", "", 0, false));
       System.out.println(id + ": in service" + (m.unwell() ? ", unwell" : "") + "; an ask would be " + (r.isYes() ? "granted" : r.word().text()
@@ -336,6 +336,6 @@
     }
     sizes.put(AgreeConfig.VOTERS, read.agree().voters().size());
     Map<String, Limit> limits = new TreeMap<>(read.agree().rules().groups());
-    return new ArrayList<>(Ledger.neverGrant(limits, sizes));
+    return new ArrayList<>(DisruptionLedger.neverGrant(limits, sizes));
   }
 }
--- a/model/src/main/java/cloverpulley/model/outs/SmallWorld.java
+++ b/model/src/main/java/cloverpulley/model/outs/SmallWorld.java
@@ -3,7 +3,7 @@
 import cloverpulley.outs.Command;
 import cloverpulley.outs.Health;
 import cloverpulley.outs.Kind;
-import cloverpulley.outs.Ledger;
+import cloverpulley.outs.DisruptionLedger;
 import cloverpulley.outs.Limit;
 import cloverpulley.outs.Reply;
 import cloverpulley.outs.State;
@@ -34,8 +34,8 @@
 
   private SmallWorld() {}
 
-  private static Ledger world() {
-    Ledger l = new Ledger();
+  private static DisruptionLedger world() {
+    DisruptionLedger l = new DisruptionLedger();
     long at = 0;
     l.apply(++at, 1, new Command.Rules(1, LIMITS, 1, LONG, 1, 1));
     l.apply(++at, 1, new Command.Enrol("a", Kind.UPSTREAM, List.of("all", "cell")));
@@ -103,7 +103,7 @@
     while (!open.isEmpty()) {
       State s = open.poll();
       for (Command c : commands(s)) {
-        Ledger l = new Ledger();
+        DisruptionLedger l = new DisruptionLedger();
         l.restore(s);
         Reply r = l.apply(s.index() + 10, s.nowMillis() + 10, c);
         steps++;
@@ -164,7 +164,7 @@
           with.add(m);
           return with.size() <= may(s, g);
         });
-        Ledger copy = new Ledger();
+        DisruptionLedger copy = new DisruptionLedger();
         copy.restore(s);
         if (copy.apply(999, s.nowMillis(), new Command.Ask("probe", m, "op", "", 0, false)).isYes() != fits) {
           throw new IllegalStateException("the counts are wrong for " + m + " in " + s);
