--- a/agree/src/main/java/cloverpulley/agree/AgreeApi.java
+++ b/agree/src/main/java/cloverpulley/agree/AgreeApi.java
@@ -155,9 +155,9 @@
 
   /** Made once for an index, however many look. */
   private synchronized byte[] slim() {
-    cloverpulley.outs.State s = voter.state();
+    cloverpulley.outs.LedgerState s = voter.state();
     if (s.index() != madeFor) {
-      made = Json.write(s.slim());
+      made = Json.write(s.instanceView());
       madeFor = s.index();
     }
     return made;
--- a/agree/src/main/java/cloverpulley/agree/AgreeClient.java
+++ b/agree/src/main/java/cloverpulley/agree/AgreeClient.java
@@ -4,7 +4,7 @@
 import cloverpulley.outs.Look;
 import cloverpulley.outs.Replacing;
 import cloverpulley.outs.Reply;
-import cloverpulley.outs.State;
+import cloverpulley.outs.LedgerState;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -121,13 +121,13 @@
   }
 
   /** Looks, and is heard with that; null where nothing changed since {@code since}. */
-  public State look(String name, Look as, long since) throws IOException {
+  public LedgerState look(String name, Look as, long since) throws IOException {
     return look("?name=" + name + "&process=" + as.process() + "&groups=" + URLEncoder.encode(String.join(",", as.groups()), StandardCharsets.UTF_8)
         + "&acted=" + as.acted() + "&refused=" + as.refused() + "&since=" + since);
   }
 
   /** The whole ledger. */
-  public State whole() throws IOException {
+  public LedgerState whole() throws IOException {
     return look("?whole=1");
   }
 
@@ -136,7 +136,7 @@
     return led;
   }
 
-  private State look(String query) throws IOException {
+  private LedgerState look(String query) throws IOException {
     String last = "no voter answers";
     Answer alone = null;
     for (AgreeConfig.VoterAt v : inTurn()) {
@@ -162,8 +162,8 @@
     return state(alone);
   }
 
-  private static State state(Answer a) throws IOException {
-    return a.status() == 204 ? null : Json.read(a.body(), State.class);
+  private static LedgerState state(Answer a) throws IOException {
+    return a.status() == 204 ? null : Json.read(a.body(), LedgerState.class);
   }
 
   /** Who has not acted on all up to an index, by who leads. */
--- a/agree/src/main/java/cloverpulley/agree/Follower.java
+++ b/agree/src/main/java/cloverpulley/agree/Follower.java
@@ -4,7 +4,7 @@
 import cloverpulley.outs.Command;
 import cloverpulley.outs.Look;
 import cloverpulley.outs.Refusals;
-import cloverpulley.outs.State;
+import cloverpulley.outs.LedgerState;
 import cloverpulley.outs.Watch;
 import java.io.IOException;
 import java.util.ArrayDeque;
@@ -66,7 +66,7 @@
   private final LongAdder refused = new LongAdder();
   private final ArrayDeque<Acting.Step> todo = new ArrayDeque<>();
   private final CompletableFuture<Void> first = new CompletableFuture<>();
-  private State seen;
+  private LedgerState seen;
   private long acted = -1;
   private boolean deaf;
 
@@ -111,9 +111,9 @@
   private void look() {
     try {
       if (!todo.isEmpty()) {
-        act(seen == null ? State.EMPTY : seen);
+        act(seen == null ? LedgerState.EMPTY : seen);
       }
-      State s = client.look(config.name(), new Look(process, config.groups(), acted, refusals.counted(now(), ended.sum(), refused.sum())), acted);
+      LedgerState s = client.look(config.name(), new Look(process, config.groups(), acted, refusals.counted(now(), ended.sum(), refused.sum())), acted);
       if (s != null && (client.isLed() || first.isDone() || now() >= patientUntil)) {
         act(s);
       }
@@ -133,7 +133,7 @@
     }
   }
 
-  private void act(State s) throws IOException {
+  private void act(LedgerState s) throws IOException {
     try {
       todo.addAll(acting.look(s));
       while (!todo.isEmpty()) {
--- a/agree/src/main/java/cloverpulley/agree/Histories.java
+++ b/agree/src/main/java/cloverpulley/agree/Histories.java
@@ -4,7 +4,7 @@
 import cloverpulley.outs.Kind;
 import cloverpulley.outs.Limit;
 import cloverpulley.outs.Reply;
-import cloverpulley.outs.State;
+import cloverpulley.outs.LedgerState;
 import cloverpulley.outs.Word;
 import io.microraft.RaftEndpoint;
 import java.util.ArrayList;
@@ -322,7 +322,7 @@
       broken = leaders.size() + " leaders after the quiet time: " + voters.stream().map(SimulatedVoter::described).toList();
       return;
     }
-    State agreed = leaders.get(0).state();
+    LedgerState agreed = leaders.get(0).state();
     behind = (int) voters.stream().filter(v -> !v.state().equals(agreed)).count();
     if (open > 0) {
       broken = open + " asks without an answer after the quiet time";
--- a/agree/src/main/java/cloverpulley/agree/LedgerMachine.java
+++ b/agree/src/main/java/cloverpulley/agree/LedgerMachine.java
@@ -2,7 +2,7 @@
 
 import cloverpulley.outs.Command;
 import cloverpulley.outs.DisruptionLedger;
-import cloverpulley.outs.State;
+import cloverpulley.outs.LedgerState;
 import io.microraft.statemachine.StateMachine;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -14,7 +14,7 @@
 final class LedgerMachine implements StateMachine {
 
   private final DisruptionLedger ledger;
-  private State looked;
+  private LedgerState looked;
 
   LedgerMachine(DisruptionLedger ledger) {
     this.ledger = ledger;
@@ -36,7 +36,7 @@
     StringBuilder text = new StringBuilder();
     chunks.forEach(text::append);
     try {
-      ledger.restore(Json.read(text.toString().getBytes(StandardCharsets.UTF_8), State.class));
+      ledger.restore(Json.read(text.toString().getBytes(StandardCharsets.UTF_8), LedgerState.class));
     } catch (IOException e) {
       throw new UncheckedIOException(e); // A snapshot of a newer version: this voter can't go on.
     }
@@ -49,7 +49,7 @@
   }
 
   /** The ledger as it is. */
-  synchronized State state() {
+  synchronized LedgerState state() {
     if (looked == null || looked.index() != ledger.index()) {
       looked = ledger.state();
     }
--- a/agree/src/main/java/cloverpulley/agree/SimulatedVoter.java
+++ b/agree/src/main/java/cloverpulley/agree/SimulatedVoter.java
@@ -3,7 +3,7 @@
 import cloverpulley.outs.Command;
 import cloverpulley.outs.DisruptionLedger;
 import cloverpulley.outs.Reply;
-import cloverpulley.outs.State;
+import cloverpulley.outs.LedgerState;
 import io.microraft.Ordered;
 import io.microraft.RaftEndpoint;
 import io.microraft.RaftNode;
@@ -216,7 +216,7 @@
         + (node.getTerm().getLeaderEndpoint() == null ? "none" : node.getTerm().getLeaderEndpoint().getId()) + " index " + machine.index();
   }
 
-  State state() {
+  LedgerState state() {
     return machine.state();
   }
 }
--- a/agree/src/main/java/cloverpulley/agree/Voter.java
+++ b/agree/src/main/java/cloverpulley/agree/Voter.java
@@ -6,7 +6,7 @@
 import cloverpulley.outs.Replacing;
 import cloverpulley.outs.Reply;
 import cloverpulley.outs.Roll;
-import cloverpulley.outs.State;
+import cloverpulley.outs.LedgerState;
 import io.microraft.MembershipChangeMode;
 import io.microraft.Ordered;
 import io.microraft.RaftEndpoint;
@@ -192,7 +192,7 @@
   }
 
   /** The ledger as this one holds it; another may be ahead. */
-  public State state() {
+  public LedgerState state() {
     return machine.state();
   }
 
@@ -240,7 +240,7 @@
     try {
       pace.submit(this::wake);
       boolean leads = leads() && isActive();
-      State s = state();
+      LedgerState s = state();
       List<Command> told;
       synchronized (roll) {
         roll.listed(listed);
--- a/agree/src/test/java/cloverpulley/agree/JsonTest.java
+++ b/agree/src/test/java/cloverpulley/agree/JsonTest.java
@@ -11,7 +11,7 @@
 import cloverpulley.outs.DisruptionLedger;
 import cloverpulley.outs.Limit;
 import cloverpulley.outs.Reply;
-import cloverpulley.outs.State;
+import cloverpulley.outs.LedgerState;
 import cloverpulley.outs.Word;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -37,7 +37,7 @@
       assertEquals(c, Json.read(Json.write(c), Command.class));
       Reply r = ledger.apply(++at, at, c);
       assertEquals(r, Json.read(Json.write(r), Reply.class));
-      assertEquals(ledger.state(), Json.read(Json.write(ledger.state()), State.class));
+      assertEquals(ledger.state(), Json.read(Json.write(ledger.state()), LedgerState.class));
     }
     assertEquals(ALL.size(), Command.class.getPermittedSubclasses().length, "each kind is here");
   }
@@ -68,7 +68,7 @@
           }
           assertNotNull(ledger.apply(++at, at, read), () -> new String(changed, StandardCharsets.UTF_8));
           assertNotNull(ledger.apply(++at, at, read));
-          assertEquals(ledger.state(), Json.read(Json.write(ledger.state()), State.class));
+          assertEquals(ledger.state(), Json.read(Json.write(ledger.state()), LedgerState.class));
         }
       }
     }
--- a/bench/src/main/java/cloverpulley/bench/OutsBench.java
+++ b/bench/src/main/java/cloverpulley/bench/OutsBench.java
@@ -11,7 +11,7 @@
 import cloverpulley.outs.Look;
 import cloverpulley.outs.Limit;
 import cloverpulley.outs.Reply;
-import cloverpulley.outs.State;
+import cloverpulley.outs.LedgerState;
 import cloverpulley.outs.Word;
 import cloverpulley.standins.StandInUpstream;
 import cloverpulley.standins.StandInUpstream.Answer;
@@ -156,8 +156,8 @@
     }
     AgreeClient client = new AgreeClient(voters);
     await("all are enrolled", () -> {
-      State s = client.whole();
-      return s.members().size() == processes + UPSTREAMS && s.members().values().stream().noneMatch(State.Member::unwell);
+      LedgerState s = client.whole();
+      return s.members().size() == processes + UPSTREAMS && s.members().values().stream().noneMatch(LedgerState.Member::unwell);
     });
     System.out.printf("%d processes serve and are enrolled after %.1f s%n", processes, (System.nanoTime() - begun) / 1e9);
     for (int i = 0; i < Math.min(CALLED, processes); i++) {
@@ -227,12 +227,12 @@
 
   /** Octets that one instance's looks cost a second, by a look-alike of it. */
   private static double bytes(AgreeClient of) throws Exception {
-    State s = of.whole();
+    LedgerState s = of.whole();
     long before = of.octets();
     long acted = s.index();
     int looks = 25;
     for (int i = 0; i < looks; i++) {
-      State next = of.look("", new Look("", List.of(), acted, 0), acted);
+      LedgerState next = of.look("", new Look("", List.of(), acted, 0), acted);
       acted = next == null ? acted : next.index();
       TimeUnit.MILLISECONDS.sleep(200);
     }
--- a/decision/src/main/java/cloverpulley/outs/Acting.java
+++ b/decision/src/main/java/cloverpulley/outs/Acting.java
@@ -25,15 +25,15 @@
   private long index;
 
   /** The ledger as it was looked at; what is to be done now, in order. */
-  public List<Step> look(State s) {
+  public List<Step> look(LedgerState s) {
     if (s.index() < index) {
       return List.of();
     }
     index = s.index();
     List<Step> steps = new ArrayList<>();
     Set<String> wanted = new TreeSet<>();
-    for (Map.Entry<String, State.Out> e : s.outs().entrySet()) {
-      State.Member m = s.members().get(e.getKey());
+    for (Map.Entry<String, LedgerState.Permit> e : s.outs().entrySet()) {
+      LedgerState.Member m = s.members().get(e.getKey());
       if (m != null && m.kind() == Kind.UPSTREAM && e.getValue().phase() != Phase.RETURNING) {
         wanted.add(e.getKey());
         if (out.add(e.getKey())) {
--- a/decision/src/main/java/cloverpulley/outs/DisruptionLedger.java
+++ b/decision/src/main/java/cloverpulley/outs/DisruptionLedger.java
@@ -11,12 +11,12 @@
 import cloverpulley.outs.Command.Seen;
 import cloverpulley.outs.Command.Strike;
 import cloverpulley.outs.Command.Withdraw;
-import cloverpulley.outs.State.Change;
-import cloverpulley.outs.State.Halted;
-import cloverpulley.outs.State.Member;
-import cloverpulley.outs.State.Out;
-import cloverpulley.outs.State.Told;
-import cloverpulley.outs.State.Waiting;
+import cloverpulley.outs.LedgerState.HistoryEntry;
+import cloverpulley.outs.LedgerState.ActiveHalt;
+import cloverpulley.outs.LedgerState.Member;
+import cloverpulley.outs.LedgerState.Permit;
+import cloverpulley.outs.LedgerState.HealthReport;
+import cloverpulley.outs.LedgerState.QueuedRequest;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -53,12 +53,12 @@
   private static final Rules NONE = new Rules(0, Map.of(), 1, 10_000, 1, 1);
 
   private final Map<String, Member> members = new TreeMap<>();
-  private final Map<String, Out> outs = new TreeMap<>();
-  private final ArrayDeque<Waiting> queue = new ArrayDeque<>();
-  private final Map<String, Halted> halts = new TreeMap<>();
+  private final Map<String, Permit> outs = new TreeMap<>();
+  private final ArrayDeque<QueuedRequest> queue = new ArrayDeque<>();
+  private final Map<String, ActiveHalt> halts = new TreeMap<>();
   private final Set<String> back = new java.util.TreeSet<>();
   private final LinkedHashMap<String, Reply> answered = new LinkedHashMap<>();
-  private final ArrayDeque<Change> history = new ArrayDeque<>();
+  private final ArrayDeque<HistoryEntry> history = new ArrayDeque<>();
   private final Map<Kind, Integer> unwell = new HashMap<>();
   private final Map<Kind, Integer> all = new HashMap<>();
   private Tally tally = new Tally();
@@ -117,7 +117,7 @@
   }
 
   private void note(String what, String member, String by, String why) {
-    history.add(new Change(index, now, what, member, by, why));
+    history.add(new HistoryEntry(index, now, what, member, by, why));
     if (history.size() > MOST_HISTORY) {
       history.poll();
     }
@@ -209,7 +209,7 @@
     if (m == null) {
       return say(Word.UNKNOWN_MEMBER);
     }
-    Out out = outs.get(a.member());
+    Permit out = outs.get(a.member());
     if (out != null) {
       return answer(a.ask(), new Reply(Word.ALREADY_OUT, "", List.of(out.by()), 0, index));
     }
@@ -226,14 +226,14 @@
     if (queue.size() >= MAX_QUEUED) {
       return say(Word.TOO_MANY);
     }
-    queue.add(new Waiting(a.ask(), a.member(), a.by(), a.why(), now + a.waitMillis()));
+    queue.add(new QueuedRequest(a.ask(), a.member(), a.by(), a.why(), now + a.waitMillis()));
     note("waits", a.member(), a.by(), no.binding());
     return new Reply(Word.WAITING, no.binding(), no.holders(), 0, index);
   }
 
   /** What was granted before, asked again: a yes only for as long as it holds. Guards against who hears of his permit after others ended it. */
   private Reply again(String member, Reply granted) {
-    Out out = outs.get(member);
+    Permit out = outs.get(member);
     boolean holds = out != null && out.epoch() == granted.epoch() && out.phase() != Phase.RETURNING;
     return new Reply(holds ? Word.SAME_AGAIN : Word.OLD_EPOCH, "", List.of(), granted.epoch(), granted.index());
   }
@@ -246,7 +246,7 @@
   }
 
   /** Adds the groups that one who waits finds full, or awaited by somebody in front: nobody behind takes their next place. */
-  private void await(Waiting w, Set<String> awaited) {
+  private void await(QueuedRequest w, Set<String> awaited) {
     Member m = members.get(w.member());
     for (String g : m.groups()) {
       if (isFull(g, w.member(), awaited)) {
@@ -275,7 +275,7 @@
   }
 
   private Reply grant(String ask, String member, String by, String why, boolean forced) {
-    outs.put(member, new Out(Phase.GRANTED, ask, by, why, forced, index, now, index));
+    outs.put(member, new Permit(Phase.GRANTED, ask, by, why, forced, index, now, index));
     recount(member);
     note(forced ? "forced" : "granted", member, by, why);
     return answer(ask, new Reply(Word.GRANTED, "", List.of(), index, index));
@@ -295,7 +295,7 @@
     if (queue.removeIf(q -> q.ask().equals(w.ask()) && expire(q, Word.WITHDRAWN))) {
       return say(Word.DONE);
     }
-    for (Map.Entry<String, Out> e : outs.entrySet()) {
+    for (Map.Entry<String, Permit> e : outs.entrySet()) {
       if (e.getValue().ask().equals(w.ask())) {
         return returns(new Return(e.getKey(), e.getValue().by(), e.getValue().epoch())); // Modules may have drained it already: it comes back like any other.
       }
@@ -303,14 +303,14 @@
     return say(Word.NOT_OUT);
   }
 
-  private boolean expire(Waiting w, Word why) {
+  private boolean expire(QueuedRequest w, Word why) {
     answer(w.ask(), new Reply(why, "", List.of(), 0, index));
     note(why.text(), w.member(), w.by(), w.why());
     return true;
   }
 
   private Reply left(Left l) {
-    Out out = outs.get(l.member());
+    Permit out = outs.get(l.member());
     if (out == null) {
       return say(Word.NOT_OUT);
     }
@@ -323,10 +323,10 @@
     return say(Word.DONE);
   }
 
-  private void phase(String member, Out out, Phase to) {
+  private void phase(String member, Permit out, Phase to) {
     Member m = members.get(member);
     tally.returning(m.groups(), out.phase() == Phase.RETURNING ? -1 : 0);
-    outs.put(member, new Out(to, out.ask(), out.by(), out.why(), out.forced(), out.epoch(), now, index));
+    outs.put(member, new Permit(to, out.ask(), out.by(), out.why(), out.forced(), out.epoch(), now, index));
     tally.returning(m.groups(), to == Phase.RETURNING ? 1 : 0);
     note(to.name().toLowerCase(java.util.Locale.ROOT), member, out.by(), out.why());
   }
@@ -334,7 +334,7 @@
   // ---- Coming back ---------------------------------------------------------------------------------------
 
   private Reply returns(Return r) {
-    Out out = outs.get(r.member());
+    Permit out = outs.get(r.member());
     if (out == null) {
       return say(Word.NOT_OUT);
     }
@@ -352,12 +352,12 @@
     if (m == null) {
       return say(Word.UNKNOWN_MEMBER);
     }
-    Told last = m.words().get(s.observer());
+    HealthReport last = m.words().get(s.observer());
     if (last != null && last.at() > s.at()) {
       return say(Word.OLD_EPOCH); // It was overtaken by a later word of the same observer.
     }
-    Map<String, Told> words = new TreeMap<>(m.words());
-    words.put(s.observer(), new Told(s.health(), now, Math.min(s.at(), index)));
+    Map<String, HealthReport> words = new TreeMap<>(m.words());
+    words.put(s.observer(), new HealthReport(s.health(), now, Math.min(s.at(), index)));
     words.values().removeIf(t -> now - t.atMillis() > rules.freshMillis());
     while (words.size() > MOST_OBSERVERS) {
       words.remove(words.entrySet().stream().min(Map.Entry.comparingByValue((x, y) -> Long.compare(x.atMillis(), y.atMillis()))).get().getKey());
@@ -374,7 +374,7 @@
     if (isUnwell != m.unwell()) {
       note(isUnwell ? "unwell" : "well", s.member(), s.observer(), s.health().name().toLowerCase(java.util.Locale.ROOT));
     }
-    Out out = outs.get(s.member());
+    Permit out = outs.get(s.member());
     if (out != null && out.phase() == Phase.RETURNING && !isUnwell) {
       long warmSince = words.values().stream().filter(t -> t.health() == Health.WARM && t.at() >= out.sinceIndex()).count();
       if (warmSince >= needed) {
@@ -405,7 +405,7 @@
     if (halts.size() >= MAX_HALTS && !halts.containsKey(name)) {
       return say(Word.TOO_MANY);
     }
-    if (halts.putIfAbsent(name, new Halted(by, why, now)) == null) {
+    if (halts.putIfAbsent(name, new ActiveHalt(by, why, now)) == null) {
       note("halted", name, by, why);
     }
     return say(Word.DONE);
@@ -415,8 +415,8 @@
 
   private void settle() {
     haltItself();
-    for (Iterator<Waiting> i = queue.iterator(); i.hasNext();) {
-      Waiting w = i.next();
+    for (Iterator<QueuedRequest> i = queue.iterator(); i.hasNext();) {
+      QueuedRequest w = i.next();
       if (now >= w.untilMillis()) {
         expire(w, Word.EXPIRED);
         i.remove();
@@ -424,8 +424,8 @@
     }
     if (halts.isEmpty() && !queue.isEmpty()) {
       Set<String> closed = new HashSet<>();
-      for (Iterator<Waiting> i = queue.iterator(); i.hasNext();) {
-        Waiting w = i.next();
+      for (Iterator<QueuedRequest> i = queue.iterator(); i.hasNext();) {
+        QueuedRequest w = i.next();
         Member m = members.get(w.member());
         if (outs.containsKey(w.member())) {
           answer(w.ask(), new Reply(Word.ALREADY_OUT, "", List.of(), 0, index));
@@ -457,7 +457,7 @@
 
   /** The longest out first, as many at a time as the groups' limits let come back. */
   private void callBack() {
-    List<Map.Entry<String, Out>> out = new ArrayList<>(outs.entrySet());
+    List<Map.Entry<String, Permit>> out = new ArrayList<>(outs.entrySet());
     out.removeIf(e -> !back.contains("") && members.get(e.getKey()).groups().stream().noneMatch(back::contains));
     if (out.isEmpty()) {
       back.clear();
@@ -465,7 +465,7 @@
     }
     out.removeIf(e -> e.getValue().phase() == Phase.RETURNING);
     out.sort(Map.Entry.comparingByValue((x, y) -> Long.compare(x.epoch(), y.epoch())));
-    for (Map.Entry<String, Out> e : out) {
+    for (Map.Entry<String, Permit> e : out) {
       List<String> groups = members.get(e.getKey()).groups();
       if (groups.stream().allMatch(g -> rules.groups().get(g) == null || tally.returning(g) < rules.groups().get(g).back())) {
         phase(e.getKey(), e.getValue(), Phase.RETURNING);
@@ -476,13 +476,13 @@
   // ---- As a value ----------------------------------------------------------------------------------------
 
   /** Everything, for a snapshot or a look. */
-  public State state() {
-    return new State(index, now, rules, new TreeMap<>(members), new TreeMap<>(outs), List.copyOf(queue), new TreeMap<>(halts),
+  public LedgerState state() {
+    return new LedgerState(index, now, rules, new TreeMap<>(members), new TreeMap<>(outs), List.copyOf(queue), new TreeMap<>(halts),
         List.copyOf(back), new LinkedHashMap<>(answered), List.copyOf(history));
   }
 
   /** Goes on from a state, whatever was here before. */
-  public void restore(State s) {
+  public void restore(LedgerState s) {
     members.clear();
     outs.clear();
     queue.clear();
@@ -516,7 +516,7 @@
   }
 
   /** Who is out by permit, as it is now and not later. */
-  public Map<String, Out> permits() {
+  public Map<String, Permit> permits() {
     return java.util.Collections.unmodifiableMap(outs);
   }
 
--- a/decision/src/main/java/cloverpulley/outs/State.java
+++ b/decision/src/main/java/cloverpulley/outs/LedgerState.java
@@ -9,38 +9,38 @@
  * @param nowMillis the latest time that any command was stamped with
  * @param back groups that are called back; empty text for all
  */
-public record State(long index, long nowMillis, Command.Rules rules, Map<String, Member> members, Map<String, Out> outs, List<Waiting> queue,
-    Map<String, Halted> halts, List<String> back, Map<String, Reply> answered, List<Change> history) {
+public record LedgerState(long index, long nowMillis, Command.Rules rules, Map<String, Member> members, Map<String, Permit> outs, List<QueuedRequest> queue,
+    Map<String, ActiveHalt> halts, List<String> back, Map<String, Reply> answered, List<HistoryEntry> history) {
 
   /** Of a ledger that has been told nothing. */
-  public static final State EMPTY = new DisruptionLedger().state();
+  public static final LedgerState EMPTY = new DisruptionLedger().state();
 
   /** What an instance needs: those that are out or unwell, and halts. As long as that is little, so is this, however large the fleet. */
-  public State slim() {
+  public LedgerState instanceView() {
     Map<String, Member> some = new java.util.TreeMap<>();
     members.forEach((name, m) -> {
       if (m.unwell() || outs.containsKey(name)) {
         some.put(name, new Member(m.kind(), List.of(), m.unwell(), Map.of()));
       }
     });
-    return new State(index, nowMillis, rules, some, outs, List.of(), halts, back, Map.of(), List.of());
+    return new LedgerState(index, nowMillis, rules, some, outs, List.of(), halts, back, Map.of(), List.of());
   }
 
   /** One that is there, and the words on its health that were told last. */
-  public record Member(Kind kind, List<String> groups, boolean unwell, Map<String, Told> words) {}
+  public record Member(Kind kind, List<String> groups, boolean unwell, Map<String, HealthReport> words) {}
 
   /** An observer's word, when it was told, and the ledger's index that the observer knew of when it saw it. */
-  public record Told(Health health, long atMillis, long at) {}
+  public record HealthReport(Health health, long atMillis, long at) {}
 
   /** One that is out by permit; {@code sinceIndex} is where its phase began. */
-  public record Out(Phase phase, String ask, String by, String why, boolean forced, long epoch, long sinceMillis, long sinceIndex) {}
+  public record Permit(Phase phase, String ask, String by, String why, boolean forced, long epoch, long sinceMillis, long sinceIndex) {}
 
   /** One that waits for its turn. */
-  public record Waiting(String ask, String member, String by, String why, long untilMillis) {}
+  public record QueuedRequest(String ask, String member, String by, String why, long untilMillis) {}
 
   /** Why nothing is granted. */
-  public record Halted(String by, String why, long sinceMillis) {}
+  public record ActiveHalt(String by, String why, long sinceMillis) {}
 
   /** Something that changed, for who asks later. */
-  public record Change(long index, long atMillis, String what, String member, String by, String why) {}
+  public record HistoryEntry(long index, long atMillis, String what, String member, String by, String why) {}
 }
--- a/decision/src/main/java/cloverpulley/outs/Roll.java
+++ b/decision/src/main/java/cloverpulley/outs/Roll.java
@@ -56,7 +56,7 @@
   }
 
   /** What the ledger is to be told now; nothing where this one does not lead. */
-  public List<Command> look(long nowMillis, boolean isLeading, State s) {
+  public List<Command> look(long nowMillis, boolean isLeading, LedgerState s) {
     if (!isLeading) {
       leads = false;
       return List.of();
@@ -83,19 +83,19 @@
     return told;
   }
 
-  private static void enrol(List<Command> told, State s, String name, Entry e) {
+  private static void enrol(List<Command> told, LedgerState s, String name, Entry e) {
     Command.Enrol wanted = new Command.Enrol(name, e.kind(), e.groups());
-    State.Member is = s.members().get(name);
+    LedgerState.Member is = s.members().get(name);
     if (is == null || is.kind() != wanted.kind() || !is.groups().equals(wanted.groups())) {
       told.add(wanted);
     }
   }
 
-  private void hear(List<Command> told, long now, State s, String name, State.Member m) {
+  private void hear(List<Command> told, long now, LedgerState s, String name, LedgerState.Member m) {
     Heard h = heard.get(name);
     long since = h == null ? ledBy : Math.max(ledBy, h.atMillis());
     boolean isSilent = now - since > silentMillis;
-    State.Out out = s.outs().get(name);
+    LedgerState.Permit out = s.outs().get(name);
     boolean returning = out != null && out.phase() == Phase.RETURNING;
     boolean news = isSilent != m.unwell() && (isSilent || h != null && h.atMillis() >= ledBy) || returning && !isSilent;
     if (news && now - toldAt.getOrDefault(name, Long.MIN_VALUE / 2) >= silentMillis / 4) {
@@ -108,7 +108,7 @@
    * Where most of the instances that are there refuse too much, nobody is to take out more. The halt is lifted by its name, and comes again
    * while this holds.
    */
-  private void press(List<Command> told, long now, State s) {
+  private void press(List<Command> told, long now, LedgerState s) {
     double bound = s.rules().refusedPart();
     if (bound >= 1 || s.halts().containsKey(DisruptionLedger.REJECTION_HALT)) {
       return;
@@ -121,7 +121,7 @@
   }
 
   /** Instances in service that have not acted on all up to an index; those that are out or silent are not waited for. */
-  public List<String> notActed(long nowMillis, long index, State s) {
+  public List<String> notActed(long nowMillis, long index, LedgerState s) {
     return s.members().entrySet().stream()
         .filter(e -> e.getValue().kind() == Kind.BALANCER && !e.getValue().unwell() && !s.outs().containsKey(e.getKey()))
         .map(Map.Entry::getKey).filter(name -> heard.get(name) == null || !heard.get(name).hasActed(nowMillis, index, silentMillis)).toList();
--- a/decision/src/main/java/cloverpulley/outs/Watch.java
+++ b/decision/src/main/java/cloverpulley/outs/Watch.java
@@ -61,12 +61,12 @@
   }
 
   /** What to tell the ledger now. */
-  public List<Command> look(long nowMillis, State s) {
+  public List<Command> look(long nowMillis, LedgerState s) {
     List<Command> told = new ArrayList<>();
     for (Map.Entry<String, Own> e : all.entrySet()) {
-      State.Member m = s.members().get(e.getKey());
+      LedgerState.Member m = s.members().get(e.getKey());
       Own own = e.getValue();
-      State.Out out = s.outs().get(e.getKey());
+      LedgerState.Permit out = s.outs().get(e.getKey());
       boolean unwell = m != null && m.unwell();
       if (out != null && out.phase() != Phase.RETURNING) {
         own.failures = 0; // Out by permit: nobody wonders that it fails.
--- a/decision/src/test/java/cloverpulley/outs/DisruptionLedgerTest.java
+++ b/decision/src/test/java/cloverpulley/outs/DisruptionLedgerTest.java
@@ -37,7 +37,7 @@
   }
 
   private Phase phase(String member) {
-    State.Out out = ledger.state().outs().get(member);
+    LedgerState.Permit out = ledger.state().outs().get(member);
     return out == null ? null : out.phase();
   }
 
@@ -189,7 +189,7 @@
     assertEquals(null, phase("s2"));
     now += 2000;
     tell(new Command.Tick());
-    assertEquals(List.of("s2"), ledger.state().queue().stream().map(State.Waiting::member).toList(), "s3 waited no longer");
+    assertEquals(List.of("s2"), ledger.state().queue().stream().map(LedgerState.QueuedRequest::member).toList(), "s3 waited no longer");
     assertEquals(Word.EXPIRED, tell(new Command.Ask("a5", "s3", "op", "why", 1000, false)).word(), "and is told so");
   }
 
--- a/decision/src/test/java/cloverpulley/outs/InstancesTest.java
+++ b/decision/src/test/java/cloverpulley/outs/InstancesTest.java
@@ -27,17 +27,17 @@
     tell(new Command.Rules(1, Map.of(), 1, 10_000, 1, 1));
     tell(new Command.Enrol("s1", Kind.UPSTREAM, List.of()));
     tell(new Command.Enrol("b1", Kind.BALANCER, List.of()));
-    State before = ledger.state();
+    LedgerState before = ledger.state();
     tell(new Command.Ask("a", "s1", "op", "", 0, false));
     tell(new Command.Ask("b", "b1", "op", "", 0, false));
     now += 700;
     tell(new Command.Tick());
     Acting acting = new Acting();
-    assertEquals(List.of(new Acting.Step.TakeOut("s1", 700)), acting.look(ledger.state().slim()), "a balancer's out is not the module's business");
-    assertEquals(List.of(), acting.look(ledger.state().slim()));
+    assertEquals(List.of(new Acting.Step.TakeOut("s1", 700)), acting.look(ledger.state().instanceView()), "a balancer's out is not the module's business");
+    assertEquals(List.of(), acting.look(ledger.state().instanceView()));
     assertEquals(List.of(), acting.look(before), "a voter that lags brings nothing back");
     tell(new Command.Return("s1", "op", ledger.state().outs().get("s1").epoch()));
-    assertEquals(List.of(new Acting.Step.CallBack("s1")), acting.look(ledger.state().slim()));
+    assertEquals(List.of(new Acting.Step.CallBack("s1")), acting.look(ledger.state().instanceView()));
     assertEquals(index, acting.index());
   }
 
--- a/dist/src/main/java/cloverpulley/cli/OutsCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/OutsCommand.java
@@ -9,7 +9,7 @@
 import cloverpulley.outs.Phase;
 import cloverpulley.outs.Replacing;
 import cloverpulley.outs.Reply;
-import cloverpulley.outs.State;
+import cloverpulley.outs.LedgerState;
 import cloverpulley.outs.Word;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -151,7 +151,7 @@
     @Override
     public Integer call() throws BadFileException, IOException {
       AgreeClient client = common.client();
-      State.Out out = client.whole().outs().get(id);
+      LedgerState.Permit out = client.whole().outs().get(id);
       return say(id, client.command(new Command.Left(id, out == null ? 0 : out.epoch()), TRY_MILLIS));
     }
   }
@@ -162,7 +162,7 @@
     @Override
     public Integer call() throws BadFileException, IOException {
       AgreeClient client = common.client();
-      State.Out out = client.whole().outs().get(id);
+      LedgerState.Permit out = client.whole().outs().get(id);
       return say(id, client.command(new Command.Return(id, common.by, out == null ? 0 : out.epoch()), TRY_MILLIS));
     }
   }
@@ -206,7 +206,7 @@
     @Override
     public Integer call() throws BadFileException, IOException {
       AgreeClient client = common.client();
-      State s = client.whole();
+      LedgerState s = client.whole();
       System.out.println("index " + s.index() + ", leader " + (client.leader().isEmpty() ? "nobody" : client.leader()) + ", "
           + s.members().size() + " members");
       s.halts().forEach((name, h) -> System.out.println("halt " + name + " by " + h.by() + " since " + Instant.ofEpochMilli(h.sinceMillis())
@@ -225,7 +225,7 @@
       return 0;
     }
 
-    private static Map<String, int[]> groups(State s) {
+    private static Map<String, int[]> groups(LedgerState s) {
       Map<String, int[]> groups = new TreeMap<>();
       s.members().forEach((name, m) -> m.groups().forEach(g -> {
         int[] sizes = groups.computeIfAbsent(g, k -> new int[2]);
@@ -240,13 +240,13 @@
   static final class Why extends OnMember {
     @Override
     public Integer call() throws BadFileException, IOException {
-      State s = common.client().whole();
-      State.Member m = s.members().get(id);
+      LedgerState s = common.client().whole();
+      LedgerState.Member m = s.members().get(id);
       if (m == null) {
         System.out.println(id + ": " + Word.UNKNOWN_MEMBER.text());
         return 1;
       }
-      State.Out out = s.outs().get(id);
+      LedgerState.Permit out = s.outs().get(id);
       if (out != null) {
         System.out.println(id + ": " + out.phase().name().toLowerCase(java.util.Locale.ROOT) + " by " + out.by() + ": " + out.why()
             + (out.phase() == Phase.RETURNING ? "; counts as out until it is seen warm" : ""));
@@ -320,7 +320,7 @@
 
     @Override
     public Integer call() throws BadFileException, IOException {
-      for (State.Change c : common.client().whole().history()) {
+      for (LedgerState.HistoryEntry c : common.client().whole().history()) {
         System.out.println(c.index() + " " + Instant.ofEpochMilli(c.atMillis()) + " " + c.what() + " " + c.member()
             + (c.by().isEmpty() ? "" : " by " + c.by()) + (c.why().isEmpty() ? "" : ": " + c.why()));
       }
--- a/dist/src/test/java/cloverpulley/cli/OutsRig.java
+++ b/dist/src/test/java/cloverpulley/cli/OutsRig.java
@@ -7,7 +7,7 @@
 import cloverpulley.agree.AgreeConfig.VoterAt;
 import cloverpulley.outs.Command;
 import cloverpulley.outs.Reply;
-import cloverpulley.outs.State;
+import cloverpulley.outs.LedgerState;
 import cloverpulley.outs.Word;
 import cloverpulley.standins.StandInUpstream;
 import cloverpulley.standins.StandInUpstream.Answer;
@@ -79,7 +79,7 @@
       asking.at(i);
     }
     await("all are enrolled", () -> whole().members().size() == 6 + ALL && whole().rules().version() == 1
-        && whole().members().values().stream().noneMatch(State.Member::unwell));
+        && whole().members().values().stream().noneMatch(LedgerState.Member::unwell));
   }
 
   @AfterEach
@@ -98,7 +98,7 @@
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  State whole() throws IOException {
+  LedgerState whole() throws IOException {
     return client.whole();
   }
 
--- a/model/src/main/java/cloverpulley/model/outs/SmallWorld.java
+++ b/model/src/main/java/cloverpulley/model/outs/SmallWorld.java
@@ -6,7 +6,7 @@
 import cloverpulley.outs.DisruptionLedger;
 import cloverpulley.outs.Limit;
 import cloverpulley.outs.Reply;
-import cloverpulley.outs.State;
+import cloverpulley.outs.LedgerState;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -46,7 +46,7 @@
   }
 
   /** Every command that may come in a state, those that come late among them. */
-  private static List<Command> commands(State s) {
+  private static List<Command> commands(LedgerState s) {
     List<Command> all = new ArrayList<>();
     for (String m : MEMBERS) {
       all.add(new Command.Ask("now " + m, m, "op", "", 0, false));
@@ -69,23 +69,23 @@
   }
 
   /** A state without what only says when, and without what was answered: an ask may be made again. */
-  private static State plain(State s) {
-    Map<String, State.Member> members = new TreeMap<>();
+  private static LedgerState plain(LedgerState s) {
+    Map<String, LedgerState.Member> members = new TreeMap<>();
     s.members().forEach((n, m) -> {
-      Map<String, State.Told> words = new TreeMap<>();
-      State.Out out = s.outs().get(n);
+      Map<String, LedgerState.HealthReport> words = new TreeMap<>();
+      LedgerState.Permit out = s.outs().get(n);
       // Of a word's place only whether it came after the phase began matters.
-      m.words().forEach((o, t) -> words.put(o, new State.Told(t.health(), 0, out != null && t.at() >= out.sinceIndex() ? 2 : 0)));
-      members.put(n, new State.Member(m.kind(), m.groups(), m.unwell(), words));
+      m.words().forEach((o, t) -> words.put(o, new LedgerState.HealthReport(t.health(), 0, out != null && t.at() >= out.sinceIndex() ? 2 : 0)));
+      members.put(n, new LedgerState.Member(m.kind(), m.groups(), m.unwell(), words));
     });
-    Map<String, State.Out> outs = new TreeMap<>();
-    List<Long> epochs = s.outs().values().stream().map(State.Out::epoch).sorted().toList();
+    Map<String, LedgerState.Permit> outs = new TreeMap<>();
+    List<Long> epochs = s.outs().values().stream().map(LedgerState.Permit::epoch).sorted().toList();
     s.outs().forEach((n, o) -> outs.put(n,
-        new State.Out(o.phase(), o.ask(), o.by(), o.why(), o.forced(), epochs.indexOf(o.epoch()) + 1, 1, 1)));
-    List<State.Waiting> queue = s.queue().stream().map(w -> new State.Waiting(w.ask(), w.member(), w.by(), w.why(), LONG)).toList();
-    Map<String, State.Halted> halts = new TreeMap<>();
-    s.halts().forEach((n, h) -> halts.put(n, new State.Halted(h.by(), h.why(), 0)));
-    return new State(10, 1, s.rules(), members, outs, queue, halts, s.back(), Map.of(), List.of());
+        new LedgerState.Permit(o.phase(), o.ask(), o.by(), o.why(), o.forced(), epochs.indexOf(o.epoch()) + 1, 1, 1)));
+    List<LedgerState.QueuedRequest> queue = s.queue().stream().map(w -> new LedgerState.QueuedRequest(w.ask(), w.member(), w.by(), w.why(), LONG)).toList();
+    Map<String, LedgerState.ActiveHalt> halts = new TreeMap<>();
+    s.halts().forEach((n, h) -> halts.put(n, new LedgerState.ActiveHalt(h.by(), h.why(), 0)));
+    return new LedgerState(10, 1, s.rules(), members, outs, queue, halts, s.back(), Map.of(), List.of());
   }
 
   /**
@@ -94,22 +94,22 @@
    * @throws IllegalStateException where a state breaks a rule, with the step to it
    */
   public static Searched search() {
-    Set<State> seen = new HashSet<>();
-    ArrayDeque<State> open = new ArrayDeque<>();
-    State first = plain(world().state());
+    Set<LedgerState> seen = new HashSet<>();
+    ArrayDeque<LedgerState> open = new ArrayDeque<>();
+    LedgerState first = plain(world().state());
     seen.add(first);
     open.add(first);
     long steps = 0;
     while (!open.isEmpty()) {
-      State s = open.poll();
+      LedgerState s = open.poll();
       for (Command c : commands(s)) {
         DisruptionLedger l = new DisruptionLedger();
         l.restore(s);
         Reply r = l.apply(s.index() + 10, s.nowMillis() + 10, c);
         steps++;
-        State after = l.state();
+        LedgerState after = l.state();
         check(s, c, r, after);
-        State next = plain(after);
+        LedgerState next = plain(after);
         if (seen.add(next)) {
           checkCounts(next);
           open.add(next);
@@ -122,7 +122,7 @@
     return new Searched(seen.size(), steps);
   }
 
-  private static Set<String> counted(State s, String group) {
+  private static Set<String> counted(LedgerState s, String group) {
     Set<String> counted = new HashSet<>();
     s.members().forEach((n, m) -> {
       if (m.groups().contains(group) && (m.unwell() || s.outs().containsKey(n))) {
@@ -132,11 +132,11 @@
     return counted;
   }
 
-  private static int may(State s, String group) {
+  private static int may(LedgerState s, String group) {
     return LIMITS.get(group).of((int) s.members().values().stream().filter(m -> m.groups().contains(group)).count());
   }
 
-  private static void check(State before, Command c, Reply r, State after) {
+  private static void check(LedgerState before, Command c, Reply r, LedgerState after) {
     for (String g : LIMITS.keySet()) {
       Set<String> granted = new HashSet<>(after.outs().keySet());
       granted.removeAll(before.outs().keySet());
@@ -153,7 +153,7 @@
   }
 
   /** The kept counts, as an ask shows them, are those of a plain count. */
-  private static void checkCounts(State s) {
+  private static void checkCounts(LedgerState s) {
     if (!s.halts().isEmpty() || !s.queue().isEmpty()) {
       return;
     }
