--- a/agree/src/main/java/cloverpulley/agree/AgreeApi.java
+++ b/agree/src/main/java/cloverpulley/agree/AgreeApi.java
@@ -1,7 +1,7 @@
 package cloverpulley.agree;
 
 import cloverpulley.outs.Command;
-import cloverpulley.outs.Look;
+import cloverpulley.outs.Heartbeat;
 import com.sun.net.httpserver.HttpExchange;
 import com.sun.net.httpserver.HttpServer;
 import io.microraft.exception.CannotReplicateException;
@@ -134,13 +134,13 @@
       return;
     }
     if (!name.isEmpty()) {
-      List<String> groups = Arrays.stream(query.getOrDefault("groups", "").split(",")).filter(AgreeConfig::isName).limit(Command.MOST_GROUPS).toList();
+      List<String> groups = Arrays.stream(query.getOrDefault("groups", "").split(",")).filter(AgreeConfig::isName).limit(Command.MAX_GROUPS).toList();
       String process = query.getOrDefault("process", "");
       if (!process.isEmpty() && !AgreeConfig.isName(process)) {
         answer(x, 400, "process: expected letters, digits and . : # - _");
         return;
       }
-      voter.heard(name, new Look(process, groups, number(query.get("acted")), Double.parseDouble(query.getOrDefault("refused", "0"))));
+      voter.heard(name, new Heartbeat(process, groups, number(query.get("acted")), Double.parseDouble(query.getOrDefault("refused", "0"))));
     }
     if (!voter.isCaughtUp()) {
       answer(x, 503, "this voter has not caught up since its start");
--- a/agree/src/main/java/cloverpulley/agree/AgreeClient.java
+++ b/agree/src/main/java/cloverpulley/agree/AgreeClient.java
@@ -1,7 +1,7 @@
 package cloverpulley.agree;
 
 import cloverpulley.outs.Command;
-import cloverpulley.outs.Look;
+import cloverpulley.outs.Heartbeat;
 import cloverpulley.outs.Replacing;
 import cloverpulley.outs.Reply;
 import cloverpulley.outs.LedgerState;
@@ -121,7 +121,7 @@
   }
 
   /** Looks, and is heard with that; null where nothing changed since {@code since}. */
-  public LedgerState look(String name, Look as, long since) throws IOException {
+  public LedgerState look(String name, Heartbeat as, long since) throws IOException {
     return look("?name=" + name + "&process=" + as.process() + "&groups=" + URLEncoder.encode(String.join(",", as.groups()), StandardCharsets.UTF_8)
         + "&acted=" + as.acted() + "&refused=" + as.refused() + "&since=" + since);
   }
--- a/agree/src/main/java/cloverpulley/agree/Follower.java
+++ b/agree/src/main/java/cloverpulley/agree/Follower.java
@@ -2,7 +2,7 @@
 
 import cloverpulley.outs.Acting;
 import cloverpulley.outs.Command;
-import cloverpulley.outs.Look;
+import cloverpulley.outs.Heartbeat;
 import cloverpulley.outs.Refusals;
 import cloverpulley.outs.LedgerState;
 import cloverpulley.outs.Watch;
@@ -113,7 +113,7 @@
       if (!todo.isEmpty()) {
         act(seen == null ? LedgerState.EMPTY : seen);
       }
-      LedgerState s = client.look(config.name(), new Look(process, config.groups(), acted, refusals.counted(now(), ended.sum(), refused.sum())), acted);
+      LedgerState s = client.look(config.name(), new Heartbeat(process, config.groups(), acted, refusals.counted(now(), ended.sum(), refused.sum())), acted);
       if (s != null && (client.isLed() || first.isDone() || now() >= patientUntil)) {
         act(s);
       }
--- a/agree/src/main/java/cloverpulley/agree/Histories.java
+++ b/agree/src/main/java/cloverpulley/agree/Histories.java
@@ -1,11 +1,11 @@
 package cloverpulley.agree;
 
 import cloverpulley.outs.Command;
-import cloverpulley.outs.Kind;
+import cloverpulley.outs.MemberKind;
 import cloverpulley.outs.Limit;
 import cloverpulley.outs.Reply;
 import cloverpulley.outs.LedgerState;
-import cloverpulley.outs.Word;
+import cloverpulley.outs.ResultCode;
 import io.microraft.RaftEndpoint;
 import java.util.ArrayList;
 import java.util.List;
@@ -26,7 +26,7 @@
   public record Result(long seed, int granted, int refused, int unknown, int faults, int behind, String broken, List<Op> ops) {}
 
   /** One ask or release as an operator saw it, virtual microseconds; {@code returned} is -1 where no answer came. */
-  public record Op(int client, String member, boolean isAsk, long invoked, long returned, Word word) {}
+  public record Op(int client, String member, boolean isAsk, long invoked, long returned, ResultCode word) {}
 
   private static final int MEMBERS = 6;
   private static final int MOST_OUT = 2;
@@ -126,7 +126,7 @@
     List<Command> first = new ArrayList<>();
     first.add(new Command.Rules(1, Map.of("all", new Limit(MOST_OUT, 1, 1)), 1, 10_000, 1, 1));
     for (int i = 0; i < MEMBERS; i++) {
-      first.add(new Command.Enrol("m" + i, Kind.UPSTREAM, List.of("all")));
+      first.add(new Command.Enrol("m" + i, MemberKind.UPSTREAM, List.of("all")));
     }
     for (Command c : first) {
       boolean[] done = {false};
@@ -257,7 +257,7 @@
     private void told(Command.Ask a, long invoked, Reply r) {
       open--;
       ops.add(new Op(number, a.member(), true, invoked, time.micros(), r.word()));
-      if (!r.isYes()) {
+      if (!r.isSuccess()) {
         refused++;
         time.after(100_000 + random.nextInt(500_000), this::act);
         return;
@@ -286,7 +286,7 @@
             // Warm a moment later, by the ledger's own time, whoever stamps it.
             time.after(50_000, () -> give(new Command.Seen("o" + number, ret.member(), cloverpulley.outs.Health.WARM, r.index()), invoked, 0));
           } else if (isBack(((Command.Seen) c).member())) {
-            ops.add(new Op(number, ((Command.Seen) c).member(), false, invoked, time.micros(), Word.DONE));
+            ops.add(new Op(number, ((Command.Seen) c).member(), false, invoked, time.micros(), ResultCode.DONE));
             act();
           } else {
             time.after(200_000, () -> give(c, invoked, tries));
--- a/agree/src/main/java/cloverpulley/agree/Voter.java
+++ b/agree/src/main/java/cloverpulley/agree/Voter.java
@@ -2,7 +2,7 @@
 
 import cloverpulley.outs.Command;
 import cloverpulley.outs.DisruptionLedger;
-import cloverpulley.outs.Look;
+import cloverpulley.outs.Heartbeat;
 import cloverpulley.outs.Replacing;
 import cloverpulley.outs.Reply;
 import cloverpulley.outs.Roll;
@@ -201,7 +201,7 @@
   }
 
   /** An instance has looked here. */
-  public void heard(String name, Look look) {
+  public void heard(String name, Heartbeat look) {
     synchronized (roll) {
       roll.heard(now(), name, look);
     }
--- a/agree/src/test/java/cloverpulley/agree/HistoriesTest.java
+++ b/agree/src/test/java/cloverpulley/agree/HistoriesTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.outs.Word;
+import cloverpulley.outs.ResultCode;
 import java.util.List;
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
@@ -60,12 +60,12 @@
 
   @Test
   void theCheckerKnowsWhatCantBe() {
-    Histories.Op first = new Histories.Op(0, "a", true, 0, 1, Word.GRANTED);
-    Histories.Op second = new Histories.Op(1, "b", true, 2, 3, Word.GRANTED);
+    Histories.Op first = new Histories.Op(0, "a", true, 0, 1, ResultCode.GRANTED);
+    Histories.Op second = new Histories.Op(1, "b", true, 2, 3, ResultCode.GRANTED);
     assertTrue(Linearizable.check(List.of(first, second), 2));
     assertFalse(Linearizable.check(List.of(first, second), 1));
-    assertTrue(Linearizable.check(List.of(first, second, new Histories.Op(0, "a", false, 1, 9, Word.DONE)), 1), "released in between, perhaps");
-    assertFalse(Linearizable.check(List.of(first, second, new Histories.Op(0, "a", false, 4, 9, Word.DONE)), 1), "released too late");
-    assertFalse(Linearizable.check(List.of(first, new Histories.Op(1, "b", true, 2, 3, Word.LIMIT)), 2), "refused with a place free");
+    assertTrue(Linearizable.check(List.of(first, second, new Histories.Op(0, "a", false, 1, 9, ResultCode.DONE)), 1), "released in between, perhaps");
+    assertFalse(Linearizable.check(List.of(first, second, new Histories.Op(0, "a", false, 4, 9, ResultCode.DONE)), 1), "released too late");
+    assertFalse(Linearizable.check(List.of(first, new Histories.Op(1, "b", true, 2, 3, ResultCode.LIMIT)), 2), "refused with a place free");
   }
 }
--- a/agree/src/test/java/cloverpulley/agree/JsonTest.java
+++ b/agree/src/test/java/cloverpulley/agree/JsonTest.java
@@ -7,12 +7,12 @@
 
 import cloverpulley.outs.Command;
 import cloverpulley.outs.Health;
-import cloverpulley.outs.Kind;
+import cloverpulley.outs.MemberKind;
 import cloverpulley.outs.DisruptionLedger;
 import cloverpulley.outs.Limit;
 import cloverpulley.outs.Reply;
 import cloverpulley.outs.LedgerState;
-import cloverpulley.outs.Word;
+import cloverpulley.outs.ResultCode;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -25,7 +25,7 @@
 class JsonTest {
 
   private static final List<Command> ALL = List.of(new Command.Rules(3, Map.of("g", new Limit(1, 0.5, 2)), 2, 500, 0.5, 0.5),
-      new Command.Enrol("m", Kind.UPSTREAM, List.of("g", "h")), new Command.Strike("m"), new Command.Ask("a", "m", "op", "why", 5, false),
+      new Command.Enrol("m", MemberKind.UPSTREAM, List.of("g", "h")), new Command.Strike("m"), new Command.Ask("a", "m", "op", "why", 5, false),
       new Command.Withdraw("a"), new Command.Left("m", 7), new Command.Return("m", "op", 7), new Command.Seen("o", "m", Health.COLD, 6),
       new Command.Halt("h", "op", "why"), new Command.Resume("h", "op"), new Command.Back("", "op"), new Command.Tick());
 
@@ -86,9 +86,9 @@
   @Test
   void theLongestWaitWaits() {
     DisruptionLedger ledger = new DisruptionLedger();
-    ledger.apply(1, 1, new Command.Enrol("m", Kind.UPSTREAM, List.of()));
+    ledger.apply(1, 1, new Command.Enrol("m", MemberKind.UPSTREAM, List.of()));
     ledger.apply(2, 1, new Command.Halt("h", "op", ""));
-    assertEquals(Word.WAITING, ledger.apply(3, 1_700_000_000_000L, new Command.Ask("a", "m", "op", "", Long.MAX_VALUE, false)).word());
+    assertEquals(ResultCode.WAITING, ledger.apply(3, 1_700_000_000_000L, new Command.Ask("a", "m", "op", "", Long.MAX_VALUE, false)).word());
     assertEquals(1, ledger.queueLength());
   }
 }
--- a/agree/src/test/java/cloverpulley/agree/Linearizable.java
+++ b/agree/src/test/java/cloverpulley/agree/Linearizable.java
@@ -1,6 +1,6 @@
 package cloverpulley.agree;
 
-import cloverpulley.outs.Word;
+import cloverpulley.outs.ResultCode;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.Comparator;
@@ -65,12 +65,12 @@
       fits = after.remove(op.member());
     } else if (op.word() == null) {
       fits = out.size() < most && after.add(op.member());
-    } else if (op.word() == Word.GRANTED || op.word() == Word.SAME_AGAIN) {
+    } else if (op.word() == ResultCode.GRANTED || op.word() == ResultCode.SAME_AGAIN) {
       fits = out.size() < most && after.add(op.member());
-    } else if (op.word() == Word.LIMIT) {
+    } else if (op.word() == ResultCode.LIMIT) {
       fits = out.size() >= most && !out.contains(op.member());
     } else {
-      fits = op.word() == Word.ALREADY_OUT && out.contains(op.member());
+      fits = op.word() == ResultCode.ALREADY_OUT && out.contains(op.member());
     }
     return fits ? after : null;
   }
--- a/bench/src/main/java/cloverpulley/bench/OutsBench.java
+++ b/bench/src/main/java/cloverpulley/bench/OutsBench.java
@@ -6,13 +6,13 @@
 import cloverpulley.model.outs.SmallWorld;
 import cloverpulley.outs.Command;
 import cloverpulley.outs.Health;
-import cloverpulley.outs.Kind;
+import cloverpulley.outs.MemberKind;
 import cloverpulley.outs.DisruptionLedger;
-import cloverpulley.outs.Look;
+import cloverpulley.outs.Heartbeat;
 import cloverpulley.outs.Limit;
 import cloverpulley.outs.Reply;
 import cloverpulley.outs.LedgerState;
-import cloverpulley.outs.Word;
+import cloverpulley.outs.ResultCode;
 import cloverpulley.standins.StandInUpstream;
 import cloverpulley.standins.StandInUpstream.Answer;
 import cloverpulley.standins.faults.AgreeingFleet;
@@ -191,7 +191,7 @@
     long from = System.nanoTime();
     Reply r = client.command(new Command.Ask("ask " + number, member, "bench", "round", 0, false), 10_000);
     permit.add((System.nanoTime() - from) / 1e6);
-    if (!r.isYes()) {
+    if (!r.isSuccess()) {
       throw new IllegalStateException(member + ": " + r);
     }
     long yes = System.nanoTime();
@@ -218,7 +218,7 @@
     }
     double millis = (System.nanoTime() - from) / 1e6;
     Reply r = client.command(new Command.Ask("halted " + number, "s0", "bench", "", 0, false), 10_000);
-    if (r.word() != Word.HALTED) {
+    if (r.word() != ResultCode.HALTED) {
       throw new IllegalStateException("granted while it is halted: " + r);
     }
     client.command(new Command.Resume("h" + number, "bench"), 10_000);
@@ -232,7 +232,7 @@
     long acted = s.index();
     int looks = 25;
     for (int i = 0; i < looks; i++) {
-      LedgerState next = of.look("", new Look("", List.of(), acted, 0), acted);
+      LedgerState next = of.look("", new Heartbeat("", List.of(), acted, 0), acted);
       acted = next == null ? acted : next.index();
       TimeUnit.MILLISECONDS.sleep(200);
     }
@@ -255,7 +255,7 @@
     long[] index = {0};
     l.apply(++index[0], 0, new Command.Rules(1, Map.of("all", new Limit(most, 1, most)), 1, 10_000, 1, 1));
     for (int i = 0; i < members; i++) {
-      l.apply(++index[0], 0, new Command.Enrol("s" + i, Kind.UPSTREAM, List.of("all")));
+      l.apply(++index[0], 0, new Command.Enrol("s" + i, MemberKind.UPSTREAM, List.of("all")));
     }
     PriorityQueue<Map.Entry<Long, String>> due = new PriorityQueue<>(Map.Entry.comparingByKey());
     java.util.Set<String> begun = new java.util.HashSet<>();
--- a/decision/src/main/java/cloverpulley/outs/Acting.java
+++ b/decision/src/main/java/cloverpulley/outs/Acting.java
@@ -34,7 +34,7 @@
     Set<String> wanted = new TreeSet<>();
     for (Map.Entry<String, LedgerState.Permit> e : s.outs().entrySet()) {
       LedgerState.Member m = s.members().get(e.getKey());
-      if (m != null && m.kind() == Kind.UPSTREAM && e.getValue().phase() != Phase.RETURNING) {
+      if (m != null && m.kind() == MemberKind.UPSTREAM && e.getValue().phase() != Phase.RETURNING) {
         wanted.add(e.getKey());
         if (out.add(e.getKey())) {
           steps.add(new Step.TakeOut(e.getKey(), Math.max(0, s.nowMillis() - e.getValue().sinceMillis())));
--- a/decision/src/main/java/cloverpulley/outs/Command.java
+++ b/decision/src/main/java/cloverpulley/outs/Command.java
@@ -7,9 +7,9 @@
 public sealed interface Command {
 
   /** Longest name or reason. */
-  int MOST_TEXT = 256;
+  int MAX_TEXT_LENGTH = 256;
   /** Most groups of one member. */
-  int MOST_GROUPS = 32;
+  int MAX_GROUPS = 32;
 
   /**
    * Guards all voters at once: what is taken into the log is applied by each of them, and what one can't apply none can. So a command that
@@ -17,8 +17,8 @@
    */
   private static void check(String... texts) {
     for (String text : texts) {
-      if (text == null || text.length() > MOST_TEXT) {
-        throw new IllegalArgumentException("expected a text of " + MOST_TEXT + " characters at most, got "
+      if (text == null || text.length() > MAX_TEXT_LENGTH) {
+        throw new IllegalArgumentException("expected a text of " + MAX_TEXT_LENGTH + " characters at most, got "
             + (text == null ? "nothing" : text.length()));
       }
     }
@@ -47,8 +47,8 @@
 
     /** Checks that the figures make sense. */
     public Rules {
-      if (groups == null || groups.size() > MOST_GROUPS * MOST_GROUPS) {
-        throw new IllegalArgumentException("expected limits by group, " + MOST_GROUPS * MOST_GROUPS + " at most");
+      if (groups == null || groups.size() > MAX_GROUPS * MAX_GROUPS) {
+        throw new IllegalArgumentException("expected limits by group, " + MAX_GROUPS * MAX_GROUPS + " at most");
       }
       groups = Map.copyOf(groups);
       named(groups.keySet().toArray(String[]::new));
@@ -59,13 +59,13 @@
   }
 
   /** A member there is, or what it belongs to now. */
-  record Enrol(String member, Kind kind, List<String> groups) implements Command {
+  record Enrol(String member, MemberKind kind, List<String> groups) implements Command {
 
     /** Groups are kept as told, each once. */
     public Enrol {
       named(member);
-      if (kind == null || groups == null || groups.size() > MOST_GROUPS) {
-        throw new IllegalArgumentException("expected a kind and " + MOST_GROUPS + " groups at most");
+      if (kind == null || groups == null || groups.size() > MAX_GROUPS) {
+        throw new IllegalArgumentException("expected a kind and " + MAX_GROUPS + " groups at most");
       }
       named(groups.toArray(String[]::new));
       groups = groups.stream().distinct().sorted().toList();
--- a/decision/src/main/java/cloverpulley/outs/DisruptionLedger.java
+++ b/decision/src/main/java/cloverpulley/outs/DisruptionLedger.java
@@ -59,8 +59,8 @@
   private final Set<String> back = new java.util.TreeSet<>();
   private final LinkedHashMap<String, Reply> answered = new LinkedHashMap<>();
   private final ArrayDeque<HistoryEntry> history = new ArrayDeque<>();
-  private final Map<Kind, Integer> unwell = new HashMap<>();
-  private final Map<Kind, Integer> all = new HashMap<>();
+  private final Map<MemberKind, Integer> unwell = new HashMap<>();
+  private final Map<MemberKind, Integer> all = new HashMap<>();
   private Tally tally = new Tally();
   private Rules rules = NONE;
   private long index;
@@ -96,23 +96,23 @@
       return halt(h.name(), h.by(), h.why());
     } else if (c instanceof Resume r) {
       if (halts.remove(r.name()) == null) {
-        return say(Word.NO_SUCH_HALT);
+        return say(ResultCode.NO_SUCH_HALT);
       }
       note("resumed", r.name(), r.by(), "");
     } else if (c instanceof Back b) {
       if (!b.group().isEmpty() && tally.members(b.group()) == 0) {
-        return say(Word.UNKNOWN_GROUP);
+        return say(ResultCode.UNKNOWN_GROUP);
       }
       if (back.size() >= MAX_HALTS) {
-        return say(Word.TOO_MANY);
+        return say(ResultCode.TOO_MANY);
       }
       back.add(b.group());
       note("back", b.group(), b.by(), "");
     }
-    return say(Word.DONE);
+    return say(ResultCode.DONE);
   }
 
-  private Reply say(Word word) {
+  private Reply say(ResultCode word) {
     return new Reply(word, "", List.of(), 0, index);
   }
 
@@ -127,22 +127,22 @@
 
   private Reply rules(Rules r) {
     if (r.version() < rules.version()) {
-      return say(Word.OLD_VERSION);
+      return say(ResultCode.OLD_VERSION);
     }
     if (!r.equals(rules)) {
       rules = r;
       note("rules", "", "", "version " + r.version());
     }
-    return say(Word.DONE);
+    return say(ResultCode.DONE);
   }
 
   private Reply enrol(Enrol e) {
     Member was = members.get(e.member());
     if (was == null && members.size() >= MAX_MEMBERS) {
-      return say(Word.TOO_MANY);
+      return say(ResultCode.TOO_MANY);
     }
     if (was != null && was.kind() == e.kind() && was.groups().equals(e.groups())) {
-      return say(Word.SAME_AGAIN);
+      return say(ResultCode.SAME_AGAIN);
     }
     if (was != null) {
       count(e.member(), was, false);
@@ -155,23 +155,23 @@
     count(is, 1);
     recount(e.member());
     note("enrolled", e.member(), "", String.join(" ", e.groups()));
-    return say(Word.DONE);
+    return say(ResultCode.DONE);
   }
 
   private Reply strike(Strike s) {
     Member was = members.get(s.member());
     if (was == null) {
-      return say(Word.UNKNOWN_MEMBER);
+      return say(ResultCode.UNKNOWN_MEMBER);
     }
     if (outs.containsKey(s.member())) {
-      return say(Word.STILL_OUT); // A permit is not lost with its holder's name.
+      return say(ResultCode.STILL_OUT); // A permit is not lost with its holder's name.
     }
     members.remove(s.member());
     tally.remove(s.member(), was.groups());
     count(was, -1);
-    queue.removeIf(w -> w.member().equals(s.member()) && expire(w, Word.UNKNOWN_MEMBER));
+    queue.removeIf(w -> w.member().equals(s.member()) && expire(w, ResultCode.UNKNOWN_MEMBER));
     note("struck", s.member(), "", "");
-    return say(Word.DONE);
+    return say(ResultCode.DONE);
   }
 
   /** Keeps the counts of a kind, all and unwell ones. */
@@ -200,22 +200,22 @@
   private Reply ask(Ask a) {
     Reply before = answered.get(a.ask());
     if (before != null) {
-      return before.word() == Word.GRANTED ? again(a.member(), before) : before;
+      return before.word() == ResultCode.GRANTED ? again(a.member(), before) : before;
     }
     if (queue.stream().anyMatch(w -> w.ask().equals(a.ask()))) {
-      return say(Word.WAITING);
+      return say(ResultCode.WAITING);
     }
     Member m = members.get(a.member());
     if (m == null) {
-      return say(Word.UNKNOWN_MEMBER);
+      return say(ResultCode.UNKNOWN_MEMBER);
     }
     Permit out = outs.get(a.member());
     if (out != null) {
-      return answer(a.ask(), new Reply(Word.ALREADY_OUT, "", List.of(out.by()), 0, index));
+      return answer(a.ask(), new Reply(ResultCode.ALREADY_OUT, "", List.of(out.by()), 0, index));
     }
     Reply no = a.force() ? null : against(a.member(), m, Set.of());
     if (no == null && !a.force() && !java.util.Collections.disjoint(awaited(), m.groups())) {
-      no = new Reply(Word.LIMIT, "queue", List.of(), 0, index); // First come, first served.
+      no = new Reply(ResultCode.LIMIT, "queue", List.of(), 0, index); // First come, first served.
     }
     if (no == null) {
       return grant(a.ask(), a.member(), a.by(), a.why(), a.force());
@@ -224,18 +224,18 @@
       return answer(a.ask(), no);
     }
     if (queue.size() >= MAX_QUEUED) {
-      return say(Word.TOO_MANY);
+      return say(ResultCode.TOO_MANY);
     }
     queue.add(new QueuedRequest(a.ask(), a.member(), a.by(), a.why(), now + a.waitMillis()));
     note("waits", a.member(), a.by(), no.binding());
-    return new Reply(Word.WAITING, no.binding(), no.holders(), 0, index);
+    return new Reply(ResultCode.WAITING, no.binding(), no.holders(), 0, index);
   }
 
   /** What was granted before, asked again: a yes only for as long as it holds. Guards against who hears of his permit after others ended it. */
   private Reply again(String member, Reply granted) {
     Permit out = outs.get(member);
     boolean holds = out != null && out.epoch() == granted.epoch() && out.phase() != Phase.RETURNING;
-    return new Reply(holds ? Word.SAME_AGAIN : Word.OLD_EPOCH, "", List.of(), granted.epoch(), granted.index());
+    return new Reply(holds ? ResultCode.SAME_AGAIN : ResultCode.OLD_EPOCH, "", List.of(), granted.epoch(), granted.index());
   }
 
   /** Groups for whose next place somebody waits already. */
@@ -258,17 +258,17 @@
   private boolean isFull(String group, String name, Set<String> closed) {
     Limit limit = rules.groups().get(group);
     int more = tally.isOut(group, name) ? 0 : 1;
-    return limit != null && (tally.out(group) + more > limit.of(tally.members(group)) || closed.contains(group));
+    return limit != null && (tally.out(group) + more > limit.maxOut(tally.members(group)) || closed.contains(group));
   }
 
   /** What stands against one more; null for nothing. {@code closed} are groups for which somebody waits in front. */
   private Reply against(String name, Member m, Set<String> closed) {
     if (!halts.isEmpty()) {
-      return new Reply(Word.HALTED, halts.keySet().iterator().next(), List.of(), 0, index);
+      return new Reply(ResultCode.HALTED, halts.keySet().iterator().next(), List.of(), 0, index);
     }
     for (String g : m.groups()) {
       if (isFull(g, name, closed)) {
-        return new Reply(Word.LIMIT, g, tally.holders(g, SHOWN_HOLDERS), 0, index);
+        return new Reply(ResultCode.LIMIT, g, tally.holders(g, SHOWN_HOLDERS), 0, index);
       }
     }
     return null;
@@ -278,7 +278,7 @@
     outs.put(member, new Permit(Phase.GRANTED, ask, by, why, forced, index, now, index));
     recount(member);
     note(forced ? "forced" : "granted", member, by, why);
-    return answer(ask, new Reply(Word.GRANTED, "", List.of(), index, index));
+    return answer(ask, new Reply(ResultCode.GRANTED, "", List.of(), index, index));
   }
 
   private Reply answer(String ask, Reply reply) {
@@ -292,18 +292,18 @@
   }
 
   private Reply withdraw(Withdraw w) {
-    if (queue.removeIf(q -> q.ask().equals(w.ask()) && expire(q, Word.WITHDRAWN))) {
-      return say(Word.DONE);
+    if (queue.removeIf(q -> q.ask().equals(w.ask()) && expire(q, ResultCode.WITHDRAWN))) {
+      return say(ResultCode.DONE);
     }
     for (Map.Entry<String, Permit> e : outs.entrySet()) {
       if (e.getValue().ask().equals(w.ask())) {
         return returns(new Return(e.getKey(), e.getValue().by(), e.getValue().epoch())); // Modules may have drained it already: it comes back like any other.
       }
     }
-    return say(Word.NOT_OUT);
+    return say(ResultCode.NOT_OUT);
   }
 
-  private boolean expire(QueuedRequest w, Word why) {
+  private boolean expire(QueuedRequest w, ResultCode why) {
     answer(w.ask(), new Reply(why, "", List.of(), 0, index));
     note(why.text(), w.member(), w.by(), w.why());
     return true;
@@ -312,15 +312,15 @@
   private Reply left(Left l) {
     Permit out = outs.get(l.member());
     if (out == null) {
-      return say(Word.NOT_OUT);
+      return say(ResultCode.NOT_OUT);
     }
     if (out.epoch() != l.epoch()) {
-      return say(Word.OLD_EPOCH);
+      return say(ResultCode.OLD_EPOCH);
     }
     if (out.phase() == Phase.GRANTED) {
       phase(l.member(), out, Phase.OUT);
     }
-    return say(Word.DONE);
+    return say(ResultCode.DONE);
   }
 
   private void phase(String member, Permit out, Phase to) {
@@ -336,25 +336,25 @@
   private Reply returns(Return r) {
     Permit out = outs.get(r.member());
     if (out == null) {
-      return say(Word.NOT_OUT);
+      return say(ResultCode.NOT_OUT);
     }
     if (out.epoch() != r.epoch()) {
-      return say(Word.OLD_EPOCH);
+      return say(ResultCode.OLD_EPOCH);
     }
     if (out.phase() != Phase.RETURNING) {
       phase(r.member(), out, Phase.RETURNING);
     }
-    return new Reply(Word.DONE, "", List.of(), out.epoch(), index);
+    return new Reply(ResultCode.DONE, "", List.of(), out.epoch(), index);
   }
 
   private Reply seen(Seen s) {
     Member m = members.get(s.member());
     if (m == null) {
-      return say(Word.UNKNOWN_MEMBER);
+      return say(ResultCode.UNKNOWN_MEMBER);
     }
     HealthReport last = m.words().get(s.observer());
     if (last != null && last.at() > s.at()) {
-      return say(Word.OLD_EPOCH); // It was overtaken by a later word of the same observer.
+      return say(ResultCode.OLD_EPOCH); // It was overtaken by a later word of the same observer.
     }
     Map<String, HealthReport> words = new TreeMap<>(m.words());
     words.put(s.observer(), new HealthReport(s.health(), now, Math.min(s.at(), index)));
@@ -384,17 +384,17 @@
       }
     }
     tally.count(s.member(), is.groups(), isUnwell || outs.containsKey(s.member()));
-    return say(Word.DONE);
+    return say(ResultCode.DONE);
   }
 
   /** A balancer's health is the word of who hears all of them; an upstream's that of several balancers, as far as there are so many. */
-  private int needed(Kind kind) {
-    if (kind == Kind.BALANCER) {
+  private int needed(MemberKind kind) {
+    if (kind == MemberKind.BALANCER) {
       return 1;
     }
     int balancers = 0;
     for (Member m : members.values()) {
-      if (m.kind() == Kind.BALANCER && !m.unwell() && ++balancers >= rules.words()) {
+      if (m.kind() == MemberKind.BALANCER && !m.unwell() && ++balancers >= rules.words()) {
         return rules.words();
       }
     }
@@ -403,12 +403,12 @@
 
   private Reply halt(String name, String by, String why) {
     if (halts.size() >= MAX_HALTS && !halts.containsKey(name)) {
-      return say(Word.TOO_MANY);
+      return say(ResultCode.TOO_MANY);
     }
     if (halts.putIfAbsent(name, new ActiveHalt(by, why, now)) == null) {
       note("halted", name, by, why);
     }
-    return say(Word.DONE);
+    return say(ResultCode.DONE);
   }
 
   // ---- What follows from it ------------------------------------------------------------------------------
@@ -418,7 +418,7 @@
     for (Iterator<QueuedRequest> i = queue.iterator(); i.hasNext();) {
       QueuedRequest w = i.next();
       if (now >= w.untilMillis()) {
-        expire(w, Word.EXPIRED);
+        expire(w, ResultCode.EXPIRED);
         i.remove();
       }
     }
@@ -428,7 +428,7 @@
         QueuedRequest w = i.next();
         Member m = members.get(w.member());
         if (outs.containsKey(w.member())) {
-          answer(w.ask(), new Reply(Word.ALREADY_OUT, "", List.of(), 0, index));
+          answer(w.ask(), new Reply(ResultCode.ALREADY_OUT, "", List.of(), 0, index));
           i.remove();
         } else if (against(w.member(), m, closed) == null) {
           grant(w.ask(), w.member(), w.by(), w.why(), false);
@@ -445,7 +445,7 @@
 
   /** Too many unwell at once: whatever takes them out, nobody is to add to it. Lifted by name only, and not while it still holds. */
   private void haltItself() {
-    for (Kind kind : Kind.values()) {
+    for (MemberKind kind : MemberKind.values()) {
       int sick = unwell.getOrDefault(kind, 0);
       if (sick > 0 && rules.deadPart() < 1 && !halts.containsKey(DEAD_HALT)) {
         if (sick > rules.deadPart() * all.get(kind)) {
@@ -532,7 +532,7 @@
 
   /** Groups whose limit lets nobody out, though they have members: a plan that can never grant. */
   public static List<String> neverGrant(Map<String, Limit> limits, Map<String, Integer> sizes) {
-    return limits.entrySet().stream().filter(e -> sizes.getOrDefault(e.getKey(), 0) > 0 && e.getValue().of(sizes.get(e.getKey())) == 0)
+    return limits.entrySet().stream().filter(e -> sizes.getOrDefault(e.getKey(), 0) > 0 && e.getValue().maxOut(sizes.get(e.getKey())) == 0)
         .map(Map.Entry::getKey).sorted().toList();
   }
 }
--- a/decision/src/main/java/cloverpulley/outs/Heard.java
+++ b/decision/src/main/java/cloverpulley/outs/Heard.java
@@ -13,13 +13,13 @@
   /** More processes of one name than an upgrade has are a fault; those heard last count. */
   private static final int MOST_PROCESSES = 4;
 
-  private record Process(long atMillis, Look look) {}
+  private record Process(long atMillis, Heartbeat look) {}
 
   private final Map<String, Process> processes = new TreeMap<>();
   private List<String> groups = List.of();
   private long atMillis;
 
-  void heard(long nowMillis, Look look, long silentMillis) {
+  void heard(long nowMillis, Heartbeat look, long silentMillis) {
     atMillis = nowMillis;
     groups = look.groups();
     processes.put(look.process(), new Process(nowMillis, look));
@@ -36,7 +36,7 @@
   }
 
   Roll.Entry as() {
-    return new Roll.Entry(Kind.BALANCER, groups);
+    return new Roll.Entry(MemberKind.BALANCER, groups);
   }
 
   /** Whether each that is there has acted on all up to an index. One that went silent is not waited for while another of its name is heard. */
--- a/decision/src/main/java/cloverpulley/outs/Look.java
+++ b/decision/src/main/java/cloverpulley/outs/Heartbeat.java
@@ -10,10 +10,10 @@
  * @param acted the index up to which this process has acted
  * @param refused the part of its requests that it refuses just now, 0 to 1
  */
-public record Look(String process, List<String> groups, long acted, double refused) {
+public record Heartbeat(String process, List<String> groups, long acted, double refused) {
 
   /** Checks that the figures make sense. */
-  public Look {
+  public Heartbeat {
     groups = List.copyOf(groups);
     if (!(refused >= 0 && refused <= 1)) {
       throw new IllegalArgumentException("expected a part from 0 to 1, got " + refused);
--- a/decision/src/main/java/cloverpulley/outs/LedgerState.java
+++ b/decision/src/main/java/cloverpulley/outs/LedgerState.java
@@ -27,7 +27,7 @@
   }
 
   /** One that is there, and the words on its health that were told last. */
-  public record Member(Kind kind, List<String> groups, boolean unwell, Map<String, HealthReport> words) {}
+  public record Member(MemberKind kind, List<String> groups, boolean unwell, Map<String, HealthReport> words) {}
 
   /** An observer's word, when it was told, and the ledger's index that the observer knew of when it saw it. */
   public record HealthReport(Health health, long atMillis, long at) {}
--- a/decision/src/main/java/cloverpulley/outs/Limit.java
+++ b/decision/src/main/java/cloverpulley/outs/Limit.java
@@ -17,7 +17,7 @@
   }
 
   /** Of so many members. */
-  public int of(int members) {
+  public int maxOut(int members) {
     return (int) Math.min(most, Math.floor(part * members + 1e-9));
   }
 }
--- a/decision/src/main/java/cloverpulley/outs/Kind.java
+++ b/decision/src/main/java/cloverpulley/outs/MemberKind.java
@@ -1,4 +1,4 @@
 package cloverpulley.outs;
 
 /** What can be out. */
-public enum Kind { BALANCER, UPSTREAM }
+public enum MemberKind { BALANCER, UPSTREAM }
--- a/decision/src/main/java/cloverpulley/outs/Reply.java
+++ b/decision/src/main/java/cloverpulley/outs/Reply.java
@@ -11,10 +11,10 @@
  * @param epoch of the permit, where one is held; else 0
  * @param index the ledger's, at which this was decided
  */
-public record Reply(Word word, String binding, List<String> holders, long epoch, long index) {
+public record Reply(ResultCode word, String binding, List<String> holders, long epoch, long index) {
 
   /** Whether what was asked for holds. */
-  public boolean isYes() {
-    return word == Word.DONE || word == Word.GRANTED || word == Word.SAME_AGAIN;
+  public boolean isSuccess() {
+    return word == ResultCode.DONE || word == ResultCode.GRANTED || word == ResultCode.SAME_AGAIN;
   }
 }
--- a/decision/src/main/java/cloverpulley/outs/Roll.java
+++ b/decision/src/main/java/cloverpulley/outs/Roll.java
@@ -14,7 +14,7 @@
 public final class Roll {
 
   /** One to be enrolled: an instance that looks, or an upstream of the list. */
-  public record Entry(Kind kind, List<String> groups) {}
+  public record Entry(MemberKind kind, List<String> groups) {}
 
   private static final int MOST_HEARD = 5_000;
   /** So many instances at least have to be pressed before all is halted: no one's word does that. */
@@ -38,7 +38,7 @@
   }
 
   /** A process of an instance has looked. */
-  public void heard(long nowMillis, String name, Look look) {
+  public void heard(long nowMillis, String name, Heartbeat look) {
     if (!heard.containsKey(name) && heard.size() >= MOST_HEARD) {
       // Guards the memory, and those who come later, from names that were heard once.
       heard.values().removeIf(h -> nowMillis - h.atMillis() > silentMillis);
@@ -70,9 +70,9 @@
     heard.forEach((name, h) -> enrol(told, s, name, h.as()));
     upstreams.forEach((name, e) -> enrol(told, s, name, e));
     s.members().forEach((name, m) -> {
-      if (m.kind() == Kind.UPSTREAM && !upstreams.isEmpty() && !upstreams.containsKey(name) && !s.outs().containsKey(name)) {
+      if (m.kind() == MemberKind.UPSTREAM && !upstreams.isEmpty() && !upstreams.containsKey(name) && !s.outs().containsKey(name)) {
         told.add(new Command.Strike(name)); // One that is out stays, listed or not: it holds its place until it is seen back.
-      } else if (m.kind() == Kind.BALANCER) {
+      } else if (m.kind() == MemberKind.BALANCER) {
         hear(told, nowMillis, s, name, m);
       }
     });
@@ -123,7 +123,7 @@
   /** Instances in service that have not acted on all up to an index; those that are out or silent are not waited for. */
   public List<String> notActed(long nowMillis, long index, LedgerState s) {
     return s.members().entrySet().stream()
-        .filter(e -> e.getValue().kind() == Kind.BALANCER && !e.getValue().unwell() && !s.outs().containsKey(e.getKey()))
+        .filter(e -> e.getValue().kind() == MemberKind.BALANCER && !e.getValue().unwell() && !s.outs().containsKey(e.getKey()))
         .map(Map.Entry::getKey).filter(name -> heard.get(name) == null || !heard.get(name).hasActed(nowMillis, index, silentMillis)).toList();
   }
 }
--- a/decision/src/test/java/cloverpulley/outs/DisruptionLedgerTest.java
+++ b/decision/src/test/java/cloverpulley/outs/DisruptionLedgerTest.java
@@ -47,36 +47,36 @@
     tell(new Command.Rules(1, Map.of("upstreams", new Limit(100, 0.25, 1), "cell:0", new Limit(1, 1, 1), "cell:1", new Limit(2, 1, 1),
         "balancers", new Limit(1, 1, 1)), 2, 10_000, 1, 1));
     for (int i = 0; i < 8; i++) {
-      tell(new Command.Enrol("s" + i, Kind.UPSTREAM, List.of("upstreams", "cell:" + i / 4)));
+      tell(new Command.Enrol("s" + i, MemberKind.UPSTREAM, List.of("upstreams", "cell:" + i / 4)));
     }
     for (int i = 1; i <= 3; i++) {
-      tell(new Command.Enrol("b" + i, Kind.BALANCER, List.of("balancers")));
+      tell(new Command.Enrol("b" + i, MemberKind.BALANCER, List.of("balancers")));
     }
   }
 
   @Test
   void aPermitIsGivenOnlyWhereEveryLimitStillHolds() {
-    assertEquals(Word.GRANTED, ask("s0", 0).word());
+    assertEquals(ResultCode.GRANTED, ask("s0", 0).word());
     Reply no = ask("s1", 0);
-    assertEquals(Word.LIMIT, no.word());
+    assertEquals(ResultCode.LIMIT, no.word());
     assertEquals("cell:0", no.binding());
     assertEquals(List.of("s0"), no.holders());
-    assertEquals(Word.GRANTED, ask("s4", 0).word());
+    assertEquals(ResultCode.GRANTED, ask("s4", 0).word());
     assertEquals("upstreams", ask("s5", 0).binding(), "the group has room, the fleet has none");
-    assertEquals(Word.GRANTED, ask("b1", 0).word(), "balancers are another group");
-    assertEquals(Word.LIMIT, ask("b2", 0).word());
+    assertEquals(ResultCode.GRANTED, ask("b1", 0).word(), "balancers are another group");
+    assertEquals(ResultCode.LIMIT, ask("b2", 0).word());
   }
 
   @Test
   void theSameAskIsOneGrant() {
     Command.Ask a = new Command.Ask("x", "s0", "op", "why", 0, false);
     Reply first = tell(a);
-    assertEquals(Word.GRANTED, first.word());
+    assertEquals(ResultCode.GRANTED, first.word());
     Reply again = tell(a);
-    assertEquals(Word.SAME_AGAIN, again.word());
-    assertTrue(again.isYes());
+    assertEquals(ResultCode.SAME_AGAIN, again.word());
+    assertTrue(again.isSuccess());
     assertEquals(first.epoch(), again.epoch());
-    assertEquals(Word.ALREADY_OUT, tell(new Command.Ask("y", "s0", "other", "why", 0, false)).word());
+    assertEquals(ResultCode.ALREADY_OUT, tell(new Command.Ask("y", "s0", "other", "why", 0, false)).word());
     assertEquals(1, ledger.state().outs().size());
   }
 
@@ -84,13 +84,13 @@
   @Test
   void whatDiesTakesAPlace() {
     seen("s1", Health.DEAD, "b1");
-    assertEquals(Word.GRANTED, ask("s0", 0).word(), "one word alone is none");
+    assertEquals(ResultCode.GRANTED, ask("s0", 0).word(), "one word alone is none");
     seen("s1", Health.DEAD, "b2");
     assertTrue(ledger.state().members().get("s1").unwell());
     seen("s4", Health.SILENT, "b1", "b3");
     assertEquals("upstreams", ask("s5", 0).binding());
     seen("s4", Health.WARM, "b1");
-    assertEquals(Word.LIMIT, ask("s5", 0).word(), "one word does not bring it back");
+    assertEquals(ResultCode.LIMIT, ask("s5", 0).word(), "one word does not bring it back");
     seen("s4", Health.WARM, "b3");
     assertFalse(ledger.state().members().get("s4").unwell());
     assertEquals("upstreams", ask("s5", 0).binding(), "s0 and s1 still hold the two places");
@@ -99,7 +99,7 @@
   @Test
   void anUnwellMemberMayLeaveWithoutTakingASecondPlace() {
     seen("s0", Health.DEAD, "b1", "b2");
-    assertEquals(Word.GRANTED, ask("s0", 0).word());
+    assertEquals(ResultCode.GRANTED, ask("s0", 0).word());
     assertEquals("cell:0", ask("s1", 0).binding());
   }
 
@@ -108,12 +108,12 @@
     ask("s0", 0);
     tell(new Command.Return("s0", "op", ledger.state().outs().get("s0").epoch()));
     assertEquals(Phase.RETURNING, phase("s0"));
-    assertEquals(Word.LIMIT, ask("s1", 0).word());
+    assertEquals(ResultCode.LIMIT, ask("s1", 0).word());
     seen("s0", Health.COLD, "b1", "b2");
-    assertEquals(Word.LIMIT, ask("s1", 0).word());
+    assertEquals(ResultCode.LIMIT, ask("s1", 0).word());
     warm("s0");
     assertEquals(null, phase("s0"));
-    assertEquals(Word.GRANTED, ask("s1", 0).word());
+    assertEquals(ResultCode.GRANTED, ask("s1", 0).word());
   }
 
   /** Words of before it came back say nothing of it now. */
@@ -137,33 +137,33 @@
     tell(late);
     warm("s0");
     long second = ask("s0", 0).epoch();
-    assertEquals(Word.OLD_EPOCH, tell(late).word());
+    assertEquals(ResultCode.OLD_EPOCH, tell(late).word());
     assertEquals(Phase.GRANTED, phase("s0"));
     tell(new Command.Return("s0", "op", second));
     tell(new Command.Seen("b1", "s0", Health.WARM, before));
     tell(new Command.Seen("b2", "s0", Health.WARM, before));
     assertEquals(Phase.RETURNING, phase("s0"), "seen before it went out");
     tell(new Command.Seen("b1", "s0", Health.WARM, index));
-    assertEquals(Word.OLD_EPOCH, tell(new Command.Seen("b1", "s0", Health.DEAD, before)).word(), "overtaken by a later word");
+    assertEquals(ResultCode.OLD_EPOCH, tell(new Command.Seen("b1", "s0", Health.DEAD, before)).word(), "overtaken by a later word");
     tell(new Command.Seen("b3", "s0", Health.WARM, Long.MAX_VALUE));
     assertEquals(null, phase("s0"));
-    assertEquals(Word.NOT_OUT, tell(late).word());
+    assertEquals(ResultCode.NOT_OUT, tell(late).word());
   }
 
   /** Whose answer was lost and who asks again is told yes only while the permit holds: meanwhile others may have ended it. */
   @Test
   void anAskThatIsMadeAgainAfterItsPermitEndedIsNoYes() {
     Command.Ask a = new Command.Ask("lost", "s0", "op", "", 0, false);
-    assertEquals(Word.GRANTED, tell(a).word());
-    assertEquals(Word.SAME_AGAIN, tell(a).word());
+    assertEquals(ResultCode.GRANTED, tell(a).word());
+    assertEquals(ResultCode.SAME_AGAIN, tell(a).word());
     tell(new Command.Back("", "another"));
     assertEquals(Phase.RETURNING, phase("s0"));
-    assertEquals(Word.OLD_EPOCH, tell(a).word());
+    assertEquals(ResultCode.OLD_EPOCH, tell(a).word());
     warm("s0");
-    assertEquals(Word.OLD_EPOCH, tell(a).word());
-    assertEquals(false, tell(a).isYes());
+    assertEquals(ResultCode.OLD_EPOCH, tell(a).word());
+    assertEquals(false, tell(a).isSuccess());
     ask("s0", 0);
-    assertEquals(Word.OLD_EPOCH, tell(a).word(), "the next permit is another's");
+    assertEquals(ResultCode.OLD_EPOCH, tell(a).word(), "the next permit is another's");
   }
 
   @Test
@@ -172,17 +172,17 @@
     now += 30L * 24 * 3600 * 1000;
     tell(new Command.Tick());
     assertEquals(Phase.GRANTED, phase("s0"));
-    assertEquals(Word.LIMIT, ask("s1", 0).word());
+    assertEquals(ResultCode.LIMIT, ask("s1", 0).word());
   }
 
   /** First come, first served within a group; another group's are not held up; a deadline ends the wait. */
   @Test
   void whoWaitsIsServedInTurn() {
     ask("s0", 0);
-    assertEquals(Word.WAITING, ask("s1", 60_000).word());
-    assertEquals(Word.WAITING, ask("s2", 60_000).word());
-    assertEquals(Word.LIMIT, ask("s3", 0).word());
-    assertEquals(Word.WAITING, ask("s3", 1000).word());
+    assertEquals(ResultCode.WAITING, ask("s1", 60_000).word());
+    assertEquals(ResultCode.WAITING, ask("s2", 60_000).word());
+    assertEquals(ResultCode.LIMIT, ask("s3", 0).word());
+    assertEquals(ResultCode.WAITING, ask("s3", 1000).word());
     tell(new Command.Return("s0", "op", ledger.state().outs().get("s0").epoch()));
     warm("s0");
     assertEquals(Phase.GRANTED, phase("s1"));
@@ -190,16 +190,16 @@
     now += 2000;
     tell(new Command.Tick());
     assertEquals(List.of("s2"), ledger.state().queue().stream().map(LedgerState.QueuedRequest::member).toList(), "s3 waited no longer");
-    assertEquals(Word.EXPIRED, tell(new Command.Ask("a5", "s3", "op", "why", 1000, false)).word(), "and is told so");
+    assertEquals(ResultCode.EXPIRED, tell(new Command.Ask("a5", "s3", "op", "why", 1000, false)).word(), "and is told so");
   }
 
   @Test
   void aHaltStopsGrantsAndOnlyItsNameLiftsIt() {
     tell(new Command.Halt("storm", "op", "refusals"));
-    assertEquals(Word.HALTED, ask("s0", 0).word());
-    assertEquals(Word.WAITING, ask("s4", 60_000).word());
-    assertEquals(Word.NO_SUCH_HALT, tell(new Command.Resume("other", "op")).word());
-    assertEquals(Word.DONE, tell(new Command.Resume("storm", "op")).word());
+    assertEquals(ResultCode.HALTED, ask("s0", 0).word());
+    assertEquals(ResultCode.WAITING, ask("s4", 60_000).word());
+    assertEquals(ResultCode.NO_SUCH_HALT, tell(new Command.Resume("other", "op")).word());
+    assertEquals(ResultCode.DONE, tell(new Command.Resume("storm", "op")).word());
     assertEquals(Phase.GRANTED, phase("s4"), "who waited is served then");
   }
 
@@ -240,7 +240,7 @@
     }
     assertTrue(ledger.state().outs().isEmpty());
     assertTrue(ledger.state().back().isEmpty(), "the way back has ended");
-    assertEquals(Word.GRANTED, ask("s0", 0).word());
+    assertEquals(ResultCode.GRANTED, ask("s0", 0).word());
     assertEquals(Phase.GRANTED, phase("s0"), "and brings back nobody who goes later");
   }
 
@@ -248,7 +248,7 @@
   void forcingPassesEveryLimitAndIsOnRecord() {
     tell(new Command.Halt("storm", "op", ""));
     Reply r = tell(new Command.Ask("f", "s0", "op", "fire", 0, true));
-    assertEquals(Word.GRANTED, r.word());
+    assertEquals(ResultCode.GRANTED, r.word());
     assertTrue(ledger.state().outs().get("s0").forced());
     assertTrue(ledger.state().history().stream().anyMatch(c -> c.what().equals("forced") && c.why().equals("fire")));
   }
@@ -259,16 +259,16 @@
     tell(new Command.Return("s0", "op", ledger.state().outs().get("s0").epoch()));
     warm("s0");
     ask("s0", 0);
-    assertEquals(Word.OLD_EPOCH, tell(new Command.Left("s0", epoch)).word());
+    assertEquals(ResultCode.OLD_EPOCH, tell(new Command.Left("s0", epoch)).word());
     assertEquals(Phase.GRANTED, phase("s0"));
   }
 
   @Test
   void oneThatIsOutKeepsItsPlaceWhateverTheListSays() {
     ask("s0", 0);
-    assertEquals(Word.STILL_OUT, tell(new Command.Strike("s0")).word());
+    assertEquals(ResultCode.STILL_OUT, tell(new Command.Strike("s0")).word());
     tell(new Command.Strike("s7"));
-    assertEquals(Word.UNKNOWN_MEMBER, ask("s7", 0).word());
+    assertEquals(ResultCode.UNKNOWN_MEMBER, ask("s7", 0).word());
   }
 
   @Test
@@ -286,26 +286,26 @@
   void groupsMayChangeAtAnyTime() {
     ask("s0", 0);
     tell(new Command.Return("s0", "op", ledger.state().outs().get("s0").epoch()));
-    tell(new Command.Enrol("s0", Kind.UPSTREAM, List.of("upstreams", "cell:1")));
-    assertEquals(Word.GRANTED, ask("s1", 0).word());
+    tell(new Command.Enrol("s0", MemberKind.UPSTREAM, List.of("upstreams", "cell:1")));
+    assertEquals(ResultCode.GRANTED, ask("s1", 0).word());
     warm("s0");
     assertEquals(1, ledger.state().outs().size());
     DisruptionLedger other = new DisruptionLedger();
     other.restore(ledger.state());
-    assertEquals(Word.GRANTED, other.apply(++index, ++now, new Command.Ask("z", "s4", "op", "", 0, false)).word());
+    assertEquals(ResultCode.GRANTED, other.apply(++index, ++now, new Command.Ask("z", "s4", "op", "", 0, false)).word());
   }
 
   /** What others send is bounded. */
   @Test
   void itIsBounded() {
     String big = "x".repeat(300);
-    assertThrows(IllegalArgumentException.class, () -> new Command.Enrol(big, Kind.UPSTREAM, List.of()));
+    assertThrows(IllegalArgumentException.class, () -> new Command.Enrol(big, MemberKind.UPSTREAM, List.of()));
     assertThrows(IllegalArgumentException.class, () -> new Command.Ask("q", "s0", "op", big, 0, false));
     tell(new Command.Halt("h", "op", ""));
     for (int i = 0; i < DisruptionLedger.MAX_QUEUED; i++) {
       tell(new Command.Ask("w" + i, "s0", "op", "", 60_000, false));
     }
-    assertEquals(Word.TOO_MANY, tell(new Command.Ask("more", "s0", "op", "", 60_000, false)).word());
+    assertEquals(ResultCode.TOO_MANY, tell(new Command.Ask("more", "s0", "op", "", 60_000, false)).word());
     for (int i = 0; i < 2 * DisruptionLedger.MAX_HALTS; i++) {
       tell(new Command.Halt("h" + i, "op", ""));
     }
--- a/decision/src/test/java/cloverpulley/outs/InstancesTest.java
+++ b/decision/src/test/java/cloverpulley/outs/InstancesTest.java
@@ -25,8 +25,8 @@
   @Test
   void anInstanceActsOnEachChangeOnceAndOnNoOlderLook() {
     tell(new Command.Rules(1, Map.of(), 1, 10_000, 1, 1));
-    tell(new Command.Enrol("s1", Kind.UPSTREAM, List.of()));
-    tell(new Command.Enrol("b1", Kind.BALANCER, List.of()));
+    tell(new Command.Enrol("s1", MemberKind.UPSTREAM, List.of()));
+    tell(new Command.Enrol("b1", MemberKind.BALANCER, List.of()));
     LedgerState before = ledger.state();
     tell(new Command.Ask("a", "s1", "op", "", 0, false));
     tell(new Command.Ask("b", "b1", "op", "", 0, false));
@@ -44,7 +44,7 @@
   @Test
   void anInstanceTellsOfWhatFailsAndOfWhatIsWarmAgain() {
     tell(new Command.Rules(1, Map.of(), 1, 10_000, 1, 1));
-    tell(new Command.Enrol("s1", Kind.UPSTREAM, List.of()));
+    tell(new Command.Enrol("s1", MemberKind.UPSTREAM, List.of()));
     Watch watch = new Watch("b1", 3000, 1000);
     watch.ended(0, "s1", true, false);
     assertEquals(List.of(), watch.look(0, ledger.state()), "nothing new");
@@ -81,24 +81,24 @@
   void whoLeadsEnrolsThoseThatAreHeardAndTellsOfTheSilent() {
     tell(new Command.Rules(1, Map.of("balancers", new Limit(1, 1, 1)), 1, 10_000, 1, 1));
     Roll roll = new Roll("b1", 1000);
-    roll.heard(0, "b1", new Look("p", List.of("balancers"), 0, 0));
-    roll.heard(0, "b2", new Look("p", List.of("balancers"), 0, 0));
-    roll.listed(Map.of("s1", new Roll.Entry(Kind.UPSTREAM, List.of("u"))));
+    roll.heard(0, "b1", new Heartbeat("p", List.of("balancers"), 0, 0));
+    roll.heard(0, "b2", new Heartbeat("p", List.of("balancers"), 0, 0));
+    roll.listed(Map.of("s1", new Roll.Entry(MemberKind.UPSTREAM, List.of("u"))));
     assertEquals(List.of(), roll.look(0, false, ledger.state()), "not while another leads");
     tellAll(roll.look(100, true, ledger.state()));
     assertEquals(3, ledger.state().members().size());
     assertEquals(List.of("b1", "b2"), roll.notActed(900, index, ledger.state()));
-    roll.heard(900, "b1", new Look("p", List.of("balancers"), index, 0));
+    roll.heard(900, "b1", new Heartbeat("p", List.of("balancers"), index, 0));
     assertEquals(List.of("b2"), roll.notActed(900, index, ledger.state()));
     tellAll(roll.look(1050, true, ledger.state()));
     assertEquals(false, ledger.state().members().get("b2").unwell());
-    roll.heard(1100, "b1", new Look("p", List.of("balancers"), index, 0));
+    roll.heard(1100, "b1", new Heartbeat("p", List.of("balancers"), index, 0));
     tellAll(roll.look(1200, true, ledger.state()));
     assertEquals(true, ledger.state().members().get("b2").unwell());
-    assertEquals(Word.LIMIT, tell(new Command.Ask("a", "b1", "op", "", 0, false)).word(), "the one place is the silent one's");
+    assertEquals(ResultCode.LIMIT, tell(new Command.Ask("a", "b1", "op", "", 0, false)).word(), "the one place is the silent one's");
     assertEquals(List.of(), roll.notActed(1200, 1, ledger.state()), "nobody waits for one that is silent");
-    roll.heard(2000, "b2", new Look("p", List.of("balancers"), index, 0));
-    roll.heard(2000, "b1", new Look("p", List.of("balancers"), index, 0));
+    roll.heard(2000, "b2", new Heartbeat("p", List.of("balancers"), index, 0));
+    roll.heard(2000, "b1", new Heartbeat("p", List.of("balancers"), index, 0));
     tellAll(roll.look(2000, true, ledger.state()));
     assertEquals(false, ledger.state().members().get("b2").unwell());
   }
@@ -106,7 +106,7 @@
   /** Who begins to lead has heard nobody yet: that is no silence. */
   @Test
   void aChangeOfLeaderTakesNobodyForSilent() {
-    tell(new Command.Enrol("b2", Kind.BALANCER, List.of()));
+    tell(new Command.Enrol("b2", MemberKind.BALANCER, List.of()));
     Roll roll = new Roll("b1", 1000);
     assertEquals(List.of(), roll.look(500_000, true, ledger.state()));
     assertEquals(List.of(), roll.look(500_900, true, ledger.state()));
@@ -116,14 +116,14 @@
   @Test
   void anUpstreamThatTheListHasNoMoreIsStruckUnlessItIsOut() {
     tell(new Command.Rules(1, Map.of(), 1, 10_000, 1, 1));
-    tell(new Command.Enrol("s1", Kind.UPSTREAM, List.of()));
-    tell(new Command.Enrol("s2", Kind.UPSTREAM, List.of()));
+    tell(new Command.Enrol("s1", MemberKind.UPSTREAM, List.of()));
+    tell(new Command.Enrol("s2", MemberKind.UPSTREAM, List.of()));
     tell(new Command.Ask("a", "s1", "op", "", 0, false));
     Roll roll = new Roll("b1", 1000);
     roll.listed(Map.of());
     assertEquals(List.of(), roll.look(0, true, ledger.state()), "no list is not an empty one");
-    roll.listed(Map.of("s3", new Roll.Entry(Kind.UPSTREAM, List.of())));
-    assertEquals(List.of(new Command.Enrol("s3", Kind.UPSTREAM, List.of()), new Command.Strike("s2")), roll.look(0, true, ledger.state()));
+    roll.listed(Map.of("s3", new Roll.Entry(MemberKind.UPSTREAM, List.of())));
+    assertEquals(List.of(new Command.Enrol("s3", MemberKind.UPSTREAM, List.of()), new Command.Strike("s2")), roll.look(0, true, ledger.state()));
   }
 
   /** An upgrade: two processes of one name are one member, which is there while one is, and has acted once both have. */
@@ -131,20 +131,20 @@
   void twoProcessesOfOneNameAreOneMember() {
     tell(new Command.Rules(1, Map.of("balancers", new Limit(1, 1, 1)), 1, 10_000, 1, 1));
     Roll roll = new Roll("b1", 1000);
-    roll.heard(0, "b1", new Look("p", List.of("balancers"), 0, 0));
-    roll.heard(0, "b2", new Look("old", List.of("balancers"), 0, 0));
+    roll.heard(0, "b1", new Heartbeat("p", List.of("balancers"), 0, 0));
+    roll.heard(0, "b2", new Heartbeat("old", List.of("balancers"), 0, 0));
     tellAll(roll.look(0, true, ledger.state()));
-    roll.heard(100, "b1", new Look("p", List.of("balancers"), index, 0));
-    roll.heard(100, "b2", new Look("new", List.of("balancers"), index, 0));
-    roll.heard(110, "b2", new Look("old", List.of("balancers"), 0, 0));
+    roll.heard(100, "b1", new Heartbeat("p", List.of("balancers"), index, 0));
+    roll.heard(100, "b2", new Heartbeat("new", List.of("balancers"), index, 0));
+    roll.heard(110, "b2", new Heartbeat("old", List.of("balancers"), 0, 0));
     assertEquals(2, ledger.state().members().size());
     assertEquals(List.of("b2"), roll.notActed(200, index, ledger.state()), "the successor's word is not its predecessor's");
-    roll.heard(300, "b2", new Look("old", List.of("balancers"), index, 0));
+    roll.heard(300, "b2", new Heartbeat("old", List.of("balancers"), index, 0));
     assertEquals(List.of(), roll.notActed(300, index, ledger.state()));
-    roll.heard(400, "b2", new Look("old", List.of("balancers"), 0, 0));
+    roll.heard(400, "b2", new Heartbeat("old", List.of("balancers"), 0, 0));
     for (long t = 500; t <= 1500; t += 500) {
-      roll.heard(t, "b1", new Look("p", List.of("balancers"), index, 0));
-      roll.heard(t, "b2", new Look("new", List.of("balancers"), index, 0));
+      roll.heard(t, "b1", new Heartbeat("p", List.of("balancers"), index, 0));
+      roll.heard(t, "b2", new Heartbeat("new", List.of("balancers"), index, 0));
     }
     tellAll(roll.look(1500, true, ledger.state()));
     assertEquals(false, ledger.state().members().get("b2").unwell(), "its predecessor ended, the instance did not");
@@ -155,17 +155,17 @@
   @Test
   void mostInstancesRefusingTooMuchHaltGrants() {
     tell(new Command.Rules(1, Map.of(), 1, 10_000, 1, 0.3));
-    tell(new Command.Enrol("s1", Kind.UPSTREAM, List.of()));
+    tell(new Command.Enrol("s1", MemberKind.UPSTREAM, List.of()));
     Roll roll = new Roll("b1", 1000);
     double[][] told = {{0.9, 0, 0, 0}, {0.9, 0.9, 0, 0}, {0.9, 0.9, 0.3, 0}};
     for (int i = 0; i < told.length; i++) {
       for (int b = 0; b < 4; b++) {
-        roll.heard(i, "b" + b, new Look("p", List.of(), 0, told[i][b]));
+        roll.heard(i, "b" + b, new Heartbeat("p", List.of(), 0, told[i][b]));
       }
       tellAll(roll.look(i, true, ledger.state()));
       assertEquals(i == 2, ledger.state().halts().containsKey(DisruptionLedger.REJECTION_HALT), "at step " + i);
     }
-    assertEquals(Word.HALTED, tell(new Command.Ask("a", "s1", "op", "", 0, false)).word());
+    assertEquals(ResultCode.HALTED, tell(new Command.Ask("a", "s1", "op", "", 0, false)).word());
     tell(new Command.Resume(DisruptionLedger.REJECTION_HALT, "op"));
     tellAll(roll.look(4, true, ledger.state()));
     assertTrue(ledger.state().halts().containsKey(DisruptionLedger.REJECTION_HALT), "it holds still");
--- a/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
@@ -19,7 +19,7 @@
 import cloverpulley.fleet.FleetSource;
 import cloverpulley.fleet.HeldList;
 import cloverpulley.fleet.WrittenList;
-import cloverpulley.outs.Kind;
+import cloverpulley.outs.MemberKind;
 import cloverpulley.outs.Roll;
 import cloverpulley.records.Recorder;
 import cloverpulley.serve.Balance;
@@ -108,7 +108,7 @@
         if (s.state() == cloverpulley.Balancer.State.GONE) {
           listed.remove(s.id());
         } else {
-          listed.put(s.id(), new Roll.Entry(Kind.UPSTREAM, agree.groupsOf(s.id(), s.zone(), s.cell())));
+          listed.put(s.id(), new Roll.Entry(MemberKind.UPSTREAM, agree.groupsOf(s.id(), s.zone(), s.cell())));
         }
       }
       if (voter != null) {
--- a/dist/src/main/java/cloverpulley/cli/OutsCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/OutsCommand.java
@@ -10,7 +10,7 @@
 import cloverpulley.outs.Replacing;
 import cloverpulley.outs.Reply;
 import cloverpulley.outs.LedgerState;
-import cloverpulley.outs.Word;
+import cloverpulley.outs.ResultCode;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.time.Instant;
@@ -68,7 +68,7 @@
         + (r.holders().isEmpty() ? "" : ", held by " + String.join(" ", r.holders())) + (r.epoch() > 0 ? ", epoch " + r.epoch() : "")
         + ", index " + r.index();
     System.out.println(line);
-    return r.isYes() ? 0 : 1;
+    return r.isSuccess() ? 0 : 1;
   }
 
   @picocli.CommandLine.Command(name = "init", mixinStandardHelpOptions = true,
@@ -117,7 +117,7 @@
       Command.Ask command = new Command.Ask(ask, id, common.by, why, TimeUnit.SECONDS.toMillis(waitSeconds), force);
       long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(waitSeconds);
       Reply r = client.command(command, TRY_MILLIS);
-      while (r.word() == Word.WAITING && System.nanoTime() < until) {
+      while (r.word() == ResultCode.WAITING && System.nanoTime() < until) {
         TimeUnit.MILLISECONDS.sleep(LOOK_MILLIS * 4);
         r = client.command(command, TRY_MILLIS); // The same ask: it is told where it stands.
       }
@@ -221,7 +221,7 @@
       });
       s.queue().forEach(w -> System.out.println("waits " + w.member() + " by " + w.by() + " until " + Instant.ofEpochMilli(w.untilMillis())));
       groups(s).forEach((name, g) -> System.out.println("group " + name + " " + g[1] + " out of " + g[0]
-          + (s.rules().groups().containsKey(name) ? ", " + s.rules().groups().get(name).of(g[0]) + " may be" : ", no limit")));
+          + (s.rules().groups().containsKey(name) ? ", " + s.rules().groups().get(name).maxOut(g[0]) + " may be" : ", no limit")));
       return 0;
     }
 
@@ -243,7 +243,7 @@
       LedgerState s = common.client().whole();
       LedgerState.Member m = s.members().get(id);
       if (m == null) {
-        System.out.println(id + ": " + Word.UNKNOWN_MEMBER.text());
+        System.out.println(id + ": " + ResultCode.UNKNOWN_MEMBER.text());
         return 1;
       }
       LedgerState.Permit out = s.outs().get(id);
@@ -255,7 +255,7 @@
       DisruptionLedger copy = new DisruptionLedger();
       copy.restore(s);
       Reply r = copy.apply(s.index() + 1, s.nowMillis(), new Command.Ask("why " + UUID.randomUUID(), id, "why", "", 0, false));
-      System.out.println(id + ": in service" + (m.unwell() ? ", unwell" : "") + "; an ask would be " + (r.isYes() ? "granted" : r.word().text()
+      System.out.println(id + ": in service" + (m.unwell() ? ", unwell" : "") + "; an ask would be " + (r.isSuccess() ? "granted" : r.word().text()
           + " " + r.binding() + (r.holders().isEmpty() ? "" : ", held by " + String.join(" ", r.holders()))));
       return 0;
     }
--- a/dist/src/test/java/cloverpulley/cli/OutsIT.java
+++ b/dist/src/test/java/cloverpulley/cli/OutsIT.java
@@ -10,7 +10,7 @@
 import cloverpulley.outs.Command;
 import cloverpulley.outs.Phase;
 import cloverpulley.outs.Reply;
-import cloverpulley.outs.Word;
+import cloverpulley.outs.ResultCode;
 import cloverpulley.standins.StandInUpstream.Answer;
 import cloverpulley.standins.faults.Instance;
 import java.nio.file.Files;
@@ -40,7 +40,7 @@
     }
     List<Long> epochs = new ArrayList<>();
     for (Future<Reply> f : all) {
-      if (f.get().isYes()) {
+      if (f.get().isSuccess()) {
         epochs.add(f.get().epoch());
       }
     }
@@ -64,13 +64,13 @@
   /** The one that granted is killed, paused, cut off: its successor knows, and it grants nothing in its half. */
   @Test
   void whoLeadsDiesOrIsPausedOrCutOff() throws Exception {
-    assertEquals(Word.GRANTED, ask(client, "k", "s0", 0).word());
+    assertEquals(ResultCode.GRANTED, ask(client, "k", "s0", 0).word());
     int killed = leader();
     long from = System.nanoTime();
     fleet.instances().get(killed).kill();
     assertEquals("cell:0", ask(client, "k2", "s1", 0).binding(), "the successor knows of the grant");
     System.out.printf("a leader killed: the next answers after %.2f s%n", (System.nanoTime() - from) / 1e9);
-    assertEquals(Word.SAME_AGAIN, ask(client, "k", "s0", 0).word(), "and of whose it is");
+    assertEquals(ResultCode.SAME_AGAIN, ask(client, "k", "s0", 0).word(), "and of whose it is");
     await("the dead one is counted", () -> whole().members().get("b" + killed).unwell());
     assertEquals("balancers", ask(client, "k3", "b4", 0).binding(), "it has the one place of a balancer, whatever nobody asked for");
     fleet.instances().get(killed).start();
@@ -79,11 +79,11 @@
 
     int paused = leader();
     fleet.instances().get(paused).pause();
-    assertEquals(Word.LIMIT, ask(client, "p", "s2", 0).word());
-    assertEquals(Word.GRANTED, ask(client, "p2", "s3", 0).word());
+    assertEquals(ResultCode.LIMIT, ask(client, "p", "s2", 0).word());
+    assertEquals(ResultCode.GRANTED, ask(client, "p2", "s3", 0).word());
     fleet.instances().get(paused).goOn();
     try {
-      assertEquals(Word.LIMIT, at(paused).command(new Command.Ask("p3", "s4", "it", "", 0, false), 2000).word(), "what it thought it led is over");
+      assertEquals(ResultCode.LIMIT, at(paused).command(new Command.Ask("p3", "s4", "it", "", 0, false), 2000).word(), "what it thought it led is over");
     } catch (AgreeClient.NoMajority e) {
       assertTrue(e.getMessage().contains("421"), e::getMessage); // It knows that it does not lead.
     }
@@ -103,7 +103,7 @@
         others.add(new VoterAt("b" + i, null, fleet.api(i)));
       }
     }
-    assertEquals(Word.GRANTED, ask(new AgreeClient(others), "c2", "s4", 0).word());
+    assertEquals(ResultCode.GRANTED, ask(new AgreeClient(others), "c2", "s4", 0).word());
     fleet.cutOff(cut, false);
     await("the one ask that had no answer is one or none", () -> at(cut).whole().outs().containsKey("s4"));
     assertTrue(whole().outs().keySet().stream().filter(s -> s.compareTo("s3") >= 0).count() <= 1, () -> "cell:1 has one place");
@@ -117,7 +117,7 @@
   /** A halt and what is out are there after all voters were killed together; a voter whose file is spoilt serves and does not vote. */
   @Test
   void allRestartTogetherAndOneLosesItsFile() throws Exception {
-    assertEquals(Word.GRANTED, ask(client, "r", "s0", 0).word());
+    assertEquals(ResultCode.GRANTED, ask(client, "r", "s0", 0).word());
     assertEquals(0, Main.run("outs", "halt", "--why", "storm", "--config", fleet.config(2).toString()));
     for (Instance i : fleet.instances()) {
       i.kill();
@@ -134,11 +134,11 @@
       asking.at(i);
     }
     assertTrue(fleet.instances().get(2).log().contains("does not vote"), "it says so");
-    assertEquals(Word.HALTED, ask(client, "r2", "s3", 0).word());
+    assertEquals(ResultCode.HALTED, ask(client, "r2", "s3", 0).word());
     assertEquals(Phase.GRANTED, whole().outs().get("s0").phase());
     assertEquals(1, Main.run("outs", "resume", "another", "--config", fleet.config(0).toString()));
     assertEquals(0, Main.run("outs", "resume", "by-hand", "--config", fleet.config(0).toString()));
-    assertEquals(Word.GRANTED, ask(client, "r3", "s3", 0).word(), "two of three are a majority");
+    assertEquals(ResultCode.GRANTED, ask(client, "r3", "s3", 0).word(), "two of three are a majority");
     int before = asking.answered();
     await("clients are served", () -> asking.answered() > before + 500);
     assertEquals(reached, upstreams.get("s0").seen().size(), "one that starts hears the ledger before it hears clients");
@@ -160,8 +160,8 @@
     upstreams.get("s1").behave(r -> Answer.reset());
     await("it is seen dead by two", () -> whole().members().get("s1").unwell());
     assertEquals("cell:0", ask(client, "d", "s0", 0).binding());
-    assertEquals(Word.WAITING, ask(client, "d2", "s0", 60_000).word());
-    assertEquals(Word.GRANTED, ask(client, "d3", "s3", 0).word(), "the other group is not held up");
+    assertEquals(ResultCode.WAITING, ask(client, "d2", "s0", 60_000).word());
+    assertEquals(ResultCode.GRANTED, ask(client, "d3", "s3", 0).word(), "the other group is not held up");
     upstreams.get("s1").behave(r -> Answer.ok());
     await("it is seen warm by two, and who waited has its place", () -> whole().outs().containsKey("s0"));
     outSince.put("s0", System.nanoTime());
@@ -169,7 +169,7 @@
     await("all are back", () -> whole().outs().isEmpty());
     outSince.clear();
 
-    assertEquals(Word.GRANTED, ask(client, "d4", "b4", 0).word());
+    assertEquals(ResultCode.GRANTED, ask(client, "d4", "b4", 0).word());
     assertEquals("balancers", ask(client, "d5", "b3", 0).binding());
     assertEquals(0, fleet.instances().get(4).terminate());
     assertEquals("balancers", ask(client, "d6", "b3", 0).binding(), "gone and granted is one place");
@@ -177,7 +177,7 @@
     asking.at(fleet.instances().get(4));
     bringBack("b4");
     await("it is back", () -> !whole().outs().containsKey("b4"));
-    assertEquals(Word.GRANTED, ask(client, "d7", "b3", 0).word());
+    assertEquals(ResultCode.GRANTED, ask(client, "d7", "b3", 0).word());
     assertFalse(whole().members().get("b4").unwell());
     assertNobodyLost();
   }
--- a/dist/src/test/java/cloverpulley/cli/OutsRig.java
+++ b/dist/src/test/java/cloverpulley/cli/OutsRig.java
@@ -8,7 +8,7 @@
 import cloverpulley.outs.Command;
 import cloverpulley.outs.Reply;
 import cloverpulley.outs.LedgerState;
-import cloverpulley.outs.Word;
+import cloverpulley.outs.ResultCode;
 import cloverpulley.standins.StandInUpstream;
 import cloverpulley.standins.StandInUpstream.Answer;
 import cloverpulley.standins.faults.AgreeingFleet;
@@ -120,14 +120,14 @@
 
   Reply ask(AgreeClient by, String name, String member, long waitMillis) throws IOException {
     Reply r = by.command(new Command.Ask(name, member, "it", "test", waitMillis, false), 20_000);
-    if (r.isYes()) {
+    if (r.isSuccess()) {
       outSince.putIfAbsent(member, System.nanoTime());
     }
     return r;
   }
 
   void bringBack(String member) throws IOException {
-    assertEquals(Word.DONE, client.command(new Command.Return(member, "it", whole().outs().get(member).epoch()), 20_000).word());
+    assertEquals(ResultCode.DONE, client.command(new Command.Return(member, "it", whole().outs().get(member).epoch()), 20_000).word());
   }
 
   AgreeClient at(int voter) {
--- a/dist/src/test/java/cloverpulley/cli/VotersIT.java
+++ b/dist/src/test/java/cloverpulley/cli/VotersIT.java
@@ -10,7 +10,7 @@
 import cloverpulley.outs.Command;
 import cloverpulley.outs.Phase;
 import cloverpulley.outs.Replacing.Step;
-import cloverpulley.outs.Word;
+import cloverpulley.outs.ResultCode;
 import cloverpulley.standins.faults.Instance;
 import java.nio.file.Files;
 import java.util.ArrayList;
@@ -42,7 +42,7 @@
     fleet.instances().get(lost).start();
     asking.at(fleet.instances().get(lost));
     assertTrue(fleet.instances().get(lost).log().contains("does not vote"), "it does not vote with what it made up");
-    assertEquals(Word.DONE, client.command(new Command.Left("s0", epoch), 20_000).word());
+    assertEquals(ResultCode.DONE, client.command(new Command.Left("s0", epoch), 20_000).word());
     assertEquals(1, Main.run("outs", "replace", "b" + lost, "b" + lost, "--config", fleet.config(1).toString()), "not under its own name");
     assertEquals(1, Main.run("outs", "replace", "b" + lost, "b3", "--config", fleet.config(1).toString()), "no voter's file has it");
 
@@ -71,7 +71,7 @@
     // The new one and one of the old are the majority now, and know all there was.
     fleet.instances().get(kept).kill();
     assertEquals("cell:0", ask(client, "v2", "s1", 0).binding());
-    assertEquals(Word.SAME_AGAIN, ask(client, "v", "s0", 0).word());
+    assertEquals(ResultCode.SAME_AGAIN, ask(client, "v", "s0", 0).word());
     long other = ask(client, "v3", "s3", 0).epoch();
     await("all have acted", () -> client.notActed(other).isEmpty()); // Else who loses the majority now would not have heard of it.
     fleet.instances().get(1).kill();
@@ -114,7 +114,7 @@
     assertTrue(fleet.instances().get(full).isAlive());
     int before = asking.answered();
     await("its clients and the others' are served", () -> asking.answered() > before + 500);
-    assertEquals(Word.GRANTED, ask(client, "f", "s0", 0).word(), "two of three are a majority");
+    assertEquals(ResultCode.GRANTED, ask(client, "f", "s0", 0).word(), "two of three are a majority");
     fleet.instances().get(full).kill();
     fleet.limitFiles(full, 0);
     fleet.instances().get(full).start();
@@ -133,13 +133,13 @@
     try (Instance next = fleet.second(4).start()) {
       next.address("balance");
       assertEquals(6 + ALL, whole().members().size());
-      assertEquals(Word.GRANTED, ask(client, "u", "s0", 0).word());
+      assertEquals(ResultCode.GRANTED, ask(client, "u", "s0", 0).word());
       await("both have acted", () -> client.notActed(whole().outs().get("s0").epoch()).isEmpty());
       assertEquals(0, old.terminate());
       long over = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
       await("it would have been silent", () -> System.nanoTime() > over);
       assertFalse(whole().members().get("b4").unwell(), "its successor is there");
-      assertEquals(Word.GRANTED, ask(client, "u2", "b3", 0).word(), "the one place of a balancer is free");
+      assertEquals(ResultCode.GRANTED, ask(client, "u2", "b3", 0).word(), "the one place of a balancer is free");
       bringBack("b3");
       next.kill();
       await("now it is counted", () -> whole().members().get("b4").unwell());
--- a/model/src/main/java/cloverpulley/model/outs/SmallWorld.java
+++ b/model/src/main/java/cloverpulley/model/outs/SmallWorld.java
@@ -2,7 +2,7 @@
 
 import cloverpulley.outs.Command;
 import cloverpulley.outs.Health;
-import cloverpulley.outs.Kind;
+import cloverpulley.outs.MemberKind;
 import cloverpulley.outs.DisruptionLedger;
 import cloverpulley.outs.Limit;
 import cloverpulley.outs.Reply;
@@ -38,10 +38,10 @@
     DisruptionLedger l = new DisruptionLedger();
     long at = 0;
     l.apply(++at, 1, new Command.Rules(1, LIMITS, 1, LONG, 1, 1));
-    l.apply(++at, 1, new Command.Enrol("a", Kind.UPSTREAM, List.of("all", "cell")));
-    l.apply(++at, 1, new Command.Enrol("b", Kind.UPSTREAM, List.of("all", "cell")));
-    l.apply(++at, 1, new Command.Enrol("c", Kind.UPSTREAM, List.of("all")));
-    l.apply(++at, 1, new Command.Enrol("x", Kind.BALANCER, List.of()));
+    l.apply(++at, 1, new Command.Enrol("a", MemberKind.UPSTREAM, List.of("all", "cell")));
+    l.apply(++at, 1, new Command.Enrol("b", MemberKind.UPSTREAM, List.of("all", "cell")));
+    l.apply(++at, 1, new Command.Enrol("c", MemberKind.UPSTREAM, List.of("all")));
+    l.apply(++at, 1, new Command.Enrol("x", MemberKind.BALANCER, List.of()));
     return l;
   }
 
@@ -133,7 +133,7 @@
   }
 
   private static int may(LedgerState s, String group) {
-    return LIMITS.get(group).of((int) s.members().values().stream().filter(m -> m.groups().contains(group)).count());
+    return LIMITS.get(group).maxOut((int) s.members().values().stream().filter(m -> m.groups().contains(group)).count());
   }
 
   private static void check(LedgerState before, Command c, Reply r, LedgerState after) {
@@ -166,7 +166,7 @@
         });
         DisruptionLedger copy = new DisruptionLedger();
         copy.restore(s);
-        if (copy.apply(999, s.nowMillis(), new Command.Ask("probe", m, "op", "", 0, false)).isYes() != fits) {
+        if (copy.apply(999, s.nowMillis(), new Command.Ask("probe", m, "op", "", 0, false)).isSuccess() != fits) {
           throw new IllegalStateException("the counts are wrong for " + m + " in " + s);
         }
       }
