--- a/agree/src/main/java/cloverpulley/agree/AgreeApi.java
+++ b/agree/src/main/java/cloverpulley/agree/AgreeApi.java
@@ -86,7 +86,7 @@
       } else if (x.getRequestURI().getPath().equals(PATH)) {
         look(x, query);
       } else if (x.getRequestURI().getPath().equals(ACTED)) {
-        answer(x, voter.leads() ? 200 : 421, Json.write(voter.notActed(number(query.get("index")))));
+        answer(x, voter.leads() ? 200 : 421, Json.write(voter.laggingInstances(number(query.get("index")))));
       } else {
         answer(x, 404, "no such path");
       }
--- a/agree/src/main/java/cloverpulley/agree/AgreeClient.java
+++ b/agree/src/main/java/cloverpulley/agree/AgreeClient.java
@@ -2,7 +2,7 @@
 
 import cloverpulley.outs.Command;
 import cloverpulley.outs.Heartbeat;
-import cloverpulley.outs.Replacing;
+import cloverpulley.outs.VoterReplacement;
 import cloverpulley.outs.Reply;
 import cloverpulley.outs.LedgerState;
 import java.io.IOException;
@@ -76,11 +76,11 @@
    * @param forMillis how long to try each change
    * @param told is told each change that was made
    */
-  public Replacing.Next replace(String from, String to, long forMillis, Consumer<Replacing.Next> told) throws IOException {
+  public VoterReplacement.Next replace(String from, String to, long forMillis, Consumer<VoterReplacement.Next> told) throws IOException {
     byte[] ask = Json.write(new Replace(from, to));
     for (int i = 0; i < MOST_CHANGES; i++) {
-      Replacing.Next next = post(AgreeApi.VOTERS, ask, Replacing.Next.class, forMillis);
-      if (next.isEnd()) {
+      VoterReplacement.Next next = post(AgreeApi.VOTERS, ask, VoterReplacement.Next.class, forMillis);
+      if (next.isFinal()) {
         return next;
       }
       told.accept(next);
@@ -167,7 +167,7 @@
   }
 
   /** Who has not acted on all up to an index, by who leads. */
-  public List<String> notActed(long index) throws IOException {
+  public List<String> laggingInstances(long index) throws IOException {
     for (AgreeConfig.VoterAt v : inTurn()) {
       try {
         Answer a = call(v.api(), "GET", AgreeApi.ACTED + "?index=" + index, null);
--- a/agree/src/main/java/cloverpulley/agree/Follower.java
+++ b/agree/src/main/java/cloverpulley/agree/Follower.java
@@ -1,11 +1,11 @@
 package cloverpulley.agree;
 
-import cloverpulley.outs.Acting;
+import cloverpulley.outs.UpstreamReconciler;
 import cloverpulley.outs.Command;
 import cloverpulley.outs.Heartbeat;
-import cloverpulley.outs.Refusals;
+import cloverpulley.outs.RejectionRate;
 import cloverpulley.outs.LedgerState;
-import cloverpulley.outs.Watch;
+import cloverpulley.outs.UpstreamHealthMonitor;
 import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.List;
@@ -51,8 +51,8 @@
   private final AgreeClient client;
   private final Upstreams upstreams;
   private final long patientUntil;
-  private final Acting acting = new Acting();
-  private final Watch watch;
+  private final UpstreamReconciler acting = new UpstreamReconciler();
+  private final UpstreamHealthMonitor watch;
   private final MpscArrayQueue<Outcome> outcomes = new MpscArrayQueue<>(MOST_OUTCOMES);
   private final ScheduledExecutorService thread = new ScheduledThreadPoolExecutor(1, task -> {
     Thread made = new Thread(task, "ledger");
@@ -61,10 +61,10 @@
   });
   /** Tells this process from another of the same name. */
   private final String process = UUID.randomUUID().toString();
-  private final Refusals refusals = new Refusals();
+  private final RejectionRate refusals = new RejectionRate();
   private final LongAdder ended = new LongAdder();
   private final LongAdder refused = new LongAdder();
-  private final ArrayDeque<Acting.Step> todo = new ArrayDeque<>();
+  private final ArrayDeque<UpstreamReconciler.Action> todo = new ArrayDeque<>();
   private final CompletableFuture<Void> first = new CompletableFuture<>();
   private LedgerState seen;
   private long acted = -1;
@@ -81,7 +81,7 @@
     this.config = config;
     this.upstreams = upstreams;
     client = new AgreeClient(config.voters());
-    watch = new Watch(config.name(), warmMillis, Math.max(config.pollMillis(), config.rules().freshMillis() / 3));
+    watch = new UpstreamHealthMonitor(config.name(), warmMillis, Math.max(config.pollMillis(), config.rules().freshMillis() / 3));
     thread.scheduleWithFixedDelay(this::look, 0, config.pollMillis(), TimeUnit.MILLISECONDS);
   }
 
@@ -113,7 +113,7 @@
       if (!todo.isEmpty()) {
         act(seen == null ? LedgerState.EMPTY : seen);
       }
-      LedgerState s = client.look(config.name(), new Heartbeat(process, config.groups(), acted, refusals.counted(now(), ended.sum(), refused.sum())), acted);
+      LedgerState s = client.look(config.name(), new Heartbeat(process, config.groups(), acted, refusals.update(now(), ended.sum(), refused.sum())), acted);
       if (s != null && (client.isLed() || first.isDone() || now() >= patientUntil)) {
         act(s);
       }
@@ -121,7 +121,7 @@
         deaf = false;
         LOG.info("the ledger is heard again");
       }
-      outcomes.drain(o -> watch.ended(now(), o.upstream(), o.answered(), o.nothingCame()));
+      outcomes.drain(o -> watch.recordAttempt(now(), o.upstream(), o.answered(), o.nothingCame()));
       if (seen != null) {
         tell();
       }
@@ -135,13 +135,13 @@
 
   private void act(LedgerState s) throws IOException {
     try {
-      todo.addAll(acting.look(s));
+      todo.addAll(acting.reconcile(s));
       while (!todo.isEmpty()) {
-        Acting.Step step = todo.peek(); // Gone only once it is done: what the module has not heard is told again.
-        if (step instanceof Acting.Step.TakeOut t) {
+        UpstreamReconciler.Action step = todo.peek(); // Gone only once it is done: what the module has not heard is told again.
+        if (step instanceof UpstreamReconciler.Action.SetOffline t) {
           LOG.info("agreed: {} out", t.upstream());
           upstreams.takeOut(t.upstream(), t.forMillis()).get(ACT_MILLIS, TimeUnit.MILLISECONDS);
-        } else if (step instanceof Acting.Step.CallBack c) {
+        } else if (step instanceof UpstreamReconciler.Action.SetOnline c) {
           LOG.info("agreed: {} back", c.upstream());
           upstreams.callBack(c.upstream()).get(ACT_MILLIS, TimeUnit.MILLISECONDS);
         }
@@ -160,7 +160,7 @@
   }
 
   private void tell() throws IOException {
-    List<Command> words = watch.look(now(), seen);
+    List<Command> words = watch.pendingReports(now(), seen);
     for (int i = 0; i < Math.min(MOST_WORDS, words.size()); i++) {
       client.command(words.get(i), TELL_MILLIS);
     }
--- a/agree/src/main/java/cloverpulley/agree/Voter.java
+++ b/agree/src/main/java/cloverpulley/agree/Voter.java
@@ -3,9 +3,9 @@
 import cloverpulley.outs.Command;
 import cloverpulley.outs.DisruptionLedger;
 import cloverpulley.outs.Heartbeat;
-import cloverpulley.outs.Replacing;
+import cloverpulley.outs.VoterReplacement;
 import cloverpulley.outs.Reply;
-import cloverpulley.outs.Roll;
+import cloverpulley.outs.MembershipReconciler;
 import cloverpulley.outs.LedgerState;
 import io.microraft.MembershipChangeMode;
 import io.microraft.Ordered;
@@ -49,13 +49,13 @@
   private final RaftJournal journal;
   private final RaftLink link;
   private final RaftNode node;
-  private final Roll roll;
+  private final MembershipReconciler roll;
   /** Raft's thread has it. */
   private final Standstill standstill = new Standstill();
   /** The first commit index that a leader told in this life; -1 before. */
   private volatile long agreedBefore = -1;
   private volatile boolean caughtUp;
-  private volatile Map<String, Roll.Entry> listed = Map.of();
+  private volatile Map<String, MembershipReconciler.Registration> listed = Map.of();
   private final Map<String, CompletableFuture<?>> pending = new ConcurrentHashMap<>();
   private final ScheduledExecutorService duty = new ScheduledThreadPoolExecutor(1, task -> {
     Thread made = new Thread(task, "ledger duty");
@@ -67,7 +67,7 @@
 
   private Voter(AgreeConfig config) throws IOException {
     this.config = config;
-    roll = new Roll(config.name(), config.silentMillis());
+    roll = new MembershipReconciler(config.name(), config.silentMillis());
     journal = RaftJournal.open(config.journal(), config.fleet(), (long) config.mostMb() << 20);
     Codec codec = new Codec(GROUP);
     List<RaftEndpoint> voters = config.voters().stream().map(v -> (RaftEndpoint) new Peer(v.name())).toList();
@@ -168,14 +168,14 @@
   }
 
   /** Makes the next change that puts one voter in another's place; done once the group has agreed to it. Fails as {@link #command} does. */
-  CompletableFuture<Replacing.Next> replace(String from, String to) {
+  CompletableFuture<VoterReplacement.Next> replace(String from, String to) {
     if (config.voters().stream().noneMatch(v -> v.name().equals(to))) {
-      return CompletableFuture.completedFuture(new Replacing.Next(Replacing.Step.NO, to, to + " is no agree.voter of the file that " + config.name()
+      return CompletableFuture.completedFuture(new VoterReplacement.Next(VoterReplacement.Step.NO, to, to + " is no agree.voter of the file that " + config.name()
           + " was started with"));
     }
     RaftGroupMembers group = node.getCommittedMembers();
-    Replacing.Next next = Replacing.next(names(group.getMembers()), names(group.getVotingMembers()), leader(), from, to);
-    if (next.isEnd()) {
+    VoterReplacement.Next next = VoterReplacement.next(names(group.getMembers()), names(group.getVotingMembers()), leader(), from, to);
+    if (next.isFinal()) {
       return CompletableFuture.completedFuture(next);
     }
     LOG.info("voters: {} {}", next.step().name().toLowerCase(java.util.Locale.ROOT), next.voter());
@@ -203,19 +203,19 @@
   /** An instance has looked here. */
   public void heard(String name, Heartbeat look) {
     synchronized (roll) {
-      roll.heard(now(), name, look);
+      roll.recordHeartbeat(now(), name, look);
     }
   }
 
   /** The upstreams there are, by id, with their groups. */
-  public void listed(Map<String, Roll.Entry> upstreams) {
+  public void listed(Map<String, MembershipReconciler.Registration> upstreams) {
     listed = Map.copyOf(upstreams); // Taken up by the duty: who tells it, the engine's loop, waits for nobody.
   }
 
   /** Instances in service that have not acted on all up to an index, as this one has heard. */
-  public List<String> notActed(long index) {
+  public List<String> laggingInstances(long index) {
     synchronized (roll) {
-      return roll.notActed(now(), index, state());
+      return roll.laggingInstances(now(), index, state());
     }
   }
 
@@ -243,8 +243,8 @@
       LedgerState s = state();
       List<Command> told;
       synchronized (roll) {
-        roll.listed(listed);
-        told = roll.look(now(), leads, s);
+        roll.setUpstreams(listed);
+        told = roll.reconcile(now(), leads, s);
       }
       if (leads && s.rules().version() < config.rules().version()) {
         tell("rules", config.rules());
--- a/bench/src/main/java/cloverpulley/bench/OutsBench.java
+++ b/bench/src/main/java/cloverpulley/bench/OutsBench.java
@@ -195,7 +195,7 @@
       throw new IllegalStateException(member + ": " + r);
     }
     long yes = System.nanoTime();
-    await("all have acted", () -> client.notActed(r.epoch()).isEmpty());
+    await("all have acted", () -> client.laggingInstances(r.epoch()).isEmpty());
     acted.add((System.nanoTime() - yes) / 1e6);
     if (number % 8 == 0) {
       await("the grace", () -> System.nanoTime() > yes + GRACE_NANOS + GRACE_NANOS / 2);
--- a/decision/src/main/java/cloverpulley/outs/DisruptionLedger.java
+++ b/decision/src/main/java/cloverpulley/outs/DisruptionLedger.java
@@ -61,7 +61,7 @@
   private final ArrayDeque<HistoryEntry> history = new ArrayDeque<>();
   private final Map<MemberKind, Integer> unwell = new HashMap<>();
   private final Map<MemberKind, Integer> all = new HashMap<>();
-  private Tally tally = new Tally();
+  private GroupCounts tally = new GroupCounts();
   private Rules rules = NONE;
   private long index;
   private long now;
@@ -492,7 +492,7 @@
     history.clear();
     unwell.clear();
     all.clear();
-    tally = new Tally();
+    tally = new GroupCounts();
     index = s.index();
     now = s.nowMillis();
     rules = s.rules();
--- a/decision/src/main/java/cloverpulley/outs/Tally.java
+++ b/decision/src/main/java/cloverpulley/outs/GroupCounts.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 
 /** How many of each group there are, and are out, in the order of their names, as whoever restores it has it too: kept with each change, so that a check costs a member's groups and no more. */
-final class Tally {
+final class GroupCounts {
 
   private final Map<String, Set<String>> members = new HashMap<>();
   private final Map<String, Set<String>> out = new HashMap<>();
--- a/decision/src/main/java/cloverpulley/outs/Heard.java
+++ b/decision/src/main/java/cloverpulley/outs/InstanceHeartbeats.java
@@ -8,7 +8,7 @@
  * The processes of one instance as they were heard. In an upgrade there are two of one name: the instance is there while one of them is, and
  * has acted once all have that are there. One thread at a time.
  */
-final class Heard {
+final class InstanceHeartbeats {
 
   /** More processes of one name than an upgrade has are a fault; those heard last count. */
   private static final int MOST_PROCESSES = 4;
@@ -19,7 +19,7 @@
   private List<String> groups = List.of();
   private long atMillis;
 
-  void heard(long nowMillis, Heartbeat look, long silentMillis) {
+  void record(long nowMillis, Heartbeat look, long silentMillis) {
     atMillis = nowMillis;
     groups = look.groups();
     processes.put(look.process(), new Process(nowMillis, look));
@@ -35,8 +35,8 @@
     return atMillis;
   }
 
-  Roll.Entry as() {
-    return new Roll.Entry(MemberKind.BALANCER, groups);
+  MembershipReconciler.Registration as() {
+    return new MembershipReconciler.Registration(MemberKind.BALANCER, groups);
   }
 
   /** Whether each that is there has acted on all up to an index. One that went silent is not waited for while another of its name is heard. */
--- a/decision/src/main/java/cloverpulley/outs/Roll.java
+++ b/decision/src/main/java/cloverpulley/outs/MembershipReconciler.java
@@ -11,10 +11,10 @@
  * Time is any that does not go back; whoever leads anew hears everybody from then on, so that a change of leader takes nobody for silent.
  * One thread at a time.
  */
-public final class Roll {
+public final class MembershipReconciler {
 
   /** One to be enrolled: an instance that looks, or an upstream of the list. */
-  public record Entry(MemberKind kind, List<String> groups) {}
+  public record Registration(MemberKind kind, List<String> groups) {}
 
   private static final int MOST_HEARD = 5_000;
   /** So many instances at least have to be pressed before all is halted: no one's word does that. */
@@ -22,9 +22,9 @@
 
   private final String me;
   private final long silentMillis;
-  private final Map<String, Heard> heard = new TreeMap<>();
+  private final Map<String, InstanceHeartbeats> heard = new TreeMap<>();
   private final Map<String, Long> toldAt = new HashMap<>();
-  private Map<String, Entry> upstreams = Map.of();
+  private Map<String, Registration> upstreams = Map.of();
   private boolean leads;
   private long ledBy;
 
@@ -32,31 +32,31 @@
    * @param me the name of who leads here
    * @param silentMillis after so long without a word an instance counts as out
    */
-  public Roll(String me, long silentMillis) {
+  public MembershipReconciler(String me, long silentMillis) {
     this.me = me;
     this.silentMillis = silentMillis;
   }
 
   /** A process of an instance has looked. */
-  public void heard(long nowMillis, String name, Heartbeat look) {
+  public void recordHeartbeat(long nowMillis, String name, Heartbeat look) {
     if (!heard.containsKey(name) && heard.size() >= MOST_HEARD) {
       // Guards the memory, and those who come later, from names that were heard once.
       heard.values().removeIf(h -> nowMillis - h.atMillis() > silentMillis);
     }
     if (heard.containsKey(name) || heard.size() < MOST_HEARD) {
-      heard.computeIfAbsent(name, n -> new Heard()).heard(nowMillis, look, silentMillis);
+      heard.computeIfAbsent(name, n -> new InstanceHeartbeats()).record(nowMillis, look, silentMillis);
     }
   }
 
   /** The upstreams that there are; an empty list is no list. */
-  public void listed(Map<String, Entry> all) {
+  public void setUpstreams(Map<String, Registration> all) {
     if (!all.isEmpty()) {
       upstreams = Map.copyOf(all);
     }
   }
 
   /** What the ledger is to be told now; nothing where this one does not lead. */
-  public List<Command> look(long nowMillis, boolean isLeading, LedgerState s) {
+  public List<Command> reconcile(long nowMillis, boolean isLeading, LedgerState s) {
     if (!isLeading) {
       leads = false;
       return List.of();
@@ -83,7 +83,7 @@
     return told;
   }
 
-  private static void enrol(List<Command> told, LedgerState s, String name, Entry e) {
+  private static void enrol(List<Command> told, LedgerState s, String name, Registration e) {
     Command.Enrol wanted = new Command.Enrol(name, e.kind(), e.groups());
     LedgerState.Member is = s.members().get(name);
     if (is == null || is.kind() != wanted.kind() || !is.groups().equals(wanted.groups())) {
@@ -92,7 +92,7 @@
   }
 
   private void hear(List<Command> told, long now, LedgerState s, String name, LedgerState.Member m) {
-    Heard h = heard.get(name);
+    InstanceHeartbeats h = heard.get(name);
     long since = h == null ? ledBy : Math.max(ledBy, h.atMillis());
     boolean isSilent = now - since > silentMillis;
     LedgerState.Permit out = s.outs().get(name);
@@ -113,7 +113,7 @@
     if (bound >= 1 || s.halts().containsKey(DisruptionLedger.REJECTION_HALT)) {
       return;
     }
-    List<Heard> there = heard.values().stream().filter(h -> now - h.atMillis() <= silentMillis).toList();
+    List<InstanceHeartbeats> there = heard.values().stream().filter(h -> now - h.atMillis() <= silentMillis).toList();
     long pressed = there.stream().filter(h -> h.refused() >= bound).count();
     if (pressed >= LEAST_PRESSED && 2 * pressed > there.size()) {
       told.add(new Command.Halt(DisruptionLedger.REJECTION_HALT, "ledger", pressed + " of " + there.size() + " instances refuse too much"));
@@ -121,7 +121,7 @@
   }
 
   /** Instances in service that have not acted on all up to an index; those that are out or silent are not waited for. */
-  public List<String> notActed(long nowMillis, long index, LedgerState s) {
+  public List<String> laggingInstances(long nowMillis, long index, LedgerState s) {
     return s.members().entrySet().stream()
         .filter(e -> e.getValue().kind() == MemberKind.BALANCER && !e.getValue().unwell() && !s.outs().containsKey(e.getKey()))
         .map(Map.Entry::getKey).filter(name -> heard.get(name) == null || !heard.get(name).hasActed(nowMillis, index, silentMillis)).toList();
--- a/decision/src/main/java/cloverpulley/outs/Refusals.java
+++ b/decision/src/main/java/cloverpulley/outs/RejectionRate.java
@@ -6,7 +6,7 @@
  * The part of an instance's requests that it refused over the last while, out of counts that only grow. A bounded number of samples; nothing is
  * said of a few requests. One thread at a time.
  */
-public final class Refusals {
+public final class RejectionRate {
 
   private static final long WINDOW_MILLIS = 10_000;
   private static final int SAMPLES = 20;
@@ -17,7 +17,7 @@
   private final ArrayDeque<Sample> samples = new ArrayDeque<>(SAMPLES + 1);
 
   /** So many requests have ended since the start, of which so many were refused; the part over the last 10 s. */
-  public double counted(long nowMillis, long ended, long refused) {
+  public double update(long nowMillis, long ended, long refused) {
     while (samples.size() > 1 && nowMillis - samples.peekFirst().atMillis() > WINDOW_MILLIS) {
       samples.pollFirst();
     }
--- a/decision/src/main/java/cloverpulley/outs/Watch.java
+++ b/decision/src/main/java/cloverpulley/outs/UpstreamHealthMonitor.java
@@ -9,7 +9,7 @@
  * What one instance can tell of upstreams' health from its own traffic: only what differs from what the ledger says, and what a member that
  * comes back waits for, each at most once a period. A bounded word on each upstream it has sent to. One thread at a time.
  */
-public final class Watch {
+public final class UpstreamHealthMonitor {
 
   private static final int FAILURES = 3;
   private static final int MOST = DisruptionLedger.MAX_MEMBERS;
@@ -35,14 +35,14 @@
    * @param warmMillis how long one that came back takes until it is warm
    * @param againMillis how soon a word is told again that still holds
    */
-  public Watch(String me, long warmMillis, long againMillis) {
+  public UpstreamHealthMonitor(String me, long warmMillis, long againMillis) {
     this.me = me;
     this.warmMillis = warmMillis;
     this.againMillis = againMillis;
   }
 
   /** An attempt ended: served or turned away, which shows that it lives, or broken, which may show that it does not. */
-  public void ended(long nowMillis, String upstream, boolean answered, boolean nothingCame) {
+  public void recordAttempt(long nowMillis, String upstream, boolean answered, boolean nothingCame) {
     Own own = all.get(upstream);
     if (own == null) {
       if (all.size() >= MOST) {
@@ -61,7 +61,7 @@
   }
 
   /** What to tell the ledger now. */
-  public List<Command> look(long nowMillis, LedgerState s) {
+  public List<Command> pendingReports(long nowMillis, LedgerState s) {
     List<Command> told = new ArrayList<>();
     for (Map.Entry<String, Own> e : all.entrySet()) {
       LedgerState.Member m = s.members().get(e.getKey());
--- a/decision/src/main/java/cloverpulley/outs/Replacing.java
+++ b/decision/src/main/java/cloverpulley/outs/VoterReplacement.java
@@ -8,7 +8,7 @@
  * that the group never is smaller than it was and at no time more than one larger. The group itself tells what comes next: whoever
  * asks again, after whatever broke, goes on where it stands.
  */
-public final class Replacing {
+public final class VoterReplacement {
 
   /** What is to be done to the group; {@code DONE} and {@code NO} end it. */
   public enum Step { ADD, PROMOTE, REMOVE, DONE, NO }
@@ -17,12 +17,12 @@
   public record Next(Step step, String voter, String why) {
 
     /** Whether nothing follows. */
-    public boolean isEnd() {
+    public boolean isFinal() {
       return step == Step.DONE || step == Step.NO;
     }
   }
 
-  private Replacing() {}
+  private VoterReplacement() {}
 
   /**
    * What comes next.
--- a/decision/src/test/java/cloverpulley/outs/ReplacingTest.java
+++ b/decision/src/test/java/cloverpulley/outs/VoterReplacementTest.java
@@ -3,14 +3,14 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.outs.Replacing.Next;
-import cloverpulley.outs.Replacing.Step;
+import cloverpulley.outs.VoterReplacement.Next;
+import cloverpulley.outs.VoterReplacement.Step;
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-class ReplacingTest {
+class VoterReplacementTest {
 
   /** From each state of the group: its changes end, with the new one voting before the old one goes. */
   @Test
@@ -18,7 +18,7 @@
     Set<String> members = new TreeSet<>(List.of("a", "b", "c"));
     Set<String> voting = new TreeSet<>(members);
     StringBuilder steps = new StringBuilder();
-    for (Next n = Replacing.next(members, voting, "a", "c", "d"); !n.isEnd(); n = Replacing.next(members, voting, "a", "c", "d")) {
+    for (Next n = VoterReplacement.next(members, voting, "a", "c", "d"); !n.isFinal(); n = VoterReplacement.next(members, voting, "a", "c", "d")) {
       steps.append(n.step()).append(' ').append(n.voter()).append(' ');
       switch (n.step()) {
         case ADD -> members.add(n.voter());
@@ -31,18 +31,18 @@
       assertTrue(voting.size() >= 3 && members.size() <= 4, members + " " + voting);
     }
     assertEquals("ADD d PROMOTE d REMOVE c ", steps.toString());
-    assertEquals(Step.DONE, Replacing.next(members, voting, "d", "c", "d").step(), "asked again it is done");
+    assertEquals(Step.DONE, VoterReplacement.next(members, voting, "d", "c", "d").step(), "asked again it is done");
     assertEquals(Set.of("a", "b", "d"), voting);
   }
 
   @Test
   void whatWouldCostTheMajorityIsNotDone() {
     Set<String> all = Set.of("a", "b", "c");
-    assertEquals(Step.NO, Replacing.next(all, all, "a", "c", "c").step(), "it could vote twice");
-    assertEquals(Step.NO, Replacing.next(all, all, "c", "c", "d").step(), "it leads");
-    assertEquals(Step.NO, Replacing.next(all, all, "a", "x", "d").step(), "it is no voter");
-    assertEquals(Step.NO, Replacing.next(Set.of("a", "b", "c", "e"), all, "a", "c", "d").step(), "e is half in");
-    assertEquals(Step.PROMOTE, Replacing.next(Set.of("a", "b", "c", "d"), all, "a", "c", "d").step());
-    assertEquals(Step.REMOVE, Replacing.next(Set.of("a", "b", "c", "d"), Set.of("a", "b", "c", "d"), "a", "c", "d").step());
+    assertEquals(Step.NO, VoterReplacement.next(all, all, "a", "c", "c").step(), "it could vote twice");
+    assertEquals(Step.NO, VoterReplacement.next(all, all, "c", "c", "d").step(), "it leads");
+    assertEquals(Step.NO, VoterReplacement.next(all, all, "a", "x", "d").step(), "it is no voter");
+    assertEquals(Step.NO, VoterReplacement.next(Set.of("a", "b", "c", "e"), all, "a", "c", "d").step(), "e is half in");
+    assertEquals(Step.PROMOTE, VoterReplacement.next(Set.of("a", "b", "c", "d"), all, "a", "c", "d").step());
+    assertEquals(Step.REMOVE, VoterReplacement.next(Set.of("a", "b", "c", "d"), Set.of("a", "b", "c", "d"), "a", "c", "d").step());
   }
 }
--- a/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
@@ -20,7 +20,7 @@
 import cloverpulley.fleet.HeldList;
 import cloverpulley.fleet.WrittenList;
 import cloverpulley.outs.MemberKind;
-import cloverpulley.outs.Roll;
+import cloverpulley.outs.MembershipReconciler;
 import cloverpulley.records.Recorder;
 import cloverpulley.serve.Balance;
 import io.netty.bootstrap.Bootstrap;
@@ -65,7 +65,7 @@
   private static final class Ears implements Witness {
     private final AgreeConfig agree;
     private final Map<Long, String> names = new ConcurrentHashMap<>();
-    private final Map<String, Roll.Entry> listed = new HashMap<>();
+    private final Map<String, MembershipReconciler.Registration> listed = new HashMap<>();
     private volatile Follower follower;
     private final Voter voter;
 
@@ -108,7 +108,7 @@
         if (s.state() == cloverpulley.Balancer.State.GONE) {
           listed.remove(s.id());
         } else {
-          listed.put(s.id(), new Roll.Entry(MemberKind.UPSTREAM, agree.groupsOf(s.id(), s.zone(), s.cell())));
+          listed.put(s.id(), new MembershipReconciler.Registration(MemberKind.UPSTREAM, agree.groupsOf(s.id(), s.zone(), s.cell())));
         }
       }
       if (voter != null) {
--- a/dist/src/main/java/cloverpulley/cli/OutsCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/OutsCommand.java
@@ -7,7 +7,7 @@
 import cloverpulley.outs.DisruptionLedger;
 import cloverpulley.outs.Limit;
 import cloverpulley.outs.Phase;
-import cloverpulley.outs.Replacing;
+import cloverpulley.outs.VoterReplacement;
 import cloverpulley.outs.Reply;
 import cloverpulley.outs.LedgerState;
 import cloverpulley.outs.ResultCode;
@@ -127,10 +127,10 @@
 
     private int acted(AgreeClient client, long epoch) throws IOException, InterruptedException {
       long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TRY_MILLIS);
-      List<String> missing = client.notActed(epoch);
+      List<String> missing = client.laggingInstances(epoch);
       while (!missing.isEmpty() && System.nanoTime() < until) {
         TimeUnit.MILLISECONDS.sleep(LOOK_MILLIS);
-        missing = client.notActed(epoch);
+        missing = client.laggingInstances(epoch);
       }
       System.out.println(missing.isEmpty() ? id + ": acted on by all" : id + ": not acted on by " + String.join(" ", missing));
       return missing.isEmpty() ? 0 : 1;
@@ -190,9 +190,9 @@
 
     @Override
     public Integer call() throws BadFileException, IOException {
-      Replacing.Next end = common.client().replace(from, to, TRY_MILLIS,
+      VoterReplacement.Next end = common.client().replace(from, to, TRY_MILLIS,
           n -> System.out.println(n.voter() + ": " + n.step().name().toLowerCase(java.util.Locale.ROOT)));
-      boolean done = end.step() == Replacing.Step.DONE;
+      boolean done = end.step() == VoterReplacement.Step.DONE;
       System.out.println(done ? to + ": votes in the place of " + from + "; `outs strike " + from + "` once that is gone for good" : from + ": no, " + end.why());
       return done ? 0 : 1;
     }
--- a/dist/src/test/java/cloverpulley/cli/OutsIT.java
+++ b/dist/src/test/java/cloverpulley/cli/OutsIT.java
@@ -47,7 +47,7 @@
     assertEquals(1, epochs.stream().distinct().count(), "one permit, however often it was told: " + epochs);
     assertEquals(1, outSince.size(), outSince::toString);
     String out = outSince.keySet().iterator().next();
-    await("all have acted", () -> client.notActed(epochs.get(0)).isEmpty());
+    await("all have acted", () -> client.laggingInstances(epochs.get(0)).isEmpty());
     // The clients go on for as long as the grace and more: what they reach is counted at the upstream.
     long until = outSince.get(out) + 2 * GRACE_NANOS;
     await("time for late ones", () -> System.nanoTime() > until);
--- a/dist/src/test/java/cloverpulley/cli/VotersIT.java
+++ b/dist/src/test/java/cloverpulley/cli/VotersIT.java
@@ -9,7 +9,7 @@
 import cloverpulley.agree.AgreeConfig.VoterAt;
 import cloverpulley.outs.Command;
 import cloverpulley.outs.Phase;
-import cloverpulley.outs.Replacing.Step;
+import cloverpulley.outs.VoterReplacement.Step;
 import cloverpulley.outs.ResultCode;
 import cloverpulley.standins.faults.Instance;
 import java.nio.file.Files;
@@ -73,7 +73,7 @@
     assertEquals("cell:0", ask(client, "v2", "s1", 0).binding());
     assertEquals(ResultCode.SAME_AGAIN, ask(client, "v", "s0", 0).word());
     long other = ask(client, "v3", "s3", 0).epoch();
-    await("all have acted", () -> client.notActed(other).isEmpty()); // Else who loses the majority now would not have heard of it.
+    await("all have acted", () -> client.laggingInstances(other).isEmpty()); // Else who loses the majority now would not have heard of it.
     fleet.instances().get(1).kill();
     assertThrows(AgreeClient.NoMajority.class, () -> client.command(new Command.Ask("v4", "s4", "it", "", 0, false), 2000), "one of three is none");
     fleet.instances().get(1).start();
@@ -134,7 +134,7 @@
       next.address("balance");
       assertEquals(6 + ALL, whole().members().size());
       assertEquals(ResultCode.GRANTED, ask(client, "u", "s0", 0).word());
-      await("both have acted", () -> client.notActed(whole().outs().get("s0").epoch()).isEmpty());
+      await("both have acted", () -> client.laggingInstances(whole().outs().get("s0").epoch()).isEmpty());
       assertEquals(0, old.terminate());
       long over = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
       await("it would have been silent", () -> System.nanoTime() > over);
