--- a/agree/src/main/java/cloverpulley/agree/Codec.java
+++ b/agree/src/main/java/cloverpulley/agree/Codec.java
@@ -231,7 +231,7 @@
   }
 
   private static void operation(DataOutputStream o, Object operation) throws IOException {
-    if (operation instanceof Stamped s) {
+    if (operation instanceof TimestampedCommand s) {
       o.writeByte(1);
       octets(o, Json.write(s));
     } else if (operation instanceof UpdateRaftGroupMembersOp u) {
@@ -249,7 +249,7 @@
     int type = i.readUnsignedByte();
     try {
       return switch (type) {
-        case 1 -> Json.read(octets(i), Stamped.class);
+        case 1 -> Json.read(octets(i), TimestampedCommand.class);
         case 2 -> MODEL.createUpdateRaftGroupMembersOpBuilder().setMembers(endpoints(i)).setVotingMembers(endpoints(i))
             .setEndpoint(endpoint(i)).setMode(MembershipChangeMode.valueOf(i.readUTF())).build();
         default -> throw new IOException("no operation has the type " + type);
--- a/agree/src/main/java/cloverpulley/agree/Kept.java
+++ b/agree/src/main/java/cloverpulley/agree/DurableState.java
@@ -13,7 +13,7 @@
 import java.util.TreeMap;
 
 /** What a voter must not forget, as it stands: what a store holds, wherever it puts it. */
-final class Kept {
+final class DurableState {
 
   RaftEndpointPersistentState endpoint;
   RaftGroupMembersView members;
--- a/agree/src/main/java/cloverpulley/agree/Standstill.java
+++ b/agree/src/main/java/cloverpulley/agree/ElectionWatchdog.java
@@ -11,7 +11,7 @@
  * of five runs of a case of OutsIT beside other work). A follower whose leader has been silent for far longer than an election takes is moved to the next term, which Raft
  * lets anybody do at any time, and forgets both. One thread.
  */
-final class Standstill {
+final class ElectionWatchdog {
 
   /** Three times a leader's heartbeat time-out, so that the library's own way comes first. */
   static final long SILENT_MICROS = 3_000_000;
--- a/agree/src/main/java/cloverpulley/agree/LedgerMachine.java
+++ b/agree/src/main/java/cloverpulley/agree/LedgerStateMachine.java
@@ -11,18 +11,18 @@
 import java.util.function.Consumer;
 
 /** The ledger as Raft's state machine. Commands come on Raft's thread, looks from others: a look is a value, made once for an index. */
-final class LedgerMachine implements StateMachine {
+final class LedgerStateMachine implements StateMachine {
 
   private final DisruptionLedger ledger;
   private LedgerState looked;
 
-  LedgerMachine(DisruptionLedger ledger) {
+  LedgerStateMachine(DisruptionLedger ledger) {
     this.ledger = ledger;
   }
 
   @Override
   public synchronized Object runOperation(long commitIndex, Object operation) {
-    Stamped s = (Stamped) operation;
+    TimestampedCommand s = (TimestampedCommand) operation;
     return ledger.apply(commitIndex, s.millis(), s.command());
   }
 
@@ -45,7 +45,7 @@
 
   @Override
   public Object getNewTermOperation() {
-    return new Stamped(0, new Command.Tick());
+    return new TimestampedCommand(0, new Command.Tick());
   }
 
   /** The ledger as it is. */
--- a/agree/src/main/java/cloverpulley/agree/Overlap.java
+++ b/agree/src/main/java/cloverpulley/agree/LogOverlap.java
@@ -15,7 +15,7 @@
  * are seed 1040910 of the histories). Entries of the same index and term are the same, and all before them (Raft's log matching), so that
  * a request may as well begin behind them. One thread.
  */
-final class Overlap {
+final class LogOverlap {
 
   private final TreeMap<Long, Integer> terms = new TreeMap<>();
   /** Up to here everything is in the snapshot; 0 for none. */
--- a/agree/src/main/java/cloverpulley/agree/MemoryStore.java
+++ b/agree/src/main/java/cloverpulley/agree/MemoryStore.java
@@ -15,21 +15,21 @@
 /** A voter's file in a simulation: what was not flushed when it crashed is there up to some point, as on a disk. */
 final class MemoryStore implements RaftStore {
 
-  private final Kept kept = new Kept();
+  private final DurableState kept = new DurableState();
   private final List<Runnable> unflushed = new ArrayList<>();
-  private Overlap overlap = new Overlap();
+  private LogOverlap overlap = new LogOverlap();
 
   /** The machine goes down: a part of what was not flushed is kept, from its beginning on. */
   void crash(Random random) {
     int left = unflushed.isEmpty() ? 0 : random.nextInt(unflushed.size() + 1);
     unflushed.subList(0, left).forEach(Runnable::run);
     unflushed.clear();
-    overlap = new Overlap();
+    overlap = new LogOverlap();
     overlap.snapshotUntil(kept.snapshot());
     overlap.has(kept.behindSnapshot());
   }
 
-  Overlap overlap() {
+  LogOverlap overlap() {
     return overlap;
   }
 
--- a/agree/src/main/java/cloverpulley/agree/PreVotes.java
+++ b/agree/src/main/java/cloverpulley/agree/PreVoteTermCatchUp.java
@@ -9,9 +9,9 @@
  * 1065352 of the histories). Such a refusal comes on as a request for a vote in its term that no log can grant, at which a voter
  * without a leader takes up the term, as Raft asks of it for any message, and one with a leader does nothing.
  */
-final class PreVotes {
+final class PreVoteTermCatchUp {
 
-  private PreVotes() {}
+  private PreVoteTermCatchUp() {}
 
   /** The same message, or, where a pre-vote was refused by one of a later term than this voter's, what makes this voter take that up. */
   static RaftMessage taken(RaftMessage m, int term) {
--- a/agree/src/main/java/cloverpulley/agree/RaftJournal.java
+++ b/agree/src/main/java/cloverpulley/agree/RaftJournal.java
@@ -64,8 +64,8 @@
   private boolean joins;
   /** The last entry that it had at the start, as far as no leader has struck it out since. */
   private volatile long restoredLast;
-  private final Kept kept = new Kept();
-  private final Overlap overlap = new Overlap();
+  private final DurableState kept = new DurableState();
+  private final LogOverlap overlap = new LogOverlap();
 
   private RaftJournal(Path file, String fleet, long most) {
     this.file = file;
@@ -381,7 +381,7 @@
   }
 
   /** Used on Raft's thread, as everything that changes it. */
-  Overlap overlap() {
+  LogOverlap overlap() {
     return overlap;
   }
 
--- a/agree/src/main/java/cloverpulley/agree/Pace.java
+++ b/agree/src/main/java/cloverpulley/agree/ScaledRaftExecutor.java
@@ -17,14 +17,14 @@
  * Raft's thread and time. The library counts heartbeats in whole seconds; here its second lasts a tenth, by a clock that does not step, so
  * that a leader that is gone is missed within a second of ours.
  */
-final class Pace implements RaftNodeExecutor, RaftNodeLifecycleAware {
+final class ScaledRaftExecutor implements RaftNodeExecutor, RaftNodeLifecycleAware {
 
   /** So much faster the library's time runs. */
   static final int FASTER = 10;
 
   private final ScheduledExecutorService thread;
 
-  Pace() {
+  ScaledRaftExecutor() {
     ScheduledThreadPoolExecutor t = new ScheduledThreadPoolExecutor(1, task -> {
       Thread made = new Thread(task, "raft");
       made.setDaemon(true);
--- a/agree/src/main/java/cloverpulley/agree/SimulatedVoter.java
+++ b/agree/src/main/java/cloverpulley/agree/SimulatedVoter.java
@@ -33,9 +33,9 @@
   private final MemoryStore store = new MemoryStore();
   /** What a paused machine has not got to. */
   private final ArrayDeque<Runnable> behind = new ArrayDeque<>();
-  private LedgerMachine machine;
+  private LedgerStateMachine machine;
   private RaftNode node;
-  private Standstill standstill;
+  private ElectionWatchdog standstill;
   private int life;
   private boolean up;
   private boolean paused;
@@ -76,7 +76,7 @@
 
     @Override
     public void schedule(Runnable task, long delay, TimeUnit unit) {
-      time.after(unit.toMicros(delay) / Pace.FASTER, () -> run(task));
+      time.after(unit.toMicros(delay) / ScaledRaftExecutor.FASTER, () -> run(task));
     }
 
     @Override
@@ -105,10 +105,10 @@
     up = true;
     paused = false;
     behind.clear();
-    machine = new LedgerMachine(new DisruptionLedger());
+    machine = new LedgerStateMachine(new DisruptionLedger());
     Life l = new Life();
-    RaftNode.RaftNodeBuilder b = RaftNode.newBuilder().setGroupId("outs").setConfig(Pace.config(SNAPSHOT_EVERY)).setExecutor(l).setTransport(l)
-        .setClock(Pace.clock(time::micros)).setRandom(random).setStateMachine(machine).setStore(store);
+    RaftNode.RaftNodeBuilder b = RaftNode.newBuilder().setGroupId("outs").setConfig(ScaledRaftExecutor.config(SNAPSHOT_EVERY)).setExecutor(l).setTransport(l)
+        .setClock(ScaledRaftExecutor.clock(time::micros)).setRandom(random).setStateMachine(machine).setStore(store);
     RestoredRaftState restored = store.restored();
     if (restored == null) {
       b.setLocalEndpoint(new Peer(name)).setInitialGroupMembers(all);
@@ -116,7 +116,7 @@
       b.setRestoredState(restored);
     }
     node = b.build();
-    standstill = new Standstill();
+    standstill = new ElectionWatchdog();
     node.start();
     l.submit(() -> wake(l));
   }
@@ -167,7 +167,7 @@
         try {
           RaftMessage m = codec.read(message);
           standstill.heard(m, time.micros());
-          node.handle(PreVotes.taken(store.overlap().without(m), node.getTerm().getTerm()));
+          node.handle(PreVoteTermCatchUp.taken(store.overlap().without(m), node.getTerm().getTerm()));
         } catch (IOException e) {
           throw new IllegalStateException(e);
         }
@@ -184,7 +184,7 @@
   CompletableFuture<Reply> command(Command c) {
     CompletableFuture<Reply> reply = new CompletableFuture<>();
     if (up && !paused) {
-      CompletableFuture<Ordered<Reply>> ordered = node.replicate(new Stamped(1_000_000 + time.millis() + skewMillis, c));
+      CompletableFuture<Ordered<Reply>> ordered = node.replicate(new TimestampedCommand(1_000_000 + time.millis() + skewMillis, c));
       ordered.whenComplete((r, e) -> {
         if (e == null) {
           reply.complete(r.getResult());
--- a/agree/src/main/java/cloverpulley/agree/Stamped.java
+++ b/agree/src/main/java/cloverpulley/agree/TimestampedCommand.java
@@ -3,4 +3,4 @@
 import cloverpulley.outs.Command;
 
 /** A command with the time of who proposed it, Unix milliseconds: what the log holds. */
-record Stamped(long millis, Command command) {}
+record TimestampedCommand(long millis, Command command) {}
--- a/agree/src/main/java/cloverpulley/agree/Voter.java
+++ b/agree/src/main/java/cloverpulley/agree/Voter.java
@@ -44,14 +44,14 @@
   private static final int MOST_A_TURN = 500;
 
   private final AgreeConfig config;
-  private final Pace pace = new Pace();
-  private final LedgerMachine machine = new LedgerMachine(new DisruptionLedger());
+  private final ScaledRaftExecutor pace = new ScaledRaftExecutor();
+  private final LedgerStateMachine machine = new LedgerStateMachine(new DisruptionLedger());
   private final RaftJournal journal;
   private final RaftLink link;
   private final RaftNode node;
   private final MembershipReconciler roll;
   /** Raft's thread has it. */
-  private final Standstill standstill = new Standstill();
+  private final ElectionWatchdog standstill = new ElectionWatchdog();
   /** The first commit index that a leader told in this life; -1 before. */
   private volatile long agreedBefore = -1;
   private volatile boolean caughtUp;
@@ -77,10 +77,10 @@
           .filter(v -> !v.name().equals(config.name())).collect(Collectors.toMap(AgreeConfig.VoterAt::name, AgreeConfig.VoterAt::raft)), codec,
           m -> pace.submit(() -> {
             heard(m);
-            made[0].handle(PreVotes.taken(journal.overlap().without(m), made[0].getTerm().getTerm()));
+            made[0].handle(PreVoteTermCatchUp.taken(journal.overlap().without(m), made[0].getTerm().getTerm()));
           }));
-      RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder().setGroupId(GROUP).setConfig(Pace.config(SNAPSHOT_EVERY)).setExecutor(pace)
-          .setClock(Pace.clock(Voter::micros)).setTransport(link).setStateMachine(machine).setStore(journal);
+      RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder().setGroupId(GROUP).setConfig(ScaledRaftExecutor.config(SNAPSHOT_EVERY)).setExecutor(pace)
+          .setClock(ScaledRaftExecutor.clock(Voter::micros)).setTransport(link).setStateMachine(machine).setStore(journal);
       RestoredRaftState restored = journal.restored();
       if (restored == null) {
         // One that joins is not of the group that it joins, until that has taken it.
@@ -163,7 +163,7 @@
 
   /** Puts a command in the one order; fails where this one does not lead, and where nobody knows whether it came through. */
   public CompletableFuture<Reply> command(Command c) {
-    CompletableFuture<Ordered<Reply>> ordered = node.replicate(new Stamped(clock.stamp(machine.nowMillis()), c));
+    CompletableFuture<Ordered<Reply>> ordered = node.replicate(new TimestampedCommand(clock.stamp(machine.nowMillis()), c));
     return ordered.thenApply(Ordered::getResult);
   }
 
--- a/agree/src/test/java/cloverpulley/agree/RaftJournalTest.java
+++ b/agree/src/test/java/cloverpulley/agree/RaftJournalTest.java
@@ -34,7 +34,7 @@
 
   private static LogEntry entry(long index, int term) {
     return Codec.MODEL.createLogEntryBuilder().setIndex(index).setTerm(term)
-        .setOperation(new Stamped(index, new Command.Halt("h" + index, "who", "why"))).build();
+        .setOperation(new TimestampedCommand(index, new Command.Halt("h" + index, "who", "why"))).build();
   }
 
   private static RaftGroupMembersView members() {
@@ -54,7 +54,7 @@
   }
 
   private static List<String> read(RestoredRaftState s) {
-    return s.getLogEntries().stream().map(e -> e.getIndex() + ":" + e.getTerm() + ":" + ((Stamped) e.getOperation()).command()).toList();
+    return s.getLogEntries().stream().map(e -> e.getIndex() + ":" + e.getTerm() + ":" + ((TimestampedCommand) e.getOperation()).command()).toList();
   }
 
   private RestoredRaftState again() throws IOException {
@@ -73,7 +73,7 @@
     }
     RestoredRaftState s = again();
     assertEquals(List.of(entry(1, 3), entry(2, 3), entry(3, 4)).stream().map(e -> e.getIndex() + ":" + e.getTerm() + ":"
-        + ((Stamped) e.getOperation()).command()).toList(), read(s));
+        + ((TimestampedCommand) e.getOperation()).command()).toList(), read(s));
     assertEquals(3, s.getTermPersistentState().getTerm());
     assertEquals(new Peer("b"), s.getTermPersistentState().getVotedFor());
     assertEquals(new Peer("a"), s.getLocalEndpointPersistentState().getLocalEndpoint());
