--- a/agree/src/main/java/cloverpulley/agree/AgreeApi.java
+++ b/agree/src/main/java/cloverpulley/agree/AgreeApi.java
@@ -86,7 +86,7 @@
       } else if (x.getRequestURI().getPath().equals(PATH)) {
         look(x, query);
       } else if (x.getRequestURI().getPath().equals(ACTED)) {
-        answer(x, voter.leads() ? 200 : 421, Json.write(voter.laggingInstances(number(query.get("index")))));
+        answer(x, voter.isLeader() ? 200 : 421, Json.write(voter.laggingInstances(number(query.get("index")))));
       } else {
         answer(x, 404, "no such path");
       }
@@ -140,7 +140,7 @@
         answer(x, 400, "process: expected letters, digits and . : # - _");
         return;
       }
-      voter.heard(name, new Heartbeat(process, groups, number(query.get("acted")), Double.parseDouble(query.getOrDefault("refused", "0"))));
+      voter.recordHeartbeat(name, new Heartbeat(process, groups, number(query.get("acted")), Double.parseDouble(query.getOrDefault("refused", "0"))));
     }
     if (!voter.isCaughtUp()) {
       answer(x, 503, "this voter has not caught up since its start");
--- a/agree/src/main/java/cloverpulley/agree/AgreeClient.java
+++ b/agree/src/main/java/cloverpulley/agree/AgreeClient.java
@@ -29,22 +29,22 @@
   private static final int MOST_CHANGES = 10;
 
   /** Nobody could be asked, or nobody knows. */
-  public static final class NoMajority extends IOException {
+  public static final class NoMajorityException extends IOException {
     private static final long serialVersionUID = 1L;
 
-    NoMajority(String message) {
+    NoMajorityException(String message) {
       super(message);
     }
   }
 
   private record Answer(int status, byte[] body, String leader) {}
 
-  private final List<AgreeConfig.VoterAt> voters;
+  private final List<AgreeConfig.VoterAddress> voters;
   private String leader = "";
   private boolean led;
   private long octets;
 
-  public AgreeClient(List<AgreeConfig.VoterAt> voters) {
+  public AgreeClient(List<AgreeConfig.VoterAddress> voters) {
     this.voters = voters;
   }
 
@@ -54,7 +54,7 @@
   }
 
   /** Octets of bodies sent and got so far. */
-  public long octets() {
+  public long bodyBytes() {
     return octets;
   }
 
@@ -63,7 +63,7 @@
    * asked again as it is: asks have names, and the other commands may be repeated.
    *
    * @param forMillis how long to try
-   * @throws NoMajority where nobody answered for all
+   * @throws NoMajorityException where nobody answered for all
    * @throws IOException where it was turned down as malformed
    */
   public Reply command(Command c, long forMillis) throws IOException {
@@ -85,14 +85,14 @@
       }
       told.accept(next);
     }
-    throw new NoMajority("more changes than there can be: somebody else changes the voters too");
+    throw new NoMajorityException("more changes than there can be: somebody else changes the voters too");
   }
 
   private <T> T post(String path, byte[] body, Class<T> type, long forMillis) throws IOException {
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(forMillis);
     String last = "no voter answers";
     do {
-      for (AgreeConfig.VoterAt v : inTurn()) {
+      for (AgreeConfig.VoterAddress v : inTurn()) {
         try {
           Answer a = call(v.api(), "POST", path, body);
           if (a.status() == 200) {
@@ -117,17 +117,17 @@
         break;
       }
     } while (System.nanoTime() < until);
-    throw new NoMajority(last);
+    throw new NoMajorityException(last);
   }
 
   /** Looks, and is heard with that; null where nothing changed since {@code since}. */
-  public LedgerState look(String name, Heartbeat as, long since) throws IOException {
+  public LedgerState poll(String name, Heartbeat as, long since) throws IOException {
     return look("?name=" + name + "&process=" + as.process() + "&groups=" + URLEncoder.encode(String.join(",", as.groups()), StandardCharsets.UTF_8)
         + "&acted=" + as.acted() + "&refused=" + as.refused() + "&since=" + since);
   }
 
   /** The whole ledger. */
-  public LedgerState whole() throws IOException {
+  public LedgerState fullState() throws IOException {
     return look("?whole=1");
   }
 
@@ -139,7 +139,7 @@
   private LedgerState look(String query) throws IOException {
     String last = "no voter answers";
     Answer alone = null;
-    for (AgreeConfig.VoterAt v : inTurn()) {
+    for (AgreeConfig.VoterAddress v : inTurn()) {
       try {
         Answer a = call(v.api(), "GET", AgreeApi.PATH + query, null);
         boolean good = a.status() == 200 || a.status() == 204;
@@ -156,7 +156,7 @@
       }
     }
     if (alone == null) {
-      throw new NoMajority(last);
+      throw new NoMajorityException(last);
     }
     led = false;
     return state(alone);
@@ -168,7 +168,7 @@
 
   /** Who has not acted on all up to an index, by who leads. */
   public List<String> laggingInstances(long index) throws IOException {
-    for (AgreeConfig.VoterAt v : inTurn()) {
+    for (AgreeConfig.VoterAddress v : inTurn()) {
       try {
         Answer a = call(v.api(), "GET", AgreeApi.ACTED + "?index=" + index, null);
         if (a.status() == 200) {
@@ -178,11 +178,11 @@
         continue; // The next may lead by now.
       }
     }
-    throw new NoMajority("nobody leads");
+    throw new NoMajorityException("nobody leads");
   }
 
-  private List<AgreeConfig.VoterAt> inTurn() {
-    List<AgreeConfig.VoterAt> all = new ArrayList<>(voters);
+  private List<AgreeConfig.VoterAddress> inTurn() {
+    List<AgreeConfig.VoterAddress> all = new ArrayList<>(voters);
     all.sort((x, y) -> Boolean.compare(y.name().equals(leader), x.name().equals(leader)));
     return all;
   }
--- a/agree/src/main/java/cloverpulley/agree/AgreeConfig.java
+++ b/agree/src/main/java/cloverpulley/agree/AgreeConfig.java
@@ -24,7 +24,7 @@
  * @param apiListen where a voter is asked
  */
 public record AgreeConfig(String fleet, String name, List<String> groups, Path folder, int pollMillis, int silentMillis, int mostMb,
-    List<VoterAt> voters, Command.Rules rules, Map<String, List<String>> labels, InetSocketAddress raftListen,
+    List<VoterAddress> voters, Command.Rules rules, Map<String, List<String>> labels, InetSocketAddress raftListen,
     InetSocketAddress apiListen) {
 
   /** The group of all balancers. */
@@ -37,19 +37,19 @@
   private static final int MOST_NAME = 128;
 
   /** A voter, and where it is. */
-  public record VoterAt(String name, InetSocketAddress raft, InetSocketAddress api) {}
+  public record VoterAddress(String name, InetSocketAddress raft, InetSocketAddress api) {}
 
   /** Reads the section. */
   public static AgreeConfig read(Section s, String zone) {
     String name = name(s, "name");
-    List<VoterAt> voters = new ArrayList<>();
+    List<VoterAddress> voters = new ArrayList<>();
     Set<String> names = new HashSet<>();
     for (Section v : s.tables("voter")) {
       String voter = name(v, "name");
       if (!names.add(voter)) {
         v.wrong("name", "two voters are called \"" + voter + "\"");
       }
-      voters.add(new VoterAt(voter, v.address("raft", null), v.address("api", null)));
+      voters.add(new VoterAddress(voter, v.address("raft", null), v.address("api", null)));
     }
     if (voters.size() != 3 && voters.size() != 5 && voters.size() != 7) {
       s.wrong("voter", "expected three, five or seven voters, got " + voters.size());
@@ -73,7 +73,7 @@
     }
     Command.Rules rules = new Command.Rules(s.whole("version", 1, Long.MAX_VALUE, 1), limits, (int) s.whole("words", 1, 8, 2),
         s.whole("fresh_ms", 100, 3_600_000, 10_000), s.number("dead_part", 0.001, 1, 1), s.number("refused_part", 0.001, 1, 1));
-    VoterAt own = voters.stream().filter(v -> v.name().equals(name)).findFirst().orElse(null);
+    VoterAddress own = voters.stream().filter(v -> v.name().equals(name)).findFirst().orElse(null);
     return new AgreeConfig(name(s, "fleet"), name, groups(s, own != null, zone), Path.of(s.text("folder", ".")),
         (int) s.whole("poll_ms", 10, 60_000, 200), (int) s.whole("silent_ms", 100, 600_000, 2000), (int) s.whole("most_mb", 1, 1024, 16),
         List.copyOf(voters), rules, labels,
@@ -107,7 +107,7 @@
   }
 
   /** Whether this instance holds the ledger. */
-  public boolean votes() {
+  public boolean isVoter() {
     return voters.stream().anyMatch(v -> v.name().equals(name));
   }
 
--- a/agree/src/main/java/cloverpulley/agree/Follower.java
+++ b/agree/src/main/java/cloverpulley/agree/Follower.java
@@ -41,10 +41,10 @@
   /** Where an instance acts. */
   public interface Upstreams {
     /** Nothing new to it; done once the module knows. */
-    CompletableFuture<Void> takeOut(String id, long forMillis);
+    CompletableFuture<Void> setOffline(String id, long forMillis);
 
     /** It may serve again, cold; done once the module knows. */
-    CompletableFuture<Void> callBack(String id);
+    CompletableFuture<Void> setOnline(String id);
   }
 
   private final AgreeConfig config;
@@ -86,12 +86,12 @@
   }
 
   /** An attempt at an upstream has ended; from any thread, which waits for nobody: what there is no room for is not told. */
-  public void ended(String upstream, boolean answered, boolean nothingCame) {
+  public void recordAttempt(String upstream, boolean answered, boolean nothingCame) {
     outcomes.offer(new Outcome(upstream, answered, nothingCame));
   }
 
   /** A request has its answer; from any thread. */
-  public void answered(boolean wasRefused) {
+  public void recordRequest(boolean wasRefused) {
     ended.increment();
     if (wasRefused) {
       refused.increment();
@@ -99,7 +99,7 @@
   }
 
   /** Done once the ledger was looked at and acted on for the first time. */
-  public CompletableFuture<Void> first() {
+  public CompletableFuture<Void> firstSync() {
     return first;
   }
 
@@ -113,7 +113,7 @@
       if (!todo.isEmpty()) {
         act(seen == null ? LedgerState.EMPTY : seen);
       }
-      LedgerState s = client.look(config.name(), new Heartbeat(process, config.groups(), acted, refusals.update(now(), ended.sum(), refused.sum())), acted);
+      LedgerState s = client.poll(config.name(), new Heartbeat(process, config.groups(), acted, refusals.update(now(), ended.sum(), refused.sum())), acted);
       if (s != null && (client.isLed() || first.isDone() || now() >= patientUntil)) {
         act(s);
       }
@@ -140,10 +140,10 @@
         UpstreamReconciler.Action step = todo.peek(); // Gone only once it is done: what the module has not heard is told again.
         if (step instanceof UpstreamReconciler.Action.SetOffline t) {
           LOG.info("agreed: {} out", t.upstream());
-          upstreams.takeOut(t.upstream(), t.forMillis()).get(ACT_MILLIS, TimeUnit.MILLISECONDS);
+          upstreams.setOffline(t.upstream(), t.forMillis()).get(ACT_MILLIS, TimeUnit.MILLISECONDS);
         } else if (step instanceof UpstreamReconciler.Action.SetOnline c) {
           LOG.info("agreed: {} back", c.upstream());
-          upstreams.callBack(c.upstream()).get(ACT_MILLIS, TimeUnit.MILLISECONDS);
+          upstreams.setOnline(c.upstream()).get(ACT_MILLIS, TimeUnit.MILLISECONDS);
         }
         todo.poll();
       }
--- a/agree/src/main/java/cloverpulley/agree/Histories.java
+++ b/agree/src/main/java/cloverpulley/agree/Histories.java
@@ -72,8 +72,8 @@
   }
 
   /** Plays one history; {@code defect}: leaders grant by what they hold themselves, which has to be found. */
-  public static Result play(long seed, boolean defect) {
-    return new Histories(seed, defect).play();
+  public static Result run(long seed, boolean defect) {
+    return new Histories(seed, defect).run();
   }
 
   /** The first leader dies soon after it was elected; whether another leads in the end. */
@@ -105,7 +105,7 @@
     }
   }
 
-  private Result play() {
+  private Result run() {
     voters.forEach(SimulatedVoter::start);
     time.run(3000);
     setUp();
--- a/agree/src/main/java/cloverpulley/agree/Voter.java
+++ b/agree/src/main/java/cloverpulley/agree/Voter.java
@@ -74,7 +74,7 @@
     RaftNode[] made = new RaftNode[1];
     try {
       link = new RaftLink(config.fleet(), config.name(), config.raftListen(), config.voters().stream()
-          .filter(v -> !v.name().equals(config.name())).collect(Collectors.toMap(AgreeConfig.VoterAt::name, AgreeConfig.VoterAt::raft)), codec,
+          .filter(v -> !v.name().equals(config.name())).collect(Collectors.toMap(AgreeConfig.VoterAddress::name, AgreeConfig.VoterAddress::raft)), codec,
           m -> pace.submit(() -> {
             heard(m);
             made[0].handle(PreVoteTermCatchUp.taken(journal.overlap().without(m), made[0].getTerm().getTerm()));
@@ -128,7 +128,7 @@
   }
 
   /** Whether this one leads, as far as it knows: what it says then holds only with a majority. */
-  public boolean leads() {
+  public boolean isLeader() {
     RaftEndpoint leader = node.getTerm().getLeaderEndpoint();
     return leader != null && leader.getId().equals(config.name());
   }
@@ -157,7 +157,7 @@
    */
   public boolean isCaughtUp() {
     long index = machine.index();
-    caughtUp = caughtUp || index > 0 && index >= journal.restoredLast() && index >= agreedBefore && (agreedBefore >= 0 || leads());
+    caughtUp = caughtUp || index > 0 && index >= journal.restoredLast() && index >= agreedBefore && (agreedBefore >= 0 || isLeader());
     return caughtUp;
   }
 
@@ -201,14 +201,14 @@
   }
 
   /** An instance has looked here. */
-  public void heard(String name, Heartbeat look) {
+  public void recordHeartbeat(String name, Heartbeat look) {
     synchronized (roll) {
       roll.recordHeartbeat(now(), name, look);
     }
   }
 
   /** The upstreams there are, by id, with their groups. */
-  public void listed(Map<String, MembershipReconciler.Registration> upstreams) {
+  public void setUpstreams(Map<String, MembershipReconciler.Registration> upstreams) {
     listed = Map.copyOf(upstreams); // Taken up by the duty: who tells it, the engine's loop, waits for nobody.
   }
 
@@ -239,7 +239,7 @@
   private void work() {
     try {
       pace.submit(this::wake);
-      boolean leads = leads() && isActive();
+      boolean leads = isLeader() && isActive();
       LedgerState s = state();
       List<Command> told;
       synchronized (roll) {
--- a/agree/src/test/java/cloverpulley/agree/HistoriesTest.java
+++ b/agree/src/test/java/cloverpulley/agree/HistoriesTest.java
@@ -19,7 +19,7 @@
 
   @Test
   void noMoreAreOutThanMayBeAndAllComesToRest() {
-    List<Histories.Result> all = LongStream.range(FIRST, FIRST + COUNT).parallel().mapToObj(seed -> Histories.play(seed, false)).toList();
+    List<Histories.Result> all = LongStream.range(FIRST, FIRST + COUNT).parallel().mapToObj(seed -> Histories.run(seed, false)).toList();
     System.out.printf("%d histories: %d granted, %d refused, %d unknown, %d faults%n", all.size(), all.stream().mapToInt(Histories.Result::granted).sum(),
         all.stream().mapToInt(Histories.Result::refused).sum(), all.stream().mapToInt(Histories.Result::unknown).sum(),
         all.stream().mapToInt(Histories.Result::faults).sum());
@@ -33,7 +33,7 @@
   @Test
   void seedsThatBrokeOnce() {
     for (long seed : new long[] {1008302, 1031876, 1034530, 1041535, 1058701, 1065352, 1072095, 1040910}) {
-      Histories.Result r = Histories.play(seed, false);
+      Histories.Result r = Histories.run(seed, false);
       assertEquals("", r.broken(), "seed " + seed);
       assertTrue(Linearizable.check(r.ops(), MOST), "seed " + seed + " has an order");
     }
@@ -47,13 +47,13 @@
 
   @Test
   void theSameSeedIsTheSameHistory() {
-    assertEquals(Histories.play(7, false), Histories.play(7, false));
+    assertEquals(Histories.run(7, false), Histories.run(7, false));
   }
 
   /** Leaders that grant by what they hold themselves, old ones in their half among them: both checks find it. */
   @Test
   void aDefectPutInOnPurposeIsFound() {
-    List<Histories.Result> all = LongStream.range(1, 60).parallel().mapToObj(seed -> Histories.play(seed, true)).toList();
+    List<Histories.Result> all = LongStream.range(1, 60).parallel().mapToObj(seed -> Histories.run(seed, true)).toList();
     assertTrue(all.stream().anyMatch(r -> r.broken().contains("out are")), "by who counts outside");
     assertTrue(all.stream().anyMatch(r -> !Linearizable.check(r.ops(), MOST)), "by the order of what was told");
   }
--- a/bench/src/main/java/cloverpulley/bench/OutsBench.java
+++ b/bench/src/main/java/cloverpulley/bench/OutsBench.java
@@ -1,7 +1,7 @@
 package cloverpulley.bench;
 
 import cloverpulley.agree.AgreeClient;
-import cloverpulley.agree.AgreeConfig.VoterAt;
+import cloverpulley.agree.AgreeConfig.VoterAddress;
 import cloverpulley.agree.Histories;
 import cloverpulley.model.outs.SmallWorld;
 import cloverpulley.outs.Command;
@@ -86,7 +86,7 @@
     AtomicLong behind = new AtomicLong();
     IntStream.range(0, Runtime.getRuntime().availableProcessors()).parallel().forEach(core -> {
       while (System.nanoTime() < until) {
-        Histories.Result r = Histories.play(histories.incrementAndGet(), false);
+        Histories.Result r = Histories.run(histories.incrementAndGet(), false);
         behind.addAndGet(r.behind());
         if (!r.broken().isEmpty()) {
           throw new IllegalStateException("seed " + r.seed() + ": " + r.broken());
@@ -150,13 +150,13 @@
         one.address("balance");
       }
     }
-    List<VoterAt> voters = new ArrayList<>();
+    List<VoterAddress> voters = new ArrayList<>();
     for (int i = 0; i < VOTERS; i++) {
-      voters.add(new VoterAt("b" + i, null, fleet.api(i)));
+      voters.add(new VoterAddress("b" + i, null, fleet.api(i)));
     }
     AgreeClient client = new AgreeClient(voters);
     await("all are enrolled", () -> {
-      LedgerState s = client.whole();
+      LedgerState s = client.fullState();
       return s.members().size() == processes + UPSTREAMS && s.members().values().stream().noneMatch(LedgerState.Member::unwell);
     });
     System.out.printf("%d processes serve and are enrolled after %.1f s%n", processes, (System.nanoTime() - begun) / 1e9);
@@ -201,20 +201,20 @@
       await("the grace", () -> System.nanoTime() > yes + GRACE_NANOS + GRACE_NANOS / 2);
       afterOut += (int) upstreams.get(member).seen().stream().filter(s -> s.atNanos() > yes + GRACE_NANOS).count();
     }
-    overLimit += client.whole().outs().size() > UPSTREAMS / 5 ? 1 : 0;
+    overLimit += client.fullState().outs().size() > UPSTREAMS / 5 ? 1 : 0;
     client.command(new Command.Return(member, "bench", r.epoch()), 10_000);
-    if (number % 8 == 0 || client.whole().outs().size() >= UPSTREAMS / 5 - 1) {
-      await("it is warm", () -> client.whole().outs().isEmpty());
+    if (number % 8 == 0 || client.fullState().outs().size() >= UPSTREAMS / 5 - 1) {
+      await("it is warm", () -> client.fullState().outs().isEmpty());
     }
   }
 
   /** Until every voter says so, whoever is asked. */
-  private static double halt(AgreeClient client, List<VoterAt> voters, int number) throws Exception {
+  private static double halt(AgreeClient client, List<VoterAddress> voters, int number) throws Exception {
     long from = System.nanoTime();
     client.command(new Command.Halt("h" + number, "bench", ""), 10_000);
-    for (VoterAt v : voters) {
+    for (VoterAddress v : voters) {
       AgreeClient one = new AgreeClient(List.of(v));
-      await("it is halted", () -> one.whole().halts().containsKey("h" + number));
+      await("it is halted", () -> one.fullState().halts().containsKey("h" + number));
     }
     double millis = (System.nanoTime() - from) / 1e6;
     Reply r = client.command(new Command.Ask("halted " + number, "s0", "bench", "", 0, false), 10_000);
@@ -227,21 +227,21 @@
 
   /** Octets that one instance's looks cost a second, by a look-alike of it. */
   private static double bytes(AgreeClient of) throws Exception {
-    LedgerState s = of.whole();
-    long before = of.octets();
+    LedgerState s = of.fullState();
+    long before = of.bodyBytes();
     long acted = s.index();
     int looks = 25;
     for (int i = 0; i < looks; i++) {
-      LedgerState next = of.look("", new Heartbeat("", List.of(), acted, 0), acted);
+      LedgerState next = of.poll("", new Heartbeat("", List.of(), acted, 0), acted);
       acted = next == null ? acted : next.index();
       TimeUnit.MILLISECONDS.sleep(200);
     }
     // Beside the bodies a call has some 300 octets of heads each way, by their text.
-    return (of.octets() - before + looks * 600.0) / (looks * 0.2);
+    return (of.bodyBytes() - before + looks * 600.0) / (looks * 0.2);
   }
 
   private static double leaderLoss(AgreeingFleet fleet, AgreeClient client) throws Exception {
-    client.whole();
+    client.fullState();
     int leader = Integer.parseInt(client.leader().substring(1));
     long from = System.nanoTime();
     fleet.instances().get(leader).kill();
--- a/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
@@ -87,13 +87,13 @@
         return;
       }
       boolean answered = status == Status.SERVED || status == Status.ERROR || status == Status.FULL;
-      follower.ended(name, answered, status == Status.TIMEOUT);
+      follower.recordAttempt(name, answered, status == Status.TIMEOUT);
     }
 
     @Override
     public void ended(Exchange x, End end, Reason reason) {
       if (follower != null && end != End.GONE) {
-        follower.answered(end == End.REFUSED && reason != Reason.QUOTA); // A share of one's own used up says nothing of the fleet.
+        follower.recordRequest(end == End.REFUSED && reason != Reason.QUOTA); // A share of one's own used up says nothing of the fleet.
       }
     }
 
@@ -112,7 +112,7 @@
         }
       }
       if (voter != null) {
-        voter.listed(listed);
+        voter.setUpstreams(listed);
       }
     }
 
@@ -129,7 +129,7 @@
     }
     CountDownLatch term = Signals.term();
     AgreeConfig agree = operators.agree();
-    Voter voter = agree == null || !agree.votes() ? null : vote(agree);
+    Voter voter = agree == null || !agree.isVoter() ? null : vote(agree);
     AgreeApi api = voter == null ? null : new AgreeApi(voter, agree.apiListen());
     Ears ears = agree == null ? null : new Ears(agree, voter);
     Recorder recorder = Recorder.open(operators.records(), "balance", operators.settings());
@@ -149,7 +149,7 @@
               b.agreeMillis());
           ears.follower = f;
           try {
-            f.first().get(b.agreeMillis(), TimeUnit.MILLISECONDS);
+            f.firstSync().get(b.agreeMillis(), TimeUnit.MILLISECONDS);
           } catch (TimeoutException e) {
             LOG.warn("the ledger was not heard within {} ms: serving all that the list has", b.agreeMillis());
           } catch (InterruptedException e) {
@@ -195,12 +195,12 @@
   private static Follower.Upstreams upstreams(Balance.Acts balance) {
     return new Follower.Upstreams() {
       @Override
-      public CompletableFuture<Void> takeOut(String id, long forMillis) {
+      public CompletableFuture<Void> setOffline(String id, long forMillis) {
         return balance.takeOut(id, TimeUnit.MILLISECONDS.toNanos(forMillis));
       }
 
       @Override
-      public CompletableFuture<Void> callBack(String id) {
+      public CompletableFuture<Void> setOnline(String id) {
         return balance.callBack(id);
       }
     };
--- a/dist/src/main/java/cloverpulley/cli/OutsCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/OutsCommand.java
@@ -151,7 +151,7 @@
     @Override
     public Integer call() throws BadFileException, IOException {
       AgreeClient client = common.client();
-      LedgerState.Permit out = client.whole().outs().get(id);
+      LedgerState.Permit out = client.fullState().outs().get(id);
       return say(id, client.command(new Command.Left(id, out == null ? 0 : out.epoch()), TRY_MILLIS));
     }
   }
@@ -162,7 +162,7 @@
     @Override
     public Integer call() throws BadFileException, IOException {
       AgreeClient client = common.client();
-      LedgerState.Permit out = client.whole().outs().get(id);
+      LedgerState.Permit out = client.fullState().outs().get(id);
       return say(id, client.command(new Command.Return(id, common.by, out == null ? 0 : out.epoch()), TRY_MILLIS));
     }
   }
@@ -206,7 +206,7 @@
     @Override
     public Integer call() throws BadFileException, IOException {
       AgreeClient client = common.client();
-      LedgerState s = client.whole();
+      LedgerState s = client.fullState();
       System.out.println("index " + s.index() + ", leader " + (client.leader().isEmpty() ? "nobody" : client.leader()) + ", "
           + s.members().size() + " members");
       s.halts().forEach((name, h) -> System.out.println("halt " + name + " by " + h.by() + " since " + Instant.ofEpochMilli(h.sinceMillis())
@@ -240,7 +240,7 @@
   static final class Why extends OnMember {
     @Override
     public Integer call() throws BadFileException, IOException {
-      LedgerState s = common.client().whole();
+      LedgerState s = common.client().fullState();
       LedgerState.Member m = s.members().get(id);
       if (m == null) {
         System.out.println(id + ": " + ResultCode.UNKNOWN_MEMBER.text());
@@ -320,7 +320,7 @@
 
     @Override
     public Integer call() throws BadFileException, IOException {
-      for (LedgerState.HistoryEntry c : common.client().whole().history()) {
+      for (LedgerState.HistoryEntry c : common.client().fullState().history()) {
         System.out.println(c.index() + " " + Instant.ofEpochMilli(c.atMillis()) + " " + c.what() + " " + c.member()
             + (c.by().isEmpty() ? "" : " by " + c.by()) + (c.why().isEmpty() ? "" : ": " + c.why()));
       }
--- a/dist/src/test/java/cloverpulley/cli/OutsIT.java
+++ b/dist/src/test/java/cloverpulley/cli/OutsIT.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cloverpulley.agree.AgreeClient;
-import cloverpulley.agree.AgreeConfig.VoterAt;
+import cloverpulley.agree.AgreeConfig.VoterAddress;
 import cloverpulley.outs.Command;
 import cloverpulley.outs.Phase;
 import cloverpulley.outs.Reply;
@@ -35,8 +35,8 @@
     List<Future<Reply>> all = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
       int n = i;
-      all.add(threads.submit(() -> ask(new AgreeClient(List.of(new VoterAt("b" + n % 3, null, fleet.api(n % 3)), new VoterAt("b" + (n + 1) % 3, null,
-          fleet.api((n + 1) % 3)), new VoterAt("b" + (n + 2) % 3, null, fleet.api((n + 2) % 3)))), "a" + n / 2, "s" + n / 2 % 3, 0)));
+      all.add(threads.submit(() -> ask(new AgreeClient(List.of(new VoterAddress("b" + n % 3, null, fleet.api(n % 3)), new VoterAddress("b" + (n + 1) % 3, null,
+          fleet.api((n + 1) % 3)), new VoterAddress("b" + (n + 2) % 3, null, fleet.api((n + 2) % 3)))), "a" + n / 2, "s" + n / 2 % 3, 0)));
     }
     List<Long> epochs = new ArrayList<>();
     for (Future<Reply> f : all) {
@@ -84,7 +84,7 @@
     fleet.instances().get(paused).goOn();
     try {
       assertEquals(ResultCode.LIMIT, at(paused).command(new Command.Ask("p3", "s4", "it", "", 0, false), 2000).word(), "what it thought it led is over");
-    } catch (AgreeClient.NoMajority e) {
+    } catch (AgreeClient.NoMajorityException e) {
       assertTrue(e.getMessage().contains("421"), e::getMessage); // It knows that it does not lead.
     }
     assertFalse(whole().outs().containsKey("s4"));
@@ -95,17 +95,17 @@
     await("s3 is warm", () -> !whole().outs().containsKey("s3"));
     int cut = leader();
     fleet.cutOff(cut, true);
-    assertThrows(AgreeClient.NoMajority.class, () -> at(cut).command(new Command.Ask("c", "s5", "it", "", 0, false), 4000),
+    assertThrows(AgreeClient.NoMajorityException.class, () -> at(cut).command(new Command.Ask("c", "s5", "it", "", 0, false), 4000),
         "alone in its half it grants nothing");
-    List<VoterAt> others = new ArrayList<>();
+    List<VoterAddress> others = new ArrayList<>();
     for (int i = 0; i < VOTERS; i++) {
       if (i != cut) {
-        others.add(new VoterAt("b" + i, null, fleet.api(i)));
+        others.add(new VoterAddress("b" + i, null, fleet.api(i)));
       }
     }
     assertEquals(ResultCode.GRANTED, ask(new AgreeClient(others), "c2", "s4", 0).word());
     fleet.cutOff(cut, false);
-    await("the one ask that had no answer is one or none", () -> at(cut).whole().outs().containsKey("s4"));
+    await("the one ask that had no answer is one or none", () -> at(cut).fullState().outs().containsKey("s4"));
     assertTrue(whole().outs().keySet().stream().filter(s -> s.compareTo("s3") >= 0).count() <= 1, () -> "cell:1 has one place");
     long late = System.nanoTime() + 2 * GRACE_NANOS;
     await("time for late ones", () -> System.nanoTime() > late);
@@ -145,7 +145,7 @@
 
     int other = leader() == 0 ? 1 : 0;
     fleet.instances().get(other).kill();
-    assertThrows(AgreeClient.NoMajority.class, () -> client.command(new Command.Ask("r4", "s1", "it", "", 0, false), 3000));
+    assertThrows(AgreeClient.NoMajorityException.class, () -> client.command(new Command.Ask("r4", "s1", "it", "", 0, false), 3000));
     int served = asking.answered();
     await("traffic goes on without a majority", () -> asking.answered() > served + 300);
     assertEquals(reached, upstreams.get("s0").seen().size(), "and what is out stays out");
--- a/dist/src/test/java/cloverpulley/cli/OutsRig.java
+++ b/dist/src/test/java/cloverpulley/cli/OutsRig.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cloverpulley.agree.AgreeClient;
-import cloverpulley.agree.AgreeConfig.VoterAt;
+import cloverpulley.agree.AgreeConfig.VoterAddress;
 import cloverpulley.outs.Command;
 import cloverpulley.outs.Reply;
 import cloverpulley.outs.LedgerState;
@@ -70,9 +70,9 @@
     for (Instance i : fleet.instances()) {
       i.start();
     }
-    List<VoterAt> voters = new ArrayList<>();
+    List<VoterAddress> voters = new ArrayList<>();
     for (int i = 0; i < VOTERS; i++) {
-      voters.add(new VoterAt("b" + i, null, fleet.api(i)));
+      voters.add(new VoterAddress("b" + i, null, fleet.api(i)));
     }
     client = new AgreeClient(voters);
     for (Instance i : fleet.instances()) {
@@ -99,7 +99,7 @@
   }
 
   LedgerState whole() throws IOException {
-    return client.whole();
+    return client.fullState();
   }
 
   static void await(String what, Callable<Boolean> holds) throws Exception {
@@ -131,7 +131,7 @@
   }
 
   AgreeClient at(int voter) {
-    return new AgreeClient(List.of(new VoterAt("b" + voter, null, fleet.api(voter))));
+    return new AgreeClient(List.of(new VoterAddress("b" + voter, null, fleet.api(voter))));
   }
 
   int leader() throws Exception {
--- a/dist/src/test/java/cloverpulley/cli/VotersIT.java
+++ b/dist/src/test/java/cloverpulley/cli/VotersIT.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cloverpulley.agree.AgreeClient;
-import cloverpulley.agree.AgreeConfig.VoterAt;
+import cloverpulley.agree.AgreeConfig.VoterAddress;
 import cloverpulley.outs.Command;
 import cloverpulley.outs.Phase;
 import cloverpulley.outs.VoterReplacement.Step;
@@ -51,9 +51,9 @@
       startAgain(i); // The others go on with their old files: two of the voters that they know are there.
     }
     assertTrue(fleet.instances().get(3).isAlive());
-    List<VoterAt> voters = new ArrayList<>();
+    List<VoterAddress> voters = new ArrayList<>();
     for (int i : new int[] {kept, 1, 3}) {
-      voters.add(new VoterAt("b" + i, null, fleet.api(i)));
+      voters.add(new VoterAddress("b" + i, null, fleet.api(i)));
     }
     client = new AgreeClient(voters);
     await("two of three lead again", () -> whole().outs().containsKey("s0"));
@@ -75,7 +75,7 @@
     long other = ask(client, "v3", "s3", 0).epoch();
     await("all have acted", () -> client.laggingInstances(other).isEmpty()); // Else who loses the majority now would not have heard of it.
     fleet.instances().get(1).kill();
-    assertThrows(AgreeClient.NoMajority.class, () -> client.command(new Command.Ask("v4", "s4", "it", "", 0, false), 2000), "one of three is none");
+    assertThrows(AgreeClient.NoMajorityException.class, () -> client.command(new Command.Ask("v4", "s4", "it", "", 0, false), 2000), "one of three is none");
     fleet.instances().get(1).start();
     asking.at(fleet.instances().get(1));
     // It joined, and after a restart it is a voter like any other.
@@ -98,16 +98,16 @@
     fleet.limitFiles(full, 160);
     fleet.instances().get(full).start();
     asking.at(fleet.instances().get(full));
-    await("it takes part", () -> at(full).whole().index() >= whole().index());
+    await("it takes part", () -> at(full).fullState().index() >= whole().index());
     for (int i = 0; i < 400; i++) {
       client.command(new Command.Halt("h" + i % 5, "it", "so that there is something to write"), 20_000);
       client.command(new Command.Resume("h" + i % 5, "it"), 20_000);
     }
     await("its voter has ended", () -> {
       try {
-        at(full).whole();
+        at(full).fullState();
         return false;
-      } catch (AgreeClient.NoMajority e) {
+      } catch (AgreeClient.NoMajorityException e) {
         return e.getMessage().contains("could not be written");
       }
     });
@@ -119,7 +119,7 @@
     fleet.limitFiles(full, 0);
     fleet.instances().get(full).start();
     asking.at(fleet.instances().get(full));
-    await("it has caught up", () -> at(full).whole().outs().containsKey("s0"));
+    await("it has caught up", () -> at(full).fullState().outs().containsKey("s0"));
     int other = full == 1 ? 0 : 1;
     fleet.instances().get(other).kill();
     assertEquals("cell:0", ask(client, "f2", "s1", 0).binding(), "it is half of the majority again");
