--- a/decision/src/main/java/cloverpulley/outs/Command.java
+++ b/decision/src/main/java/cloverpulley/outs/Command.java
@@ -3,19 +3,19 @@
 import java.util.List;
 import java.util.Map;
 
-/** What the ledger is told; all are taken in one order by all that hold it. */
+/** A command of the ledger. Commands are replicated in the Raft log and applied in the same order by all voters. */
 public sealed interface Command {
 
-  /** Longest name or reason. */
+  /** Maximum length of a name or reason, in characters. */
   int MAX_TEXT_LENGTH = 256;
-  /** Most groups of one member. */
+  /** Maximum number of groups of a member. */
   int MAX_GROUPS = 32;
 
   /**
-   * Guards all voters at once: what is taken into the log is applied by each of them, and what one can't apply none can. So a command that
-   * is not whole can't be made, from whatever text.
+   * Commands are validated when they are constructed, also when they are parsed. A command in the log that fails to apply would fail on every
+   * voter, so an invalid one must never get there.
    */
-  private static void check(String... texts) {
+  private static void requireText(String... texts) {
     for (String text : texts) {
       if (text == null || text.length() > MAX_TEXT_LENGTH) {
         throw new IllegalArgumentException("expected a text of " + MAX_TEXT_LENGTH + " characters at most, got "
@@ -24,8 +24,8 @@
     }
   }
 
-  private static void named(String... names) {
-    check(names);
+  private static void requireNames(String... names) {
+    requireText(names);
     for (String name : names) {
       if (name.isEmpty()) {
         throw new IllegalArgumentException("expected a name, got an empty text");
@@ -34,66 +34,67 @@
   }
 
   /**
-   * The limits by group, whole, with the rest of the rules.
+   * Replaces the limits of all groups and the other rules.
    *
-   * @param version a lower one than the ledger's is not taken
-   * @param words how many observers have to agree on an upstream's health before it counts, 1 or more
-   * @param freshMillis how long an observer's word is good
-   * @param deadPart the part of all members of a kind beyond which unwell ones halt all grants by themselves; 1 for never
-   * @param refusedPart an instance is pressed that refuses so great a part of its requests; most of them pressed halt all grants; 1 for never
+   * @param version rules with a lower version than the ledger's are ignored
+   * @param words how many observers must agree before an upstream's health changes, 1 or more
+   * @param freshMillis how long a health report is valid
+   * @param deadPart ratio of unwell members of a kind above which grants are halted automatically; 1 for never
+   * @param refusedPart ratio of rejected requests from which an instance counts as overloaded; most instances being so halts all grants;
+   *     1 for never
    */
   record Rules(long version, Map<String, Limit> groups, int words, long freshMillis, double deadPart, double refusedPart)
       implements Command {
 
-    /** Checks that the figures make sense. */
+    /** Validates the values. */
     public Rules {
       if (groups == null || groups.size() > MAX_GROUPS * MAX_GROUPS) {
         throw new IllegalArgumentException("expected limits by group, " + MAX_GROUPS * MAX_GROUPS + " at most");
       }
       groups = Map.copyOf(groups);
-      named(groups.keySet().toArray(String[]::new));
+      requireNames(groups.keySet().toArray(String[]::new));
       if (words < 1 || freshMillis < 1 || !(deadPart > 0 && deadPart <= 1) || !(refusedPart > 0 && refusedPart <= 1)) {
         throw new IllegalArgumentException("expected words and freshMillis above 0, deadPart and refusedPart above 0, at most 1");
       }
     }
   }
 
-  /** A member there is, or what it belongs to now. */
+  /** Adds a member or changes its groups. */
   record Enrol(String member, MemberKind kind, List<String> groups) implements Command {
 
-    /** Groups are kept as told, each once. */
+    /** Validates the values; sorts the groups and removes duplicates. */
     public Enrol {
-      named(member);
+      requireNames(member);
       if (kind == null || groups == null || groups.size() > MAX_GROUPS) {
         throw new IllegalArgumentException("expected a kind and " + MAX_GROUPS + " groups at most");
       }
-      named(groups.toArray(String[]::new));
+      requireNames(groups.toArray(String[]::new));
       groups = groups.stream().distinct().sorted().toList();
     }
   }
 
-  /** A member that is no more; not while it is out. */
+  /** Removes a member; rejected while it holds a permit. */
   record Strike(String member) implements Command {
 
-    /** Checks that it is whole. */
+    /** Validates the values. */
     public Strike {
-      named(member);
+      requireNames(member);
     }
   }
 
   /**
-   * Somebody wants a member out.
+   * Requests a permit for a member to be out of service.
    *
-   * @param ask its own name: the same one again is answered as before
-   * @param waitMillis how long it may wait for its turn; 0: now or not
-   * @param force whatever the limits and halts say; recorded as such
+   * @param ask unique name of the request; a repeated request with the same name is answered as before
+   * @param waitMillis how long the request may be queued; 0 to be granted or rejected immediately
+   * @param force overrides limits and halts; recorded in the permit and the history
    */
   record Ask(String ask, String member, String by, String why, long waitMillis, boolean force) implements Command {
 
-    /** Checks that it is whole. */
+    /** Validates the values. */
     public Ask {
-      named(ask, member, by);
-      check(why);
+      requireNames(ask, member, by);
+      requireText(why);
       if (waitMillis < 0) {
         throw new IllegalArgumentException("expected waitMillis of 0 or more, got " + waitMillis);
       }
@@ -101,81 +102,81 @@
     }
   }
 
-  /** An ask that waits is not wanted any more, or one that was granted has not been used. */
+  /** Cancels a queued request, or gives back a permit that was not used. */
   record Withdraw(String ask) implements Command {
 
-    /** Checks that it is whole. */
+    /** Validates the values. */
     public Withdraw {
-      named(ask);
+      requireNames(ask);
     }
   }
 
-  /** The holder says that it has left; {@code epoch} is that of its permit. */
+  /** The member has left service; {@code epoch} is that of its permit. */
   record Left(String member, long epoch) implements Command {
 
-    /** Checks that it is whole. */
+    /** Validates the values. */
     public Left {
-      named(member);
+      requireNames(member);
     }
   }
 
   /**
-   * A member comes back, or did already; {@code epoch} is that of its permit. Guards the next holder: a word that comes late, out of a paused
-   * process or sent again, must not end a permit that it does not speak of.
+   * The member is returning or has returned; {@code epoch} is that of its permit. Without the epoch a late command, from a paused process or a
+   * retry, would end the member's next permit.
    */
   record Return(String member, String by, long epoch) implements Command {
 
-    /** Checks that it is whole. */
+    /** Validates the values. */
     public Return {
-      named(member, by);
+      requireNames(member, by);
     }
   }
 
   /**
-   * An observer's word on a member.
+   * An observer's health report about a member.
    *
-   * @param at the ledger's index that the observer knew of when it saw this: a word is no news of what came after
+   * @param at the log index that the observer had applied at the time; the report says nothing about later changes
    */
   record Seen(String observer, String member, Health health, long at) implements Command {
 
-    /** Checks that it is whole. */
+    /** Validates the values. */
     public Seen {
-      named(observer, member);
+      requireNames(observer, member);
       if (health == null) {
         throw new IllegalArgumentException("expected a health, got nothing");
       }
     }
   }
 
-  /** No more grants until this halt is lifted by its name. */
+  /** Stops all grants until the halt is lifted by its name. */
   record Halt(String name, String by, String why) implements Command {
 
-    /** Checks that it is whole. */
+    /** Validates the values. */
     public Halt {
-      named(name, by);
-      check(why);
+      requireNames(name, by);
+      requireText(why);
     }
   }
 
   /** Lifts one halt. */
   record Resume(String name, String by) implements Command {
 
-    /** Checks that it is whole. */
+    /** Validates the values. */
     public Resume {
-      named(name, by);
+      requireNames(name, by);
     }
   }
 
-  /** All that is out of a group comes back, a few at a time; empty: all there is. */
+  /** Returns all members of a group that are out, a few at a time; an empty group stands for all members. */
   record Back(String group, String by) implements Command {
 
-    /** Checks that it is whole. */
+    /** Validates the values. */
     public Back {
-      check(group);
-      named(by);
+      requireText(group);
+      requireNames(by);
     }
   }
 
-  /** Time has passed. */
+  /** Advances the ledger's time and has no other effect. */
   record Tick() implements Command {}
 }
--- a/decision/src/main/java/cloverpulley/outs/DisruptionLedger.java
+++ b/decision/src/main/java/cloverpulley/outs/DisruptionLedger.java
@@ -11,11 +11,11 @@
 import cloverpulley.outs.Command.Seen;
 import cloverpulley.outs.Command.Strike;
 import cloverpulley.outs.Command.Withdraw;
-import cloverpulley.outs.LedgerState.HistoryEntry;
 import cloverpulley.outs.LedgerState.ActiveHalt;
+import cloverpulley.outs.LedgerState.HealthReport;
+import cloverpulley.outs.LedgerState.HistoryEntry;
 import cloverpulley.outs.LedgerState.Member;
 import cloverpulley.outs.LedgerState.Permit;
-import cloverpulley.outs.LedgerState.HealthReport;
 import cloverpulley.outs.LedgerState.QueuedRequest;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -29,55 +29,56 @@
 import java.util.TreeMap;
 
 /**
- * Who is out, and who may be. The same commands in the same order give the same ledger everywhere: it reads no clock, and time is the latest
- * that a command was stamped with, which no stamp turns back. A permit is never given back by time. One thread at a time.
+ * Replicated state machine that grants members permission to be out of service within the disruption budget of each group. It is
+ * deterministic: the same commands in the same order give the same state on every voter. It reads no clock; its time is the latest timestamp
+ * of any command and never goes backwards. A permit has no expiry. Not thread-safe.
  *
- * <p>Safe directions: what can't be told counts as out. A member that is unwell counts beside those that were granted; it is well again only
- * by fresh words. Nothing here asks for agreement to come back: {@link Return} says what happened.
+ * <p>In doubt a member counts as out. An unwell member uses a slot of its groups just as a permit does, until recent reports say that it is
+ * well; a returning one keeps its slot until enough observers report it warm. Coming back needs no grant: {@link Return} only reports it.
  */
 public final class DisruptionLedger {
 
-  /** Bounds on what others can make the ledger keep. */
+  /** Bounds on the memory that commands can occupy. */
   public static final int MAX_MEMBERS = 20_000;
   public static final int MAX_QUEUED = 2_000;
   public static final int MAX_HALTS = 100;
-  private static final int MOST_ANSWERED = 4_000;
-  private static final int MOST_HISTORY = 500;
-  private static final int MOST_OBSERVERS = 8;
-  private static final int SHOWN_HOLDERS = 10;
-  /** The halt that comes by itself. */
+  private static final int MAX_REPLIES = 4_000;
+  private static final int MAX_HISTORY = 500;
+  private static final int MAX_OBSERVERS = 8;
+  private static final int MAX_SHOWN_HOLDERS = 10;
+  /** Name of the halt that the ledger places when too many members of a kind are unwell. */
   public static final String DEAD_HALT = "dead-above-bound";
-  /** The halt that who leads asks for where most instances refuse too much. */
+  /** Name of the halt that the leader requests when most instances reject too many requests. */
   public static final String REJECTION_HALT = "refused-above-bound";
 
-  private static final Rules NONE = new Rules(0, Map.of(), 1, 10_000, 1, 1);
+  private static final Rules NO_RULES = new Rules(0, Map.of(), 1, 10_000, 1, 1);
 
   private final Map<String, Member> members = new TreeMap<>();
-  private final Map<String, Permit> outs = new TreeMap<>();
+  private final Map<String, Permit> permits = new TreeMap<>();
   private final ArrayDeque<QueuedRequest> queue = new ArrayDeque<>();
   private final Map<String, ActiveHalt> halts = new TreeMap<>();
-  private final Set<String> back = new java.util.TreeSet<>();
-  private final LinkedHashMap<String, Reply> answered = new LinkedHashMap<>();
+  private final Set<String> groupsToReturn = new java.util.TreeSet<>();
+  private final LinkedHashMap<String, Reply> replies = new LinkedHashMap<>();
   private final ArrayDeque<HistoryEntry> history = new ArrayDeque<>();
-  private final Map<MemberKind, Integer> unwell = new HashMap<>();
-  private final Map<MemberKind, Integer> all = new HashMap<>();
-  private GroupCounts tally = new GroupCounts();
-  private Rules rules = NONE;
+  private final Map<MemberKind, Integer> unwellByKind = new HashMap<>();
+  private final Map<MemberKind, Integer> totalByKind = new HashMap<>();
+  private GroupCounts groupCounts = new GroupCounts();
+  private Rules rules = NO_RULES;
   private long index;
-  private long now;
+  private long nowMillis;
 
-  /** Takes the command at a place in the one order. */
+  /** Applies the command at log index {@code at}. */
   public Reply apply(long at, long stampMillis, Command c) {
     index = at;
-    now = Math.max(now, stampMillis);
-    Reply reply = take(c);
-    settle();
+    nowMillis = Math.max(nowMillis, stampMillis);
+    Reply reply = execute(c);
+    processPending();
     return reply;
   }
 
-  private Reply take(Command c) {
+  private Reply execute(Command c) {
     if (c instanceof Rules r) {
-      return rules(r);
+      return applyRules(r);
     } else if (c instanceof Enrol e) {
       return enrol(e);
     } else if (c instanceof Strike s) {
@@ -87,204 +88,210 @@
     } else if (c instanceof Withdraw w) {
       return withdraw(w);
     } else if (c instanceof Left l) {
-      return left(l);
+      return markOut(l);
     } else if (c instanceof Return r) {
-      return returns(r);
+      return startReturn(r);
     } else if (c instanceof Seen s) {
-      return seen(s);
+      return recordHealth(s);
     } else if (c instanceof Halt h) {
       return halt(h.name(), h.by(), h.why());
     } else if (c instanceof Resume r) {
       if (halts.remove(r.name()) == null) {
-        return say(ResultCode.NO_SUCH_HALT);
+        return reply(ResultCode.NO_SUCH_HALT);
       }
-      note("resumed", r.name(), r.by(), "");
+      addHistory("resumed", r.name(), r.by(), "");
     } else if (c instanceof Back b) {
-      if (!b.group().isEmpty() && tally.members(b.group()) == 0) {
-        return say(ResultCode.UNKNOWN_GROUP);
+      if (!b.group().isEmpty() && groupCounts.memberCount(b.group()) == 0) {
+        return reply(ResultCode.UNKNOWN_GROUP);
       }
-      if (back.size() >= MAX_HALTS) {
-        return say(ResultCode.TOO_MANY);
+      if (groupsToReturn.size() >= MAX_HALTS) {
+        return reply(ResultCode.TOO_MANY);
       }
-      back.add(b.group());
-      note("back", b.group(), b.by(), "");
+      groupsToReturn.add(b.group());
+      addHistory("back", b.group(), b.by(), "");
     }
-    return say(ResultCode.DONE);
+    return reply(ResultCode.DONE);
   }
 
-  private Reply say(ResultCode word) {
-    return new Reply(word, "", List.of(), 0, index);
+  private Reply reply(ResultCode code) {
+    return new Reply(code, "", List.of(), 0, index);
   }
 
-  private void note(String what, String member, String by, String why) {
-    history.add(new HistoryEntry(index, now, what, member, by, why));
-    if (history.size() > MOST_HISTORY) {
+  private void addHistory(String what, String member, String by, String why) {
+    history.add(new HistoryEntry(index, nowMillis, what, member, by, why));
+    if (history.size() > MAX_HISTORY) {
       history.poll();
     }
   }
 
-  // ---- Who there is --------------------------------------------------------------------------------------
+  // ---- Membership ----------------------------------------------------------------------------------------
 
-  private Reply rules(Rules r) {
+  private Reply applyRules(Rules r) {
     if (r.version() < rules.version()) {
-      return say(ResultCode.OLD_VERSION);
+      return reply(ResultCode.OLD_VERSION);
     }
     if (!r.equals(rules)) {
       rules = r;
-      note("rules", "", "", "version " + r.version());
+      addHistory("rules", "", "", "version " + r.version());
     }
-    return say(ResultCode.DONE);
+    return reply(ResultCode.DONE);
   }
 
   private Reply enrol(Enrol e) {
-    Member was = members.get(e.member());
-    if (was == null && members.size() >= MAX_MEMBERS) {
-      return say(ResultCode.TOO_MANY);
+    Member old = members.get(e.member());
+    if (old == null && members.size() >= MAX_MEMBERS) {
+      return reply(ResultCode.TOO_MANY);
     }
-    if (was != null && was.kind() == e.kind() && was.groups().equals(e.groups())) {
-      return say(ResultCode.SAME_AGAIN);
+    if (old != null && old.kind() == e.kind() && old.groups().equals(e.groups())) {
+      return reply(ResultCode.SAME_AGAIN);
     }
-    if (was != null) {
-      count(e.member(), was, false);
-      tally.remove(e.member(), was.groups());
-      count(was, -1);
+    if (old != null) {
+      countGroups(e.member(), old, false);
+      groupCounts.remove(e.member(), old.groups());
+      countKind(old, -1);
     }
-    Member is = new Member(e.kind(), e.groups(), was != null && was.unwell(), was == null ? Map.of() : was.words());
-    members.put(e.member(), is);
-    tally.add(e.member(), is.groups());
-    count(is, 1);
-    recount(e.member());
-    note("enrolled", e.member(), "", String.join(" ", e.groups()));
-    return say(ResultCode.DONE);
+    Member updated = new Member(e.kind(), e.groups(), old != null && old.unwell(), old == null ? Map.of() : old.words());
+    members.put(e.member(), updated);
+    groupCounts.add(e.member(), updated.groups());
+    countKind(updated, 1);
+    recountGroups(e.member());
+    addHistory("enrolled", e.member(), "", String.join(" ", e.groups()));
+    return reply(ResultCode.DONE);
   }
 
   private Reply strike(Strike s) {
-    Member was = members.get(s.member());
-    if (was == null) {
-      return say(ResultCode.UNKNOWN_MEMBER);
+    Member old = members.get(s.member());
+    if (old == null) {
+      return reply(ResultCode.UNKNOWN_MEMBER);
     }
-    if (outs.containsKey(s.member())) {
-      return say(ResultCode.STILL_OUT); // A permit is not lost with its holder's name.
+    if (permits.containsKey(s.member())) {
+      return reply(ResultCode.STILL_OUT); // Removing the member would lose its permit.
     }
     members.remove(s.member());
-    tally.remove(s.member(), was.groups());
-    count(was, -1);
-    queue.removeIf(w -> w.member().equals(s.member()) && expire(w, ResultCode.UNKNOWN_MEMBER));
-    note("struck", s.member(), "", "");
-    return say(ResultCode.DONE);
+    groupCounts.remove(s.member(), old.groups());
+    countKind(old, -1);
+    queue.removeIf(w -> w.member().equals(s.member()) && dequeue(w, ResultCode.UNKNOWN_MEMBER));
+    addHistory("struck", s.member(), "", "");
+    return reply(ResultCode.DONE);
   }
 
-  /** Keeps the counts of a kind, all and unwell ones. */
-  private void count(Member m, int by) {
-    all.merge(m.kind(), by, Integer::sum);
-    unwell.merge(m.kind(), m.unwell() ? by : 0, Integer::sum);
+  /** Updates the number of members of a kind, in total and unwell. */
+  private void countKind(Member m, int delta) {
+    totalByKind.merge(m.kind(), delta, Integer::sum);
+    unwellByKind.merge(m.kind(), m.unwell() ? delta : 0, Integer::sum);
   }
 
-  private void count(String name, Member m, boolean isOut) {
-    tally.count(name, m.groups(), isOut);
-    if (outs.containsKey(name) && outs.get(name).phase() == Phase.RETURNING) {
-      tally.returning(m.groups(), isOut ? 1 : -1);
+  private void countGroups(String name, Member m, boolean isOut) {
+    groupCounts.setOut(name, m.groups(), isOut);
+    if (permits.containsKey(name) && permits.get(name).phase() == Phase.RETURNING) {
+      groupCounts.addReturning(m.groups(), isOut ? 1 : -1);
     }
   }
 
-  private void recount(String name) {
+  private void recountGroups(String name) {
     Member m = members.get(name);
-    tally.count(name, m.groups(), m.unwell() || outs.containsKey(name));
-    if (outs.containsKey(name) && outs.get(name).phase() == Phase.RETURNING) {
-      tally.returning(m.groups(), 1);
+    groupCounts.setOut(name, m.groups(), m.unwell() || permits.containsKey(name));
+    if (permits.containsKey(name) && permits.get(name).phase() == Phase.RETURNING) {
+      groupCounts.addReturning(m.groups(), 1);
     }
   }
 
-  // ---- Going out -----------------------------------------------------------------------------------------
+  // ---- Granting permits ----------------------------------------------------------------------------------
 
   private Reply ask(Ask a) {
-    Reply before = answered.get(a.ask());
+    Reply before = replies.get(a.ask());
     if (before != null) {
-      return before.word() == ResultCode.GRANTED ? again(a.member(), before) : before;
+      return before.word() == ResultCode.GRANTED ? repeatReply(a.member(), before) : before;
     }
     if (queue.stream().anyMatch(w -> w.ask().equals(a.ask()))) {
-      return say(ResultCode.WAITING);
+      return reply(ResultCode.WAITING);
     }
     Member m = members.get(a.member());
     if (m == null) {
-      return say(ResultCode.UNKNOWN_MEMBER);
+      return reply(ResultCode.UNKNOWN_MEMBER);
     }
-    Permit out = outs.get(a.member());
-    if (out != null) {
-      return answer(a.ask(), new Reply(ResultCode.ALREADY_OUT, "", List.of(out.by()), 0, index));
+    Permit permit = permits.get(a.member());
+    if (permit != null) {
+      return remember(a.ask(), new Reply(ResultCode.ALREADY_OUT, "", List.of(permit.by()), 0, index));
     }
-    Reply no = a.force() ? null : against(a.member(), m, Set.of());
-    if (no == null && !a.force() && !java.util.Collections.disjoint(awaited(), m.groups())) {
-      no = new Reply(ResultCode.LIMIT, "queue", List.of(), 0, index); // First come, first served.
+    Reply rejection = a.force() ? null : findRejection(a.member(), m, Set.of());
+    if (rejection == null && !a.force() && !java.util.Collections.disjoint(awaitedGroups(), m.groups())) {
+      rejection = new Reply(ResultCode.LIMIT, "queue", List.of(), 0, index); // A queued request has precedence.
     }
-    if (no == null) {
+    if (rejection == null) {
       return grant(a.ask(), a.member(), a.by(), a.why(), a.force());
     }
     if (a.waitMillis() <= 0) {
-      return answer(a.ask(), no);
+      return remember(a.ask(), rejection);
     }
     if (queue.size() >= MAX_QUEUED) {
-      return say(ResultCode.TOO_MANY);
+      return reply(ResultCode.TOO_MANY);
     }
-    queue.add(new QueuedRequest(a.ask(), a.member(), a.by(), a.why(), now + a.waitMillis()));
-    note("waits", a.member(), a.by(), no.binding());
-    return new Reply(ResultCode.WAITING, no.binding(), no.holders(), 0, index);
+    queue.add(new QueuedRequest(a.ask(), a.member(), a.by(), a.why(), nowMillis + a.waitMillis()));
+    addHistory("waits", a.member(), a.by(), rejection.binding());
+    return new Reply(ResultCode.WAITING, rejection.binding(), rejection.holders(), 0, index);
   }
 
-  /** What was granted before, asked again: a yes only for as long as it holds. Guards against who hears of his permit after others ended it. */
-  private Reply again(String member, Reply granted) {
-    Permit out = outs.get(member);
-    boolean holds = out != null && out.epoch() == granted.epoch() && out.phase() != Phase.RETURNING;
+  /**
+   * Answers a repeated request that was granted before: successful only while that permit is held. A client whose first reply was lost must
+   * not act on a permit that another has ended meanwhile.
+   */
+  private Reply repeatReply(String member, Reply granted) {
+    Permit permit = permits.get(member);
+    boolean holds = permit != null && permit.epoch() == granted.epoch() && permit.phase() != Phase.RETURNING;
     return new Reply(holds ? ResultCode.SAME_AGAIN : ResultCode.OLD_EPOCH, "", List.of(), granted.epoch(), granted.index());
   }
 
-  /** Groups for whose next place somebody waits already. */
-  private Set<String> awaited() {
+  /** Groups whose next free slot belongs to a queued request. */
+  private Set<String> awaitedGroups() {
     Set<String> awaited = new HashSet<>();
-    queue.forEach(w -> await(w, awaited));
+    queue.forEach(w -> addAwaitedGroups(w, awaited));
     return awaited;
   }
 
-  /** Adds the groups that one who waits finds full, or awaited by somebody in front: nobody behind takes their next place. */
-  private void await(QueuedRequest w, Set<String> awaited) {
+  /**
+   * Adds the groups that block a queued request, because they are full or awaited by an earlier one. Later requests must not take their next
+   * free slot.
+   */
+  private void addAwaitedGroups(QueuedRequest w, Set<String> awaited) {
     Member m = members.get(w.member());
     for (String g : m.groups()) {
-      if (isFull(g, w.member(), awaited)) {
+      if (exceedsLimit(g, w.member(), awaited)) {
         awaited.add(g);
       }
     }
   }
 
-  private boolean isFull(String group, String name, Set<String> closed) {
+  private boolean exceedsLimit(String group, String name, Set<String> awaited) {
     Limit limit = rules.groups().get(group);
-    int more = tally.isOut(group, name) ? 0 : 1;
-    return limit != null && (tally.out(group) + more > limit.maxOut(tally.members(group)) || closed.contains(group));
+    int added = groupCounts.isOut(group, name) ? 0 : 1;
+    return limit != null && (groupCounts.outCount(group) + added > limit.maxOut(groupCounts.memberCount(group)) || awaited.contains(group));
   }
 
-  /** What stands against one more; null for nothing. {@code closed} are groups for which somebody waits in front. */
-  private Reply against(String name, Member m, Set<String> closed) {
+  /** Returns why one more permit can't be granted, or null if it can. {@code awaited} are the groups that earlier queued requests wait for. */
+  private Reply findRejection(String name, Member m, Set<String> awaited) {
     if (!halts.isEmpty()) {
       return new Reply(ResultCode.HALTED, halts.keySet().iterator().next(), List.of(), 0, index);
     }
     for (String g : m.groups()) {
-      if (isFull(g, name, closed)) {
-        return new Reply(ResultCode.LIMIT, g, tally.holders(g, SHOWN_HOLDERS), 0, index);
+      if (exceedsLimit(g, name, awaited)) {
+        return new Reply(ResultCode.LIMIT, g, groupCounts.holders(g, MAX_SHOWN_HOLDERS), 0, index);
       }
     }
     return null;
   }
 
   private Reply grant(String ask, String member, String by, String why, boolean forced) {
-    outs.put(member, new Permit(Phase.GRANTED, ask, by, why, forced, index, now, index));
-    recount(member);
-    note(forced ? "forced" : "granted", member, by, why);
-    return answer(ask, new Reply(ResultCode.GRANTED, "", List.of(), index, index));
+    permits.put(member, new Permit(Phase.GRANTED, ask, by, why, forced, index, nowMillis, index));
+    recountGroups(member);
+    addHistory(forced ? "forced" : "granted", member, by, why);
+    return remember(ask, new Reply(ResultCode.GRANTED, "", List.of(), index, index));
   }
 
-  private Reply answer(String ask, Reply reply) {
-    answered.put(ask, reply);
-    if (answered.size() > MOST_ANSWERED) {
-      Iterator<String> oldest = answered.keySet().iterator();
+  private Reply remember(String ask, Reply reply) {
+    replies.put(ask, reply);
+    if (replies.size() > MAX_REPLIES) {
+      Iterator<String> oldest = replies.keySet().iterator();
       oldest.next();
       oldest.remove();
     }
@@ -292,103 +299,107 @@
   }
 
   private Reply withdraw(Withdraw w) {
-    if (queue.removeIf(q -> q.ask().equals(w.ask()) && expire(q, ResultCode.WITHDRAWN))) {
-      return say(ResultCode.DONE);
+    if (queue.removeIf(q -> q.ask().equals(w.ask()) && dequeue(q, ResultCode.WITHDRAWN))) {
+      return reply(ResultCode.DONE);
     }
-    for (Map.Entry<String, Permit> e : outs.entrySet()) {
+    for (Map.Entry<String, Permit> e : permits.entrySet()) {
       if (e.getValue().ask().equals(w.ask())) {
-        return returns(new Return(e.getKey(), e.getValue().by(), e.getValue().epoch())); // Modules may have drained it already: it comes back like any other.
+        // Instances may have drained the member already, so it has to return like any other.
+        return startReturn(new Return(e.getKey(), e.getValue().by(), e.getValue().epoch()));
       }
     }
-    return say(ResultCode.NOT_OUT);
+    return reply(ResultCode.NOT_OUT);
   }
 
-  private boolean expire(QueuedRequest w, ResultCode why) {
-    answer(w.ask(), new Reply(why, "", List.of(), 0, index));
-    note(why.text(), w.member(), w.by(), w.why());
+  private boolean dequeue(QueuedRequest w, ResultCode why) {
+    remember(w.ask(), new Reply(why, "", List.of(), 0, index));
+    addHistory(why.text(), w.member(), w.by(), w.why());
     return true;
   }
 
-  private Reply left(Left l) {
-    Permit out = outs.get(l.member());
-    if (out == null) {
-      return say(ResultCode.NOT_OUT);
+  private Reply markOut(Left l) {
+    Permit permit = permits.get(l.member());
+    if (permit == null) {
+      return reply(ResultCode.NOT_OUT);
     }
-    if (out.epoch() != l.epoch()) {
-      return say(ResultCode.OLD_EPOCH);
+    if (permit.epoch() != l.epoch()) {
+      return reply(ResultCode.OLD_EPOCH);
     }
-    if (out.phase() == Phase.GRANTED) {
-      phase(l.member(), out, Phase.OUT);
+    if (permit.phase() == Phase.GRANTED) {
+      setPhase(l.member(), permit, Phase.OUT);
     }
-    return say(ResultCode.DONE);
+    return reply(ResultCode.DONE);
   }
 
-  private void phase(String member, Permit out, Phase to) {
+  private void setPhase(String member, Permit permit, Phase to) {
     Member m = members.get(member);
-    tally.returning(m.groups(), out.phase() == Phase.RETURNING ? -1 : 0);
-    outs.put(member, new Permit(to, out.ask(), out.by(), out.why(), out.forced(), out.epoch(), now, index));
-    tally.returning(m.groups(), to == Phase.RETURNING ? 1 : 0);
-    note(to.name().toLowerCase(java.util.Locale.ROOT), member, out.by(), out.why());
+    groupCounts.addReturning(m.groups(), permit.phase() == Phase.RETURNING ? -1 : 0);
+    permits.put(member, new Permit(to, permit.ask(), permit.by(), permit.why(), permit.forced(), permit.epoch(), nowMillis, index));
+    groupCounts.addReturning(m.groups(), to == Phase.RETURNING ? 1 : 0);
+    addHistory(to.name().toLowerCase(java.util.Locale.ROOT), member, permit.by(), permit.why());
   }
 
-  // ---- Coming back ---------------------------------------------------------------------------------------
+  // ---- Returning and health ------------------------------------------------------------------------------
 
-  private Reply returns(Return r) {
-    Permit out = outs.get(r.member());
-    if (out == null) {
-      return say(ResultCode.NOT_OUT);
+  private Reply startReturn(Return r) {
+    Permit permit = permits.get(r.member());
+    if (permit == null) {
+      return reply(ResultCode.NOT_OUT);
     }
-    if (out.epoch() != r.epoch()) {
-      return say(ResultCode.OLD_EPOCH);
+    if (permit.epoch() != r.epoch()) {
+      return reply(ResultCode.OLD_EPOCH);
     }
-    if (out.phase() != Phase.RETURNING) {
-      phase(r.member(), out, Phase.RETURNING);
+    if (permit.phase() != Phase.RETURNING) {
+      setPhase(r.member(), permit, Phase.RETURNING);
     }
-    return new Reply(ResultCode.DONE, "", List.of(), out.epoch(), index);
+    return new Reply(ResultCode.DONE, "", List.of(), permit.epoch(), index);
   }
 
-  private Reply seen(Seen s) {
+  private Reply recordHealth(Seen s) {
     Member m = members.get(s.member());
     if (m == null) {
-      return say(ResultCode.UNKNOWN_MEMBER);
+      return reply(ResultCode.UNKNOWN_MEMBER);
     }
     HealthReport last = m.words().get(s.observer());
     if (last != null && last.at() > s.at()) {
-      return say(ResultCode.OLD_EPOCH); // It was overtaken by a later word of the same observer.
-    }
-    Map<String, HealthReport> words = new TreeMap<>(m.words());
-    words.put(s.observer(), new HealthReport(s.health(), now, Math.min(s.at(), index)));
-    words.values().removeIf(t -> now - t.atMillis() > rules.freshMillis());
-    while (words.size() > MOST_OBSERVERS) {
-      words.remove(words.entrySet().stream().min(Map.Entry.comparingByValue((x, y) -> Long.compare(x.atMillis(), y.atMillis()))).get().getKey());
-    }
-    int needed = needed(m.kind());
-    long well = words.values().stream().filter(t -> t.health() == Health.WARM).count();
-    long ill = words.size() - well;
-    // It turns by enough words only, both ways: between the two it stays as it was.
-    boolean isUnwell = m.unwell() ? !(well >= needed && ill < needed) : ill >= needed;
-    count(m, -1);
-    Member is = new Member(m.kind(), m.groups(), isUnwell, words);
-    members.put(s.member(), is);
-    count(is, 1);
+      return reply(ResultCode.OLD_EPOCH); // A later report of the same observer was applied already.
+    }
+    Map<String, HealthReport> reports = new TreeMap<>(m.words());
+    reports.put(s.observer(), new HealthReport(s.health(), nowMillis, Math.min(s.at(), index)));
+    reports.values().removeIf(t -> nowMillis - t.atMillis() > rules.freshMillis());
+    while (reports.size() > MAX_OBSERVERS) {
+      reports.remove(reports.entrySet().stream().min(Map.Entry.comparingByValue((x, y) -> Long.compare(x.atMillis(), y.atMillis()))).get().getKey());
+    }
+    int required = requiredObservers(m.kind());
+    long healthy = reports.values().stream().filter(t -> t.health() == Health.WARM).count();
+    long unhealthy = reports.size() - healthy;
+    // Hysteresis: the health changes only when enough observers agree, otherwise it stays as it was.
+    boolean isUnwell = m.unwell() ? !(healthy >= required && unhealthy < required) : unhealthy >= required;
+    countKind(m, -1);
+    Member updated = new Member(m.kind(), m.groups(), isUnwell, reports);
+    members.put(s.member(), updated);
+    countKind(updated, 1);
     if (isUnwell != m.unwell()) {
-      note(isUnwell ? "unwell" : "well", s.member(), s.observer(), s.health().name().toLowerCase(java.util.Locale.ROOT));
-    }
-    Permit out = outs.get(s.member());
-    if (out != null && out.phase() == Phase.RETURNING && !isUnwell) {
-      long warmSince = words.values().stream().filter(t -> t.health() == Health.WARM && t.at() >= out.sinceIndex()).count();
-      if (warmSince >= needed) {
-        count(s.member(), is, false);
-        outs.remove(s.member());
-        note("back", s.member(), out.by(), out.why());
+      addHistory(isUnwell ? "unwell" : "well", s.member(), s.observer(), s.health().name().toLowerCase(java.util.Locale.ROOT));
+    }
+    Permit permit = permits.get(s.member());
+    if (permit != null && permit.phase() == Phase.RETURNING && !isUnwell) {
+      long healthySince = reports.values().stream().filter(t -> t.health() == Health.WARM && t.at() >= permit.sinceIndex()).count();
+      if (healthySince >= required) {
+        countGroups(s.member(), updated, false);
+        permits.remove(s.member());
+        addHistory("back", s.member(), permit.by(), permit.why());
       }
     }
-    tally.count(s.member(), is.groups(), isUnwell || outs.containsKey(s.member()));
-    return say(ResultCode.DONE);
+    groupCounts.setOut(s.member(), updated.groups(), isUnwell || permits.containsKey(s.member()));
+    return reply(ResultCode.DONE);
   }
 
-  /** A balancer's health is the word of who hears all of them; an upstream's that of several balancers, as far as there are so many. */
-  private int needed(MemberKind kind) {
+  /**
+   * How many observers must agree on a member's health. For a balancer it is one, the leader that receives all heartbeats; for an upstream it
+   * is {@code rules.words()} balancers, or as many as are well.
+   */
+  private int requiredObservers(MemberKind kind) {
     if (kind == MemberKind.BALANCER) {
       return 1;
     }
@@ -403,134 +414,137 @@
 
   private Reply halt(String name, String by, String why) {
     if (halts.size() >= MAX_HALTS && !halts.containsKey(name)) {
-      return say(ResultCode.TOO_MANY);
+      return reply(ResultCode.TOO_MANY);
     }
-    if (halts.putIfAbsent(name, new ActiveHalt(by, why, now)) == null) {
-      note("halted", name, by, why);
+    if (halts.putIfAbsent(name, new ActiveHalt(by, why, nowMillis)) == null) {
+      addHistory("halted", name, by, why);
     }
-    return say(ResultCode.DONE);
+    return reply(ResultCode.DONE);
   }
 
-  // ---- What follows from it ------------------------------------------------------------------------------
+  // ---- After each command --------------------------------------------------------------------------------
 
-  private void settle() {
-    haltItself();
+  private void processPending() {
+    haltIfTooManyUnwell();
     for (Iterator<QueuedRequest> i = queue.iterator(); i.hasNext();) {
       QueuedRequest w = i.next();
-      if (now >= w.untilMillis()) {
-        expire(w, ResultCode.EXPIRED);
+      if (nowMillis >= w.untilMillis()) {
+        dequeue(w, ResultCode.EXPIRED);
         i.remove();
       }
     }
     if (halts.isEmpty() && !queue.isEmpty()) {
-      Set<String> closed = new HashSet<>();
+      Set<String> awaited = new HashSet<>();
       for (Iterator<QueuedRequest> i = queue.iterator(); i.hasNext();) {
         QueuedRequest w = i.next();
         Member m = members.get(w.member());
-        if (outs.containsKey(w.member())) {
-          answer(w.ask(), new Reply(ResultCode.ALREADY_OUT, "", List.of(), 0, index));
+        if (permits.containsKey(w.member())) {
+          remember(w.ask(), new Reply(ResultCode.ALREADY_OUT, "", List.of(), 0, index));
           i.remove();
-        } else if (against(w.member(), m, closed) == null) {
+        } else if (findRejection(w.member(), m, awaited) == null) {
           grant(w.ask(), w.member(), w.by(), w.why(), false);
           i.remove();
         } else {
-          await(w, closed);
+          addAwaitedGroups(w, awaited);
         }
       }
     }
-    if (!back.isEmpty()) {
-      callBack();
+    if (!groupsToReturn.isEmpty()) {
+      startReturns();
     }
   }
 
-  /** Too many unwell at once: whatever takes them out, nobody is to add to it. Lifted by name only, and not while it still holds. */
-  private void haltItself() {
+  /**
+   * Halts grants when too many members of a kind are unwell, whatever the cause. The halt is lifted by its name only, and is placed again while
+   * the condition holds.
+   */
+  private void haltIfTooManyUnwell() {
     for (MemberKind kind : MemberKind.values()) {
-      int sick = unwell.getOrDefault(kind, 0);
-      if (sick > 0 && rules.deadPart() < 1 && !halts.containsKey(DEAD_HALT)) {
-        if (sick > rules.deadPart() * all.get(kind)) {
-          halt(DEAD_HALT, "ledger", sick + " of " + all.get(kind) + " unwell");
+      int unwell = unwellByKind.getOrDefault(kind, 0);
+      if (unwell > 0 && rules.deadPart() < 1 && !halts.containsKey(DEAD_HALT)) {
+        if (unwell > rules.deadPart() * totalByKind.get(kind)) {
+          halt(DEAD_HALT, "ledger", unwell + " of " + totalByKind.get(kind) + " unwell");
         }
       }
     }
   }
 
-  /** The longest out first, as many at a time as the groups' limits let come back. */
-  private void callBack() {
-    List<Map.Entry<String, Permit>> out = new ArrayList<>(outs.entrySet());
-    out.removeIf(e -> !back.contains("") && members.get(e.getKey()).groups().stream().noneMatch(back::contains));
-    if (out.isEmpty()) {
-      back.clear();
+  /** Starts the return of the members that have been out longest, as many at a time as {@link Limit#back} of their groups allows. */
+  private void startReturns() {
+    List<Map.Entry<String, Permit>> candidates = new ArrayList<>(permits.entrySet());
+    candidates.removeIf(e -> !groupsToReturn.contains("") && members.get(e.getKey()).groups().stream().noneMatch(groupsToReturn::contains));
+    if (candidates.isEmpty()) {
+      groupsToReturn.clear();
       return;
     }
-    out.removeIf(e -> e.getValue().phase() == Phase.RETURNING);
-    out.sort(Map.Entry.comparingByValue((x, y) -> Long.compare(x.epoch(), y.epoch())));
-    for (Map.Entry<String, Permit> e : out) {
+    candidates.removeIf(e -> e.getValue().phase() == Phase.RETURNING);
+    candidates.sort(Map.Entry.comparingByValue((x, y) -> Long.compare(x.epoch(), y.epoch())));
+    for (Map.Entry<String, Permit> e : candidates) {
       List<String> groups = members.get(e.getKey()).groups();
-      if (groups.stream().allMatch(g -> rules.groups().get(g) == null || tally.returning(g) < rules.groups().get(g).back())) {
-        phase(e.getKey(), e.getValue(), Phase.RETURNING);
+      if (groups.stream().allMatch(g -> rules.groups().get(g) == null || groupCounts.returningCount(g) < rules.groups().get(g).back())) {
+        setPhase(e.getKey(), e.getValue(), Phase.RETURNING);
       }
     }
   }
 
-  // ---- As a value ----------------------------------------------------------------------------------------
+  // ---- State ---------------------------------------------------------------------------------------------
 
-  /** Everything, for a snapshot or a look. */
+  /** An immutable copy of the state, for snapshots and readers. */
   public LedgerState state() {
-    return new LedgerState(index, now, rules, new TreeMap<>(members), new TreeMap<>(outs), List.copyOf(queue), new TreeMap<>(halts),
-        List.copyOf(back), new LinkedHashMap<>(answered), List.copyOf(history));
+    return new LedgerState(index, nowMillis, rules, new TreeMap<>(members), new TreeMap<>(permits), List.copyOf(queue), new TreeMap<>(halts),
+        List.copyOf(groupsToReturn), new LinkedHashMap<>(replies), List.copyOf(history));
   }
 
-  /** Goes on from a state, whatever was here before. */
+  /** Replaces the current state. */
   public void restore(LedgerState s) {
     members.clear();
-    outs.clear();
+    permits.clear();
     queue.clear();
     halts.clear();
-    back.clear();
-    answered.clear();
+    groupsToReturn.clear();
+    replies.clear();
     history.clear();
-    unwell.clear();
-    all.clear();
-    tally = new GroupCounts();
+    unwellByKind.clear();
+    totalByKind.clear();
+    groupCounts = new GroupCounts();
     index = s.index();
-    now = s.nowMillis();
+    nowMillis = s.nowMillis();
     rules = s.rules();
-    outs.putAll(s.outs());
+    permits.putAll(s.outs());
     queue.addAll(s.queue());
     halts.putAll(s.halts());
-    back.addAll(s.back());
-    answered.putAll(s.answered());
+    groupsToReturn.addAll(s.back());
+    replies.putAll(s.answered());
     history.addAll(s.history());
     s.members().forEach((name, m) -> {
       members.put(name, m);
-      tally.add(name, m.groups());
-      count(m, 1);
-      recount(name);
+      groupCounts.add(name, m.groups());
+      countKind(m, 1);
+      recountGroups(name);
     });
   }
 
-  /** The latest stamp that was applied, in milliseconds. */
+  /** The latest timestamp of any command, in milliseconds. */
   public long nowMillis() {
-    return now;
+    return nowMillis;
   }
 
-  /** Who is out by permit, as it is now and not later. */
+  /** A live view of the permits by member, valid until the next command. */
   public Map<String, Permit> permits() {
-    return java.util.Collections.unmodifiableMap(outs);
+    return java.util.Collections.unmodifiableMap(permits);
   }
 
-  /** How many wait for their turn. */
+  /** The number of queued requests. */
   public int queueLength() {
     return queue.size();
   }
 
-  /** The place in the order of the last command. */
+  /** The log index of the last command. */
   public long index() {
     return index;
   }
 
-  /** Groups whose limit lets nobody out, though they have members: a plan that can never grant. */
+  /** Groups that have members but whose limit rounds down to zero, so that no request for them can ever be granted. */
   public static List<String> neverGrant(Map<String, Limit> limits, Map<String, Integer> sizes) {
     return limits.entrySet().stream().filter(e -> sizes.getOrDefault(e.getKey(), 0) > 0 && e.getValue().maxOut(sizes.get(e.getKey())) == 0)
         .map(Map.Entry::getKey).sorted().toList();
--- a/decision/src/main/java/cloverpulley/outs/GroupCounts.java
+++ b/decision/src/main/java/cloverpulley/outs/GroupCounts.java
@@ -1,12 +1,15 @@
 package cloverpulley.outs;
 
 import java.util.HashMap;
-import java.util.TreeSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
+import java.util.TreeSet;
 
-/** How many of each group there are, and are out, in the order of their names, as whoever restores it has it too: kept with each change, so that a check costs a member's groups and no more. */
+/**
+ * Members of each group, those that count as out, and the number that is returning. Updated with each change, so that the cost of a check depends
+ * only on the number of a member's groups. Members are sorted by name, so that a restored ledger lists the same holders as the others.
+ */
 final class GroupCounts {
 
   private final Map<String, Set<String>> members = new HashMap<>();
@@ -19,37 +22,37 @@
 
   void remove(String member, List<String> groups) {
     groups.forEach(g -> {
-      take(members, g, member);
-      take(out, g, member);
+      removeFrom(members, g, member);
+      removeFrom(out, g, member);
     });
   }
 
-  void count(String member, List<String> groups, boolean isOut) {
+  void setOut(String member, List<String> groups, boolean isOut) {
     for (String g : groups) {
       if (isOut) {
         out.computeIfAbsent(g, k -> new TreeSet<>()).add(member);
       } else {
-        take(out, g, member);
+        removeFrom(out, g, member);
       }
     }
   }
 
-  private static void take(Map<String, Set<String>> from, String group, String member) {
+  private static void removeFrom(Map<String, Set<String>> from, String group, String member) {
     Set<String> all = from.get(group);
     if (all != null && all.remove(member) && all.isEmpty()) {
-      from.remove(group); // Guards the memory: groups come and go with their members.
+      from.remove(group); // Bounds the memory: groups come and go with their members.
     }
   }
 
-  void returning(List<String> groups, int by) {
-    groups.forEach(g -> returning.merge(g, by, Integer::sum));
+  void addReturning(List<String> groups, int delta) {
+    groups.forEach(g -> returning.merge(g, delta, Integer::sum));
   }
 
-  int members(String group) {
+  int memberCount(String group) {
     return members.getOrDefault(group, Set.of()).size();
   }
 
-  int out(String group) {
+  int outCount(String group) {
     return out.getOrDefault(group, Set.of()).size();
   }
 
@@ -57,11 +60,11 @@
     return out.getOrDefault(group, Set.of()).contains(member);
   }
 
-  int returning(String group) {
+  int returningCount(String group) {
     return returning.getOrDefault(group, 0);
   }
 
-  List<String> holders(String group, int most) {
-    return out.getOrDefault(group, Set.of()).stream().limit(most).toList();
+  List<String> holders(String group, int max) {
+    return out.getOrDefault(group, Set.of()).stream().limit(max).toList();
   }
 }
--- a/decision/src/main/java/cloverpulley/outs/Health.java
+++ b/decision/src/main/java/cloverpulley/outs/Health.java
@@ -1,4 +1,4 @@
 package cloverpulley.outs;
 
-/** How somebody finds a member; all but {@link #WARM} count as out. */
+/** A member's health as an observer sees it; with any other than {@link #WARM} the member counts as out. */
 public enum Health { WARM, COLD, SILENT, DEAD }
--- a/decision/src/main/java/cloverpulley/outs/Heartbeat.java
+++ b/decision/src/main/java/cloverpulley/outs/Heartbeat.java
@@ -3,20 +3,20 @@
 import java.util.List;
 
 /**
- * What a process says of itself with each look at the ledger.
+ * What a process of an instance reports about itself with each poll of the ledger.
  *
- * @param process tells the processes of one name apart, as there are two in an upgrade; unlike that of any earlier one
- * @param groups what the instance belongs to
- * @param acted the index up to which this process has acted
- * @param refused the part of its requests that it refuses just now, 0 to 1
+ * @param process unique id of the process; during an upgrade there are two processes of the same instance
+ * @param groups the groups of the instance
+ * @param acted the log index up to which the process has applied the ledger
+ * @param refused the ratio of requests that it currently rejects, 0 to 1
  */
 public record Heartbeat(String process, List<String> groups, long acted, double refused) {
 
-  /** Checks that the figures make sense. */
+  /** Validates the values. */
   public Heartbeat {
     groups = List.copyOf(groups);
     if (!(refused >= 0 && refused <= 1)) {
-      throw new IllegalArgumentException("expected a part from 0 to 1, got " + refused);
+      throw new IllegalArgumentException("expected a ratio from 0 to 1, got " + refused);
     }
   }
 }
--- a/decision/src/main/java/cloverpulley/outs/InstanceHeartbeats.java
+++ b/decision/src/main/java/cloverpulley/outs/InstanceHeartbeats.java
@@ -5,48 +5,51 @@
 import java.util.TreeMap;
 
 /**
- * The processes of one instance as they were heard. In an upgrade there are two of one name: the instance is there while one of them is, and
- * has acted once all have that are there. One thread at a time.
+ * The latest heartbeats of the processes of one instance. During an upgrade two processes have the same instance name: the instance is
+ * responsive while one of them is, and has applied a change once all responsive ones have. Not thread-safe.
  */
 final class InstanceHeartbeats {
 
-  /** More processes of one name than an upgrade has are a fault; those heard last count. */
-  private static final int MOST_PROCESSES = 4;
+  /** An upgrade has two processes; beyond this limit, which only a fault reaches, the latest heartbeats are kept. */
+  private static final int MAX_PROCESSES = 4;
 
-  private record Process(long atMillis, Heartbeat look) {}
+  private record Process(long atMillis, Heartbeat heartbeat) {}
 
   private final Map<String, Process> processes = new TreeMap<>();
   private List<String> groups = List.of();
   private long atMillis;
 
-  void record(long nowMillis, Heartbeat look, long silentMillis) {
+  void add(long nowMillis, Heartbeat heartbeat, long silentMillis) {
     atMillis = nowMillis;
-    groups = look.groups();
-    processes.put(look.process(), new Process(nowMillis, look));
+    groups = heartbeat.groups();
+    processes.put(heartbeat.process(), new Process(nowMillis, heartbeat));
     processes.values().removeIf(p -> nowMillis - p.atMillis() > silentMillis);
-    while (processes.size() > MOST_PROCESSES) {
+    while (processes.size() > MAX_PROCESSES) {
       processes.remove(processes.entrySet().stream().min(Map.Entry.comparingByValue((x, y) -> Long.compare(x.atMillis(), y.atMillis())))
           .orElseThrow().getKey());
     }
   }
 
-  /** When the last of them was heard. */
+  /** When the last heartbeat of any process was received. */
   long atMillis() {
     return atMillis;
   }
 
-  MembershipReconciler.Registration as() {
+  MembershipReconciler.Registration registration() {
     return new MembershipReconciler.Registration(MemberKind.BALANCER, groups);
   }
 
-  /** Whether each that is there has acted on all up to an index. One that went silent is not waited for while another of its name is heard. */
-  boolean hasActed(long nowMillis, long index, long silentMillis) {
-    List<Process> there = processes.values().stream().filter(p -> nowMillis - p.atMillis() <= silentMillis).toList();
-    return !there.isEmpty() && there.stream().allMatch(p -> p.look().acted() >= index);
+  /**
+   * Whether every responsive process has applied the ledger up to the index. An unresponsive process is not waited for while another one of
+   * the instance sends heartbeats.
+   */
+  boolean hasApplied(long nowMillis, long index, long silentMillis) {
+    List<Process> responsive = processes.values().stream().filter(p -> nowMillis - p.atMillis() <= silentMillis).toList();
+    return !responsive.isEmpty() && responsive.stream().allMatch(p -> p.heartbeat().acted() >= index);
   }
 
-  /** The greatest part of their requests that any of them refuses. */
-  double refused() {
-    return processes.values().stream().mapToDouble(p -> p.look().refused()).max().orElse(0);
+  /** The highest ratio of rejected requests of any process. */
+  double maxRejectionRatio() {
+    return processes.values().stream().mapToDouble(p -> p.heartbeat().refused()).max().orElse(0);
   }
 }
--- a/decision/src/main/java/cloverpulley/outs/LedgerState.java
+++ b/decision/src/main/java/cloverpulley/outs/LedgerState.java
@@ -4,43 +4,47 @@
 import java.util.Map;
 
 /**
- * All that the ledger holds, as a value: for snapshots and for those who look.
+ * The complete state of the ledger, for snapshots and readers. Written as JSON under the names of the record components.
  *
- * @param nowMillis the latest time that any command was stamped with
- * @param back groups that are called back; empty text for all
+ * @param nowMillis the latest timestamp of any command
+ * @param back groups whose members are being returned to service; an empty name stands for all members
+ * @param answered replies to recent requests by request name, so that a repeated request is answered as before
  */
 public record LedgerState(long index, long nowMillis, Command.Rules rules, Map<String, Member> members, Map<String, Permit> outs, List<QueuedRequest> queue,
     Map<String, ActiveHalt> halts, List<String> back, Map<String, Reply> answered, List<HistoryEntry> history) {
 
-  /** Of a ledger that has been told nothing. */
+  /** The state before any command. */
   public static final LedgerState EMPTY = new DisruptionLedger().state();
 
-  /** What an instance needs: those that are out or unwell, and halts. As long as that is little, so is this, however large the fleet. */
+  /**
+   * The part that an instance needs: members that are out or unwell, permits and halts. Its size depends on the number of those members, not on
+   * the size of the fleet.
+   */
   public LedgerState instanceView() {
-    Map<String, Member> some = new java.util.TreeMap<>();
+    Map<String, Member> relevant = new java.util.TreeMap<>();
     members.forEach((name, m) -> {
       if (m.unwell() || outs.containsKey(name)) {
-        some.put(name, new Member(m.kind(), List.of(), m.unwell(), Map.of()));
+        relevant.put(name, new Member(m.kind(), List.of(), m.unwell(), Map.of()));
       }
     });
-    return new LedgerState(index, nowMillis, rules, some, outs, List.of(), halts, back, Map.of(), List.of());
+    return new LedgerState(index, nowMillis, rules, relevant, outs, List.of(), halts, back, Map.of(), List.of());
   }
 
-  /** One that is there, and the words on its health that were told last. */
+  /** A member with the latest health report of each observer. */
   public record Member(MemberKind kind, List<String> groups, boolean unwell, Map<String, HealthReport> words) {}
 
-  /** An observer's word, when it was told, and the ledger's index that the observer knew of when it saw it. */
+  /** A health report, when it was applied, and the log index that the observer had applied when it made the observation. */
   public record HealthReport(Health health, long atMillis, long at) {}
 
-  /** One that is out by permit; {@code sinceIndex} is where its phase began. */
+  /** Permission for a member to be out of service; {@code sinceMillis} and {@code sinceIndex} are when its current phase began. */
   public record Permit(Phase phase, String ask, String by, String why, boolean forced, long epoch, long sinceMillis, long sinceIndex) {}
 
-  /** One that waits for its turn. */
+  /** A request that waits for a slot. */
   public record QueuedRequest(String ask, String member, String by, String why, long untilMillis) {}
 
-  /** Why nothing is granted. */
+  /** A halt that is in force. */
   public record ActiveHalt(String by, String why, long sinceMillis) {}
 
-  /** Something that changed, for who asks later. */
+  /** A change of the ledger, kept for audit. */
   public record HistoryEntry(long index, long atMillis, String what, String member, String by, String why) {}
 }
--- a/decision/src/main/java/cloverpulley/outs/MemberKind.java
+++ b/decision/src/main/java/cloverpulley/outs/MemberKind.java
@@ -1,4 +1,4 @@
 package cloverpulley.outs;
 
-/** What can be out. */
+/** What a member of the ledger is. */
 public enum MemberKind { BALANCER, UPSTREAM }
--- a/decision/src/main/java/cloverpulley/outs/MembershipReconciler.java
+++ b/decision/src/main/java/cloverpulley/outs/MembershipReconciler.java
@@ -7,123 +7,125 @@
 import java.util.TreeMap;
 
 /**
- * What who leads the ledger makes of those it hears, and of the list of upstreams it holds: the commands that bring the ledger up to it.
- * Time is any that does not go back; whoever leads anew hears everybody from then on, so that a change of leader takes nobody for silent.
- * One thread at a time.
+ * Runs on every voter and is active on the leader: compares the heartbeats of instances and the list of upstreams with the ledger, and
+ * proposes the commands that bring the ledger up to date. Time comes from any monotonic clock. A new leader measures silence from the moment
+ * it was elected, so that a change of leader marks no instance as unresponsive. Not thread-safe.
  */
 public final class MembershipReconciler {
 
-  /** One to be enrolled: an instance that looks, or an upstream of the list. */
+  /** A member to be enrolled: an instance that sends heartbeats, or an upstream of the list. */
   public record Registration(MemberKind kind, List<String> groups) {}
 
-  private static final int MOST_HEARD = 5_000;
-  /** So many instances at least have to be pressed before all is halted: no one's word does that. */
-  private static final int LEAST_PRESSED = 2;
+  private static final int MAX_INSTANCES = 5_000;
+  /** Minimum number of overloaded instances for a halt, so that a single instance can't cause one. */
+  private static final int MIN_OVERLOADED = 2;
 
-  private final String me;
+  private final String observer;
   private final long silentMillis;
-  private final Map<String, InstanceHeartbeats> heard = new TreeMap<>();
-  private final Map<String, Long> toldAt = new HashMap<>();
+  private final Map<String, InstanceHeartbeats> heartbeats = new TreeMap<>();
+  private final Map<String, Long> reportedAt = new HashMap<>();
   private Map<String, Registration> upstreams = Map.of();
-  private boolean leads;
-  private long ledBy;
+  private boolean wasLeading;
+  private long leaderSince;
 
   /**
-   * @param me the name of who leads here
-   * @param silentMillis after so long without a word an instance counts as out
+   * @param observer the name of this voter
+   * @param silentMillis an instance counts as unresponsive after this time without a heartbeat
    */
-  public MembershipReconciler(String me, long silentMillis) {
-    this.me = me;
+  public MembershipReconciler(String observer, long silentMillis) {
+    this.observer = observer;
     this.silentMillis = silentMillis;
   }
 
-  /** A process of an instance has looked. */
-  public void recordHeartbeat(long nowMillis, String name, Heartbeat look) {
-    if (!heard.containsKey(name) && heard.size() >= MOST_HEARD) {
-      // Guards the memory, and those who come later, from names that were heard once.
-      heard.values().removeIf(h -> nowMillis - h.atMillis() > silentMillis);
+  /** Records a heartbeat of a process of an instance. */
+  public void recordHeartbeat(long nowMillis, String name, Heartbeat heartbeat) {
+    if (!heartbeats.containsKey(name) && heartbeats.size() >= MAX_INSTANCES) {
+      // Names that sent a heartbeat only once must not fill the table and lock out later instances.
+      heartbeats.values().removeIf(h -> nowMillis - h.atMillis() > silentMillis);
     }
-    if (heard.containsKey(name) || heard.size() < MOST_HEARD) {
-      heard.computeIfAbsent(name, n -> new InstanceHeartbeats()).record(nowMillis, look, silentMillis);
+    if (heartbeats.containsKey(name) || heartbeats.size() < MAX_INSTANCES) {
+      heartbeats.computeIfAbsent(name, n -> new InstanceHeartbeats()).add(nowMillis, heartbeat, silentMillis);
     }
   }
 
-  /** The upstreams that there are; an empty list is no list. */
-  public void setUpstreams(Map<String, Registration> all) {
-    if (!all.isEmpty()) {
-      upstreams = Map.copyOf(all);
+  /** Sets the current upstreams. An empty list is taken as missing and ignored. */
+  public void setUpstreams(Map<String, Registration> listed) {
+    if (!listed.isEmpty()) {
+      upstreams = Map.copyOf(listed);
     }
   }
 
-  /** What the ledger is to be told now; nothing where this one does not lead. */
+  /** Returns the commands to propose now; none where this voter does not lead. */
   public List<Command> reconcile(long nowMillis, boolean isLeading, LedgerState s) {
     if (!isLeading) {
-      leads = false;
+      wasLeading = false;
       return List.of();
     }
-    if (!leads) {
-      leads = true;
-      ledBy = nowMillis;
-      toldAt.clear();
+    if (!wasLeading) {
+      wasLeading = true;
+      leaderSince = nowMillis;
+      reportedAt.clear();
     }
-    List<Command> told = new ArrayList<>();
-    heard.forEach((name, h) -> enrol(told, s, name, h.as()));
-    upstreams.forEach((name, e) -> enrol(told, s, name, e));
+    List<Command> commands = new ArrayList<>();
+    heartbeats.forEach((name, h) -> enrol(commands, s, name, h.registration()));
+    upstreams.forEach((name, r) -> enrol(commands, s, name, r));
     s.members().forEach((name, m) -> {
       if (m.kind() == MemberKind.UPSTREAM && !upstreams.isEmpty() && !upstreams.containsKey(name) && !s.outs().containsKey(name)) {
-        told.add(new Command.Strike(name)); // One that is out stays, listed or not: it holds its place until it is seen back.
+        commands.add(new Command.Strike(name)); // One with a permit stays, listed or not: it uses its slot until it is back.
       } else if (m.kind() == MemberKind.BALANCER) {
-        hear(told, nowMillis, s, name, m);
+        reportHealth(commands, nowMillis, s, name, m);
       }
     });
-    press(told, nowMillis, s);
+    haltIfOverloaded(commands, nowMillis, s);
     if (!s.queue().isEmpty() || !s.back().isEmpty()) {
-      told.add(new Command.Tick());
+      commands.add(new Command.Tick());
     }
-    return told;
+    return commands;
   }
 
-  private static void enrol(List<Command> told, LedgerState s, String name, Registration e) {
-    Command.Enrol wanted = new Command.Enrol(name, e.kind(), e.groups());
-    LedgerState.Member is = s.members().get(name);
-    if (is == null || is.kind() != wanted.kind() || !is.groups().equals(wanted.groups())) {
-      told.add(wanted);
+  private static void enrol(List<Command> commands, LedgerState s, String name, Registration r) {
+    Command.Enrol wanted = new Command.Enrol(name, r.kind(), r.groups());
+    LedgerState.Member current = s.members().get(name);
+    if (current == null || current.kind() != wanted.kind() || !current.groups().equals(wanted.groups())) {
+      commands.add(wanted);
     }
   }
 
-  private void hear(List<Command> told, long now, LedgerState s, String name, LedgerState.Member m) {
-    InstanceHeartbeats h = heard.get(name);
-    long since = h == null ? ledBy : Math.max(ledBy, h.atMillis());
-    boolean isSilent = now - since > silentMillis;
-    LedgerState.Permit out = s.outs().get(name);
-    boolean returning = out != null && out.phase() == Phase.RETURNING;
-    boolean news = isSilent != m.unwell() && (isSilent || h != null && h.atMillis() >= ledBy) || returning && !isSilent;
-    if (news && now - toldAt.getOrDefault(name, Long.MIN_VALUE / 2) >= silentMillis / 4) {
-      toldAt.put(name, now);
-      told.add(new Command.Seen(me, name, isSilent ? Health.SILENT : Health.WARM, s.index()));
+  private void reportHealth(List<Command> commands, long now, LedgerState s, String name, LedgerState.Member m) {
+    InstanceHeartbeats h = heartbeats.get(name);
+    long since = h == null ? leaderSince : Math.max(leaderSince, h.atMillis());
+    boolean isUnresponsive = now - since > silentMillis;
+    LedgerState.Permit permit = s.outs().get(name);
+    boolean returning = permit != null && permit.phase() == Phase.RETURNING;
+    boolean hasChanged = isUnresponsive != m.unwell() && (isUnresponsive || h != null && h.atMillis() >= leaderSince) || returning && !isUnresponsive;
+    if (hasChanged && now - reportedAt.getOrDefault(name, Long.MIN_VALUE / 2) >= silentMillis / 4) {
+      reportedAt.put(name, now);
+      commands.add(new Command.Seen(observer, name, isUnresponsive ? Health.SILENT : Health.WARM, s.index()));
     }
   }
 
   /**
-   * Where most of the instances that are there refuse too much, nobody is to take out more. The halt is lifted by its name, and comes again
-   * while this holds.
+   * Halts grants while most responsive instances reject too many requests. The halt is lifted by its name, and is placed again while the
+   * condition holds.
    */
-  private void press(List<Command> told, long now, LedgerState s) {
+  private void haltIfOverloaded(List<Command> commands, long now, LedgerState s) {
     double bound = s.rules().refusedPart();
     if (bound >= 1 || s.halts().containsKey(DisruptionLedger.REJECTION_HALT)) {
       return;
     }
-    List<InstanceHeartbeats> there = heard.values().stream().filter(h -> now - h.atMillis() <= silentMillis).toList();
-    long pressed = there.stream().filter(h -> h.refused() >= bound).count();
-    if (pressed >= LEAST_PRESSED && 2 * pressed > there.size()) {
-      told.add(new Command.Halt(DisruptionLedger.REJECTION_HALT, "ledger", pressed + " of " + there.size() + " instances refuse too much"));
+    List<InstanceHeartbeats> responsive = heartbeats.values().stream().filter(h -> now - h.atMillis() <= silentMillis).toList();
+    long overloaded = responsive.stream().filter(h -> h.maxRejectionRatio() >= bound).count();
+    if (overloaded >= MIN_OVERLOADED && 2 * overloaded > responsive.size()) {
+      commands.add(new Command.Halt(DisruptionLedger.REJECTION_HALT, "ledger",
+          overloaded + " of " + responsive.size() + " instances reject too many requests"));
     }
   }
 
-  /** Instances in service that have not acted on all up to an index; those that are out or silent are not waited for. */
+  /** Instances in service that have not applied the ledger up to the index; those that are out or unresponsive are left out. */
   public List<String> laggingInstances(long nowMillis, long index, LedgerState s) {
     return s.members().entrySet().stream()
         .filter(e -> e.getValue().kind() == MemberKind.BALANCER && !e.getValue().unwell() && !s.outs().containsKey(e.getKey()))
-        .map(Map.Entry::getKey).filter(name -> heard.get(name) == null || !heard.get(name).hasActed(nowMillis, index, silentMillis)).toList();
+        .map(Map.Entry::getKey)
+        .filter(name -> heartbeats.get(name) == null || !heartbeats.get(name).hasApplied(nowMillis, index, silentMillis)).toList();
   }
 }
--- a/decision/src/main/java/cloverpulley/outs/Phase.java
+++ b/decision/src/main/java/cloverpulley/outs/Phase.java
@@ -1,11 +1,11 @@
 package cloverpulley.outs;
 
-/** Where a member stands that was granted; in all of them it counts as out. */
+/** The phase of a permit; in each of them the member counts as out. */
 public enum Phase {
-  /** It may leave: its drain goes to every module. */
+  /** The member may leave; every instance drains it. */
   GRANTED,
-  /** Its holder says that it is out. */
+  /** The member has reported that it is out. */
   OUT,
-  /** It is back and cold: modules may send to it again, under the rule of cold servers. */
+  /** The member is back in slow start; instances send to it again within the slow-start budget. */
   RETURNING
 }
--- a/decision/src/main/java/cloverpulley/outs/RejectionRate.java
+++ b/decision/src/main/java/cloverpulley/outs/RejectionRate.java
@@ -3,29 +3,29 @@
 import java.util.ArrayDeque;
 
 /**
- * The part of an instance's requests that it refused over the last while, out of counts that only grow. A bounded number of samples; nothing is
- * said of a few requests. One thread at a time.
+ * The ratio of requests that an instance rejected within a sliding window, from samples of monotonic counters. It is 0 while the window has
+ * fewer than {@value #MIN_REQUESTS} requests. Not thread-safe.
  */
 public final class RejectionRate {
 
   private static final long WINDOW_MILLIS = 10_000;
-  private static final int SAMPLES = 20;
-  private static final long LEAST_REQUESTS = 20;
+  private static final int MAX_SAMPLES = 20;
+  private static final long MIN_REQUESTS = 20;
 
-  private record Sample(long atMillis, long ended, long refused) {}
+  private record Sample(long atMillis, long ended, long rejected) {}
 
-  private final ArrayDeque<Sample> samples = new ArrayDeque<>(SAMPLES + 1);
+  private final ArrayDeque<Sample> samples = new ArrayDeque<>(MAX_SAMPLES + 1);
 
-  /** So many requests have ended since the start, of which so many were refused; the part over the last 10 s. */
-  public double update(long nowMillis, long ended, long refused) {
+  /** Adds a sample of the totals since the start and returns the ratio of rejected requests over the last 10 s. */
+  public double update(long nowMillis, long ended, long rejected) {
     while (samples.size() > 1 && nowMillis - samples.peekFirst().atMillis() > WINDOW_MILLIS) {
       samples.pollFirst();
     }
-    if (samples.isEmpty() || nowMillis - samples.peekLast().atMillis() >= WINDOW_MILLIS / SAMPLES) {
-      samples.addLast(new Sample(nowMillis, ended, refused));
+    if (samples.isEmpty() || nowMillis - samples.peekLast().atMillis() >= WINDOW_MILLIS / MAX_SAMPLES) {
+      samples.addLast(new Sample(nowMillis, ended, rejected));
     }
-    Sample from = samples.peekFirst();
-    long requests = ended - from.ended();
-    return requests < LEAST_REQUESTS ? 0 : Math.min(1, (double) (refused - from.refused()) / requests);
+    Sample oldest = samples.peekFirst();
+    long requests = ended - oldest.ended();
+    return requests < MIN_REQUESTS ? 0 : Math.min(1, (double) (rejected - oldest.rejected()) / requests);
   }
 }
--- a/decision/src/main/java/cloverpulley/outs/Reply.java
+++ b/decision/src/main/java/cloverpulley/outs/Reply.java
@@ -3,17 +3,17 @@
 import java.util.List;
 
 /**
- * What became of a command.
+ * The result of a command.
  *
- * @param word why
- * @param binding the group whose limit says no, or the halt's name; empty for none
- * @param holders who holds that group's places, a few of them
- * @param epoch of the permit, where one is held; else 0
- * @param index the ledger's, at which this was decided
+ * @param word the result code
+ * @param binding the group whose limit rejects the request, or the name of the halt; empty for none
+ * @param holders members that use the slots of that group, a few of them
+ * @param epoch the permit's epoch, 0 without a permit
+ * @param index the log index at which the command was decided
  */
 public record Reply(ResultCode word, String binding, List<String> holders, long epoch, long index) {
 
-  /** Whether what was asked for holds. */
+  /** Whether the command succeeded or its permit is still held. */
   public boolean isSuccess() {
     return word == ResultCode.DONE || word == ResultCode.GRANTED || word == ResultCode.SAME_AGAIN;
   }
--- a/decision/src/main/java/cloverpulley/outs/UpstreamHealthMonitor.java
+++ b/decision/src/main/java/cloverpulley/outs/UpstreamHealthMonitor.java
@@ -6,89 +6,94 @@
 import java.util.Map;
 
 /**
- * What one instance can tell of upstreams' health from its own traffic: only what differs from what the ledger says, and what a member that
- * comes back waits for, each at most once a period. A bounded word on each upstream it has sent to. One thread at a time.
+ * Derives the health of upstreams from an instance's own traffic. It reports only health that differs from the ledger's, and the reports that a
+ * returning member waits for, each at most once per interval. The number of tracked upstreams is bounded. Not thread-safe.
  */
 public final class UpstreamHealthMonitor {
 
-  private static final int FAILURES = 3;
-  private static final int MOST = DisruptionLedger.MAX_MEMBERS;
+  private static final int MIN_FAILURES = 3;
+  private static final int MAX_UPSTREAMS = DisruptionLedger.MAX_MEMBERS;
 
-  private static final class Own {
+  private static final class Tracked {
     int failures;
-    boolean silent;
-    long servedAt = Long.MIN_VALUE;
-    long toldAt = Long.MIN_VALUE / 2;
-    /** Since when it is seen to come back, with the permit that ends so; by this instance's own clock. */
-    long backSince;
-    long backEpoch;
-    Health told;
+    boolean timedOut;
+    long answeredAt = Long.MIN_VALUE;
+    long reportedAt = Long.MIN_VALUE / 2;
+    /** When this instance first saw the upstream returning under the permit {@link #returningEpoch}, by its own clock. */
+    long returningSince;
+    long returningEpoch;
+    Health reported;
   }
 
-  private final String me;
+  private final String observer;
   private final long warmMillis;
-  private final long againMillis;
-  private final Map<String, Own> all = new HashMap<>();
+  private final long repeatMillis;
+  private final Map<String, Tracked> tracked = new HashMap<>();
 
   /**
-   * @param me this instance
-   * @param warmMillis how long one that came back takes until it is warm
-   * @param againMillis how soon a word is told again that still holds
+   * @param observer the name of this instance
+   * @param warmMillis duration of the slow start of a returning upstream
+   * @param repeatMillis interval after which a report that still holds is repeated
    */
-  public UpstreamHealthMonitor(String me, long warmMillis, long againMillis) {
-    this.me = me;
+  public UpstreamHealthMonitor(String observer, long warmMillis, long repeatMillis) {
+    this.observer = observer;
     this.warmMillis = warmMillis;
-    this.againMillis = againMillis;
+    this.repeatMillis = repeatMillis;
   }
 
-  /** An attempt ended: served or turned away, which shows that it lives, or broken, which may show that it does not. */
-  public void recordAttempt(long nowMillis, String upstream, boolean answered, boolean nothingCame) {
-    Own own = all.get(upstream);
-    if (own == null) {
-      if (all.size() >= MOST) {
+  /**
+   * Records the end of an attempt.
+   *
+   * @param answered whether the upstream answered, even if with an error: it is alive then
+   * @param wasTimeout whether the attempt failed by a timeout
+   */
+  public void recordAttempt(long nowMillis, String upstream, boolean answered, boolean wasTimeout) {
+    Tracked t = tracked.get(upstream);
+    if (t == null) {
+      if (tracked.size() >= MAX_UPSTREAMS) {
         return;
       }
-      own = new Own();
-      all.put(upstream, own);
+      t = new Tracked();
+      tracked.put(upstream, t);
     }
     if (answered) {
-      own.failures = 0;
-      own.servedAt = nowMillis;
+      t.failures = 0;
+      t.answeredAt = nowMillis;
     } else {
-      own.failures++;
-      own.silent = nothingCame;
+      t.failures++;
+      t.timedOut = wasTimeout;
     }
   }
 
-  /** What to tell the ledger now. */
+  /** Returns the reports to send to the ledger now. */
   public List<Command> pendingReports(long nowMillis, LedgerState s) {
-    List<Command> told = new ArrayList<>();
-    for (Map.Entry<String, Own> e : all.entrySet()) {
+    List<Command> reports = new ArrayList<>();
+    for (Map.Entry<String, Tracked> e : tracked.entrySet()) {
       LedgerState.Member m = s.members().get(e.getKey());
-      Own own = e.getValue();
-      LedgerState.Permit out = s.outs().get(e.getKey());
+      Tracked t = e.getValue();
+      LedgerState.Permit permit = s.outs().get(e.getKey());
       boolean unwell = m != null && m.unwell();
-      if (out != null && out.phase() != Phase.RETURNING) {
-        own.failures = 0; // Out by permit: nobody wonders that it fails.
+      if (permit != null && permit.phase() != Phase.RETURNING) {
+        t.failures = 0; // Failures are expected while the upstream is out by permit.
         continue;
       }
-      boolean returning = out != null;
-      if (returning && own.backEpoch != out.epoch()) {
-        own.backEpoch = out.epoch();
-        own.backSince = nowMillis;
+      boolean returning = permit != null;
+      if (returning && t.returningEpoch != permit.epoch()) {
+        t.returningEpoch = permit.epoch();
+        t.returningSince = nowMillis;
       }
-      Health health = own.failures >= FAILURES ? own.silent ? Health.SILENT : Health.DEAD
-          : returning && nowMillis - own.backSince < warmMillis ? Health.COLD : Health.WARM;
-      boolean knows = health != Health.WARM || own.servedAt > Long.MIN_VALUE && nowMillis - own.servedAt < againMillis;
-      boolean news = health == Health.WARM ? unwell || returning : health != Health.COLD;
-      if (knows && news && (health != own.told || nowMillis - own.toldAt >= againMillis)) {
-        own.told = health;
-        own.toldAt = nowMillis;
-        told.add(new Command.Seen(me, e.getKey(), health, s.index()));
-      } else if (!news) {
-        own.told = null;
+      Health health = t.failures >= MIN_FAILURES ? t.timedOut ? Health.SILENT : Health.DEAD
+          : returning && nowMillis - t.returningSince < warmMillis ? Health.COLD : Health.WARM;
+      boolean isKnown = health != Health.WARM || t.answeredAt > Long.MIN_VALUE && nowMillis - t.answeredAt < repeatMillis;
+      boolean isNews = health == Health.WARM ? unwell || returning : health != Health.COLD;
+      if (isKnown && isNews && (health != t.reported || nowMillis - t.reportedAt >= repeatMillis)) {
+        t.reported = health;
+        t.reportedAt = nowMillis;
+        reports.add(new Command.Seen(observer, e.getKey(), health, s.index()));
+      } else if (!isNews) {
+        t.reported = null;
       }
     }
-    return told;
+    return reports;
   }
 }
--- a/decision/src/main/java/cloverpulley/outs/UpstreamReconciler.java
+++ b/decision/src/main/java/cloverpulley/outs/UpstreamReconciler.java
@@ -7,50 +7,50 @@
 import java.util.TreeSet;
 
 /**
- * What one instance does about the ledger: each upstream that was granted is taken out at its module, each that returns is called back. An
- * older look than the last changes nothing, so that a voter which lags can't bring back what is out. One thread at a time.
+ * Applies the ledger to an instance's upstreams: each upstream with a permit is set offline, each that returns is set online. A state older
+ * than the last one is ignored, so that a lagging voter can't bring an upstream back too early. Not thread-safe.
  */
 public final class UpstreamReconciler {
 
-  /** Something to be done. */
+  /** A change of an upstream's administrative state. */
   public sealed interface Action {
-    /** Nothing new to it; it was out for so long already. */
+    /** No new requests go to the upstream, which has been out for {@code forMillis} already. */
     record SetOffline(String upstream, long forMillis) implements Action {}
 
-    /** It may serve again, cold. */
+    /** The upstream may serve again, in slow start. */
     record SetOnline(String upstream) implements Action {}
   }
 
-  private final Set<String> out = new TreeSet<>();
+  private final Set<String> offline = new TreeSet<>();
   private long index;
 
-  /** The ledger as it was looked at; what is to be done now, in order. */
+  /** Returns the actions that bring the upstreams in line with a state of the ledger, in order. */
   public List<Action> reconcile(LedgerState s) {
     if (s.index() < index) {
       return List.of();
     }
     index = s.index();
-    List<Action> steps = new ArrayList<>();
+    List<Action> actions = new ArrayList<>();
     Set<String> wanted = new TreeSet<>();
     for (Map.Entry<String, LedgerState.Permit> e : s.outs().entrySet()) {
       LedgerState.Member m = s.members().get(e.getKey());
       if (m != null && m.kind() == MemberKind.UPSTREAM && e.getValue().phase() != Phase.RETURNING) {
         wanted.add(e.getKey());
-        if (out.add(e.getKey())) {
-          steps.add(new Action.SetOffline(e.getKey(), Math.max(0, s.nowMillis() - e.getValue().sinceMillis())));
+        if (offline.add(e.getKey())) {
+          actions.add(new Action.SetOffline(e.getKey(), Math.max(0, s.nowMillis() - e.getValue().sinceMillis())));
         }
       }
     }
-    for (String name : List.copyOf(out)) {
+    for (String name : List.copyOf(offline)) {
       if (!wanted.contains(name)) {
-        out.remove(name);
-        steps.add(new Action.SetOnline(name));
+        offline.remove(name);
+        actions.add(new Action.SetOnline(name));
       }
     }
-    return steps;
+    return actions;
   }
 
-  /** The look that was acted on last. */
+  /** The log index of the last state that was applied. */
   public long index() {
     return index;
   }
--- a/decision/src/main/java/cloverpulley/outs/VoterReplacement.java
+++ b/decision/src/main/java/cloverpulley/outs/VoterReplacement.java
@@ -4,19 +4,19 @@
 import java.util.TreeSet;
 
 /**
- * Puts one voter in another's place, by one change of the group at a time: the new one learns, then votes, and only then the old one goes, so
- * that the group never is smaller than it was and at no time more than one larger. The group itself tells what comes next: whoever
- * asks again, after whatever broke, goes on where it stands.
+ * Replaces one voter by another, one membership change at a time: the new voter joins as a learner, is promoted, and only then the old one is
+ * removed. So the group never gets smaller than it was, and at most one member larger. The next step follows from the current members alone;
+ * an interrupted replacement continues where it stopped when it is requested again.
  */
 public final class VoterReplacement {
 
-  /** What is to be done to the group; {@code DONE} and {@code NO} end it. */
+  /** A membership change; {@code DONE} and {@code NO} end the replacement. */
   public enum Step { ADD, PROMOTE, REMOVE, DONE, NO }
 
-  /** The next change, of this voter; with {@code NO} why there is none. */
+  /** The next change and the voter that it concerns; with {@code NO} the reason why there is none. */
   public record Next(Step step, String voter, String why) {
 
-    /** Whether nothing follows. */
+    /** Whether no further change follows. */
     public boolean isFinal() {
       return step == Step.DONE || step == Step.NO;
     }
@@ -25,32 +25,34 @@
   private VoterReplacement() {}
 
   /**
-   * What comes next.
+   * Returns the next step.
    *
-   * @param members of the group, those that still learn among them
-   * @param voting those that vote
-   * @param leader who leads; empty for nobody
+   * @param members all members of the group, including learners
+   * @param voting the voting members
+   * @param leader the current leader; empty if there is none
+   * @param from the voter to be removed
+   * @param to the voter that takes its place
    */
   public static Next next(Set<String> members, Set<String> voting, String leader, String from, String to) {
     if (from.equals(to)) {
-      return no(from, "a voter that lost its file comes back under another name: under its own it could vote twice");
+      return reject(from, "a voter that lost its journal must come back under another name: under its own it could vote twice in one term");
     } else if (!members.contains(from)) {
-      return voting.contains(to) ? new Next(Step.DONE, to, "") : no(from, from + " is no voter");
+      return voting.contains(to) ? new Next(Step.DONE, to, "") : reject(from, from + " is not a voter");
     } else if (leader.equals(from)) {
-      return no(from, from + " leads: stop it first, so that another does");
+      return reject(from, from + " is the leader: stop it first, so that another voter is elected");
     }
-    Set<String> learning = new TreeSet<>(members);
-    learning.removeAll(voting);
-    learning.remove(to);
-    if (!learning.isEmpty()) {
-      // Guards the majority: two that are half in would need more voters to agree than there may be.
-      return no(from, "another change is under way: " + String.join(" ", learning));
+    Set<String> learners = new TreeSet<>(members);
+    learners.removeAll(voting);
+    learners.remove(to);
+    if (!learners.isEmpty()) {
+      // Two unfinished changes could need a larger majority than there are live voters.
+      return reject(from, "another membership change is in progress: " + String.join(" ", learners));
     }
     return !members.contains(to) ? new Next(Step.ADD, to, "") : !voting.contains(to) ? new Next(Step.PROMOTE, to, "")
         : new Next(Step.REMOVE, from, "");
   }
 
-  private static Next no(String voter, String why) {
+  private static Next reject(String voter, String why) {
     return new Next(Step.NO, voter, why);
   }
 }
--- a/decision/src/main/java/cloverpulley/outs/package-info.java
+++ b/decision/src/main/java/cloverpulley/outs/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Who may be out: the ledger that all instances of a fleet agree on, its limits, and what an instance does about it. Pure: commands and
- * views in, replies and actions out; whoever replicates the commands in one order has one ledger.
+ * The disruption ledger, which all instances of a fleet agree on: permits and disruption budgets, and what instances report and do about
+ * them. This package does no I/O: commands and states go in, replies and actions come out. Replication is up to the caller.
  */
 package cloverpulley.outs;
--- a/decision/src/test/java/cloverpulley/outs/VoterReplacementTest.java
+++ b/decision/src/test/java/cloverpulley/outs/VoterReplacementTest.java
@@ -12,9 +12,9 @@
 
 class VoterReplacementTest {
 
-  /** From each state of the group: its changes end, with the new one voting before the old one goes. */
+  /** From each membership the steps lead to the end, and the new voter votes before the old one is removed. */
   @Test
-  void theGroupNeverIsSmallerThanItWas() {
+  void theGroupNeverShrinks() {
     Set<String> members = new TreeSet<>(List.of("a", "b", "c"));
     Set<String> voting = new TreeSet<>(members);
     StringBuilder steps = new StringBuilder();
@@ -31,17 +31,17 @@
       assertTrue(voting.size() >= 3 && members.size() <= 4, members + " " + voting);
     }
     assertEquals("ADD d PROMOTE d REMOVE c ", steps.toString());
-    assertEquals(Step.DONE, VoterReplacement.next(members, voting, "d", "c", "d").step(), "asked again it is done");
+    assertEquals(Step.DONE, VoterReplacement.next(members, voting, "d", "c", "d").step(), "a repeated request is done");
     assertEquals(Set.of("a", "b", "d"), voting);
   }
 
   @Test
-  void whatWouldCostTheMajorityIsNotDone() {
+  void changesThatCouldCostTheMajorityAreRejected() {
     Set<String> all = Set.of("a", "b", "c");
     assertEquals(Step.NO, VoterReplacement.next(all, all, "a", "c", "c").step(), "it could vote twice");
-    assertEquals(Step.NO, VoterReplacement.next(all, all, "c", "c", "d").step(), "it leads");
-    assertEquals(Step.NO, VoterReplacement.next(all, all, "a", "x", "d").step(), "it is no voter");
-    assertEquals(Step.NO, VoterReplacement.next(Set.of("a", "b", "c", "e"), all, "a", "c", "d").step(), "e is half in");
+    assertEquals(Step.NO, VoterReplacement.next(all, all, "c", "c", "d").step(), "it is the leader");
+    assertEquals(Step.NO, VoterReplacement.next(all, all, "a", "x", "d").step(), "it is not a voter");
+    assertEquals(Step.NO, VoterReplacement.next(Set.of("a", "b", "c", "e"), all, "a", "c", "d").step(), "e is still a learner");
     assertEquals(Step.PROMOTE, VoterReplacement.next(Set.of("a", "b", "c", "d"), all, "a", "c", "d").step());
     assertEquals(Step.REMOVE, VoterReplacement.next(Set.of("a", "b", "c", "d"), Set.of("a", "b", "c", "d"), "a", "c", "d").step());
   }
