--- a/dist/src/test/java/cloverpulley/cli/OutsIT.java
+++ b/dist/src/test/java/cloverpulley/cli/OutsIT.java
@@ -35,8 +35,9 @@
     List<Future<Reply>> all = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
       int n = i;
-      all.add(threads.submit(() -> ask(new AgreeClient(List.of(new VoterAddress("b" + n % 3, null, fleet.api(n % 3)), new VoterAddress("b" + (n + 1) % 3, null,
-          fleet.api((n + 1) % 3)), new VoterAddress("b" + (n + 2) % 3, null, fleet.api((n + 2) % 3)))), "a" + n / 2, "s" + n / 2 % 3, 0)));
+      all.add(threads.submit(() -> ask(new AgreeClient(List.of(new VoterAddress("b" + n % 3, null, fleet.api(n % 3)),
+          new VoterAddress("b" + (n + 1) % 3, null, fleet.api((n + 1) % 3)), new VoterAddress("b" + (n + 2) % 3, null, fleet.api((n + 2) % 3)))),
+          "a" + n / 2, "s" + n / 2 % 3, 0)));
     }
     List<Long> epochs = new ArrayList<>();
     for (Future<Reply> f : all) {
@@ -83,7 +84,8 @@
     assertEquals(ResultCode.GRANTED, ask(client, "p2", "s3", 0).word());
     fleet.instances().get(paused).goOn();
     try {
-      assertEquals(ResultCode.LIMIT, at(paused).command(new Command.Ask("p3", "s4", "it", "", 0, false), 2000).word(), "what it thought it led is over");
+      assertEquals(ResultCode.LIMIT, at(paused).command(new Command.Ask("p3", "s4", "it", "", 0, false), 2000).word(),
+          "what it thought it led is over");
     } catch (AgreeClient.NoMajorityException e) {
       assertTrue(e.getMessage().contains("421"), e::getMessage); // It knows that it does not lead.
     }
--- a/dist/src/test/java/cloverpulley/cli/VotersIT.java
+++ b/dist/src/test/java/cloverpulley/cli/VotersIT.java
@@ -75,7 +75,8 @@
     long other = ask(client, "v3", "s3", 0).epoch();
     await("all have acted", () -> client.laggingInstances(other).isEmpty()); // Else who loses the majority now would not have heard of it.
     fleet.instances().get(1).kill();
-    assertThrows(AgreeClient.NoMajorityException.class, () -> client.command(new Command.Ask("v4", "s4", "it", "", 0, false), 2000), "one of three is none");
+    assertThrows(AgreeClient.NoMajorityException.class, () -> client.command(new Command.Ask("v4", "s4", "it", "", 0, false), 2000),
+        "one of three is none");
     fleet.instances().get(1).start();
     asking.at(fleet.instances().get(1));
     // It joined, and after a restart it is a voter like any other.
--- a/model/src/main/java/cloverpulley/model/outs/SmallWorld.java
+++ b/model/src/main/java/cloverpulley/model/outs/SmallWorld.java
@@ -82,7 +82,8 @@
     List<Long> epochs = s.outs().values().stream().map(LedgerState.Permit::epoch).sorted().toList();
     s.outs().forEach((n, o) -> outs.put(n,
         new LedgerState.Permit(o.phase(), o.ask(), o.by(), o.why(), o.forced(), epochs.indexOf(o.epoch()) + 1, 1, 1)));
-    List<LedgerState.QueuedRequest> queue = s.queue().stream().map(w -> new LedgerState.QueuedRequest(w.ask(), w.member(), w.by(), w.why(), LONG)).toList();
+    List<LedgerState.QueuedRequest> queue = s.queue().stream()
+        .map(w -> new LedgerState.QueuedRequest(w.ask(), w.member(), w.by(), w.why(), LONG)).toList();
     Map<String, LedgerState.ActiveHalt> halts = new TreeMap<>();
     s.halts().forEach((n, h) -> halts.put(n, new LedgerState.ActiveHalt(h.by(), h.why(), 0)));
     return new LedgerState(10, 1, s.rules(), members, outs, queue, halts, s.back(), Map.of(), List.of());
