--- a/agree/src/main/java/cloverpulley/agree/AgreeApi.java
+++ b/agree/src/main/java/cloverpulley/agree/AgreeApi.java
@@ -24,21 +24,21 @@
 import java.util.function.Function;
 
 /**
- * Where a voter is asked, over HTTP/1.1: POST a command, GET the ledger or who has not acted. 421 with Leader: ask that one; 503: nobody
- * leads; 504: not known whether it came through, ask the same again.
+ * HTTP/1.1 API of a voter: POST a command, GET the ledger or the instances that have not applied it. Status 421: the header Leader names the
+ * voter to ask; 503: no leader, or this voter can't answer; 504: the outcome is unknown, the same command has to be repeated.
  */
 public final class AgreeApi implements AutoCloseable {
 
   static final String PATH = "/v1/outs";
-  static final String ACTED = PATH + "/acted";
-  static final String VOTERS = PATH + "/voters";
-  static final String LEADER = "Leader";
-  private static final int MOST_BODY = 64 * 1024;
+  static final String ACTED_PATH = PATH + "/acted";
+  static final String VOTERS_PATH = PATH + "/voters";
+  static final String LEADER_HEADER = "Leader";
+  private static final int MAX_BODY_BYTES = 64 * 1024;
   private static final int THREADS = 8;
-  private static final int MOST_WAITING = 1024;
+  private static final int MAX_QUEUED = 1024;
   private static final int BACKLOG = 512;
-  /** A caller waits for 3 s; within this it hears that nothing is known. */
-  private static final long ANSWER_MILLIS = 2000;
+  /** Below the client's read timeout of 3 s, so that the client receives the status 504. */
+  private static final long COMMAND_TIMEOUT_MILLIS = 2000;
 
   static {
     System.setProperty("sun.net.httpserver.nodelay", "true");
@@ -50,20 +50,20 @@
   private final Voter voter;
   private final HttpServer server;
   private final ThreadPoolExecutor threads;
-  private long madeFor = -1;
-  private byte[] made;
+  private long cachedIndex = -1;
+  private byte[] cachedView;
 
   /** Listens at once. */
   public AgreeApi(Voter voter, InetSocketAddress listen) throws IOException {
     this.voter = voter;
     server = HttpServer.create(listen, BACKLOG);
-    threads = new ThreadPoolExecutor(THREADS, THREADS, 1, TimeUnit.MINUTES, new ArrayBlockingQueue<>(MOST_WAITING), task -> {
+    threads = new ThreadPoolExecutor(THREADS, THREADS, 1, TimeUnit.MINUTES, new ArrayBlockingQueue<>(MAX_QUEUED), task -> {
       Thread t = new Thread(task, "ledger api");
       t.setDaemon(true);
       return t;
-    }, new ThreadPoolExecutor.CallerRunsPolicy()); // Past it nobody new is heard until there is room.
+    }, new ThreadPoolExecutor.CallerRunsPolicy()); // With a full queue the dispatcher thread handles requests itself and accepts nothing new.
     server.setExecutor(threads);
-    server.createContext(PATH, this::serve);
+    server.createContext(PATH, this::handle);
     server.start();
   }
 
@@ -71,103 +71,105 @@
     return server.getAddress();
   }
 
-  private void serve(HttpExchange x) throws IOException {
+  private void handle(HttpExchange x) throws IOException {
     try (x) {
-      x.getResponseHeaders().set(LEADER, voter.leader());
-      Map<String, String> query = query(x.getRequestURI().getRawQuery());
+      x.getResponseHeaders().set(LEADER_HEADER, voter.leader());
+      Map<String, String> query = parseQuery(x.getRequestURI().getRawQuery());
       if (!voter.isActive()) {
-        answer(x, 503, "this voter's file could not be written, it takes no part");
+        respond(x, 503, "this voter's journal could not be written, it is inactive");
       } else if (x.getRequestMethod().equals("POST") && x.getRequestURI().getPath().equals(PATH)) {
-        command(x, Command.class, voter::command);
-      } else if (x.getRequestMethod().equals("POST") && x.getRequestURI().getPath().equals(VOTERS)) {
-        command(x, Replace.class, r -> voter.replace(r.from(), r.to()));
+        handleCommand(x, Command.class, voter::command);
+      } else if (x.getRequestMethod().equals("POST") && x.getRequestURI().getPath().equals(VOTERS_PATH)) {
+        handleCommand(x, Replace.class, r -> voter.replace(r.from(), r.to()));
       } else if (!x.getRequestMethod().equals("GET")) {
-        answer(x, 405, "GET and POST only");
+        respond(x, 405, "GET and POST only");
       } else if (x.getRequestURI().getPath().equals(PATH)) {
-        look(x, query);
-      } else if (x.getRequestURI().getPath().equals(ACTED)) {
-        answer(x, voter.isLeader() ? 200 : 421, Json.write(voter.laggingInstances(number(query.get("index")))));
+        handlePoll(x, query);
+      } else if (x.getRequestURI().getPath().equals(ACTED_PATH)) {
+        respond(x, voter.isLeader() ? 200 : 421, Json.write(voter.laggingInstances(parseIndex(query.get("index")))));
       } else {
-        answer(x, 404, "no such path");
+        respond(x, 404, "no such path");
       }
     } catch (IllegalArgumentException e) {
-      answer(x, 400, String.valueOf(e.getMessage()));
+      respond(x, 400, String.valueOf(e.getMessage()));
     }
   }
 
-  private <T> void command(HttpExchange x, Class<T> type, Function<T, CompletableFuture<?>> take) throws IOException {
-    byte[] body = body(x.getRequestBody());
+  private <T> void handleCommand(HttpExchange x, Class<T> type, Function<T, CompletableFuture<?>> handler) throws IOException {
+    byte[] body = readBody(x.getRequestBody());
     if (body == null) {
-      answer(x, 413, "longer than " + MOST_BODY + " octets");
+      respond(x, 413, "longer than " + MAX_BODY_BYTES + " octets");
       return;
     }
     T c;
     try {
       c = Json.read(body, type);
     } catch (IOException e) {
-      answer(x, 400, "no command: " + e.getMessage().lines().findFirst().orElse(""));
+      respond(x, 400, "invalid command: " + e.getMessage().lines().findFirst().orElse(""));
       return;
     }
     try {
-      answer(x, 200, Json.write(take.apply(c).get(ANSWER_MILLIS, TimeUnit.MILLISECONDS)));
+      respond(x, 200, Json.write(handler.apply(c).get(COMMAND_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)));
     } catch (TimeoutException e) {
-      answer(x, 504, "no majority answers: not known whether it came through, ask the same again");
+      respond(x, 504, "no majority answers: the outcome is unknown, repeat the same command");
     } catch (ExecutionException e) {
-      boolean elsewhere = e.getCause() instanceof NotLeaderException;
-      boolean full = e.getCause() instanceof CannotReplicateException;
-      answer(x, elsewhere ? voter.leader().isEmpty() ? 503 : 421 : full ? 503 : 504,
-          elsewhere ? "this voter does not lead" : full ? "too much waits for a majority" : "not known whether it came through, ask the same again");
+      boolean notLeader = e.getCause() instanceof NotLeaderException;
+      boolean overloaded = e.getCause() instanceof CannotReplicateException;
+      respond(x, notLeader ? voter.leader().isEmpty() ? 503 : 421 : overloaded ? 503 : 504,
+          notLeader ? "this voter is not the leader" : overloaded ? "too many commands are waiting for a majority"
+              : "the outcome is unknown, repeat the same command");
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private static byte[] body(InputStream in) throws IOException {
-    byte[] body = in.readNBytes(MOST_BODY + 1);
-    return body.length > MOST_BODY ? null : body;
+  private static byte[] readBody(InputStream in) throws IOException {
+    byte[] body = in.readNBytes(MAX_BODY_BYTES + 1);
+    return body.length > MAX_BODY_BYTES ? null : body;
   }
 
-  private void look(HttpExchange x, Map<String, String> query) throws IOException {
+  private void handlePoll(HttpExchange x, Map<String, String> query) throws IOException {
     String name = query.getOrDefault("name", "");
     if (!name.isEmpty() && !AgreeConfig.isName(name)) {
-      answer(x, 400, "name: expected letters, digits and . : # - _");
+      respond(x, 400, "name: expected letters, digits and . : # - _");
       return;
     }
     if (!name.isEmpty()) {
       List<String> groups = Arrays.stream(query.getOrDefault("groups", "").split(",")).filter(AgreeConfig::isName).limit(Command.MAX_GROUPS).toList();
       String process = query.getOrDefault("process", "");
       if (!process.isEmpty() && !AgreeConfig.isName(process)) {
-        answer(x, 400, "process: expected letters, digits and . : # - _");
+        respond(x, 400, "process: expected letters, digits and . : # - _");
         return;
       }
-      voter.recordHeartbeat(name, new Heartbeat(process, groups, number(query.get("acted")), Double.parseDouble(query.getOrDefault("refused", "0"))));
+      voter.recordHeartbeat(name, new Heartbeat(process, groups, parseIndex(query.get("acted")),
+          Double.parseDouble(query.getOrDefault("refused", "0"))));
     }
     if (!voter.isCaughtUp()) {
-      answer(x, 503, "this voter has not caught up since its start");
+      respond(x, 503, "this voter has not caught up since its start");
     } else if (query.containsKey("whole")) {
-      answer(x, 200, Json.write(voter.state()));
-    } else if (voter.index() == number(query.get("since"))) {
+      respond(x, 200, Json.write(voter.state()));
+    } else if (voter.index() == parseIndex(query.get("since"))) {
       x.sendResponseHeaders(204, -1);
     } else {
-      answer(x, 200, slim());
+      respond(x, 200, cachedInstanceView());
     }
   }
 
-  /** Made once for an index, however many look. */
-  private synchronized byte[] slim() {
+  /** The instance view as JSON, serialized once per log index for all instances. */
+  private synchronized byte[] cachedInstanceView() {
     cloverpulley.outs.LedgerState s = voter.state();
-    if (s.index() != madeFor) {
-      made = Json.write(s.instanceView());
-      madeFor = s.index();
+    if (s.index() != cachedIndex) {
+      cachedView = Json.write(s.instanceView());
+      cachedIndex = s.index();
     }
-    return made;
+    return cachedView;
   }
 
-  private static long number(String text) {
+  private static long parseIndex(String text) {
     return text == null ? -1 : Long.parseLong(text);
   }
 
-  private static Map<String, String> query(String raw) {
+  private static Map<String, String> parseQuery(String raw) {
     Map<String, String> query = new HashMap<>();
     for (String part : raw == null ? new String[0] : raw.split("&")) {
       int at = part.indexOf('=');
@@ -176,11 +178,11 @@
     return query;
   }
 
-  private static void answer(HttpExchange x, int status, String text) throws IOException {
-    answer(x, status, (text + "\n").getBytes(StandardCharsets.UTF_8));
+  private static void respond(HttpExchange x, int status, String text) throws IOException {
+    respond(x, status, (text + "\n").getBytes(StandardCharsets.UTF_8));
   }
 
-  private static void answer(HttpExchange x, int status, byte[] body) throws IOException {
+  private static void respond(HttpExchange x, int status, byte[] body) throws IOException {
     x.sendResponseHeaders(status, body.length);
     x.getResponseBody().write(body);
   }
--- a/agree/src/main/java/cloverpulley/agree/AgreeClient.java
+++ b/agree/src/main/java/cloverpulley/agree/AgreeClient.java
@@ -2,9 +2,9 @@
 
 import cloverpulley.outs.Command;
 import cloverpulley.outs.Heartbeat;
-import cloverpulley.outs.VoterReplacement;
-import cloverpulley.outs.Reply;
 import cloverpulley.outs.LedgerState;
+import cloverpulley.outs.Reply;
+import cloverpulley.outs.VoterReplacement;
 import java.io.IOException;
 import java.io.InputStream;
 import java.io.OutputStream;
@@ -19,16 +19,16 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** Asks the voters: first who led last, then the others in turn. One thread at a time. */
+/** Client of the voters' API: tries the last known leader first, then the others. Not thread-safe. */
 public final class AgreeClient {
 
   private static final int CONNECT_MILLIS = 300;
   private static final int READ_MILLIS = 3000;
-  private static final int MOST_ANSWER = Codec.MOST_BYTES;
-  private static final long AGAIN_MILLIS = 50;
-  private static final int MOST_CHANGES = 10;
+  private static final int MAX_RESPONSE_BYTES = Codec.MAX_MESSAGE_BYTES;
+  private static final long RETRY_MILLIS = 50;
+  private static final int MAX_STEPS = 10;
 
-  /** Nobody could be asked, or nobody knows. */
+  /** No voter is reachable, there is no leader, or the outcome is unknown. */
   public static final class NoMajorityException extends IOException {
     private static final long serialVersionUID = 1L;
 
@@ -37,161 +37,162 @@
     }
   }
 
-  private record Answer(int status, byte[] body, String leader) {}
+  private record Response(int status, byte[] body, String leader) {}
 
   private final List<AgreeConfig.VoterAddress> voters;
   private String leader = "";
-  private boolean led;
-  private long octets;
+  private boolean hasLeader;
+  private long bodyBytes;
 
   public AgreeClient(List<AgreeConfig.VoterAddress> voters) {
     this.voters = voters;
   }
 
-  /** Who led when it was asked last; empty for nobody. */
+  /** The last known leader; empty for none. */
   public String leader() {
     return leader;
   }
 
-  /** Octets of bodies sent and got so far. */
+  /** Bytes of request and response bodies so far. */
   public long bodyBytes() {
-    return octets;
+    return bodyBytes;
   }
 
   /**
-   * Has a command taken, asking again for as long as it takes a new leader to be found. A command that is not known to have come through is
-   * asked again as it is: asks have names, and the other commands may be repeated.
+   * Executes a command and retries while there is no leader. A command whose outcome is unknown is sent again unchanged: requests for permits
+   * have a unique name, and the other commands are idempotent.
    *
-   * @param forMillis how long to try
-   * @throws NoMajorityException where nobody answered for all
-   * @throws IOException where it was turned down as malformed
+   * @param timeoutMillis how long to retry
+   * @throws NoMajorityException if no leader committed the command in time
+   * @throws IllegalArgumentException if a voter rejects the command as malformed
    */
-  public Reply command(Command c, long forMillis) throws IOException {
-    return post(AgreeApi.PATH, Json.write(c), Reply.class, forMillis);
+  public Reply command(Command c, long timeoutMillis) throws IOException {
+    return post(AgreeApi.PATH, Json.write(c), Reply.class, timeoutMillis);
   }
 
   /**
-   * Has one voter take another's place, change by change; asked again it goes on where it stands.
+   * Replaces one voter by another, one membership change at a time. A repeated call continues where an interrupted one stopped.
    *
-   * @param forMillis how long to try each change
-   * @param told is told each change that was made
+   * @param timeoutMillis how long to retry each change
+   * @param onStep receives each change that was made
    */
-  public VoterReplacement.Next replace(String from, String to, long forMillis, Consumer<VoterReplacement.Next> told) throws IOException {
-    byte[] ask = Json.write(new Replace(from, to));
-    for (int i = 0; i < MOST_CHANGES; i++) {
-      VoterReplacement.Next next = post(AgreeApi.VOTERS, ask, VoterReplacement.Next.class, forMillis);
+  public VoterReplacement.Next replace(String from, String to, long timeoutMillis, Consumer<VoterReplacement.Next> onStep) throws IOException {
+    byte[] request = Json.write(new Replace(from, to));
+    for (int i = 0; i < MAX_STEPS; i++) {
+      VoterReplacement.Next next = post(AgreeApi.VOTERS_PATH, request, VoterReplacement.Next.class, timeoutMillis);
       if (next.isFinal()) {
         return next;
       }
-      told.accept(next);
+      onStep.accept(next);
     }
-    throw new NoMajorityException("more changes than there can be: somebody else changes the voters too");
+    throw new NoMajorityException("more membership changes than a replacement needs: another client changes the voters as well");
   }
 
-  private <T> T post(String path, byte[] body, Class<T> type, long forMillis) throws IOException {
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(forMillis);
-    String last = "no voter answers";
+  private <T> T post(String path, byte[] body, Class<T> type, long timeoutMillis) throws IOException {
+    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
+    String lastError = "no voter is reachable";
     do {
-      for (AgreeConfig.VoterAddress v : inTurn()) {
+      for (AgreeConfig.VoterAddress v : votersLeaderFirst()) {
         try {
-          Answer a = call(v.api(), "POST", path, body);
-          if (a.status() == 200) {
+          Response r = send(v.api(), "POST", path, body);
+          if (r.status() == 200) {
             leader = v.name();
-            return Json.read(a.body(), type);
-          } else if (a.status() == 400 || a.status() == 413) {
-            throw new IllegalArgumentException(text(a));
+            return Json.read(r.body(), type);
+          } else if (r.status() == 400 || r.status() == 413) {
+            throw new IllegalArgumentException(describe(r));
           }
-          last = v.name() + ": " + text(a);
-          if (!a.leader().isEmpty() && !a.leader().equals(leader)) {
-            leader = a.leader();
-            break; // It knows better whom to ask.
+          lastError = v.name() + ": " + describe(r);
+          if (!r.leader().isEmpty() && !r.leader().equals(leader)) {
+            leader = r.leader();
+            break; // Continue with the leader that it named.
           }
         } catch (IOException e) {
-          last = v.name() + ": " + e.getMessage();
+          lastError = v.name() + ": " + e.getMessage();
         }
       }
       try {
-        TimeUnit.MILLISECONDS.sleep(AGAIN_MILLIS);
+        TimeUnit.MILLISECONDS.sleep(RETRY_MILLIS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         break;
       }
     } while (System.nanoTime() < until);
-    throw new NoMajorityException(last);
+    throw new NoMajorityException(lastError);
   }
 
-  /** Looks, and is heard with that; null where nothing changed since {@code since}. */
-  public LedgerState poll(String name, Heartbeat as, long since) throws IOException {
-    return look("?name=" + name + "&process=" + as.process() + "&groups=" + URLEncoder.encode(String.join(",", as.groups()), StandardCharsets.UTF_8)
-        + "&acted=" + as.acted() + "&refused=" + as.refused() + "&since=" + since);
+  /** Sends a heartbeat and returns the state, or null if it has not changed since the log index {@code since}. */
+  public LedgerState poll(String name, Heartbeat heartbeat, long since) throws IOException {
+    return get("?name=" + name + "&process=" + heartbeat.process()
+        + "&groups=" + URLEncoder.encode(String.join(",", heartbeat.groups()), StandardCharsets.UTF_8)
+        + "&acted=" + heartbeat.acted() + "&refused=" + heartbeat.refused() + "&since=" + since);
   }
 
-  /** The whole ledger. */
+  /** The complete state of the ledger. */
   public LedgerState fullState() throws IOException {
-    return look("?whole=1");
+    return get("?whole=1");
   }
 
-  /** Whether the last look was answered by a voter that knows who leads: by one that does not, the ledger may have gone on elsewhere. */
-  boolean isLed() {
-    return led;
+  /** Whether the last state came from a voter that knows a leader; otherwise a newer state may exist on other voters. */
+  boolean hasLeader() {
+    return hasLeader;
   }
 
-  private LedgerState look(String query) throws IOException {
-    String last = "no voter answers";
-    Answer alone = null;
-    for (AgreeConfig.VoterAddress v : inTurn()) {
+  private LedgerState get(String query) throws IOException {
+    String lastError = "no voter is reachable";
+    Response leaderless = null;
+    for (AgreeConfig.VoterAddress v : votersLeaderFirst()) {
       try {
-        Answer a = call(v.api(), "GET", AgreeApi.PATH + query, null);
-        boolean good = a.status() == 200 || a.status() == 204;
-        if (good && !a.leader().isEmpty()) {
-          leader = a.leader();
-          led = true;
-          return state(a);
-        } else if (good && alone == null) {
-          alone = a; // Another may know more.
+        Response r = send(v.api(), "GET", AgreeApi.PATH + query, null);
+        boolean isSuccess = r.status() == 200 || r.status() == 204;
+        if (isSuccess && !r.leader().isEmpty()) {
+          leader = r.leader();
+          hasLeader = true;
+          return parseState(r);
+        } else if (isSuccess && leaderless == null) {
+          leaderless = r; // Another voter may know the leader.
         }
-        last = v.name() + ": " + text(a);
+        lastError = v.name() + ": " + describe(r);
       } catch (IOException e) {
-        last = v.name() + ": " + e.getMessage();
+        lastError = v.name() + ": " + e.getMessage();
       }
     }
-    if (alone == null) {
-      throw new NoMajorityException(last);
+    if (leaderless == null) {
+      throw new NoMajorityException(lastError);
     }
-    led = false;
-    return state(alone);
+    hasLeader = false;
+    return parseState(leaderless);
   }
 
-  private static LedgerState state(Answer a) throws IOException {
-    return a.status() == 204 ? null : Json.read(a.body(), LedgerState.class);
+  private static LedgerState parseState(Response r) throws IOException {
+    return r.status() == 204 ? null : Json.read(r.body(), LedgerState.class);
   }
 
-  /** Who has not acted on all up to an index, by who leads. */
+  /** Instances that have not applied the ledger up to the index, according to the leader. */
   public List<String> laggingInstances(long index) throws IOException {
-    for (AgreeConfig.VoterAddress v : inTurn()) {
+    for (AgreeConfig.VoterAddress v : votersLeaderFirst()) {
       try {
-        Answer a = call(v.api(), "GET", AgreeApi.ACTED + "?index=" + index, null);
-        if (a.status() == 200) {
-          return Arrays.asList(Json.read(a.body(), String[].class));
+        Response r = send(v.api(), "GET", AgreeApi.ACTED_PATH + "?index=" + index, null);
+        if (r.status() == 200) {
+          return Arrays.asList(Json.read(r.body(), String[].class));
         }
       } catch (IOException e) {
-        continue; // The next may lead by now.
+        continue; // The next one may be the leader by now.
       }
     }
-    throw new NoMajorityException("nobody leads");
+    throw new NoMajorityException("there is no leader");
   }
 
-  private List<AgreeConfig.VoterAddress> inTurn() {
+  private List<AgreeConfig.VoterAddress> votersLeaderFirst() {
     List<AgreeConfig.VoterAddress> all = new ArrayList<>(voters);
     all.sort((x, y) -> Boolean.compare(y.name().equals(leader), x.name().equals(leader)));
     return all;
   }
 
-  private static String text(Answer a) {
-    return a.status() + " " + new String(a.body(), StandardCharsets.UTF_8).trim();
+  private static String describe(Response r) {
+    return r.status() + " " + new String(r.body(), StandardCharsets.UTF_8).trim();
   }
 
-  private Answer call(InetSocketAddress at, String method, String path, byte[] body) throws IOException {
+  private Response send(InetSocketAddress at, String method, String path, byte[] body) throws IOException {
     String host = at.getAddress().getHostAddress();
     HttpURLConnection c = (HttpURLConnection) URI.create("http://" + (host.contains(":") ? "[" + host + "]" : host) + ":" + at.getPort() + path)
         .toURL().openConnection();
@@ -204,14 +205,14 @@
       try (OutputStream out = c.getOutputStream()) {
         out.write(body);
       }
-      octets += body.length;
+      bodyBytes += body.length;
     }
     int status = c.getResponseCode();
     try (InputStream in = status < 400 ? c.getInputStream() : c.getErrorStream()) {
-      byte[] got = in == null ? new byte[0] : in.readNBytes(MOST_ANSWER);
-      octets += got.length;
-      String who = c.getHeaderField(AgreeApi.LEADER);
-      return new Answer(status, got, who == null ? "" : who);
+      byte[] response = in == null ? new byte[0] : in.readNBytes(MAX_RESPONSE_BYTES);
+      bodyBytes += response.length;
+      String header = c.getHeaderField(AgreeApi.LEADER_HEADER);
+      return new Response(status, response, header == null ? "" : header);
     }
   }
 }
--- a/agree/src/main/java/cloverpulley/agree/AgreeConfig.java
+++ b/agree/src/main/java/cloverpulley/agree/AgreeConfig.java
@@ -13,17 +13,17 @@
 import java.util.TreeMap;
 
 /**
- * {@code [agree]} of the operators' file: the fleet that agrees, its voters, its limits.
+ * Section {@code [agree]} of the operators' file: the fleet that shares a disruption ledger, its voters and its limits.
  *
- * @param fleet the fleet's name: nobody of another one is heard
- * @param name this instance's name, unlike any other's and the same after a restart
- * @param groups what this instance belongs to beside "balancers"
- * @param folder where a voter keeps its file
- * @param labels further groups of upstreams, by id
- * @param raftListen where a voter hears the others
- * @param apiListen where a voter is asked
+ * @param fleet the name of the fleet; voters of another fleet are rejected
+ * @param name the name of this instance, unique and stable across restarts
+ * @param groups the groups of this instance, always including "balancers"
+ * @param folder the directory of a voter's journal
+ * @param labels additional groups of upstreams, by id
+ * @param raftListen address for connections of other voters
+ * @param apiListen address of a voter's HTTP API
  */
-public record AgreeConfig(String fleet, String name, List<String> groups, Path folder, int pollMillis, int silentMillis, int mostMb,
+public record AgreeConfig(String fleet, String name, List<String> groups, Path folder, int pollMillis, int silentMillis, int maxMb,
     List<VoterAddress> voters, Command.Rules rules, Map<String, List<String>> labels, InetSocketAddress raftListen,
     InetSocketAddress apiListen) {
 
@@ -31,12 +31,12 @@
   public static final String BALANCERS = "balancers";
   /** The group of all upstreams. */
   public static final String UPSTREAMS = "upstreams";
-  /** The group of those that hold the ledger. */
+  /** The group of the voters. */
   public static final String VOTERS = "voters";
 
-  private static final int MOST_NAME = 128;
+  private static final int MAX_NAME_LENGTH = 128;
 
-  /** A voter, and where it is. */
+  /** The addresses of a voter. */
   public record VoterAddress(String name, InetSocketAddress raft, InetSocketAddress api) {}
 
   /** Reads the section. */
@@ -81,12 +81,12 @@
         s.has("api_listen") || own == null ? s.address("api_listen", "127.0.0.1:0") : own.api());
   }
 
-  private static List<String> groups(Section s, boolean votes, String zone) {
+  private static List<String> groups(Section s, boolean isVoter, String zone) {
     List<String> groups = new ArrayList<>(List.of(BALANCERS));
     if (!zone.isEmpty()) {
       groups.add(BALANCERS + ":" + zone);
     }
-    if (votes) {
+    if (isVoter) {
       groups.add(VOTERS);
     }
     groups.addAll(s.texts("groups", List.of()));
@@ -96,17 +96,17 @@
   private static String name(Section s, String key) {
     String name = s.text(key);
     if (!name.isEmpty() && !isName(name)) {
-      s.wrong(key, "expected letters, digits and . : # - _, " + MOST_NAME + " at most, got \"" + name + "\"");
+      s.wrong(key, "expected letters, digits and . : # - _, " + MAX_NAME_LENGTH + " at most, got \"" + name + "\"");
     }
     return name;
   }
 
-  /** Whether a text can be the name of an instance, a group or a fleet. */
+  /** Whether a text is a valid name of an instance, a group or a fleet. */
   static boolean isName(String text) {
-    return text.length() <= MOST_NAME && text.matches("[\\w.:#-]+");
+    return text.length() <= MAX_NAME_LENGTH && text.matches("[\\w.:#-]+");
   }
 
-  /** Whether this instance holds the ledger. */
+  /** Whether this instance is a voter. */
   public boolean isVoter() {
     return voters.stream().anyMatch(v -> v.name().equals(name));
   }
@@ -115,13 +115,13 @@
     return folder.resolve(name + ".ledger");
   }
 
-  /** Makes the file of a voter that has never been one; one that {@code joins} takes the place of another. */
-  public Path init(boolean joins) throws java.io.IOException {
-    RaftJournal.create(journal(), fleet, joins);
+  /** Creates the journal of a new voter; {@code joining} for one that replaces another. */
+  public Path init(boolean joining) throws java.io.IOException {
+    RaftJournal.create(journal(), fleet, joining);
     return journal();
   }
 
-  /** The groups of an upstream of the list. */
+  /** The groups of an upstream. */
   public List<String> groupsOf(String id, String zone, int cell) {
     List<String> groups = new ArrayList<>(List.of(UPSTREAMS, "cell:" + cell));
     if (!zone.isEmpty()) {
--- a/agree/src/main/java/cloverpulley/agree/Codec.java
+++ b/agree/src/main/java/cloverpulley/agree/Codec.java
@@ -29,13 +29,13 @@
 import java.util.Collection;
 import java.util.List;
 
-/** Raft's messages and log entries as octets: a type, then its fields in the order of their interface. Version 1. */
+/** Binary encoding of Raft messages and log entries: a type, then the fields in the order of their interface. Version 1. */
 final class Codec {
 
   static final RaftModelFactory MODEL = new DefaultRaftModelFactory();
-  /** What a message may hold; a snapshot is the largest. */
-  static final int MOST_BYTES = 32 << 20;
-  private static final int MOST_LIST = 100_000;
+  /** Maximum size of a message; snapshots are the largest. */
+  static final int MAX_MESSAGE_BYTES = 32 << 20;
+  private static final int MAX_LIST_SIZE = 100_000;
 
   private final Object group;
 
@@ -112,10 +112,10 @@
         return i + 1;
       }
     }
-    throw new IOException("no form for " + m.getClass());
+    throw new IOException("cannot encode " + m.getClass());
   }
 
-  /** Reads a message; throws an {@link IOException} for what is none. */
+  /** Reads a message; throws an {@link IOException} if it is malformed. */
   RaftMessage read(byte[] bytes) throws IOException {
     DataInputStream i = new DataInputStream(new ByteArrayInputStream(bytes));
     int type = i.readUnsignedByte();
@@ -144,10 +144,10 @@
       case 9 -> MODEL.createVoteResponseBuilder().setGroupId(group).setSender(sender).setTerm(term).setGranted(i.readBoolean()).build();
       case 10 -> MODEL.createTriggerLeaderElectionRequestBuilder().setGroupId(group).setSender(sender).setTerm(term)
           .setLastLogTerm(i.readInt()).setLastLogIndex(i.readLong()).build();
-      default -> throw new IOException("no message has the type " + type);
+      default -> throw new IOException("unknown message type " + type);
     };
     if (i.available() > 0) {
-      throw new IOException("more behind a message than it holds");
+      throw new IOException("trailing bytes after a message");
     }
     return m;
   }
@@ -170,8 +170,8 @@
 
   private static int size(DataInputStream i) throws IOException {
     int n = i.readInt();
-    if (n < 0 || n > MOST_LIST) {
-      throw new IOException("a list of " + n);
+    if (n < 0 || n > MAX_LIST_SIZE) {
+      throw new IOException("invalid list size " + n);
     }
     return n;
   }
@@ -218,7 +218,7 @@
   static void chunk(DataOutputStream o, SnapshotChunk c) throws IOException {
     o.writeLong(c.getIndex());
     o.writeInt(c.getTerm());
-    octets(o, ((String) c.getOperation()).getBytes(StandardCharsets.UTF_8));
+    bytes(o, ((String) c.getOperation()).getBytes(StandardCharsets.UTF_8));
     o.writeInt(c.getSnapshotChunkIndex());
     o.writeInt(c.getSnapshotChunkCount());
     members(o, c.getGroupMembersView());
@@ -226,14 +226,14 @@
 
   static SnapshotChunk chunk(DataInputStream i) throws IOException {
     return MODEL.createSnapshotChunkBuilder().setIndex(i.readLong()).setTerm(i.readInt())
-        .setOperation(new String(octets(i), StandardCharsets.UTF_8)).setSnapshotChunkIndex(i.readInt()).setSnapshotChunkCount(i.readInt())
+        .setOperation(new String(bytes(i), StandardCharsets.UTF_8)).setSnapshotChunkIndex(i.readInt()).setSnapshotChunkCount(i.readInt())
         .setGroupMembersView(members(i)).build();
   }
 
   private static void operation(DataOutputStream o, Object operation) throws IOException {
     if (operation instanceof TimestampedCommand s) {
       o.writeByte(1);
-      octets(o, Json.write(s));
+      bytes(o, Json.write(s));
     } else if (operation instanceof UpdateRaftGroupMembersOp u) {
       o.writeByte(2);
       endpoints(o, u.getMembers());
@@ -241,7 +241,7 @@
       endpoint(o, u.getEndpoint());
       o.writeUTF(u.getMode().name());
     } else {
-      throw new IOException("no form for the operation " + operation);
+      throw new IOException("cannot encode operation " + operation);
     }
   }
 
@@ -249,25 +249,25 @@
     int type = i.readUnsignedByte();
     try {
       return switch (type) {
-        case 1 -> Json.read(octets(i), TimestampedCommand.class);
+        case 1 -> Json.read(bytes(i), TimestampedCommand.class);
         case 2 -> MODEL.createUpdateRaftGroupMembersOpBuilder().setMembers(endpoints(i)).setVotingMembers(endpoints(i))
             .setEndpoint(endpoint(i)).setMode(MembershipChangeMode.valueOf(i.readUTF())).build();
-        default -> throw new IOException("no operation has the type " + type);
+        default -> throw new IOException("unknown operation type " + type);
       };
     } catch (IllegalArgumentException e) {
       throw new IOException(e);
     }
   }
 
-  private static void octets(DataOutputStream o, byte[] octets) throws IOException {
-    o.writeInt(octets.length);
-    o.write(octets);
+  private static void bytes(DataOutputStream o, byte[] bytes) throws IOException {
+    o.writeInt(bytes.length);
+    o.write(bytes);
   }
 
-  private static byte[] octets(DataInputStream i) throws IOException {
+  private static byte[] bytes(DataInputStream i) throws IOException {
     int n = i.readInt();
     if (n < 0 || n > i.available()) {
-      throw new IOException("a text of " + n);
+      throw new IOException("invalid text length " + n);
     }
     return i.readNBytes(n);
   }
--- a/agree/src/main/java/cloverpulley/agree/DurableState.java
+++ b/agree/src/main/java/cloverpulley/agree/DurableState.java
@@ -1,10 +1,10 @@
 package cloverpulley.agree;
 
+import io.microraft.model.groupop.UpdateRaftGroupMembersOp;
 import io.microraft.model.log.LogEntry;
 import io.microraft.model.log.RaftGroupMembersView;
 import io.microraft.model.log.SnapshotChunk;
 import io.microraft.model.log.SnapshotEntry;
-import io.microraft.model.groupop.UpdateRaftGroupMembersOp;
 import io.microraft.model.persistence.RaftEndpointPersistentState;
 import io.microraft.model.persistence.RaftTermPersistentState;
 import io.microraft.persistence.RestoredRaftState;
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.TreeMap;
 
-/** What a voter must not forget, as it stands: what a store holds, wherever it puts it. */
+/** The Raft state that a voter must keep across restarts, in memory; stores write it to their medium. */
 final class DurableState {
 
   RaftEndpointPersistentState endpoint;
@@ -29,19 +29,19 @@
     more.forEach(e -> entries.put(e.getIndex(), e));
   }
 
-  /** The entries that Raft starts with: older ones may still be here, and are in the snapshot. */
-  List<LogEntry> behindSnapshot() {
-    return new ArrayList<>(entries.tailMap(snapshot(), false).values());
+  /** The log entries after the snapshot. Older ones may still be kept but are covered by it. */
+  List<LogEntry> entriesAfterSnapshot() {
+    return new ArrayList<>(entries.tailMap(snapshotIndex(), false).values());
   }
 
-  /** The index of the last snapshot that is whole; 0 for none. */
-  long snapshot() {
+  /** The index of the last complete snapshot; 0 for none. */
+  long snapshotIndex() {
     RestoredRaftState s = restored();
     return s == null || s.getSnapshotEntry() == null ? 0 : s.getSnapshotEntry().getIndex();
   }
 
-  /** The index of the last entry, or of the snapshot where there is none behind it; 0 for nothing. */
-  long last() {
+  /** The index of the last entry, or of the snapshot if no entry follows it; 0 for none. */
+  long lastIndex() {
     RestoredRaftState s = restored();
     if (s == null) {
       return 0;
@@ -50,8 +50,8 @@
     return s.getLogEntries().isEmpty() ? snapshot : s.getLogEntries().get(s.getLogEntries().size() - 1).getIndex();
   }
 
-  /** The voters as they are known here: those of the start, or of the last change that was heard of. */
-  RaftGroupMembersView group() {
+  /** The latest known members: the initial ones, or those of the last membership change in the snapshot or log. */
+  RaftGroupMembersView latestMembers() {
     RestoredRaftState s = restored();
     RaftGroupMembersView group = members;
     if (s != null && s.getSnapshotEntry() != null) {
@@ -66,7 +66,7 @@
     return group;
   }
 
-  /** What Raft starts with: the last snapshot that is whole, and the entries behind it; null for a voter that has never been one. */
+  /** The state that Raft starts with: the last complete snapshot and the entries after it; null for a voter that has never run. */
   RestoredRaftState restored() {
     if (endpoint == null || members == null) {
       return null;
--- a/agree/src/main/java/cloverpulley/agree/ElectionWatchdog.java
+++ b/agree/src/main/java/cloverpulley/agree/ElectionWatchdog.java
@@ -6,38 +6,38 @@
 import io.microraft.model.message.RaftMessage;
 
 /**
- * Guards the voters from waiting for ever for a leader that is gone. Where a leader is heard of while the library asks for pre-votes, that asking
- * is never taken for ended, and it never asks again: two of three that both stood so elected nobody after the third was killed (two
- * of five runs of a case of OutsIT beside other work). A follower whose leader has been silent for far longer than an election takes is moved to the next term, which Raft
- * lets anybody do at any time, and forgets both. One thread.
+ * Works around followers that wait for a dead leader for ever. When MicroRaft learns of a leader while it is collecting pre-votes, it never
+ * ends that pre-vote round and starts no further one. Two of three voters in that state elected no leader after the third was killed (two of
+ * five runs of a case of OutsIT under load). A follower whose leader has been unresponsive for much longer than an election takes is moved to
+ * the next term, which Raft allows at any time; that resets the leader and the pre-vote round. Not thread-safe.
  */
 final class ElectionWatchdog {
 
-  /** Three times a leader's heartbeat time-out, so that the library's own way comes first. */
-  static final long SILENT_MICROS = 3_000_000;
+  /** Three times the leader heartbeat timeout, so that MicroRaft's own election has precedence. */
+  static final long TIMEOUT_MICROS = 3_000_000;
 
-  private long heardAt;
+  private long lastHeartbeat;
 
-  /** A message has come. */
-  void heard(RaftMessage m, long nowMicros) {
+  /** Records a received message. */
+  void onMessage(RaftMessage m, long nowMicros) {
     if (m instanceof AppendEntriesRequest || m instanceof InstallSnapshotRequest) {
-      heardAt = Math.max(heardAt, nowMicros);
+      lastHeartbeat = Math.max(lastHeartbeat, nowMicros);
     }
   }
 
   /**
-   * What is to be handed to the library now; null for nothing. No log can grant the vote that it asks for.
+   * Returns a message to pass to MicroRaft now, or null. It is a vote request of the next term with an empty log, which nobody grants.
    *
-   * @param leader who leads as far as this voter knows; null for nobody, and then the library asks by itself
+   * @param leader the leader that this voter knows; null for none, and then MicroRaft starts an election by itself
    */
-  RaftMessage look(long nowMicros, RaftEndpoint self, RaftEndpoint leader, int term, Object group) {
+  RaftMessage check(long nowMicros, RaftEndpoint self, RaftEndpoint leader, int term, Object group) {
     if (leader == null || leader.equals(self)) {
-      heardAt = nowMicros;
+      lastHeartbeat = nowMicros;
       return null;
-    } else if (nowMicros - heardAt < SILENT_MICROS) {
+    } else if (nowMicros - lastHeartbeat < TIMEOUT_MICROS) {
       return null;
     }
-    heardAt = nowMicros;
+    lastHeartbeat = nowMicros;
     return Codec.MODEL.createVoteRequestBuilder().setGroupId(group).setSender(leader).setTerm(term + 1).setLastLogTerm(0).setLastLogIndex(0)
         .setSticky(false).build();
   }
--- a/agree/src/main/java/cloverpulley/agree/Follower.java
+++ b/agree/src/main/java/cloverpulley/agree/Follower.java
@@ -1,11 +1,11 @@
 package cloverpulley.agree;
 
-import cloverpulley.outs.UpstreamReconciler;
 import cloverpulley.outs.Command;
 import cloverpulley.outs.Heartbeat;
-import cloverpulley.outs.RejectionRate;
 import cloverpulley.outs.LedgerState;
+import cloverpulley.outs.RejectionRate;
 import cloverpulley.outs.UpstreamHealthMonitor;
+import cloverpulley.outs.UpstreamReconciler;
 import java.io.IOException;
 import java.util.ArrayDeque;
 import java.util.List;
@@ -22,151 +22,156 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * An instance's side of the ledger, on a thread of its own: looks at it, has its module act, says so with the next look, and tells what it
- * sees of upstreams. Without a word from any voter everything stays as it is: what is out stays out, the rest serves.
+ * An instance's client of the ledger, on a thread of its own: polls the state, sets upstreams offline and online accordingly, acknowledges
+ * that with the next poll, and reports the health of upstreams. While no voter is reachable everything stays as it is: upstreams that are
+ * offline stay offline, the others serve.
  */
 public final class Follower implements AutoCloseable {
 
   private static final Logger LOG = LoggerFactory.getLogger(Follower.class);
 
-  private static final long TELL_MILLIS = 1000;
-  private static final long ACT_MILLIS = 1000;
-  private static final int MOST_WORDS = 50;
-  private static final int MOST_OUTCOMES = 8192;
-  /** The part of its patience after which one that starts takes the ledger of a voter that knows of no leader: better old than none. */
-  private static final double PATIENCE_PART = 0.75;
+  private static final long REPORT_TIMEOUT_MILLIS = 1000;
+  private static final long ACTION_TIMEOUT_MILLIS = 1000;
+  private static final int MAX_REPORTS = 50;
+  private static final int MAX_OUTCOMES = 8192;
+  /**
+   * Ratio of the time for the first sync after which the state of a voter that knows no leader is accepted: a starting instance rather uses a
+   * stale ledger than none.
+   */
+  private static final double LEADERLESS_AFTER_RATIO = 0.75;
 
-  private record Outcome(String upstream, boolean answered, boolean nothingCame) {}
+  private record AttemptOutcome(String upstream, boolean answered, boolean wasTimeout) {}
 
-  /** Where an instance acts. */
+  /** Changes the administrative state of an instance's upstreams. */
   public interface Upstreams {
-    /** Nothing new to it; done once the module knows. */
+    /** Sends the upstream nothing new; it has been out for {@code forMillis} already. Completes once the change is in effect. */
     CompletableFuture<Void> setOffline(String id, long forMillis);
 
-    /** It may serve again, cold; done once the module knows. */
+    /** Lets the upstream serve again, in slow start. Completes once the change is in effect. */
     CompletableFuture<Void> setOnline(String id);
   }
 
   private final AgreeConfig config;
   private final AgreeClient client;
   private final Upstreams upstreams;
-  private final long patientUntil;
-  private final UpstreamReconciler acting = new UpstreamReconciler();
-  private final UpstreamHealthMonitor watch;
-  private final MpscArrayQueue<Outcome> outcomes = new MpscArrayQueue<>(MOST_OUTCOMES);
+  private final long acceptLeaderlessAt;
+  private final UpstreamReconciler reconciler = new UpstreamReconciler();
+  private final UpstreamHealthMonitor healthMonitor;
+  private final MpscArrayQueue<AttemptOutcome> outcomes = new MpscArrayQueue<>(MAX_OUTCOMES);
   private final ScheduledExecutorService thread = new ScheduledThreadPoolExecutor(1, task -> {
-    Thread made = new Thread(task, "ledger");
-    made.setDaemon(true);
-    return made;
+    Thread t = new Thread(task, "ledger");
+    t.setDaemon(true);
+    return t;
   });
-  /** Tells this process from another of the same name. */
+  /** Distinguishes this process from others of the same instance. */
   private final String process = UUID.randomUUID().toString();
-  private final RejectionRate refusals = new RejectionRate();
-  private final LongAdder ended = new LongAdder();
-  private final LongAdder refused = new LongAdder();
-  private final ArrayDeque<UpstreamReconciler.Action> todo = new ArrayDeque<>();
-  private final CompletableFuture<Void> first = new CompletableFuture<>();
-  private LedgerState seen;
-  private long acted = -1;
-  private boolean deaf;
+  private final RejectionRate rejectionRate = new RejectionRate();
+  private final LongAdder completed = new LongAdder();
+  private final LongAdder rejected = new LongAdder();
+  private final ArrayDeque<UpstreamReconciler.Action> pendingActions = new ArrayDeque<>();
+  private final CompletableFuture<Void> firstSync = new CompletableFuture<>();
+  private LedgerState current;
+  private long appliedIndex = -1;
+  private boolean isDisconnected;
 
   /**
-   * Begins to look at once.
+   * Starts polling immediately.
    *
-   * @param warmMillis how long an upstream that came back takes until it is warm
-   * @param patienceMillis how long its first look may take
+   * @param warmMillis duration of the slow start of a returning upstream
+   * @param firstSyncMillis time that the caller waits for the first sync
    */
-  public Follower(AgreeConfig config, Upstreams upstreams, long warmMillis, long patienceMillis) {
-    patientUntil = now() + (long) (PATIENCE_PART * patienceMillis);
+  public Follower(AgreeConfig config, Upstreams upstreams, long warmMillis, long firstSyncMillis) {
+    acceptLeaderlessAt = nowMillis() + (long) (LEADERLESS_AFTER_RATIO * firstSyncMillis);
     this.config = config;
     this.upstreams = upstreams;
     client = new AgreeClient(config.voters());
-    watch = new UpstreamHealthMonitor(config.name(), warmMillis, Math.max(config.pollMillis(), config.rules().freshMillis() / 3));
-    thread.scheduleWithFixedDelay(this::look, 0, config.pollMillis(), TimeUnit.MILLISECONDS);
+    healthMonitor = new UpstreamHealthMonitor(config.name(), warmMillis, Math.max(config.pollMillis(), config.rules().freshMillis() / 3));
+    thread.scheduleWithFixedDelay(this::poll, 0, config.pollMillis(), TimeUnit.MILLISECONDS);
   }
 
-  /** An attempt at an upstream has ended; from any thread, which waits for nobody: what there is no room for is not told. */
-  public void recordAttempt(String upstream, boolean answered, boolean nothingCame) {
-    outcomes.offer(new Outcome(upstream, answered, nothingCame));
+  /** Records the end of an attempt. Thread-safe and non-blocking; outcomes beyond the capacity of the queue are dropped. */
+  public void recordAttempt(String upstream, boolean answered, boolean wasTimeout) {
+    outcomes.offer(new AttemptOutcome(upstream, answered, wasTimeout));
   }
 
-  /** A request has its answer; from any thread. */
-  public void recordRequest(boolean wasRefused) {
-    ended.increment();
-    if (wasRefused) {
-      refused.increment();
+  /** Records an answered request. Thread-safe. */
+  public void recordRequest(boolean wasRejected) {
+    completed.increment();
+    if (wasRejected) {
+      rejected.increment();
     }
   }
 
-  /** Done once the ledger was looked at and acted on for the first time. */
+  /** Completes once the ledger has been read and applied for the first time. */
   public CompletableFuture<Void> firstSync() {
-    return first;
+    return firstSync;
   }
 
-  private static long now() {
+  private static long nowMillis() {
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
   }
 
-  /** Never throws: a turn that did would be the last. */
-  private void look() {
+  /** Never throws: the executor cancels a periodic task that does. */
+  private void poll() {
     try {
-      if (!todo.isEmpty()) {
-        act(seen == null ? LedgerState.EMPTY : seen);
+      if (!pendingActions.isEmpty()) {
+        apply(current == null ? LedgerState.EMPTY : current);
       }
-      LedgerState s = client.poll(config.name(), new Heartbeat(process, config.groups(), acted, refusals.update(now(), ended.sum(), refused.sum())), acted);
-      if (s != null && (client.isLed() || first.isDone() || now() >= patientUntil)) {
-        act(s);
+      LedgerState s = client.poll(config.name(), new Heartbeat(process, config.groups(), appliedIndex,
+          rejectionRate.update(nowMillis(), completed.sum(), rejected.sum())), appliedIndex);
+      if (s != null && (client.hasLeader() || firstSync.isDone() || nowMillis() >= acceptLeaderlessAt)) {
+        apply(s);
       }
-      if (deaf) {
-        deaf = false;
-        LOG.info("the ledger is heard again");
+      if (isDisconnected) {
+        isDisconnected = false;
+        LOG.info("the ledger is reachable again");
       }
-      outcomes.drain(o -> watch.recordAttempt(now(), o.upstream(), o.answered(), o.nothingCame()));
-      if (seen != null) {
-        tell();
+      outcomes.drain(o -> healthMonitor.recordAttempt(nowMillis(), o.upstream(), o.answered(), o.wasTimeout()));
+      if (current != null) {
+        sendReports();
       }
     } catch (IOException | RuntimeException e) {
-      if (!deaf) {
-        deaf = true;
-        LOG.warn("the ledger can't be heard, what is out stays out: {}", e.getMessage());
+      if (!isDisconnected) {
+        isDisconnected = true;
+        LOG.warn("the ledger is unreachable, offline upstreams stay offline: {}", e.getMessage());
       }
     }
   }
 
-  private void act(LedgerState s) throws IOException {
+  private void apply(LedgerState s) throws IOException {
     try {
-      todo.addAll(acting.reconcile(s));
-      while (!todo.isEmpty()) {
-        UpstreamReconciler.Action step = todo.peek(); // Gone only once it is done: what the module has not heard is told again.
-        if (step instanceof UpstreamReconciler.Action.SetOffline t) {
-          LOG.info("agreed: {} out", t.upstream());
-          upstreams.setOffline(t.upstream(), t.forMillis()).get(ACT_MILLIS, TimeUnit.MILLISECONDS);
-        } else if (step instanceof UpstreamReconciler.Action.SetOnline c) {
-          LOG.info("agreed: {} back", c.upstream());
-          upstreams.setOnline(c.upstream()).get(ACT_MILLIS, TimeUnit.MILLISECONDS);
+      pendingActions.addAll(reconciler.reconcile(s));
+      while (!pendingActions.isEmpty()) {
+        UpstreamReconciler.Action action = pendingActions.peek(); // Removed only once it is done, so that a failed action is repeated.
+        if (action instanceof UpstreamReconciler.Action.SetOffline offline) {
+          LOG.info("setting offline: {}", offline.upstream());
+          upstreams.setOffline(offline.upstream(), offline.forMillis()).get(ACTION_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        } else if (action instanceof UpstreamReconciler.Action.SetOnline online) {
+          LOG.info("setting online: {}", online.upstream());
+          upstreams.setOnline(online.upstream()).get(ACTION_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
         }
-        todo.poll();
+        pendingActions.poll();
       }
-      if (s.index() >= acting.index()) {
-        seen = s;
-        acted = s.index();
-        first.complete(null);
+      if (s.index() >= reconciler.index()) {
+        current = s;
+        appliedIndex = s.index();
+        firstSync.complete(null);
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (ExecutionException | TimeoutException e) {
-      throw new IOException("the module could not act", e); // Not said to have acted.
+      throw new IOException("the change of an upstream failed", e); // Not acknowledged with the next poll.
     }
   }
 
-  private void tell() throws IOException {
-    List<Command> words = watch.pendingReports(now(), seen);
-    for (int i = 0; i < Math.min(MOST_WORDS, words.size()); i++) {
-      client.command(words.get(i), TELL_MILLIS);
+  private void sendReports() throws IOException {
+    List<Command> reports = healthMonitor.pendingReports(nowMillis(), current);
+    for (int i = 0; i < Math.min(MAX_REPORTS, reports.size()); i++) {
+      client.command(reports.get(i), REPORT_TIMEOUT_MILLIS);
     }
   }
 
-  /** Looks no more; what is out stays out. */
+  /** Stops polling; offline upstreams stay offline. */
   @Override
   public void close() {
     thread.shutdownNow();
--- a/agree/src/main/java/cloverpulley/agree/Json.java
+++ b/agree/src/main/java/cloverpulley/agree/Json.java
@@ -2,8 +2,8 @@
 
 import cloverpulley.outs.Command;
 import com.fasterxml.jackson.annotation.JsonTypeInfo;
-import com.fasterxml.jackson.core.StreamReadConstraints;
 import com.fasterxml.jackson.core.JsonFactory;
+import com.fasterxml.jackson.core.StreamReadConstraints;
 import com.fasterxml.jackson.databind.DeserializationFeature;
 import com.fasterxml.jackson.databind.MapperFeature;
 import com.fasterxml.jackson.databind.ObjectMapper;
@@ -14,20 +14,23 @@
 import java.util.Arrays;
 import java.util.Locale;
 
-/** Commands, replies and states as text, for the log, its snapshots and the way in. A command's form is its name in lower case. */
+/**
+ * Reads and writes commands, replies and states as JSON, for the log, its snapshots and the API. The property "do" of a command holds its class
+ * name in lower case.
+ */
 public final class Json {
 
-  private static final int MOST_DEPTH = 20;
+  private static final int MAX_NESTING_DEPTH = 20;
 
   @JsonTypeInfo(use = JsonTypeInfo.Id.NAME, property = "do")
-  private interface Named {}
+  private interface TypedByName {}
 
   private static final ObjectMapper MAPPER = JsonMapper.builder(JsonFactory.builder()
-      .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(MOST_DEPTH).build()).build())
-      // A record's parts, and nothing that it works out of them.
+      .streamReadConstraints(StreamReadConstraints.builder().maxNestingDepth(MAX_NESTING_DEPTH).build()).build())
+      // Only record components, not methods such as isSuccess().
       .disable(MapperFeature.AUTO_DETECT_IS_GETTERS).build()
-      .addMixIn(Command.class, Named.class)
-      // An older program does not act on half of what a newer one says.
+      .addMixIn(Command.class, TypedByName.class)
+      // An older release must not apply a newer command only in part.
       .enable(DeserializationFeature.FAIL_ON_UNKNOWN_PROPERTIES).enable(DeserializationFeature.FAIL_ON_NULL_FOR_PRIMITIVES)
       .enable(DeserializationFeature.FAIL_ON_MISSING_CREATOR_PROPERTIES);
 
@@ -38,17 +41,17 @@
 
   private Json() {}
 
-  /** The text of a value. */
+  /** Writes a value as JSON. */
   public static byte[] write(Object value) {
     try {
-      // By its interface, so that a command's name is written.
+      // A command is written by its interface, so that the type name is included.
       return value instanceof Command ? MAPPER.writerFor(Command.class).writeValueAsBytes(value) : MAPPER.writeValueAsBytes(value);
     } catch (IOException e) {
       throw new UncheckedIOException(e);
     }
   }
 
-  /** The value of a text; throws where it is no such value, or one with more than this program knows. */
+  /** Reads a value; throws if the text is not such a value or has properties that this release does not know. */
   public static <T> T read(byte[] text, Class<T> type) throws IOException {
     T value = MAPPER.readValue(text, type);
     if (value == null) {
--- a/agree/src/main/java/cloverpulley/agree/LedgerClock.java
+++ b/agree/src/main/java/cloverpulley/agree/LedgerClock.java
@@ -4,8 +4,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * The time with which a voter stamps commands, in milliseconds. It begins at the Unix time of the voter's start and goes on by the monotonic clock, so that a
- * step of the wall clock neither ages all that the ledger holds at once nor keeps it from ageing; it is never behind the ledger. Thread-safe.
+ * The clock for the timestamps of a voter's commands, in milliseconds. It begins at the Unix time of the voter's start and advances by the
+ * monotonic clock, so that a step of the wall clock neither ages everything in the ledger at once nor stops it from ageing. It is never behind
+ * the time of the ledger. Thread-safe.
  */
 final class LedgerClock {
 
@@ -19,7 +20,7 @@
     baseNanos = nanos.getAsLong();
   }
 
-  /** The stamp of a command that comes behind what the ledger holds, whose time stands at {@code ledgerMillis}. */
+  /** Returns the timestamp of the next command; {@code ledgerMillis} is the current time of the ledger. */
   synchronized long stamp(long ledgerMillis) {
     long now = nanos.getAsLong();
     long millis = baseMillis + TimeUnit.NANOSECONDS.toMillis(now - baseNanos);
--- a/agree/src/main/java/cloverpulley/agree/LedgerStateMachine.java
+++ b/agree/src/main/java/cloverpulley/agree/LedgerStateMachine.java
@@ -10,11 +10,11 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** The ledger as Raft's state machine. Commands come on Raft's thread, looks from others: a look is a value, made once for an index. */
+/** The ledger as Raft's state machine. Commands run on the Raft thread, readers on others; the immutable state is cached per log index. */
 final class LedgerStateMachine implements StateMachine {
 
   private final DisruptionLedger ledger;
-  private LedgerState looked;
+  private LedgerState cachedState;
 
   LedgerStateMachine(DisruptionLedger ledger) {
     this.ledger = ledger;
@@ -38,9 +38,9 @@
     try {
       ledger.restore(Json.read(text.toString().getBytes(StandardCharsets.UTF_8), LedgerState.class));
     } catch (IOException e) {
-      throw new UncheckedIOException(e); // A snapshot of a newer version: this voter can't go on.
+      throw new UncheckedIOException(e); // A snapshot of a newer version, which this voter can't use.
     }
-    looked = null;
+    cachedState = null;
   }
 
   @Override
@@ -48,15 +48,15 @@
     return new TimestampedCommand(0, new Command.Tick());
   }
 
-  /** The ledger as it is. */
+  /** The current state of the ledger. */
   synchronized LedgerState state() {
-    if (looked == null || looked.index() != ledger.index()) {
-      looked = ledger.state();
+    if (cachedState == null || cachedState.index() != ledger.index()) {
+      cachedState = ledger.state();
     }
-    return looked;
+    return cachedState;
   }
 
-  /** The ledger's time: the latest stamp that it holds. */
+  /** The time of the ledger, its latest timestamp. */
   synchronized long nowMillis() {
     return ledger.nowMillis();
   }
--- a/agree/src/main/java/cloverpulley/agree/MemoryStore.java
+++ b/agree/src/main/java/cloverpulley/agree/MemoryStore.java
@@ -12,21 +12,21 @@
 import java.util.Random;
 import java.util.TreeMap;
 
-/** A voter's file in a simulation: what was not flushed when it crashed is there up to some point, as on a disk. */
+/** The store of a simulated voter: a crash keeps a random prefix of the writes that were not flushed, as a disk does. */
 final class MemoryStore implements RaftStore {
 
-  private final DurableState kept = new DurableState();
+  private final DurableState state = new DurableState();
   private final List<Runnable> unflushed = new ArrayList<>();
   private LogOverlap overlap = new LogOverlap();
 
-  /** The machine goes down: a part of what was not flushed is kept, from its beginning on. */
+  /** Simulates a crash: a random prefix of the unflushed writes survives. */
   void crash(Random random) {
-    int left = unflushed.isEmpty() ? 0 : random.nextInt(unflushed.size() + 1);
-    unflushed.subList(0, left).forEach(Runnable::run);
+    int survivors = unflushed.isEmpty() ? 0 : random.nextInt(unflushed.size() + 1);
+    unflushed.subList(0, survivors).forEach(Runnable::run);
     unflushed.clear();
     overlap = new LogOverlap();
-    overlap.snapshotUntil(kept.snapshot());
-    overlap.has(kept.behindSnapshot());
+    overlap.setSnapshotIndex(state.snapshotIndex());
+    overlap.add(state.entriesAfterSnapshot());
   }
 
   LogOverlap overlap() {
@@ -34,55 +34,55 @@
   }
 
   RestoredRaftState restored() {
-    return kept.restored();
+    return state.restored();
   }
 
   @Override
   public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState s) {
     flush();
-    kept.endpoint = s;
+    state.endpoint = s;
   }
 
   @Override
   public void persistAndFlushInitialGroupMembers(RaftGroupMembersView v) {
     flush();
-    kept.members = v;
+    state.members = v;
   }
 
   @Override
   public void persistAndFlushTerm(RaftTermPersistentState t) {
     flush();
-    kept.term = t;
+    state.term = t;
   }
 
   @Override
   public void persistLogEntries(List<LogEntry> more) {
     List<LogEntry> copy = List.copyOf(more);
-    overlap.has(copy);
-    unflushed.add(() -> kept.add(copy));
+    overlap.add(copy);
+    unflushed.add(() -> state.add(copy));
   }
 
   @Override
   public void persistSnapshotChunk(SnapshotChunk c) {
-    overlap.has(c);
-    unflushed.add(() -> kept.add(c));
+    overlap.add(c);
+    unflushed.add(() -> state.add(c));
   }
 
   @Override
   public void truncateLogEntriesFrom(long index) {
-    overlap.lostFrom(index);
-    unflushed.add(() -> kept.entries.tailMap(index, true).clear());
+    overlap.truncateFrom(index);
+    unflushed.add(() -> state.entries.tailMap(index, true).clear());
   }
 
   @Override
   public void truncateLogEntriesUntil(long index) {
-    overlap.lostUntil(index);
-    unflushed.add(() -> kept.entries.headMap(index, true).clear());
+    overlap.truncateUntil(index);
+    unflushed.add(() -> state.entries.headMap(index, true).clear());
   }
 
   @Override
   public void deleteSnapshotChunks(long index, int count) {
-    unflushed.add(() -> kept.chunks.remove(index));
+    unflushed.add(() -> state.chunks.remove(index));
   }
 
   @Override
--- a/agree/src/main/java/cloverpulley/agree/Peer.java
+++ b/agree/src/main/java/cloverpulley/agree/Peer.java
@@ -2,7 +2,7 @@
 
 import io.microraft.RaftEndpoint;
 
-/** A voter, known by its name. */
+/** A voter as a Raft endpoint, identified by its name. */
 record Peer(String name) implements RaftEndpoint {
 
   @Override
--- a/agree/src/main/java/cloverpulley/agree/PreVoteTermCatchUp.java
+++ b/agree/src/main/java/cloverpulley/agree/PreVoteTermCatchUp.java
@@ -4,18 +4,18 @@
 import io.microraft.model.message.RaftMessage;
 
 /**
- * Guards the voters from standing without a leader for ever. The library refuses a pre-vote of a term behind its own, and who is refused does
- * not take up the term that the refusal names: where those with the longest logs are behind in terms, nobody can ever be elected (seed
- * 1065352 of the histories). Such a refusal comes on as a request for a vote in its term that no log can grant, at which a voter
- * without a leader takes up the term, as Raft asks of it for any message, and one with a leader does nothing.
+ * Works around groups that never elect a leader. MicroRaft rejects a pre-vote of a term lower than its own, and the candidate does not adopt
+ * the term of the rejection: when the voters with the longest logs are behind in terms, no leader can be elected (seed 1065352 of the simulated
+ * histories). Such a rejection is replaced by a vote request of its term with an empty log, which nobody grants. A voter without a leader then
+ * adopts the term, as Raft requires for any message, and one with a leader ignores it.
  */
 final class PreVoteTermCatchUp {
 
   private PreVoteTermCatchUp() {}
 
-  /** The same message, or, where a pre-vote was refused by one of a later term than this voter's, what makes this voter take that up. */
-  static RaftMessage taken(RaftMessage m, int term) {
-    // A refusal for any other reason names the term that was asked for, the next one: it is nobody's yet.
+  /** Returns the message itself, or, for a pre-vote rejected by a voter of a later term, a message that makes this voter adopt that term. */
+  static RaftMessage rewrite(RaftMessage m, int term) {
+    // A rejection for another reason has the requested term, which is the next one and not in use yet.
     if (!(m instanceof PreVoteResponse r) || r.isGranted() || r.getTerm() <= term + 1) {
       return m;
     }
--- a/agree/src/main/java/cloverpulley/agree/RaftJournal.java
+++ b/agree/src/main/java/cloverpulley/agree/RaftJournal.java
@@ -27,201 +27,206 @@
 import java.util.zip.CRC32C;
 
 /**
- * What a voter must not forget, in one append-only file of frames, each under a CRC-32C; forced to the disk before anybody is told. A torn
- * tail, which nobody was told of, is cut off. A spoilt frame with sound ones behind it was told of once: such a file is not used, for a
- * voter that forgets half of what it said could grant a place twice. Past its bound it is written anew beside, and put in place in one step.
+ * The durable state of a voter: an append-only file of frames, each with a CRC-32C, forced to disk before Raft acknowledges the change. A
+ * truncated last frame was never acknowledged and is cut off on recovery. A corrupt frame with valid ones after it was acknowledged: such a file
+ * is rejected, since a voter that forgot part of its state could grant the same slot twice. A file that exceeds its maximum size is compacted
+ * into a new file, which replaces it atomically.
  */
 final class RaftJournal implements RaftStore, AutoCloseable {
 
-  private static final int MAGIC = 0x4153_484C; // "ASHL"
+  private static final int FILE_MAGIC = 0x4153_484C; // "ASHL"
   static final int VERSION = 1;
-  private static final int FRAME = 0x6F75_7473;
-  private static final int HEAD = 13;
+  private static final int FRAME_MAGIC = 0x6F75_7473; // "outs"
+  private static final int FRAME_HEADER_BYTES = 13;
   private static final int ENDPOINT = 1;
-  private static final int MEMBERS = 2;
+  private static final int INITIAL_MEMBERS = 2;
   private static final int TERM = 3;
   private static final int ENTRIES = 4;
-  private static final int CHUNK = 5;
-  private static final int FROM = 6;
-  private static final int UNTIL = 7;
-  private static final int DROP = 8;
-  private static final int JOINS = 9;
+  private static final int SNAPSHOT_CHUNK = 5;
+  private static final int TRUNCATE_FROM = 6;
+  private static final int TRUNCATE_UNTIL = 7;
+  private static final int DELETE_SNAPSHOT = 8;
+  private static final int JOINING = 9;
 
-  private interface Writer {
-    void to(DataOutputStream o) throws IOException;
+  private interface FrameWriter {
+    void writeTo(DataOutputStream o) throws IOException;
   }
 
   private final Path file;
   private final String fleet;
-  private final long most;
-  private FileChannel out;
+  private final long maxBytes;
+  private FileChannel channel;
   private FileLock lock;
   private long size;
-  /** What it had when it was written anew last. */
-  private long least;
+  /** The size after the last compaction. */
+  private long compactedBytes;
   private volatile boolean failed;
   private Consumer<IOException> onFailure = e -> { };
-  private boolean joins;
-  /** The last entry that it had at the start, as far as no leader has struck it out since. */
-  private volatile long restoredLast;
-  private final DurableState kept = new DurableState();
+  private boolean joining;
+  /** Index of the last entry at the start, lowered where a leader has truncated the log since. */
+  private volatile long lastRestoredIndex;
+  private final DurableState state = new DurableState();
   private final LogOverlap overlap = new LogOverlap();
 
-  private RaftJournal(Path file, String fleet, long most) {
+  private RaftJournal(Path file, String fleet, long maxBytes) {
     this.file = file;
     this.fleet = fleet;
-    this.most = most;
+    this.maxBytes = maxBytes;
   }
 
-  /** Makes the empty file of a voter that has never been one; fails where there is one. One that {@code joins} others is not of their first group. */
-  static void create(Path file, String fleet, boolean joins) throws IOException {
+  /**
+   * Creates the empty journal of a new voter; fails if the file exists. {@code joining} marks a voter that is not an initial member of the group
+   * but replaces another one.
+   */
+  static void create(Path file, String fleet, boolean joining) throws IOException {
     if (file.toAbsolutePath().getParent() != null) {
       Files.createDirectories(file.toAbsolutePath().getParent());
     }
-    ByteArrayOutputStream first = new ByteArrayOutputStream();
-    first.write(head(fleet));
-    if (joins) {
-      first.write(frame(JOINS, o -> { }));
+    ByteArrayOutputStream content = new ByteArrayOutputStream();
+    content.write(header(fleet));
+    if (joining) {
+      content.write(frame(JOINING, o -> { }));
     }
-    Files.write(file, first.toByteArray(), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE, StandardOpenOption.DSYNC);
+    Files.write(file, content.toByteArray(), StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE, StandardOpenOption.DSYNC);
   }
 
-  private static byte[] head(String fleet) {
+  private static byte[] header(String fleet) {
     byte[] name = fleet.getBytes(StandardCharsets.UTF_8);
-    return ByteBuffer.allocate(12 + name.length).putInt(MAGIC).putInt(VERSION).putInt(name.length).put(name).array();
+    return ByteBuffer.allocate(12 + name.length).putInt(FILE_MAGIC).putInt(VERSION).putInt(name.length).put(name).array();
   }
 
   /**
-   * Reads the file and goes on behind it.
+   * Opens a journal, recovers its state and continues to write at its end.
    *
-   * @param most octets past which it is written anew
-   * @throws IOException where it is missing, another fleet's, of a newer version, spoilt, or in use by another process
+   * @param maxBytes size above which the file is compacted
+   * @throws IOException if the file is missing, corrupt, in use by another process, of another fleet or of an unsupported version
    */
-  static RaftJournal open(Path file, String fleet, long most) throws IOException {
-    RaftJournal j = new RaftJournal(file, fleet, most);
+  static RaftJournal open(Path file, String fleet, long maxBytes) throws IOException {
+    RaftJournal j = new RaftJournal(file, fleet, maxBytes);
     if (!Files.exists(file)) {
-      throw new IOException(file + " is missing: `ashdeck outs init` makes it, for a voter that has never been one");
+      throw new IOException(file + " is missing: `ashdeck outs init` creates it, for a voter that has never run");
     }
-    j.out = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE);
+    j.channel = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE);
     try {
-      j.lock = j.out.tryLock();
+      j.lock = j.channel.tryLock();
       if (j.lock == null) {
         throw new IOException(file + " is in use by another process");
       }
       j.recover(Files.readAllBytes(file));
       return j;
     } catch (IOException | RuntimeException e) {
-      j.out.close();
+      j.channel.close();
       throw e instanceof IOException io ? io : new IOException(file + ": " + e, e);
     }
   }
 
   private void recover(byte[] all) throws IOException {
-    byte[] head = head(fleet);
+    byte[] header = header(fleet);
     ByteBuffer b = ByteBuffer.wrap(all);
-    if (all.length < 12 || b.getInt() != MAGIC) {
-      throw new IOException(file + " is no ledger's file");
+    if (all.length < 12 || b.getInt() != FILE_MAGIC) {
+      throw new IOException(file + " is not the journal of a ledger");
     }
     int version = b.getInt();
     if (version != VERSION) {
-      throw new IOException(file + " is of version " + version + ", this program knows " + VERSION);
+      throw new IOException(file + " has version " + version + ", this program supports " + VERSION);
     }
-    if (all.length < head.length || !ByteBuffer.wrap(all, 0, head.length).equals(ByteBuffer.wrap(head))) {
+    if (all.length < header.length || !ByteBuffer.wrap(all, 0, header.length).equals(ByteBuffer.wrap(header))) {
       throw new IOException(file + " belongs to another fleet than \"" + fleet + "\"");
     }
-    int at = head.length;
+    int at = header.length;
     while (at < all.length) {
-      int length = whole(all, at);
+      int length = frameLength(all, at);
       if (length < 0) {
         break;
       }
-      take(all[at + 4], new DataInputStream(new ByteArrayInputStream(all, at + HEAD, length)));
-      at += HEAD + length;
+      replay(all[at + 4], new DataInputStream(new ByteArrayInputStream(all, at + FRAME_HEADER_BYTES, length)));
+      at += FRAME_HEADER_BYTES + length;
     }
-    for (int later = at + 1; later + HEAD <= all.length; later++) {
-      if (whole(all, later) >= 0) {
-        throw new IOException(file + " is spoilt at octet " + at + " with sound parts behind: it is not used, replace the voter");
+    for (int later = at + 1; later + FRAME_HEADER_BYTES <= all.length; later++) {
+      if (frameLength(all, later) >= 0) {
+        throw new IOException(file + " is corrupt at byte " + at + " with valid frames after it: it is not used, replace the voter");
       }
     }
-    overlap.snapshotUntil(kept.snapshot());
-    overlap.has(kept.behindSnapshot());
-    restoredLast = kept.last();
-    out.truncate(at);
-    out.position(at);
+    overlap.setSnapshotIndex(state.snapshotIndex());
+    overlap.add(state.entriesAfterSnapshot());
+    lastRestoredIndex = state.lastIndex();
+    channel.truncate(at);
+    channel.position(at);
     size = at;
   }
 
-  /** The length of the frame that begins here; -1 for none that is whole. */
-  private static int whole(byte[] all, int at) {
-    if (at + HEAD > all.length) {
+  /** The length of the frame that begins at an offset; -1 if there is no complete and valid frame. */
+  private static int frameLength(byte[] all, int at) {
+    if (at + FRAME_HEADER_BYTES > all.length) {
       return -1;
     }
-    ByteBuffer h = ByteBuffer.wrap(all, at, HEAD);
-    boolean begins = h.getInt() == FRAME;
+    ByteBuffer h = ByteBuffer.wrap(all, at, FRAME_HEADER_BYTES);
+    boolean hasMagic = h.getInt() == FRAME_MAGIC;
     h.get();
     int length = h.getInt();
-    int sum = h.getInt();
-    return begins && length >= 0 && length <= all.length - at - HEAD && sum == sum(all[at + 4], all, at + HEAD, length) ? length : -1;
+    int expected = h.getInt();
+    return hasMagic && length >= 0 && length <= all.length - at - FRAME_HEADER_BYTES
+        && expected == checksum(all[at + 4], all, at + FRAME_HEADER_BYTES, length) ? length : -1;
   }
 
-  private static int sum(int type, byte[] all, int at, int length) {
+  private static int checksum(int type, byte[] all, int at, int length) {
     CRC32C crc = new CRC32C();
     crc.update(type);
     crc.update(all, at, length);
     return (int) crc.getValue();
   }
 
-  private void take(int type, DataInputStream i) throws IOException {
+  private void replay(int type, DataInputStream i) throws IOException {
     switch (type) {
-      case ENDPOINT -> kept.endpoint = Codec.MODEL.createRaftEndpointPersistentStateBuilder().setLocalEndpoint(Codec.endpoint(i))
+      case ENDPOINT -> state.endpoint = Codec.MODEL.createRaftEndpointPersistentStateBuilder().setLocalEndpoint(Codec.endpoint(i))
           .setVoting(i.readBoolean()).build();
-      case MEMBERS -> kept.members = Codec.members(i);
-      case TERM -> kept.term = Codec.MODEL.createRaftTermPersistentStateBuilder().setTerm(i.readInt()).setVotedFor(Codec.endpoint(i)).build();
-      case ENTRIES -> kept.add(Codec.entries(i));
-      case CHUNK -> kept.add(Codec.chunk(i));
-      case FROM -> kept.entries.tailMap(i.readLong(), true).clear();
-      case UNTIL -> kept.entries.headMap(i.readLong(), true).clear();
-      case JOINS -> joins = true;
-      case DROP -> kept.chunks.remove(i.readLong());
-      default -> throw new IOException(file + ": a frame of type " + type);
+      case INITIAL_MEMBERS -> state.members = Codec.members(i);
+      case TERM -> state.term = Codec.MODEL.createRaftTermPersistentStateBuilder().setTerm(i.readInt()).setVotedFor(Codec.endpoint(i)).build();
+      case ENTRIES -> state.add(Codec.entries(i));
+      case SNAPSHOT_CHUNK -> state.add(Codec.chunk(i));
+      case TRUNCATE_FROM -> state.entries.tailMap(i.readLong(), true).clear();
+      case TRUNCATE_UNTIL -> state.entries.headMap(i.readLong(), true).clear();
+      case JOINING -> joining = true;
+      case DELETE_SNAPSHOT -> state.chunks.remove(i.readLong());
+      default -> throw new IOException(file + ": unknown frame type " + type);
     }
   }
 
-  /** The voters, as far as this one has heard. */
-  RaftGroupMembersView group() {
-    return kept.group();
+  /** The latest known members of the group. */
+  RaftGroupMembersView members() {
+    return state.latestMembers();
   }
 
-  /** What Raft starts with; null for a voter that has never been one. */
+  /** The state that Raft starts with; null for a voter that has never run. */
   RestoredRaftState restored() {
-    return kept.restored();
+    return state.restored();
   }
 
-  /** What it had at the start goes up to here: whoever holds less of the ledger has not caught up with what it knew itself. */
-  long restoredLast() {
-    return restoredLast;
+  /** Index of the last entry at the start. A voter that has applied less has not yet caught up with its own journal. */
+  long lastRestoredIndex() {
+    return lastRestoredIndex;
   }
 
-  /** Whether it came to a group that was there before. */
-  boolean joins() {
-    return joins;
+  /** Whether the voter joins an existing group instead of being an initial member. */
+  boolean isJoining() {
+    return joining;
   }
 
-  private void append(int type, Writer body) throws IOException {
+  private void append(int type, FrameWriter body) throws IOException {
     if (failed) {
-      throw new IOException(file + ": a write failed before, the voter is to be restarted");
+      throw new IOException(file + ": an earlier write failed, the voter must be restarted");
     }
     try {
       byte[] frame = frame(type, body);
-      write(out, ByteBuffer.wrap(frame));
+      write(channel, ByteBuffer.wrap(frame));
       size += frame.length;
     } catch (IOException e) {
-      throw failed(e);
+      throw markFailed(e);
     }
   }
 
-  /** What is in the file now is not known: nothing is written to it any more, and who owns it hears so. */
-  private IOException failed(IOException e) {
+  /** After a failed write the content of the file is unknown: nothing is written any more, and the listener is notified. */
+  private IOException markFailed(IOException e) {
     if (!failed) {
       failed = true;
       onFailure.accept(e);
@@ -234,17 +239,18 @@
     return failed;
   }
 
-  /** Who is told once where a write fails, on the thread that wrote. */
-  void onFailure(Consumer<IOException> told) {
-    onFailure = told;
+  /** Sets the listener that is notified once when a write fails, on the writing thread. */
+  void onFailure(Consumer<IOException> listener) {
+    onFailure = listener;
   }
 
-  private static byte[] frame(int type, Writer body) throws IOException {
+  private static byte[] frame(int type, FrameWriter body) throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    bytes.write(new byte[HEAD]);
-    body.to(new DataOutputStream(bytes));
+    bytes.write(new byte[FRAME_HEADER_BYTES]);
+    body.writeTo(new DataOutputStream(bytes));
     byte[] frame = bytes.toByteArray();
-    ByteBuffer.wrap(frame).putInt(FRAME).put((byte) type).putInt(frame.length - HEAD).putInt(sum(type, frame, HEAD, frame.length - HEAD));
+    ByteBuffer.wrap(frame).putInt(FRAME_MAGIC).put((byte) type).putInt(frame.length - FRAME_HEADER_BYTES)
+        .putInt(checksum(type, frame, FRAME_HEADER_BYTES, frame.length - FRAME_HEADER_BYTES));
     return frame;
   }
 
@@ -256,7 +262,7 @@
 
   @Override
   public void persistAndFlushLocalEndpoint(RaftEndpointPersistentState s) throws IOException {
-    kept.endpoint = s;
+    state.endpoint = s;
     append(ENDPOINT, o -> endpoint(o, s));
     flush();
   }
@@ -268,14 +274,14 @@
 
   @Override
   public void persistAndFlushInitialGroupMembers(RaftGroupMembersView v) throws IOException {
-    kept.members = v;
-    append(MEMBERS, o -> Codec.members(o, v));
+    state.members = v;
+    append(INITIAL_MEMBERS, o -> Codec.members(o, v));
     flush();
   }
 
   @Override
   public void persistAndFlushTerm(RaftTermPersistentState t) throws IOException {
-    kept.term = t;
+    state.term = t;
     append(TERM, o -> term(o, t));
     flush();
   }
@@ -287,8 +293,8 @@
 
   @Override
   public void persistLogEntries(List<LogEntry> more) throws IOException {
-    kept.add(more);
-    overlap.has(more);
+    state.add(more);
+    overlap.add(more);
     append(ENTRIES, o -> entries(o, more));
   }
 
@@ -301,92 +307,92 @@
 
   @Override
   public void persistSnapshotChunk(SnapshotChunk c) throws IOException {
-    kept.add(c);
-    overlap.has(c);
-    append(CHUNK, o -> Codec.chunk(o, c));
+    state.add(c);
+    overlap.add(c);
+    append(SNAPSHOT_CHUNK, o -> Codec.chunk(o, c));
   }
 
   @Override
   public void truncateLogEntriesFrom(long index) throws IOException {
-    kept.entries.tailMap(index, true).clear();
-    overlap.lostFrom(index);
-    restoredLast = Math.min(restoredLast, index - 1);
-    append(FROM, o -> o.writeLong(index));
+    state.entries.tailMap(index, true).clear();
+    overlap.truncateFrom(index);
+    lastRestoredIndex = Math.min(lastRestoredIndex, index - 1);
+    append(TRUNCATE_FROM, o -> o.writeLong(index));
   }
 
   @Override
   public void truncateLogEntriesUntil(long index) throws IOException {
-    kept.entries.headMap(index, true).clear();
-    overlap.lostUntil(index);
-    append(UNTIL, o -> o.writeLong(index));
+    state.entries.headMap(index, true).clear();
+    overlap.truncateUntil(index);
+    append(TRUNCATE_UNTIL, o -> o.writeLong(index));
   }
 
   @Override
   public void deleteSnapshotChunks(long index, int count) throws IOException {
-    kept.chunks.remove(index);
-    append(DROP, o -> o.writeLong(index));
+    state.chunks.remove(index);
+    append(DELETE_SNAPSHOT, o -> o.writeLong(index));
   }
 
   @Override
   public void flush() throws IOException {
     try {
-      out.force(false);
+      channel.force(false);
     } catch (IOException e) {
-      throw failed(e); // A second force may say yes over what the first has lost.
+      throw markFailed(e); // A later force may succeed although the first one lost data.
     }
-    if (size > Math.max(most, 2 * least)) {
+    if (size > Math.max(maxBytes, 2 * compactedBytes)) {
       compact();
     }
   }
 
-  /** Written anew beside the old one, and in its place in one step: at any moment one of the two is whole. */
+  /** Writes the current state to a new file that replaces the old one atomically, so that a complete file exists at any time. */
   private void compact() throws IOException {
-    Path part = file.resolveSibling(file.getFileName() + ".part");
-    Files.deleteIfExists(part);
-    FileChannel next = FileChannel.open(part, StandardOpenOption.CREATE_NEW, StandardOpenOption.READ, StandardOpenOption.WRITE);
-    FileLock held = null;
+    Path temporary = file.resolveSibling(file.getFileName() + ".part");
+    Files.deleteIfExists(temporary);
+    FileChannel next = FileChannel.open(temporary, StandardOpenOption.CREATE_NEW, StandardOpenOption.READ, StandardOpenOption.WRITE);
+    FileLock newLock = null;
     try {
-      held = next.tryLock();
-      write(next, ByteBuffer.wrap(head(fleet)));
-      if (kept.endpoint != null) {
-        write(next, ByteBuffer.wrap(frame(ENDPOINT, o -> endpoint(o, kept.endpoint))));
+      newLock = next.tryLock();
+      write(next, ByteBuffer.wrap(header(fleet)));
+      if (state.endpoint != null) {
+        write(next, ByteBuffer.wrap(frame(ENDPOINT, o -> endpoint(o, state.endpoint))));
       }
-      if (kept.members != null) {
-        write(next, ByteBuffer.wrap(frame(MEMBERS, o -> Codec.members(o, kept.members))));
+      if (state.members != null) {
+        write(next, ByteBuffer.wrap(frame(INITIAL_MEMBERS, o -> Codec.members(o, state.members))));
       }
-      if (kept.term != null) {
-        write(next, ByteBuffer.wrap(frame(TERM, o -> term(o, kept.term))));
+      if (state.term != null) {
+        write(next, ByteBuffer.wrap(frame(TERM, o -> term(o, state.term))));
       }
-      for (TreeMap<Integer, SnapshotChunk> s : kept.chunks.values()) {
+      for (TreeMap<Integer, SnapshotChunk> s : state.chunks.values()) {
         for (SnapshotChunk c : s.values()) {
-          write(next, ByteBuffer.wrap(frame(CHUNK, o -> Codec.chunk(o, c))));
+          write(next, ByteBuffer.wrap(frame(SNAPSHOT_CHUNK, o -> Codec.chunk(o, c))));
         }
       }
-      write(next, ByteBuffer.wrap(frame(ENTRIES, o -> entries(o, new ArrayList<>(kept.entries.values())))));
+      write(next, ByteBuffer.wrap(frame(ENTRIES, o -> entries(o, new ArrayList<>(state.entries.values())))));
       next.force(true);
-      Files.move(part, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+      Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     } catch (IOException e) {
       next.close();
-      return; // The old one is whole and goes on; the next flush tries again.
+      return; // The old file is complete and stays in use; the next flush tries again.
     }
-    out.close();
-    out = next;
-    lock = held;
-    size = out.position();
-    least = size;
+    channel.close();
+    channel = next;
+    lock = newLock;
+    size = channel.position();
+    compactedBytes = size;
   }
 
   long size() {
     return size;
   }
 
-  /** Used on Raft's thread, as everything that changes it. */
+  /** Confined to the Raft thread. */
   LogOverlap overlap() {
     return overlap;
   }
 
   @Override
   public void close() throws IOException {
-    out.close();
+    channel.close();
   }
 }
--- a/agree/src/main/java/cloverpulley/agree/RaftLink.java
+++ b/agree/src/main/java/cloverpulley/agree/RaftLink.java
@@ -22,41 +22,41 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Raft's messages between voters over TCP: one connection each way, frames with their length. What can't be sent now is dropped, for Raft
- * sends again what matters; what waits for a peer is bounded in count and octets. Who speaks for another fleet, or is no voter, is
- * turned away. Unsigned: it belongs on a network of one's own.
+ * Raft transport between voters over TCP: one connection in each direction, with length-prefixed messages. A message that can't be sent now is
+ * dropped, since Raft retries; the queue to each peer is bounded in messages and bytes. Connections of another fleet or of an unknown voter
+ * are rejected. There is no authentication: use it on a private network only.
  */
 final class RaftLink implements Transport, AutoCloseable {
 
   private static final Logger LOG = LoggerFactory.getLogger(RaftLink.class);
 
-  private static final int HELLO = 0x4153_4C31; // "ASL1"
-  private static final int MOST_WAITING = 256;
-  private static final int MOST_CONNECTIONS = 64;
+  private static final int HELLO_MAGIC = 0x4153_4C31; // "ASL1"
+  private static final int MAX_QUEUED = 256;
+  private static final int MAX_CONNECTIONS = 64;
   private static final int CONNECT_MILLIS = 500;
   private static final int HELLO_MILLIS = 2000;
   private static final int IDLE_MILLIS = 30_000;
-  private static final long AGAIN_MILLIS = 100;
+  private static final long RECONNECT_MILLIS = 100;
 
-  /** What waits for one peer, and the thread that sends it. */
-  private final class Line extends Thread {
-    private final String to;
+  /** The connection to a peer: the queue of messages and the thread that sends them. */
+  private final class PeerConnection extends Thread {
+    private final String peer;
     private final InetSocketAddress address;
-    private final LinkedBlockingQueue<byte[]> waiting = new LinkedBlockingQueue<>(MOST_WAITING);
-    private final Semaphore octets = new Semaphore(Codec.MOST_BYTES);
+    private final LinkedBlockingQueue<byte[]> queue = new LinkedBlockingQueue<>(MAX_QUEUED);
+    private final Semaphore freeBytes = new Semaphore(Codec.MAX_MESSAGE_BYTES);
     private volatile boolean connected;
     private volatile Socket socket;
 
-    Line(String to, InetSocketAddress address) {
-      super("raft to " + to);
-      this.to = to;
+    PeerConnection(String peer, InetSocketAddress address) {
+      super("raft to " + peer);
+      this.peer = peer;
       this.address = address;
       setDaemon(true);
     }
 
     void offer(byte[] message) {
-      if (octets.tryAcquire(message.length) && !waiting.offer(message)) {
-        octets.release(message.length);
+      if (freeBytes.tryAcquire(message.length) && !queue.offer(message)) {
+        freeBytes.release(message.length);
       }
     }
 
@@ -68,35 +68,35 @@
           s.setTcpNoDelay(true);
           s.connect(address, CONNECT_MILLIS);
           DataOutputStream out = new DataOutputStream(new BufferedOutputStream(s.getOutputStream()));
-          out.writeInt(HELLO);
+          out.writeInt(HELLO_MAGIC);
           out.writeUTF(fleet);
-          out.writeUTF(me);
-          out.writeUTF(to);
+          out.writeUTF(localName);
+          out.writeUTF(peer);
           connected = true;
           while (!closed) {
-            byte[] next = waiting.take();
-            octets.release(next.length);
+            byte[] next = queue.take();
+            freeBytes.release(next.length);
             out.writeInt(next.length);
             out.write(next);
-            if (waiting.isEmpty()) {
+            if (queue.isEmpty()) {
               out.flush();
             }
           }
         } catch (IOException e) {
           connected = false;
-          LOG.debug("to {}: {}", to, e.toString());
+          LOG.debug("to {}: {}", peer, e.toString());
         } catch (InterruptedException e) {
           return;
         }
-        rest();
+        backOff();
       }
     }
 
-    private void rest() {
+    private void backOff() {
       try {
-        TimeUnit.MILLISECONDS.sleep(AGAIN_MILLIS);
-        for (byte[] old = waiting.poll(); old != null; old = waiting.poll()) {
-          octets.release(old.length); // Words of before the break: Raft has newer ones.
+        TimeUnit.MILLISECONDS.sleep(RECONNECT_MILLIS);
+        for (byte[] old = queue.poll(); old != null; old = queue.poll()) {
+          freeBytes.release(old.length); // Messages from before the failure are obsolete; Raft sends newer ones.
         }
       } catch (InterruptedException e) {
         interrupt();
@@ -105,37 +105,37 @@
   }
 
   private final String fleet;
-  private final String me;
+  private final String localName;
   private final Codec codec;
-  private final Consumer<RaftMessage> to;
-  private final Map<String, Line> lines = new ConcurrentHashMap<>();
+  private final Consumer<RaftMessage> handler;
+  private final Map<String, PeerConnection> connections = new ConcurrentHashMap<>();
   private final Set<Socket> accepted = ConcurrentHashMap.newKeySet();
   private final ServerSocket listener;
   private volatile boolean closed;
 
   /**
-   * Listens, and begins to connect.
+   * Binds the listener.
    *
-   * @param peers where the other voters are, by name
-   * @param to told of each message, on threads of this one's
+   * @param peers addresses of the other voters, by name
+   * @param handler receives each message, on a reader thread
    */
-  RaftLink(String fleet, String me, InetSocketAddress listen, Map<String, InetSocketAddress> peers, Codec codec, Consumer<RaftMessage> to)
+  RaftLink(String fleet, String localName, InetSocketAddress listen, Map<String, InetSocketAddress> peers, Codec codec, Consumer<RaftMessage> handler)
       throws IOException {
     this.fleet = fleet;
-    this.me = me;
+    this.localName = localName;
     this.codec = codec;
-    this.to = to;
+    this.handler = handler;
     listener = new ServerSocket();
     listener.setReuseAddress(true);
-    listener.bind(listen, MOST_CONNECTIONS);
-    peers.forEach((name, address) -> lines.put(name, new Line(name, address)));
+    listener.bind(listen, MAX_CONNECTIONS);
+    peers.forEach((name, address) -> connections.put(name, new PeerConnection(name, address)));
   }
 
   void start() {
-    lines.values().forEach(Thread::start);
-    Thread accepts = new Thread(this::accept, "raft accept");
-    accepts.setDaemon(true);
-    accepts.start();
+    connections.values().forEach(Thread::start);
+    Thread acceptor = new Thread(this::accept, "raft accept");
+    acceptor.setDaemon(true);
+    acceptor.start();
   }
 
   InetSocketAddress address() {
@@ -146,17 +146,17 @@
     while (!closed) {
       try {
         Socket s = listener.accept();
-        if (accepted.size() >= MOST_CONNECTIONS) {
+        if (accepted.size() >= MAX_CONNECTIONS) {
           s.close();
           continue;
         }
         accepted.add(s);
-        Thread reads = new Thread(() -> read(s), "raft from " + s.getRemoteSocketAddress());
-        reads.setDaemon(true);
-        reads.start();
+        Thread reader = new Thread(() -> read(s), "raft from " + s.getRemoteSocketAddress());
+        reader.setDaemon(true);
+        reader.start();
       } catch (IOException e) {
         if (!closed) {
-          LOG.warn("the voters' port: {}", e.toString());
+          LOG.warn("accepting a connection of a voter failed: {}", e.toString());
         }
       }
     }
@@ -167,30 +167,30 @@
       s.setTcpNoDelay(true);
       s.setSoTimeout(HELLO_MILLIS);
       DataInputStream in = new DataInputStream(new BufferedInputStream(s.getInputStream()));
-      if (in.readInt() != HELLO) {
-        throw new IOException("no voter's connection");
+      if (in.readInt() != HELLO_MAGIC) {
+        throw new IOException("not the connection of a voter");
       }
-      String theirs = in.readUTF();
-      String from = in.readUTF();
-      String meant = in.readUTF();
-      if (!theirs.equals(fleet) || !lines.containsKey(from) || !meant.equals(me)) {
-        throw new IOException("\"" + from + "\" of fleet \"" + theirs + "\" for \"" + meant + "\"");
+      String otherFleet = in.readUTF();
+      String sender = in.readUTF();
+      String recipient = in.readUTF();
+      if (!otherFleet.equals(fleet) || !connections.containsKey(sender) || !recipient.equals(localName)) {
+        throw new IOException("\"" + sender + "\" of fleet \"" + otherFleet + "\" for \"" + recipient + "\"");
       }
       s.setSoTimeout(IDLE_MILLIS);
       while (!closed) {
         int length = in.readInt();
-        if (length < 1 || length > Codec.MOST_BYTES) {
-          throw new IOException("a message of " + length);
+        if (length < 1 || length > Codec.MAX_MESSAGE_BYTES) {
+          throw new IOException("invalid message length " + length);
         }
         byte[] message = in.readNBytes(length);
         if (message.length < length) {
           return;
         }
         RaftMessage m = codec.read(message);
-        if (!m.getSender().getId().equals(from)) {
-          throw new IOException("a message of " + m.getSender().getId() + " from " + from);
+        if (!m.getSender().getId().equals(sender)) {
+          throw new IOException("message of " + m.getSender().getId() + " from " + sender);
         }
-        to.accept(m);
+        handler.accept(m);
       }
     } catch (IOException e) {
       LOG.debug("from {}: {}", s.getRemoteSocketAddress(), e.toString());
@@ -201,30 +201,30 @@
 
   @Override
   public void send(RaftEndpoint target, RaftMessage message) {
-    Line line = lines.get((String) target.getId());
-    if (line != null) {
+    PeerConnection connection = connections.get((String) target.getId());
+    if (connection != null) {
       try {
-        line.offer(codec.write(message));
+        connection.offer(codec.write(message));
       } catch (IOException e) {
-        LOG.warn("not sent to {}: {}", target.getId(), e.toString());
+        LOG.warn("message to {} not sent: {}", target.getId(), e.toString());
       }
     }
   }
 
   @Override
   public boolean isReachable(RaftEndpoint endpoint) {
-    Line line = lines.get((String) endpoint.getId());
-    return line != null && line.connected;
+    PeerConnection connection = connections.get((String) endpoint.getId());
+    return connection != null && connection.connected;
   }
 
   @Override
   public void close() throws IOException {
     closed = true;
     listener.close();
-    for (Line line : lines.values()) {
-      line.interrupt();
-      if (line.socket != null) {
-        line.socket.close();
+    for (PeerConnection connection : connections.values()) {
+      connection.interrupt();
+      if (connection.socket != null) {
+        connection.socket.close();
       }
     }
     for (Socket s : accepted) {
--- a/agree/src/main/java/cloverpulley/agree/Replace.java
+++ b/agree/src/main/java/cloverpulley/agree/Replace.java
@@ -1,6 +1,6 @@
 package cloverpulley.agree;
 
-/** Asks that one voter takes another's place. */
+/** The request to replace one voter by another. */
 record Replace(String from, String to) {
 
   Replace {
--- a/agree/src/main/java/cloverpulley/agree/ScaledRaftExecutor.java
+++ b/agree/src/main/java/cloverpulley/agree/ScaledRaftExecutor.java
@@ -14,33 +14,33 @@
 import java.util.function.LongSupplier;
 
 /**
- * Raft's thread and time. The library counts heartbeats in whole seconds; here its second lasts a tenth, by a clock that does not step, so
- * that a leader that is gone is missed within a second of ours.
+ * Runs Raft on a single thread and with scaled time. MicroRaft configures heartbeats in whole seconds; here its time runs ten times faster, on a
+ * monotonic clock, so that the loss of a leader is detected within one real second.
  */
 final class ScaledRaftExecutor implements RaftNodeExecutor, RaftNodeLifecycleAware {
 
-  /** So much faster the library's time runs. */
-  static final int FASTER = 10;
+  /** How many times faster MicroRaft's time runs. */
+  static final int TIME_SCALE = 10;
 
   private final ScheduledExecutorService thread;
 
   ScaledRaftExecutor() {
     ScheduledThreadPoolExecutor t = new ScheduledThreadPoolExecutor(1, task -> {
-      Thread made = new Thread(task, "raft");
-      made.setDaemon(true);
-      return made;
+      Thread thread = new Thread(task, "raft");
+      thread.setDaemon(true);
+      return thread;
     });
     t.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
     thread = t;
   }
 
-  /** A heartbeat each 0.2 s; without one for 1 s a follower stands for election, within 0.3 s. */
+  /** In real time: a heartbeat each 0.2 s, an election after 1 s without one, an election timeout of 0.3 s. */
   static RaftConfig config(int snapshotEvery) {
     return RaftConfig.newBuilder().setLeaderHeartbeatPeriodSecs(2).setLeaderHeartbeatTimeoutSecs(10).setLeaderElectionTimeoutMillis(3000)
         .setCommitCountToTakeSnapshot(snapshotEvery).build();
   }
 
-  /** The library's clock over one of ours, in microseconds. */
+  /** MicroRaft's clock, scaled from a clock in microseconds. */
   static Clock clock(LongSupplier micros) {
     return new Clock() {
       @Override
@@ -60,7 +60,7 @@
 
       @Override
       public long millis() {
-        return micros.getAsLong() * FASTER / 1000;
+        return micros.getAsLong() * TIME_SCALE / 1000;
       }
     };
   }
@@ -75,14 +75,14 @@
     try {
       thread.execute(task);
     } catch (RejectedExecutionException e) {
-      return; // The voter has ended.
+      return; // The voter has been terminated.
     }
   }
 
   @Override
   public void schedule(Runnable task, long delay, TimeUnit unit) {
     try {
-      thread.schedule(task, unit.toMicros(delay) / FASTER, TimeUnit.MICROSECONDS);
+      thread.schedule(task, unit.toMicros(delay) / TIME_SCALE, TimeUnit.MICROSECONDS);
     } catch (RejectedExecutionException e) {
       return;
     }
--- a/agree/src/main/java/cloverpulley/agree/SimulatedVoter.java
+++ b/agree/src/main/java/cloverpulley/agree/SimulatedVoter.java
@@ -2,8 +2,8 @@
 
 import cloverpulley.outs.Command;
 import cloverpulley.outs.DisruptionLedger;
-import cloverpulley.outs.Reply;
 import cloverpulley.outs.LedgerState;
+import cloverpulley.outs.Reply;
 import io.microraft.Ordered;
 import io.microraft.RaftEndpoint;
 import io.microraft.RaftNode;
@@ -19,10 +19,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BiConsumer;
 
-/** A voter on the virtual clock: the real Raft and the real ledger, with a machine that crashes, stops and goes on. */
+/** A voter on the virtual clock: real Raft and the real ledger on a simulated machine that can crash, pause and resume. */
 final class SimulatedVoter {
 
-  private static final int SNAPSHOT_EVERY = 30;
+  private static final int COMMITS_PER_SNAPSHOT = 30;
 
   final String name;
   private final VirtualTime time;
@@ -31,18 +31,18 @@
   private final BiConsumer<String, byte[]> send;
   private final Codec codec = new Codec("outs");
   private final MemoryStore store = new MemoryStore();
-  /** What a paused machine has not got to. */
-  private final ArrayDeque<Runnable> behind = new ArrayDeque<>();
-  private LedgerStateMachine machine;
+  /** Tasks that wait while the machine is paused. */
+  private final ArrayDeque<Runnable> deferred = new ArrayDeque<>();
+  private LedgerStateMachine stateMachine;
   private RaftNode node;
-  private ElectionWatchdog standstill;
-  private int life;
+  private ElectionWatchdog watchdog;
+  private int incarnation;
   private boolean up;
   private boolean paused;
-  /** How far its clock is off, and how it is stamped on what it proposes. */
+  /** Clock skew of the machine, added to the timestamps of its commands. */
   long skewMillis;
 
-  /** {@code send} is given each message with whom it is for. */
+  /** {@code send} receives each message together with the name of its recipient. */
   SimulatedVoter(String name, List<RaftEndpoint> all, VirtualTime time, Random random, BiConsumer<String, byte[]> send) {
     this.name = name;
     this.all = all;
@@ -51,14 +51,14 @@
     this.send = send;
   }
 
-  private final class Life implements RaftNodeExecutor, Transport {
-    private final int mine = life;
+  private final class Incarnation implements RaftNodeExecutor, Transport {
+    private final int own = incarnation;
 
     private void run(Runnable task) {
-      if (mine != life || !up) {
+      if (own != incarnation || !up) {
         return;
       } else if (paused) {
-        behind.add(() -> run(task));
+        deferred.add(() -> run(task));
       } else {
         task.run();
       }
@@ -71,17 +71,17 @@
 
     @Override
     public void submit(Runnable task) {
-      time.after(0, () -> run(task));
+      time.schedule(0, () -> run(task));
     }
 
     @Override
     public void schedule(Runnable task, long delay, TimeUnit unit) {
-      time.after(unit.toMicros(delay) / ScaledRaftExecutor.FASTER, () -> run(task));
+      time.schedule(unit.toMicros(delay) / ScaledRaftExecutor.TIME_SCALE, () -> run(task));
     }
 
     @Override
     public void send(RaftEndpoint target, RaftMessage message) {
-      if (mine == life && up) {
+      if (own == incarnation && up) {
         try {
           send.accept((String) target.getId(), codec.write(message));
         } catch (IOException e) {
@@ -96,19 +96,20 @@
     }
   }
 
-  /** Starts the machine, if it is down. */
+  /** Starts the machine if it is down. */
   void start() {
     if (up) {
       return;
     }
-    life++;
+    incarnation++;
     up = true;
     paused = false;
-    behind.clear();
-    machine = new LedgerStateMachine(new DisruptionLedger());
-    Life l = new Life();
-    RaftNode.RaftNodeBuilder b = RaftNode.newBuilder().setGroupId("outs").setConfig(ScaledRaftExecutor.config(SNAPSHOT_EVERY)).setExecutor(l).setTransport(l)
-        .setClock(ScaledRaftExecutor.clock(time::micros)).setRandom(random).setStateMachine(machine).setStore(store);
+    deferred.clear();
+    stateMachine = new LedgerStateMachine(new DisruptionLedger());
+    Incarnation i = new Incarnation();
+    RaftNode.RaftNodeBuilder b = RaftNode.newBuilder().setGroupId("outs").setConfig(ScaledRaftExecutor.config(COMMITS_PER_SNAPSHOT))
+        .setExecutor(i).setTransport(i).setClock(ScaledRaftExecutor.clock(time::micros)).setRandom(random).setStateMachine(stateMachine)
+        .setStore(store);
     RestoredRaftState restored = store.restored();
     if (restored == null) {
       b.setLocalEndpoint(new Peer(name)).setInitialGroupMembers(all);
@@ -116,23 +117,23 @@
       b.setRestoredState(restored);
     }
     node = b.build();
-    standstill = new ElectionWatchdog();
+    watchdog = new ElectionWatchdog();
     node.start();
-    l.submit(() -> wake(l));
+    i.submit(() -> checkLeader(i));
   }
 
-  private void wake(Life l) {
-    RaftMessage m = standstill.look(time.micros(), node.getLocalEndpoint(), node.getTerm().getLeaderEndpoint(), node.getTerm().getTerm(), "outs");
+  private void checkLeader(Incarnation i) {
+    RaftMessage m = watchdog.check(time.micros(), node.getLocalEndpoint(), node.getTerm().getLeaderEndpoint(), node.getTerm().getTerm(), "outs");
     if (m != null) {
       node.handle(m);
     }
-    time.after(100_000, () -> l.run(() -> wake(l)));
+    time.schedule(100_000, () -> i.run(() -> checkLeader(i)));
   }
 
   void crash() {
     up = false;
-    life++;
-    behind.clear();
+    incarnation++;
+    deferred.clear();
     store.crash(random);
   }
 
@@ -140,11 +141,11 @@
     paused = true;
   }
 
-  void goOn() {
+  void resume() {
     paused = false;
-    for (Runnable next = behind.poll(); next != null; next = behind.poll()) {
+    for (Runnable next = deferred.poll(); next != null; next = deferred.poll()) {
       Runnable task = next;
-      time.after(0, task);
+      time.schedule(0, task);
     }
   }
 
@@ -156,31 +157,31 @@
     return paused;
   }
 
-  /** A message has come, if there is a machine to get it. */
+  /** Handles a message if the machine is up. */
   void receive(byte[] message) {
     if (!up) {
       return;
     }
-    int to = life;
-    Runnable take = () -> {
-      if (up && to == life) {
+    int receiver = incarnation;
+    Runnable handle = () -> {
+      if (up && receiver == incarnation) {
         try {
           RaftMessage m = codec.read(message);
-          standstill.heard(m, time.micros());
-          node.handle(PreVoteTermCatchUp.taken(store.overlap().without(m), node.getTerm().getTerm()));
+          watchdog.onMessage(m, time.micros());
+          node.handle(PreVoteTermCatchUp.rewrite(store.overlap().trim(m), node.getTerm().getTerm()));
         } catch (IOException e) {
           throw new IllegalStateException(e);
         }
       }
     };
     if (paused) {
-      behind.add(take);
+      deferred.add(handle);
     } else {
-      take.run();
+      handle.run();
     }
   }
 
-  /** Asks here, where it answers at all. */
+  /** Replicates a command; fails where the machine is down or paused. */
   CompletableFuture<Reply> command(Command c) {
     CompletableFuture<Reply> reply = new CompletableFuture<>();
     if (up && !paused) {
@@ -193,30 +194,30 @@
         }
       });
     } else {
-      reply.completeExceptionally(new IOException("not there"));
+      reply.completeExceptionally(new IOException("not available"));
     }
     return reply;
   }
 
-  /** A defect put in on purpose: says yes by what this one holds, without asking the others. */
-  Reply withoutAsking(Command c) {
+  /** A deliberate defect: decides by the local state without replicating the command. */
+  Reply replyLocally(Command c) {
     DisruptionLedger copy = new DisruptionLedger();
-    copy.restore(machine.state());
-    return copy.apply(machine.index() + 1, time.millis(), c);
+    copy.restore(stateMachine.state());
+    return copy.apply(stateMachine.index() + 1, time.millis(), c);
   }
 
-  boolean leads() {
+  boolean isLeader() {
     RaftEndpoint leader = up && !paused ? node.getTerm().getLeaderEndpoint() : null;
     return leader != null && leader.getId().equals(name);
   }
 
-  /** How it stands, for who looks into a history that broke. */
-  String described() {
+  /** A description for diagnosing a failed history. */
+  String describe() {
     return name + (up ? "" : " down") + (paused ? " paused" : "") + " " + node.getStatus() + " term " + node.getTerm().getTerm() + " leader "
-        + (node.getTerm().getLeaderEndpoint() == null ? "none" : node.getTerm().getLeaderEndpoint().getId()) + " index " + machine.index();
+        + (node.getTerm().getLeaderEndpoint() == null ? "none" : node.getTerm().getLeaderEndpoint().getId()) + " index " + stateMachine.index();
   }
 
   LedgerState state() {
-    return machine.state();
+    return stateMachine.state();
   }
 }
--- a/agree/src/main/java/cloverpulley/agree/TimestampedCommand.java
+++ b/agree/src/main/java/cloverpulley/agree/TimestampedCommand.java
@@ -2,5 +2,5 @@
 
 import cloverpulley.outs.Command;
 
-/** A command with the time of who proposed it, Unix milliseconds: what the log holds. */
+/** An entry of the Raft log: a command with the proposer's time in Unix milliseconds. Written as JSON under the names of its components. */
 record TimestampedCommand(long millis, Command command) {}
--- a/agree/src/main/java/cloverpulley/agree/VirtualTime.java
+++ b/agree/src/main/java/cloverpulley/agree/VirtualTime.java
@@ -2,17 +2,17 @@
 
 import java.util.PriorityQueue;
 
-/** A clock that moves from one thing to the next, and what is to happen. One thread. */
+/** A virtual clock and its scheduled tasks; time advances from one task to the next. Not thread-safe. */
 final class VirtualTime {
 
-  private record Due(long atMicros, long order, Runnable what) implements Comparable<Due> {
+  private record ScheduledTask(long atMicros, long order, Runnable action) implements Comparable<ScheduledTask> {
     @Override
-    public int compareTo(Due o) {
+    public int compareTo(ScheduledTask o) {
       return atMicros != o.atMicros ? Long.compare(atMicros, o.atMicros) : Long.compare(order, o.order);
     }
   }
 
-  private final PriorityQueue<Due> due = new PriorityQueue<>();
+  private final PriorityQueue<ScheduledTask> tasks = new PriorityQueue<>();
   private long nowMicros;
   private long order;
 
@@ -24,17 +24,17 @@
     return nowMicros;
   }
 
-  void after(long micros, Runnable what) {
-    due.add(new Due(nowMicros + Math.max(0, micros), order++, what));
+  void schedule(long micros, Runnable action) {
+    tasks.add(new ScheduledTask(nowMicros + Math.max(0, micros), order++, action));
   }
 
-  /** Lets so much time pass. */
+  /** Advances the clock and runs the tasks that become due. */
   void run(long millis) {
     long until = nowMicros + millis * 1000;
-    while (!due.isEmpty() && due.peek().atMicros() <= until) {
-      Due next = due.poll();
+    while (!tasks.isEmpty() && tasks.peek().atMicros() <= until) {
+      ScheduledTask next = tasks.poll();
       nowMicros = next.atMicros();
-      next.what().run();
+      next.action().run();
     }
     nowMicros = until;
   }
--- a/agree/src/main/java/cloverpulley/agree/Voter.java
+++ b/agree/src/main/java/cloverpulley/agree/Voter.java
@@ -3,10 +3,10 @@
 import cloverpulley.outs.Command;
 import cloverpulley.outs.DisruptionLedger;
 import cloverpulley.outs.Heartbeat;
-import cloverpulley.outs.VoterReplacement;
-import cloverpulley.outs.Reply;
-import cloverpulley.outs.MembershipReconciler;
 import cloverpulley.outs.LedgerState;
+import cloverpulley.outs.MembershipReconciler;
+import cloverpulley.outs.Reply;
+import cloverpulley.outs.VoterReplacement;
 import io.microraft.MembershipChangeMode;
 import io.microraft.Ordered;
 import io.microraft.RaftEndpoint;
@@ -32,69 +32,70 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** One that holds the ledger: Raft, its file and its links, and, where it leads, what the ledger is to be told of who is there. */
+/** A replica of the ledger: the Raft node with its journal and transport, and on the leader the reconciliation of members. */
 public final class Voter implements AutoCloseable {
 
   private static final Logger LOG = LoggerFactory.getLogger(Voter.class);
 
-  private static final String GROUP = "outs";
-  private static final int SNAPSHOT_EVERY = 2000;
-  private static final long DUTY_MILLIS = 100;
-  /** Commands of one turn of the duty; the rest follows in the next. */
-  private static final int MOST_A_TURN = 500;
+  private static final String GROUP_ID = "outs";
+  private static final int COMMITS_PER_SNAPSHOT = 2000;
+  private static final long MAINTENANCE_MILLIS = 100;
+  /** Maximum number of commands proposed per maintenance run; the rest follows in the next one. */
+  private static final int MAX_COMMANDS_PER_RUN = 500;
 
   private final AgreeConfig config;
-  private final ScaledRaftExecutor pace = new ScaledRaftExecutor();
-  private final LedgerStateMachine machine = new LedgerStateMachine(new DisruptionLedger());
+  private final ScaledRaftExecutor executor = new ScaledRaftExecutor();
+  private final LedgerStateMachine stateMachine = new LedgerStateMachine(new DisruptionLedger());
   private final RaftJournal journal;
   private final RaftLink link;
   private final RaftNode node;
-  private final MembershipReconciler roll;
-  /** Raft's thread has it. */
-  private final ElectionWatchdog standstill = new ElectionWatchdog();
-  /** The first commit index that a leader told in this life; -1 before. */
-  private volatile long agreedBefore = -1;
+  private final MembershipReconciler reconciler;
+  /** Confined to the Raft thread. */
+  private final ElectionWatchdog watchdog = new ElectionWatchdog();
+  /** The first commit index received from a leader since the start; -1 before. */
+  private volatile long initialCommitIndex = -1;
   private volatile boolean caughtUp;
-  private volatile Map<String, MembershipReconciler.Registration> listed = Map.of();
-  private final Map<String, CompletableFuture<?>> pending = new ConcurrentHashMap<>();
-  private final ScheduledExecutorService duty = new ScheduledThreadPoolExecutor(1, task -> {
-    Thread made = new Thread(task, "ledger duty");
-    made.setDaemon(true);
-    return made;
+  private volatile Map<String, MembershipReconciler.Registration> upstreams = Map.of();
+  private final Map<String, CompletableFuture<?>> pendingCommands = new ConcurrentHashMap<>();
+  private final ScheduledExecutorService maintenance = new ScheduledThreadPoolExecutor(1, task -> {
+    Thread thread = new Thread(task, "ledger maintenance");
+    thread.setDaemon(true);
+    return thread;
   });
 
   private final LedgerClock clock = new LedgerClock(System::nanoTime, System.currentTimeMillis());
 
   private Voter(AgreeConfig config) throws IOException {
     this.config = config;
-    roll = new MembershipReconciler(config.name(), config.silentMillis());
-    journal = RaftJournal.open(config.journal(), config.fleet(), (long) config.mostMb() << 20);
-    Codec codec = new Codec(GROUP);
+    reconciler = new MembershipReconciler(config.name(), config.silentMillis());
+    journal = RaftJournal.open(config.journal(), config.fleet(), (long) config.maxMb() << 20);
+    Codec codec = new Codec(GROUP_ID);
     List<RaftEndpoint> voters = config.voters().stream().map(v -> (RaftEndpoint) new Peer(v.name())).toList();
-    RaftNode[] made = new RaftNode[1];
+    RaftNode[] self = new RaftNode[1];
     try {
       link = new RaftLink(config.fleet(), config.name(), config.raftListen(), config.voters().stream()
-          .filter(v -> !v.name().equals(config.name())).collect(Collectors.toMap(AgreeConfig.VoterAddress::name, AgreeConfig.VoterAddress::raft)), codec,
-          m -> pace.submit(() -> {
-            heard(m);
-            made[0].handle(PreVoteTermCatchUp.taken(journal.overlap().without(m), made[0].getTerm().getTerm()));
+          .filter(v -> !v.name().equals(config.name()))
+          .collect(Collectors.toMap(AgreeConfig.VoterAddress::name, AgreeConfig.VoterAddress::raft)), codec, m -> executor.submit(() -> {
+            onMessage(m);
+            self[0].handle(PreVoteTermCatchUp.rewrite(journal.overlap().trim(m), self[0].getTerm().getTerm()));
           }));
-      RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder().setGroupId(GROUP).setConfig(ScaledRaftExecutor.config(SNAPSHOT_EVERY)).setExecutor(pace)
-          .setClock(ScaledRaftExecutor.clock(Voter::micros)).setTransport(link).setStateMachine(machine).setStore(journal);
+      RaftNode.RaftNodeBuilder builder = RaftNode.newBuilder().setGroupId(GROUP_ID).setConfig(ScaledRaftExecutor.config(COMMITS_PER_SNAPSHOT))
+          .setExecutor(executor).setClock(ScaledRaftExecutor.clock(Voter::nowMicros)).setTransport(link).setStateMachine(stateMachine)
+          .setStore(journal);
       RestoredRaftState restored = journal.restored();
       if (restored == null) {
-        // One that joins is not of the group that it joins, until that has taken it.
+        // A joining voter is not a member of the group until the group has added it.
         builder.setLocalEndpoint(new Peer(config.name())).setInitialGroupMembers(
-            voters.stream().filter(v -> !journal.joins() || !v.getId().equals(config.name())).toList());
+            voters.stream().filter(v -> !journal.isJoining() || !v.getId().equals(config.name())).toList());
       } else {
-        check(restored, voters);
+        validate(restored, voters);
         builder.setRestoredState(restored);
       }
       node = builder.build();
-      made[0] = node;
-      // Guards the others: the library goes on, and one that leads would go on leading without ever agreeing to anything.
+      self[0] = node;
+      // MicroRaft goes on after a failed write: a leader would stay leader without ever committing anything.
       journal.onFailure(e -> {
-        LOG.error("this voter's file can't be written, it takes no part until it is restarted: {}", e.toString());
+        LOG.error("the journal can't be written, this voter is inactive until it is restarted: {}", e.toString());
         node.terminate();
       });
     } catch (IOException | RuntimeException e) {
@@ -103,82 +104,84 @@
     }
   }
 
-  private void check(RestoredRaftState restored, List<RaftEndpoint> voters) throws IOException {
-    Object was = restored.getLocalEndpointPersistentState().getLocalEndpoint().getId();
-    if (!was.equals(config.name())) {
-      throw new IOException(config.journal() + " is the file of voter \"" + was + "\"");
+  private void validate(RestoredRaftState restored, List<RaftEndpoint> voters) throws IOException {
+    Object owner = restored.getLocalEndpointPersistentState().getLocalEndpoint().getId();
+    if (!owner.equals(config.name())) {
+      throw new IOException(config.journal() + " is the journal of voter \"" + owner + "\"");
     }
-    List<RaftEndpoint> unknown = new ArrayList<>(voters);
-    unknown.removeAll(journal.group().getMembers());
-    if (unknown.size() > 1) {
-      // One at a time: the others have to hold the majority.
-      throw new IOException(config.journal() + " knows other voters than agree.voter: " + journal.group().getMembers());
-    } else if (!unknown.isEmpty()) {
-      LOG.warn("{} is no voter yet: `ashdeck outs replace` puts it in another's place", unknown.get(0).getId());
+    List<RaftEndpoint> newVoters = new ArrayList<>(voters);
+    newVoters.removeAll(journal.members().getMembers());
+    if (newVoters.size() > 1) {
+      // Only one voter at a time can be replaced, so that the others keep the majority.
+      throw new IOException(config.journal() + " has other voters than agree.voter: " + journal.members().getMembers());
+    } else if (!newVoters.isEmpty()) {
+      LOG.warn("{} is not a voter yet: `ashdeck outs replace` makes it replace another one", newVoters.get(0).getId());
     }
   }
 
-  /** Starts a voter; its file has to be there. */
+  /** Starts a voter; its journal must exist. */
   public static Voter start(AgreeConfig config) throws IOException {
     Voter v = new Voter(config);
     v.link.start();
     v.node.start();
-    v.duty.scheduleWithFixedDelay(v::work, DUTY_MILLIS, DUTY_MILLIS, TimeUnit.MILLISECONDS);
+    v.maintenance.scheduleWithFixedDelay(v::runMaintenance, MAINTENANCE_MILLIS, MAINTENANCE_MILLIS, TimeUnit.MILLISECONDS);
     return v;
   }
 
-  /** Whether this one leads, as far as it knows: what it says then holds only with a majority. */
+  /** Whether this voter believes that it is the leader; only a commit by a majority proves it. */
   public boolean isLeader() {
     RaftEndpoint leader = node.getTerm().getLeaderEndpoint();
     return leader != null && leader.getId().equals(config.name());
   }
 
-  /** The name of who leads as far as this one knows; empty for nobody. */
+  /** The name of the leader as far as this voter knows; empty for none. */
   public String leader() {
     RaftEndpoint leader = node.getTerm().getLeaderEndpoint();
     return leader == null ? "" : (String) leader.getId();
   }
 
-  /** Whether it takes part: a voter whose file could not be written does not. */
+  /** Whether this voter takes part in Raft; it stops when its journal can't be written. */
   public boolean isActive() {
     return !journal.isFailed() && !RaftNodeStatus.isTerminal(node.getStatus());
   }
 
-  private void heard(RaftMessage m) {
-    standstill.heard(m, micros());
-    if (agreedBefore < 0) {
-      agreedBefore = m instanceof AppendEntriesRequest a ? a.getCommitIndex() : m instanceof InstallSnapshotRequest i ? i.getSnapshotIndex() : -1;
+  private void onMessage(RaftMessage m) {
+    watchdog.onMessage(m, nowMicros());
+    if (initialCommitIndex < 0) {
+      initialCommitIndex = m instanceof AppendEntriesRequest a ? a.getCommitIndex()
+          : m instanceof InstallSnapshotRequest i ? i.getSnapshotIndex() : -1;
     }
   }
 
   /**
-   * Whether what it holds is worth looking at. Guards who starts beside a voter that starts too: that one's ledger is empty until a leader has
-   * agreed with it again, and an empty ledger has nobody out.
+   * Whether this voter has applied what was committed when it started, so that its state may be served. After a restart the ledger is empty
+   * until a leader commits again; an instance that starts at the same time would take that for "nobody is out".
    */
   public boolean isCaughtUp() {
-    long index = machine.index();
-    caughtUp = caughtUp || index > 0 && index >= journal.restoredLast() && index >= agreedBefore && (agreedBefore >= 0 || isLeader());
+    long index = stateMachine.index();
+    caughtUp = caughtUp || index > 0 && index >= journal.lastRestoredIndex() && index >= initialCommitIndex
+        && (initialCommitIndex >= 0 || isLeader());
     return caughtUp;
   }
 
-  /** Puts a command in the one order; fails where this one does not lead, and where nobody knows whether it came through. */
+  /** Replicates and applies a command. Fails where this voter is not the leader, and where the outcome is unknown. */
   public CompletableFuture<Reply> command(Command c) {
-    CompletableFuture<Ordered<Reply>> ordered = node.replicate(new TimestampedCommand(clock.stamp(machine.nowMillis()), c));
+    CompletableFuture<Ordered<Reply>> ordered = node.replicate(new TimestampedCommand(clock.stamp(stateMachine.nowMillis()), c));
     return ordered.thenApply(Ordered::getResult);
   }
 
-  /** Makes the next change that puts one voter in another's place; done once the group has agreed to it. Fails as {@link #command} does. */
+  /** Makes the next membership change that replaces one voter by another; completes once it is committed. Fails as {@link #command} does. */
   CompletableFuture<VoterReplacement.Next> replace(String from, String to) {
     if (config.voters().stream().noneMatch(v -> v.name().equals(to))) {
-      return CompletableFuture.completedFuture(new VoterReplacement.Next(VoterReplacement.Step.NO, to, to + " is no agree.voter of the file that " + config.name()
-          + " was started with"));
+      return CompletableFuture.completedFuture(new VoterReplacement.Next(VoterReplacement.Step.NO, to,
+          to + " is not an agree.voter in the file that " + config.name() + " was started with"));
     }
     RaftGroupMembers group = node.getCommittedMembers();
     VoterReplacement.Next next = VoterReplacement.next(names(group.getMembers()), names(group.getVotingMembers()), leader(), from, to);
     if (next.isFinal()) {
       return CompletableFuture.completedFuture(next);
     }
-    LOG.info("voters: {} {}", next.step().name().toLowerCase(java.util.Locale.ROOT), next.voter());
+    LOG.info("membership change: {} {}", next.step().name().toLowerCase(java.util.Locale.ROOT), next.voter());
     MembershipChangeMode mode = switch (next.step()) {
       case ADD -> MembershipChangeMode.ADD_LEARNER;
       case PROMOTE -> MembershipChangeMode.ADD_OR_PROMOTE_TO_FOLLOWER;
@@ -191,76 +194,76 @@
     return of.stream().map(e -> (String) e.getId()).collect(Collectors.toSet());
   }
 
-  /** The ledger as this one holds it; another may be ahead. */
+  /** The local state of the ledger; another voter may be ahead. */
   public LedgerState state() {
-    return machine.state();
+    return stateMachine.state();
   }
 
   long index() {
-    return machine.index();
+    return stateMachine.index();
   }
 
-  /** An instance has looked here. */
-  public void recordHeartbeat(String name, Heartbeat look) {
-    synchronized (roll) {
-      roll.recordHeartbeat(now(), name, look);
+  /** Records the heartbeat of an instance. */
+  public void recordHeartbeat(String name, Heartbeat heartbeat) {
+    synchronized (reconciler) {
+      reconciler.recordHeartbeat(nowMillis(), name, heartbeat);
     }
   }
 
-  /** The upstreams there are, by id, with their groups. */
-  public void setUpstreams(Map<String, MembershipReconciler.Registration> upstreams) {
-    listed = Map.copyOf(upstreams); // Taken up by the duty: who tells it, the engine's loop, waits for nobody.
+  /** Sets the current upstreams by id. */
+  public void setUpstreams(Map<String, MembershipReconciler.Registration> all) {
+    upstreams = Map.copyOf(all); // Read by the maintenance thread: the caller is the engine's event loop and must not block.
   }
 
-  /** Instances in service that have not acted on all up to an index, as this one has heard. */
+  /** Instances in service that have not applied the ledger up to the index, according to the heartbeats received here. */
   public List<String> laggingInstances(long index) {
-    synchronized (roll) {
-      return roll.laggingInstances(now(), index, state());
+    synchronized (reconciler) {
+      return reconciler.laggingInstances(nowMillis(), index, state());
     }
   }
 
-  private static long micros() {
+  private static long nowMicros() {
     return TimeUnit.NANOSECONDS.toMicros(System.nanoTime());
   }
 
-  private void wake() {
-    RaftMessage m = standstill.look(micros(), node.getLocalEndpoint(), node.getTerm().getLeaderEndpoint(), node.getTerm().getTerm(), GROUP);
+  private void checkLeader() {
+    RaftMessage m = watchdog.check(nowMicros(), node.getLocalEndpoint(), node.getTerm().getLeaderEndpoint(), node.getTerm().getTerm(), GROUP_ID);
     if (m != null) {
-      LOG.warn("the leader has been silent for long: the next term");
+      LOG.warn("the leader is unresponsive, starting the next term");
       node.handle(m);
     }
   }
 
-  private static long now() {
+  private static long nowMillis() {
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
   }
 
-  /** Never throws: a turn that did would be the last. */
-  private void work() {
+  /** Never throws: the executor cancels a periodic task that does. */
+  private void runMaintenance() {
     try {
-      pace.submit(this::wake);
+      executor.submit(this::checkLeader);
       boolean leads = isLeader() && isActive();
       LedgerState s = state();
-      List<Command> told;
-      synchronized (roll) {
-        roll.setUpstreams(listed);
-        told = roll.reconcile(now(), leads, s);
+      List<Command> commands;
+      synchronized (reconciler) {
+        reconciler.setUpstreams(upstreams);
+        commands = reconciler.reconcile(nowMillis(), leads, s);
       }
       if (leads && s.rules().version() < config.rules().version()) {
-        tell("rules", config.rules());
+        propose("rules", config.rules());
       }
-      told.stream().limit(MOST_A_TURN).forEach(c -> tell(c.toString(), c));
+      commands.stream().limit(MAX_COMMANDS_PER_RUN).forEach(c -> propose(c.toString(), c));
     } catch (RuntimeException e) {
-      LOG.warn("the ledger's duty: {}", e.toString());
+      LOG.warn("maintenance of the ledger failed: {}", e.toString());
     }
   }
 
-  /** One of a kind at a time: what has no answer yet is not said again. */
-  private void tell(String key, Command c) {
-    pending.computeIfAbsent(key, k -> {
+  /** Proposes a command unless the same one is still pending. */
+  private void propose(String key, Command c) {
+    pendingCommands.computeIfAbsent(key, k -> {
       CompletableFuture<Reply> reply = command(c);
       return reply.handle((r, e) -> {
-        duty.execute(() -> pending.remove(k));
+        maintenance.execute(() -> pendingCommands.remove(k));
         return null;
       });
     });
@@ -268,7 +271,7 @@
 
   @Override
   public void close() {
-    duty.shutdownNow();
+    maintenance.shutdownNow();
     try {
       node.terminate().get(1, TimeUnit.SECONDS);
       link.close();
@@ -276,11 +279,11 @@
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (Exception e) {
-      LOG.debug("at the end: {}", e.toString());
+      LOG.debug("shutdown failed: {}", e.toString());
     }
   }
 
-  /** Where it hears other voters. */
+  /** The address where other voters connect. */
   public java.net.InetSocketAddress raftAddress() {
     return link.address();
   }
--- a/agree/src/main/java/cloverpulley/agree/package-info.java
+++ b/agree/src/main/java/cloverpulley/agree/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The shell of the ledger of outs: Raft (MicroRaft) between its voters, their file and links, the way in for all instances, and what an
- * instance does about it. What is decided is decided in {@code cloverpulley.outs}.
+ * Replication of the disruption ledger: Raft (MicroRaft) between the voters, their journal and transport, the HTTP API for all instances, and
+ * the instances' client. The decisions are made in {@code cloverpulley.outs}.
  */
 package cloverpulley.agree;
--- a/agree/src/test/java/cloverpulley/agree/JsonTest.java
+++ b/agree/src/test/java/cloverpulley/agree/JsonTest.java
@@ -6,12 +6,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cloverpulley.outs.Command;
-import cloverpulley.outs.Health;
-import cloverpulley.outs.MemberKind;
 import cloverpulley.outs.DisruptionLedger;
+import cloverpulley.outs.Health;
+import cloverpulley.outs.LedgerState;
 import cloverpulley.outs.Limit;
+import cloverpulley.outs.MemberKind;
 import cloverpulley.outs.Reply;
-import cloverpulley.outs.LedgerState;
 import cloverpulley.outs.ResultCode;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
@@ -21,7 +21,7 @@
 import java.util.regex.Pattern;
 import org.junit.jupiter.api.Test;
 
-/** Commands and states as text: what comes from a socket either is whole or is none. */
+/** Commands and states as JSON: input from the network either is valid or is rejected. */
 class JsonTest {
 
   private static final List<Command> ALL = List.of(new Command.Rules(3, Map.of("g", new Limit(1, 0.5, 2)), 2, 500, 0.5, 0.5),
@@ -30,7 +30,7 @@
       new Command.Halt("h", "op", "why"), new Command.Resume("h", "op"), new Command.Back("", "op"), new Command.Tick());
 
   @Test
-  void whatIsWrittenIsReadAgain() throws IOException {
+  void writtenValuesCanBeRead() throws IOException {
     DisruptionLedger ledger = new DisruptionLedger();
     long at = 0;
     for (Command c : ALL) {
@@ -39,28 +39,32 @@
       assertEquals(r, Json.read(Json.write(r), Reply.class));
       assertEquals(ledger.state(), Json.read(Json.write(ledger.state()), LedgerState.class));
     }
-    assertEquals(ALL.size(), Command.class.getPermittedSubclasses().length, "each kind is here");
+    assertEquals(ALL.size(), Command.class.getPermittedSubclasses().length, "every command is covered");
   }
 
-  /** Each value of each command in turn is nothing, of another kind, endless, or below all: it is turned down, or the ledger has an answer. */
+  /**
+   * Replaces each value of each command by null, other types, very long texts and extreme numbers: the command is rejected, or the ledger replies
+   * to it. A command that throws in the ledger would stop every voter.
+   */
   @Test
-  void noTextBreaksALedger() throws IOException {
-    int turnedDown = 0;
-    int taken = 0;
+  void malformedCommandsDoNotBreakTheLedger() throws IOException {
+    int rejected = 0;
+    int accepted = 0;
     for (Command c : ALL) {
       String text = new String(Json.write(c), StandardCharsets.UTF_8);
       Matcher value = Pattern.compile("(?<=:)(\"[^\"]*\"|-?[\\d.]+|true|false|\\[[^\\]]*]|\\{[^{}]*})").matcher(text);
       while (value.find()) {
-        for (String odd : List.of("null", "[null]", "{\"g\":null}", "\"\"", "\"" + "x".repeat(10_000) + "\"", "-1", "9223372036854775807", "1e400", "{}", "[]")) {
-          byte[] changed = (text.substring(0, value.start()) + odd + text.substring(value.end())).getBytes(StandardCharsets.UTF_8);
+        for (String replacement : List.of("null", "[null]", "{\"g\":null}", "\"\"", "\"" + "x".repeat(10_000) + "\"", "-1",
+            "9223372036854775807", "1e400", "{}", "[]")) {
+          byte[] changed = (text.substring(0, value.start()) + replacement + text.substring(value.end())).getBytes(StandardCharsets.UTF_8);
           Command read;
           try {
             read = Json.read(changed, Command.class);
           } catch (IOException e) {
-            turnedDown++;
+            rejected++;
             continue;
           }
-          taken++;
+          accepted++;
           DisruptionLedger ledger = new DisruptionLedger();
           long at = 0;
           for (Command before : ALL.subList(0, 2)) {
@@ -72,19 +76,19 @@
         }
       }
     }
-    assertTrue(turnedDown > 100 && taken > 10, turnedDown + " turned down, " + taken + " taken");
+    assertTrue(rejected > 100 && accepted > 10, rejected + " rejected, " + accepted + " accepted");
   }
 
   @Test
-  void whatAnOlderProgramDoesNotKnowIsTurnedDown() {
+  void unknownCommandsAndPropertiesAreRejected() {
     for (String text : List.of("{\"do\":\"vanish\"}", "{\"do\":\"tick\",\"more\":1}", "{\"do\":\"strike\"}", "{", "null", "[]", "")) {
       assertThrows(IOException.class, () -> Json.read(text.getBytes(StandardCharsets.UTF_8), Command.class), text);
     }
   }
 
-  /** A wait longer than there is time does not end at once. */
+  /** The deadline of a very long wait must not overflow, which would end the wait at once. */
   @Test
-  void theLongestWaitWaits() {
+  void aVeryLongWaitDoesNotExpire() {
     DisruptionLedger ledger = new DisruptionLedger();
     ledger.apply(1, 1, new Command.Enrol("m", MemberKind.UPSTREAM, List.of()));
     ledger.apply(2, 1, new Command.Halt("h", "op", ""));
--- a/agree/src/test/java/cloverpulley/agree/LedgerClockTest.java
+++ b/agree/src/test/java/cloverpulley/agree/LedgerClockTest.java
@@ -13,19 +13,19 @@
 
   private final AtomicLong nanos = new AtomicLong(77);
 
-  private void passes(long millis) {
+  private void advance(long millis) {
     nanos.addAndGet(TimeUnit.MILLISECONDS.toNanos(millis));
   }
 
   @Test
-  void theLedgerAgesByRealTimeAfterALeaderWhoseWallClockWasAhead() {
+  void theLedgerAdvancesAfterALeaderWithAFastClock() {
     LedgerClock clock = new LedgerClock(nanos::get, UNIX);
     assertEquals(UNIX, clock.stamp(0));
-    passes(500);
+    advance(500);
     assertEquals(UNIX + 500, clock.stamp(UNIX));
     long ahead = UNIX + HOUR;
     assertEquals(ahead, clock.stamp(ahead), "never behind the ledger");
-    passes(1000);
-    assertEquals(ahead + 1000, clock.stamp(ahead), "before, the ledger's time stood still for the hour");
+    advance(1000);
+    assertEquals(ahead + 1000, clock.stamp(ahead), "the ledger's time must not stop until the clock has caught up");
   }
 }
--- a/agree/src/test/java/cloverpulley/agree/Linearizable.java
+++ b/agree/src/test/java/cloverpulley/agree/Linearizable.java
@@ -10,41 +10,41 @@
 import java.util.TreeSet;
 
 /**
- * Whether asks and releases, as seen from outside, can be put in one order that fits the time of each and what each was told (the method of
- * Wing and Gong with Lowe's memory of states, as Porcupine has it), for places of which so many may be taken.
+ * Checks whether requests and releases are linearizable: whether there is an order that agrees with the time and the reply of each, for a
+ * limited number of slots. It uses the algorithm of Wing and Gong with Lowe's cache of visited states, as Porcupine does.
  */
 final class Linearizable {
 
   private final List<Histories.Op> ops;
-  private final int most;
-  private final Set<List<Object>> been = new HashSet<>();
+  private final int maxOut;
+  private final Set<List<Object>> visited = new HashSet<>();
 
-  private Linearizable(List<Histories.Op> all, int most) {
+  private Linearizable(List<Histories.Op> all, int maxOut) {
     ops = new ArrayList<>(all);
     ops.sort(Comparator.comparingLong(Histories.Op::invoked));
-    this.most = most;
+    this.maxOut = maxOut;
   }
 
-  static boolean check(List<Histories.Op> ops, int most) {
-    return new Linearizable(ops, most).search(new BitSet(), new TreeSet<>());
+  static boolean check(List<Histories.Op> ops, int maxOut) {
+    return new Linearizable(ops, maxOut).search(new BitSet(), new TreeSet<>());
   }
 
   private boolean search(BitSet done, TreeSet<String> out) {
-    long soonest = Long.MAX_VALUE;
-    boolean left = false;
+    long earliestReturn = Long.MAX_VALUE;
+    boolean pending = false;
     for (int i = done.nextClearBit(0); i < ops.size(); i = done.nextClearBit(i + 1)) {
       if (ops.get(i).returned() >= 0) {
-        left = true;
-        soonest = Math.min(soonest, ops.get(i).returned());
+        pending = true;
+        earliestReturn = Math.min(earliestReturn, ops.get(i).returned());
       }
     }
-    if (!left) {
-      return true; // What had no answer may never have happened.
+    if (!pending) {
+      return true; // A request without a reply may never have been executed.
     }
-    if (!been.add(List.of(done.clone(), Set.copyOf(out)))) {
+    if (!visited.add(List.of(done.clone(), Set.copyOf(out)))) {
       return false;
     }
-    for (int i = done.nextClearBit(0); i < ops.size() && ops.get(i).invoked() <= soonest; i = done.nextClearBit(i + 1)) {
+    for (int i = done.nextClearBit(0); i < ops.size() && ops.get(i).invoked() <= earliestReturn; i = done.nextClearBit(i + 1)) {
       TreeSet<String> after = apply(ops.get(i), out);
       if (after != null) {
         done.set(i);
@@ -57,21 +57,21 @@
     return false;
   }
 
-  /** The places after it; null where it can't have been told that. */
+  /** The members that are out after the operation; null if its reply is not possible in this state. */
   private TreeSet<String> apply(Histories.Op op, TreeSet<String> out) {
     TreeSet<String> after = new TreeSet<>(out);
-    boolean fits;
+    boolean isPossible;
     if (!op.isAsk()) {
-      fits = after.remove(op.member());
+      isPossible = after.remove(op.member());
     } else if (op.word() == null) {
-      fits = out.size() < most && after.add(op.member());
+      isPossible = out.size() < maxOut && after.add(op.member());
     } else if (op.word() == ResultCode.GRANTED || op.word() == ResultCode.SAME_AGAIN) {
-      fits = out.size() < most && after.add(op.member());
+      isPossible = out.size() < maxOut && after.add(op.member());
     } else if (op.word() == ResultCode.LIMIT) {
-      fits = out.size() >= most && !out.contains(op.member());
+      isPossible = out.size() >= maxOut && !out.contains(op.member());
     } else {
-      fits = op.word() == ResultCode.ALREADY_OUT && out.contains(op.member());
+      isPossible = op.word() == ResultCode.ALREADY_OUT && out.contains(op.member());
     }
-    return fits ? after : null;
+    return isPossible ? after : null;
   }
 }
--- a/agree/src/test/java/cloverpulley/agree/RaftJournalTest.java
+++ b/agree/src/test/java/cloverpulley/agree/RaftJournalTest.java
@@ -20,10 +20,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A voter's file: torn, spoilt, somebody else's, and written anew. */
+/** Recovery of a voter's journal: truncated, corrupt, foreign and compacted files. */
 class RaftJournalTest {
 
-  private static final long MOST = 1 << 20;
+  private static final long MAX_BYTES = 1 << 20;
 
   @TempDir
   private Path folder;
@@ -42,9 +42,9 @@
         .setVotingMembers(List.of(new Peer("a"), new Peer("b"), new Peer("c"))).build();
   }
 
-  private RaftJournal begun(long most) throws IOException {
+  private RaftJournal create(long maxBytes) throws IOException {
     RaftJournal.create(file(), "fleet", false);
-    RaftJournal j = RaftJournal.open(file(), "fleet", most);
+    RaftJournal j = RaftJournal.open(file(), "fleet", maxBytes);
     assertNull(j.restored());
     j.persistAndFlushInitialGroupMembers(members());
     j.persistAndFlushLocalEndpoint(
@@ -57,21 +57,21 @@
     return s.getLogEntries().stream().map(e -> e.getIndex() + ":" + e.getTerm() + ":" + ((TimestampedCommand) e.getOperation()).command()).toList();
   }
 
-  private RestoredRaftState again() throws IOException {
-    try (RaftJournal j = RaftJournal.open(file(), "fleet", MOST)) {
+  private RestoredRaftState recover() throws IOException {
+    try (RaftJournal j = RaftJournal.open(file(), "fleet", MAX_BYTES)) {
       return j.restored();
     }
   }
 
   @Test
-  void whatWasFlushedIsThereAgain() throws IOException {
-    try (RaftJournal j = begun(MOST)) {
+  void flushedEntriesAreRecovered() throws IOException {
+    try (RaftJournal j = create(MAX_BYTES)) {
       j.persistLogEntries(List.of(entry(1, 3), entry(2, 3), entry(3, 3)));
       j.truncateLogEntriesFrom(3);
       j.persistLogEntries(List.of(entry(3, 4)));
       j.flush();
     }
-    RestoredRaftState s = again();
+    RestoredRaftState s = recover();
     assertEquals(List.of(entry(1, 3), entry(2, 3), entry(3, 4)).stream().map(e -> e.getIndex() + ":" + e.getTerm() + ":"
         + ((TimestampedCommand) e.getOperation()).command()).toList(), read(s));
     assertEquals(3, s.getTermPersistentState().getTerm());
@@ -79,11 +79,11 @@
     assertEquals(new Peer("a"), s.getLocalEndpointPersistentState().getLocalEndpoint());
   }
 
-  /** Cut at any octet, it is what it was at some moment before. */
+  /** A file cut at any byte recovers to an earlier state. */
   @Test
-  void aTornTailIsCutOff() throws IOException {
+  void aTruncatedFrameIsCutOff() throws IOException {
     List<Integer> ends = new ArrayList<>();
-    try (RaftJournal j = begun(MOST)) {
+    try (RaftJournal j = create(MAX_BYTES)) {
       for (int i = 1; i <= 5; i++) {
         ends.add((int) j.size());
         j.persistLogEntries(List.of(entry(i, 3)));
@@ -95,16 +95,16 @@
     for (int cut = ends.get(0); cut <= whole.length; cut++) {
       Files.write(file(), Arrays.copyOf(whole, cut));
       int at = cut;
-      assertEquals(ends.stream().skip(1).filter(e -> e <= at).count(), again().getLogEntries().size(), "cut at " + cut);
+      assertEquals(ends.stream().skip(1).filter(e -> e <= at).count(), recover().getLogEntries().size(), "cut at " + cut);
     }
   }
 
-  /** What is spoilt before its end was told of once: the file is not used, and not changed. */
+  /** A corrupt frame before the end was acknowledged before: the file must be rejected and stay unchanged. */
   @Test
-  void oneThatIsSpoiltInTheMiddleIsNotUsed() throws IOException {
+  void aFileCorruptInTheMiddleIsRejected() throws IOException {
     int from;
     int last;
-    try (RaftJournal j = begun(MOST)) {
+    try (RaftJournal j = create(MAX_BYTES)) {
       from = (int) j.size();
       j.persistLogEntries(List.of(entry(1, 3)));
       last = (int) j.size();
@@ -113,36 +113,36 @@
     }
     byte[] whole = Files.readAllBytes(file());
     for (int at = from; at < last; at++) {
-      byte[] spoilt = whole.clone();
-      spoilt[at] ^= 0x40;
-      Files.write(file(), spoilt);
-      assertTrue(assertThrows(IOException.class, this::again).getMessage().contains("spoilt at octet " + from), "at " + at);
+      byte[] corrupt = whole.clone();
+      corrupt[at] ^= 0x40;
+      Files.write(file(), corrupt);
+      assertTrue(assertThrows(IOException.class, this::recover).getMessage().contains("corrupt at byte " + from), "at " + at);
       assertEquals(whole.length, Files.size(file()));
     }
   }
 
   @Test
-  void oneOfAnotherFleetOrVersionOrNoneOrInUseIsRefused() throws IOException {
-    assertTrue(assertThrows(IOException.class, this::again).getMessage().contains("is missing"));
-    try (RaftJournal j = begun(MOST)) {
+  void missingForeignNewerAndUsedFilesAreRejected() throws IOException {
+    assertTrue(assertThrows(IOException.class, this::recover).getMessage().contains("is missing"));
+    try (RaftJournal j = create(MAX_BYTES)) {
       assertNotNull(j);
-      assertThrows(IOException.class, this::again, "in use");
+      assertThrows(IOException.class, this::recover, "in use");
     }
-    assertTrue(assertThrows(IOException.class, () -> RaftJournal.open(file(), "other", MOST)).getMessage().contains("another fleet"));
+    assertTrue(assertThrows(IOException.class, () -> RaftJournal.open(file(), "other", MAX_BYTES)).getMessage().contains("another fleet"));
     byte[] whole = Files.readAllBytes(file());
     byte[] newer = whole.clone();
     ByteBuffer.wrap(newer).putInt(4, RaftJournal.VERSION + 1);
     Files.write(file(), newer);
-    assertTrue(assertThrows(IOException.class, this::again).getMessage().contains("version 2"));
-    assertThrows(IOException.class, () -> RaftJournal.create(file(), "fleet", false), "there is one");
+    assertTrue(assertThrows(IOException.class, this::recover).getMessage().contains("version 2"));
+    assertThrows(IOException.class, () -> RaftJournal.create(file(), "fleet", false), "the file exists");
     Files.write(file(), whole);
-    assertNotNull(again());
+    assertNotNull(recover());
   }
 
-  /** Written anew at its bound, over and over, it holds the same; what is behind a snapshot is gone. */
+  /** Repeated compaction keeps the state, and entries covered by a snapshot are removed. */
   @Test
-  void itStaysBounded() throws IOException {
-    try (RaftJournal j = begun(4096)) {
+  void theSizeStaysBounded() throws IOException {
+    try (RaftJournal j = create(4096)) {
       for (int i = 1; i <= 500; i++) {
         j.persistLogEntries(List.of(entry(i, 3)));
         if (i % 50 == 0) {
@@ -155,7 +155,7 @@
       }
       assertTrue(j.size() < 4 * 4096, "size " + j.size());
     }
-    RestoredRaftState s = again();
+    RestoredRaftState s = recover();
     assertEquals(500, s.getSnapshotEntry().getIndex());
     assertEquals(List.of(), s.getLogEntries());
   }
--- a/bench/src/main/java/cloverpulley/bench/OutsBench.java
+++ b/bench/src/main/java/cloverpulley/bench/OutsBench.java
@@ -88,8 +88,8 @@
       while (System.nanoTime() < until) {
         Histories.Result r = Histories.run(histories.incrementAndGet(), false);
         behind.addAndGet(r.behind());
-        if (!r.broken().isEmpty()) {
-          throw new IllegalStateException("seed " + r.seed() + ": " + r.broken());
+        if (!r.violation().isEmpty()) {
+          throw new IllegalStateException("seed " + r.seed() + ": " + r.violation());
         }
       }
     });
