--- a/decision/src/main/java/cloverpulley/outs/RejectionRate.java
+++ b/decision/src/main/java/cloverpulley/outs/RejectionRate.java
@@ -4,7 +4,7 @@
 
 /**
  * The ratio of requests that an instance rejected within a sliding window, from samples of monotonic counters. It is 0 while the window has
- * fewer than {@value #MIN_REQUESTS} requests. Not thread-safe.
+ * fewer than 20 requests. Not thread-safe.
  */
 public final class RejectionRate {
 
