--- a/decision/src/main/java/cloverpulley/outs/DisruptionLedger.java
+++ b/decision/src/main/java/cloverpulley/outs/DisruptionLedger.java
@@ -170,7 +170,7 @@
     members.remove(s.member());
     groupCounts.remove(s.member(), old.groups());
     countKind(old, -1);
-    queue.removeIf(w -> w.member().equals(s.member()) && dequeue(w, ResultCode.UNKNOWN_MEMBER));
+    queue.removeIf(w -> w.member().equals(s.member()) && recordEnd(w, ResultCode.UNKNOWN_MEMBER));
     addHistory("struck", s.member(), "", "");
     return reply(ResultCode.DONE);
   }
@@ -299,7 +299,7 @@
   }
 
   private Reply withdraw(Withdraw w) {
-    if (queue.removeIf(q -> q.ask().equals(w.ask()) && dequeue(q, ResultCode.WITHDRAWN))) {
+    if (queue.removeIf(q -> q.ask().equals(w.ask()) && recordEnd(q, ResultCode.WITHDRAWN))) {
       return reply(ResultCode.DONE);
     }
     for (Map.Entry<String, Permit> e : permits.entrySet()) {
@@ -311,7 +311,8 @@
     return reply(ResultCode.NOT_OUT);
   }
 
-  private boolean dequeue(QueuedRequest w, ResultCode why) {
+  /** Records why a queued request ended without a grant; always true. The caller removes it from the queue. */
+  private boolean recordEnd(QueuedRequest w, ResultCode why) {
     remember(w.ask(), new Reply(why, "", List.of(), 0, index));
     addHistory(why.text(), w.member(), w.by(), w.why());
     return true;
@@ -429,7 +430,7 @@
     for (Iterator<QueuedRequest> i = queue.iterator(); i.hasNext();) {
       QueuedRequest w = i.next();
       if (nowMillis >= w.untilMillis()) {
-        dequeue(w, ResultCode.EXPIRED);
+        recordEnd(w, ResultCode.EXPIRED);
         i.remove();
       }
     }
--- a/decision/src/main/java/cloverpulley/outs/LedgerState.java
+++ b/decision/src/main/java/cloverpulley/outs/LedgerState.java
@@ -10,8 +10,8 @@
  * @param back groups whose members are being returned to service; an empty name stands for all members
  * @param answered replies to recent requests by request name, so that a repeated request is answered as before
  */
-public record LedgerState(long index, long nowMillis, Command.Rules rules, Map<String, Member> members, Map<String, Permit> outs, List<QueuedRequest> queue,
-    Map<String, ActiveHalt> halts, List<String> back, Map<String, Reply> answered, List<HistoryEntry> history) {
+public record LedgerState(long index, long nowMillis, Command.Rules rules, Map<String, Member> members, Map<String, Permit> outs,
+    List<QueuedRequest> queue, Map<String, ActiveHalt> halts, List<String> back, Map<String, Reply> answered, List<HistoryEntry> history) {
 
   /** The state before any command. */
   public static final LedgerState EMPTY = new DisruptionLedger().state();
--- a/decision/src/test/java/cloverpulley/outs/DisruptionLedgerTest.java
+++ b/decision/src/test/java/cloverpulley/outs/DisruptionLedgerTest.java
@@ -57,10 +57,10 @@
   @Test
   void aPermitIsGrantedOnlyWithinAllLimits() {
     assertEquals(ResultCode.GRANTED, ask("s0", 0).word());
-    Reply no = ask("s1", 0);
-    assertEquals(ResultCode.LIMIT, no.word());
-    assertEquals("cell:0", no.binding());
-    assertEquals(List.of("s0"), no.holders());
+    Reply rejection = ask("s1", 0);
+    assertEquals(ResultCode.LIMIT, rejection.word());
+    assertEquals("cell:0", rejection.binding());
+    assertEquals(List.of("s0"), rejection.holders());
     assertEquals(ResultCode.GRANTED, ask("s4", 0).word());
     assertEquals("upstreams", ask("s5", 0).binding(), "the cell has capacity, the fleet has none");
     assertEquals(ResultCode.GRANTED, ask("b1", 0).word(), "balancers are a group of their own");
