--- a/agree/src/main/java/cloverpulley/agree/LedgerMachine.java
+++ b/agree/src/main/java/cloverpulley/agree/LedgerStateMachine.java
@@ -1,8 +1,8 @@
 package cloverpulley.agree;
 
 import cloverpulley.outs.Command;
-import cloverpulley.outs.Ledger;
-import cloverpulley.outs.State;
+import cloverpulley.outs.DisruptionLedger;
+import cloverpulley.outs.LedgerState;
 import io.microraft.statemachine.StateMachine;
 import java.io.IOException;
 import java.io.UncheckedIOException;
@@ -10,19 +10,19 @@
 import java.util.List;
 import java.util.function.Consumer;
 
-/** The ledger as Raft's state machine. Commands come on Raft's thread, looks from others: a look is a value, made once for an index. */
-final class LedgerMachine implements StateMachine {
+/** The ledger as Raft's state machine. Commands run on the Raft thread, readers on others; the immutable state is cached per log index. */
+final class LedgerStateMachine implements StateMachine {
 
-  private final Ledger ledger;
-  private State looked;
+  private final DisruptionLedger ledger;
+  private LedgerState cachedState;
 
-  LedgerMachine(Ledger ledger) {
+  LedgerStateMachine(DisruptionLedger ledger) {
     this.ledger = ledger;
   }
 
   @Override
   public synchronized Object runOperation(long commitIndex, Object operation) {
-    Stamped s = (Stamped) operation;
+    TimestampedCommand s = (TimestampedCommand) operation;
     return ledger.apply(commitIndex, s.millis(), s.command());
   }
 
@@ -36,27 +36,27 @@
     StringBuilder text = new StringBuilder();
     chunks.forEach(text::append);
     try {
-      ledger.restore(Json.read(text.toString().getBytes(StandardCharsets.UTF_8), State.class));
+      ledger.restore(Json.read(text.toString().getBytes(StandardCharsets.UTF_8), LedgerState.class));
     } catch (IOException e) {
-      throw new UncheckedIOException(e); // A snapshot of a newer version: this voter can't go on.
+      throw new UncheckedIOException(e); // A snapshot of a newer version, which this voter can't use.
     }
-    looked = null;
+    cachedState = null;
   }
 
   @Override
   public Object getNewTermOperation() {
-    return new Stamped(0, new Command.Tick());
+    return new TimestampedCommand(0, new Command.Tick());
   }
 
-  /** The ledger as it is. */
-  synchronized State state() {
-    if (looked == null || looked.index() != ledger.index()) {
-      looked = ledger.state();
+  /** The current state of the ledger. */
+  synchronized LedgerState state() {
+    if (cachedState == null || cachedState.index() != ledger.index()) {
+      cachedState = ledger.state();
     }
-    return looked;
+    return cachedState;
   }
 
-  /** The ledger's time: the latest stamp that it holds. */
+  /** The time of the ledger, its latest timestamp. */
   synchronized long nowMillis() {
     return ledger.nowMillis();
   }
--- a/bench/src/main/java/cloverpulley/bench/OutsBench.java
+++ b/bench/src/main/java/cloverpulley/bench/OutsBench.java
@@ -1,18 +1,18 @@
 package cloverpulley.bench;
 
 import cloverpulley.agree.AgreeClient;
-import cloverpulley.agree.AgreeConfig.VoterAt;
+import cloverpulley.agree.AgreeConfig.VoterAddress;
 import cloverpulley.agree.Histories;
 import cloverpulley.model.outs.SmallWorld;
 import cloverpulley.outs.Command;
 import cloverpulley.outs.Health;
-import cloverpulley.outs.Kind;
-import cloverpulley.outs.Ledger;
-import cloverpulley.outs.Look;
+import cloverpulley.outs.MemberKind;
+import cloverpulley.outs.DisruptionLedger;
+import cloverpulley.outs.Heartbeat;
 import cloverpulley.outs.Limit;
 import cloverpulley.outs.Reply;
-import cloverpulley.outs.State;
-import cloverpulley.outs.Word;
+import cloverpulley.outs.LedgerState;
+import cloverpulley.outs.ResultCode;
 import cloverpulley.standins.StandInUpstream;
 import cloverpulley.standins.StandInUpstream.Answer;
 import cloverpulley.standins.faults.AgreeingFleet;
@@ -86,10 +86,10 @@
     AtomicLong behind = new AtomicLong();
     IntStream.range(0, Runtime.getRuntime().availableProcessors()).parallel().forEach(core -> {
       while (System.nanoTime() < until) {
-        Histories.Result r = Histories.play(histories.incrementAndGet(), false);
+        Histories.Result r = Histories.run(histories.incrementAndGet(), false);
         behind.addAndGet(r.behind());
-        if (!r.broken().isEmpty()) {
-          throw new IllegalStateException("seed " + r.seed() + ": " + r.broken());
+        if (!r.violation().isEmpty()) {
+          throw new IllegalStateException("seed " + r.seed() + ": " + r.violation());
         }
       }
     });
@@ -150,14 +150,14 @@
         one.address("balance");
       }
     }
-    List<VoterAt> voters = new ArrayList<>();
+    List<VoterAddress> voters = new ArrayList<>();
     for (int i = 0; i < VOTERS; i++) {
-      voters.add(new VoterAt("b" + i, null, fleet.api(i)));
+      voters.add(new VoterAddress("b" + i, null, fleet.api(i)));
     }
     AgreeClient client = new AgreeClient(voters);
     await("all are enrolled", () -> {
-      State s = client.whole();
-      return s.members().size() == processes + UPSTREAMS && s.members().values().stream().noneMatch(State.Member::unwell);
+      LedgerState s = client.fullState();
+      return s.members().size() == processes + UPSTREAMS && s.members().values().stream().noneMatch(LedgerState.Member::unwell);
     });
     System.out.printf("%d processes serve and are enrolled after %.1f s%n", processes, (System.nanoTime() - begun) / 1e9);
     for (int i = 0; i < Math.min(CALLED, processes); i++) {
@@ -191,34 +191,34 @@
     long from = System.nanoTime();
     Reply r = client.command(new Command.Ask("ask " + number, member, "bench", "round", 0, false), 10_000);
     permit.add((System.nanoTime() - from) / 1e6);
-    if (!r.isYes()) {
+    if (!r.isSuccess()) {
       throw new IllegalStateException(member + ": " + r);
     }
     long yes = System.nanoTime();
-    await("all have acted", () -> client.notActed(r.epoch()).isEmpty());
+    await("all have acted", () -> client.laggingInstances(r.epoch()).isEmpty());
     acted.add((System.nanoTime() - yes) / 1e6);
     if (number % 8 == 0) {
       await("the grace", () -> System.nanoTime() > yes + GRACE_NANOS + GRACE_NANOS / 2);
       afterOut += (int) upstreams.get(member).seen().stream().filter(s -> s.atNanos() > yes + GRACE_NANOS).count();
     }
-    overLimit += client.whole().outs().size() > UPSTREAMS / 5 ? 1 : 0;
+    overLimit += client.fullState().outs().size() > UPSTREAMS / 5 ? 1 : 0;
     client.command(new Command.Return(member, "bench", r.epoch()), 10_000);
-    if (number % 8 == 0 || client.whole().outs().size() >= UPSTREAMS / 5 - 1) {
-      await("it is warm", () -> client.whole().outs().isEmpty());
+    if (number % 8 == 0 || client.fullState().outs().size() >= UPSTREAMS / 5 - 1) {
+      await("it is warm", () -> client.fullState().outs().isEmpty());
     }
   }
 
   /** Until every voter says so, whoever is asked. */
-  private static double halt(AgreeClient client, List<VoterAt> voters, int number) throws Exception {
+  private static double halt(AgreeClient client, List<VoterAddress> voters, int number) throws Exception {
     long from = System.nanoTime();
     client.command(new Command.Halt("h" + number, "bench", ""), 10_000);
-    for (VoterAt v : voters) {
+    for (VoterAddress v : voters) {
       AgreeClient one = new AgreeClient(List.of(v));
-      await("it is halted", () -> one.whole().halts().containsKey("h" + number));
+      await("it is halted", () -> one.fullState().halts().containsKey("h" + number));
     }
     double millis = (System.nanoTime() - from) / 1e6;
     Reply r = client.command(new Command.Ask("halted " + number, "s0", "bench", "", 0, false), 10_000);
-    if (r.word() != Word.HALTED) {
+    if (r.word() != ResultCode.HALTED) {
       throw new IllegalStateException("granted while it is halted: " + r);
     }
     client.command(new Command.Resume("h" + number, "bench"), 10_000);
@@ -227,21 +227,21 @@
 
   /** Octets that one instance's looks cost a second, by a look-alike of it. */
   private static double bytes(AgreeClient of) throws Exception {
-    State s = of.whole();
-    long before = of.octets();
+    LedgerState s = of.fullState();
+    long before = of.bodyBytes();
     long acted = s.index();
     int looks = 25;
     for (int i = 0; i < looks; i++) {
-      State next = of.look("", new Look("", List.of(), acted, 0), acted);
+      LedgerState next = of.poll("", new Heartbeat("", List.of(), acted, 0), acted);
       acted = next == null ? acted : next.index();
       TimeUnit.MILLISECONDS.sleep(200);
     }
     // Beside the bodies a call has some 300 octets of heads each way, by their text.
-    return (of.octets() - before + looks * 600.0) / (looks * 0.2);
+    return (of.bodyBytes() - before + looks * 600.0) / (looks * 0.2);
   }
 
   private static double leaderLoss(AgreeingFleet fleet, AgreeClient client) throws Exception {
-    client.whole();
+    client.fullState();
     int leader = Integer.parseInt(client.leader().substring(1));
     long from = System.nanoTime();
     fleet.instances().get(leader).kill();
@@ -251,32 +251,32 @@
 
   /** A rolling restart of many by the pure ledger on a virtual clock, all asked for at once: its time over the least there is. */
   private static double rolling(int members, int most, long downMillis, long warmMillis) {
-    Ledger l = new Ledger();
+    DisruptionLedger l = new DisruptionLedger();
     long[] index = {0};
     l.apply(++index[0], 0, new Command.Rules(1, Map.of("all", new Limit(most, 1, most)), 1, 10_000, 1, 1));
     for (int i = 0; i < members; i++) {
-      l.apply(++index[0], 0, new Command.Enrol("s" + i, Kind.UPSTREAM, List.of("all")));
+      l.apply(++index[0], 0, new Command.Enrol("s" + i, MemberKind.UPSTREAM, List.of("all")));
     }
     PriorityQueue<Map.Entry<Long, String>> due = new PriorityQueue<>(Map.Entry.comparingByKey());
     java.util.Set<String> begun = new java.util.HashSet<>();
     long now = 0;
     int asked = 0;
     while (begun.size() < members || !due.isEmpty()) {
-      while (asked < members && l.waiting() < Ledger.MOST_WAITING) {
+      while (asked < members && l.queueLength() < DisruptionLedger.MAX_QUEUED) {
         l.apply(++index[0], now, new Command.Ask("a" + asked, "s" + asked, "roll", "", Long.MAX_VALUE / 4, false));
         asked++;
         if (asked % 500 == 0) {
           break;
         }
       }
-      for (String out : l.outs().keySet()) {
+      for (String out : l.permits().keySet()) {
         if (begun.add(out)) {
           due.add(Map.entry(now + downMillis + warmMillis, out));
         }
       }
       Map.Entry<Long, String> next = due.poll();
       now = next.getKey();
-      l.apply(++index[0], now - 1, new Command.Return(next.getValue(), "roll", l.outs().get(next.getValue()).epoch()));
+      l.apply(++index[0], now - 1, new Command.Return(next.getValue(), "roll", l.permits().get(next.getValue()).epoch()));
       l.apply(++index[0], now, new Command.Seen("b", next.getValue(), Health.WARM, index[0]));
     }
     long least = (long) Math.ceil((double) members / most) * (downMillis + warmMillis);
--- a/decision/src/main/java/cloverpulley/outs/Kind.java
+++ /dev/null
@@ -1,4 +0,0 @@
-package cloverpulley.outs;
-
-/** What can be out. */
-public enum Kind { BALANCER, UPSTREAM }
--- a/dist/src/main/java/cloverpulley/cli/OutsCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/OutsCommand.java
@@ -4,13 +4,13 @@
 import cloverpulley.agree.AgreeConfig;
 import cloverpulley.config.BadFileException;
 import cloverpulley.outs.Command;
-import cloverpulley.outs.Ledger;
+import cloverpulley.outs.DisruptionLedger;
 import cloverpulley.outs.Limit;
 import cloverpulley.outs.Phase;
-import cloverpulley.outs.Replacing;
+import cloverpulley.outs.VoterReplacement;
 import cloverpulley.outs.Reply;
-import cloverpulley.outs.State;
-import cloverpulley.outs.Word;
+import cloverpulley.outs.LedgerState;
+import cloverpulley.outs.ResultCode;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.time.Instant;
@@ -68,7 +68,7 @@
         + (r.holders().isEmpty() ? "" : ", held by " + String.join(" ", r.holders())) + (r.epoch() > 0 ? ", epoch " + r.epoch() : "")
         + ", index " + r.index();
     System.out.println(line);
-    return r.isYes() ? 0 : 1;
+    return r.isSuccess() ? 0 : 1;
   }
 
   @picocli.CommandLine.Command(name = "init", mixinStandardHelpOptions = true,
@@ -117,7 +117,7 @@
       Command.Ask command = new Command.Ask(ask, id, common.by, why, TimeUnit.SECONDS.toMillis(waitSeconds), force);
       long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(waitSeconds);
       Reply r = client.command(command, TRY_MILLIS);
-      while (r.word() == Word.WAITING && System.nanoTime() < until) {
+      while (r.word() == ResultCode.WAITING && System.nanoTime() < until) {
         TimeUnit.MILLISECONDS.sleep(LOOK_MILLIS * 4);
         r = client.command(command, TRY_MILLIS); // The same ask: it is told where it stands.
       }
@@ -127,10 +127,10 @@
 
     private int acted(AgreeClient client, long epoch) throws IOException, InterruptedException {
       long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TRY_MILLIS);
-      List<String> missing = client.notActed(epoch);
+      List<String> missing = client.laggingInstances(epoch);
       while (!missing.isEmpty() && System.nanoTime() < until) {
         TimeUnit.MILLISECONDS.sleep(LOOK_MILLIS);
-        missing = client.notActed(epoch);
+        missing = client.laggingInstances(epoch);
       }
       System.out.println(missing.isEmpty() ? id + ": acted on by all" : id + ": not acted on by " + String.join(" ", missing));
       return missing.isEmpty() ? 0 : 1;
@@ -151,7 +151,7 @@
     @Override
     public Integer call() throws BadFileException, IOException {
       AgreeClient client = common.client();
-      State.Out out = client.whole().outs().get(id);
+      LedgerState.Permit out = client.fullState().outs().get(id);
       return say(id, client.command(new Command.Left(id, out == null ? 0 : out.epoch()), TRY_MILLIS));
     }
   }
@@ -162,7 +162,7 @@
     @Override
     public Integer call() throws BadFileException, IOException {
       AgreeClient client = common.client();
-      State.Out out = client.whole().outs().get(id);
+      LedgerState.Permit out = client.fullState().outs().get(id);
       return say(id, client.command(new Command.Return(id, common.by, out == null ? 0 : out.epoch()), TRY_MILLIS));
     }
   }
@@ -190,9 +190,9 @@
 
     @Override
     public Integer call() throws BadFileException, IOException {
-      Replacing.Next end = common.client().replace(from, to, TRY_MILLIS,
+      VoterReplacement.Next end = common.client().replace(from, to, TRY_MILLIS,
           n -> System.out.println(n.voter() + ": " + n.step().name().toLowerCase(java.util.Locale.ROOT)));
-      boolean done = end.step() == Replacing.Step.DONE;
+      boolean done = end.step() == VoterReplacement.Step.DONE;
       System.out.println(done ? to + ": votes in the place of " + from + "; `outs strike " + from + "` once that is gone for good" : from + ": no, " + end.why());
       return done ? 0 : 1;
     }
@@ -206,7 +206,7 @@
     @Override
     public Integer call() throws BadFileException, IOException {
       AgreeClient client = common.client();
-      State s = client.whole();
+      LedgerState s = client.fullState();
       System.out.println("index " + s.index() + ", leader " + (client.leader().isEmpty() ? "nobody" : client.leader()) + ", "
           + s.members().size() + " members");
       s.halts().forEach((name, h) -> System.out.println("halt " + name + " by " + h.by() + " since " + Instant.ofEpochMilli(h.sinceMillis())
@@ -221,11 +221,11 @@
       });
       s.queue().forEach(w -> System.out.println("waits " + w.member() + " by " + w.by() + " until " + Instant.ofEpochMilli(w.untilMillis())));
       groups(s).forEach((name, g) -> System.out.println("group " + name + " " + g[1] + " out of " + g[0]
-          + (s.rules().groups().containsKey(name) ? ", " + s.rules().groups().get(name).of(g[0]) + " may be" : ", no limit")));
+          + (s.rules().groups().containsKey(name) ? ", " + s.rules().groups().get(name).maxOut(g[0]) + " may be" : ", no limit")));
       return 0;
     }
 
-    private static Map<String, int[]> groups(State s) {
+    private static Map<String, int[]> groups(LedgerState s) {
       Map<String, int[]> groups = new TreeMap<>();
       s.members().forEach((name, m) -> m.groups().forEach(g -> {
         int[] sizes = groups.computeIfAbsent(g, k -> new int[2]);
@@ -240,22 +240,22 @@
   static final class Why extends OnMember {
     @Override
     public Integer call() throws BadFileException, IOException {
-      State s = common.client().whole();
-      State.Member m = s.members().get(id);
+      LedgerState s = common.client().fullState();
+      LedgerState.Member m = s.members().get(id);
       if (m == null) {
-        System.out.println(id + ": " + Word.UNKNOWN_MEMBER.text());
+        System.out.println(id + ": " + ResultCode.UNKNOWN_MEMBER.text());
         return 1;
       }
-      State.Out out = s.outs().get(id);
+      LedgerState.Permit out = s.outs().get(id);
       if (out != null) {
         System.out.println(id + ": " + out.phase().name().toLowerCase(java.util.Locale.ROOT) + " by " + out.by() + ": " + out.why()
             + (out.phase() == Phase.RETURNING ? "; counts as out until it is seen warm" : ""));
         return 0;
       }
-      Ledger copy = new Ledger();
+      DisruptionLedger copy = new DisruptionLedger();
       copy.restore(s);
       Reply r = copy.apply(s.index() + 1, s.nowMillis(), new Command.Ask("why " + UUID.randomUUID(), id, "why", "", 0, false));
-      System.out.println(id + ": in service" + (m.unwell() ? ", unwell" : "") + "; an ask would be " + (r.isYes() ? "granted" : r.word().text()
+      System.out.println(id + ": in service" + (m.unwell() ? ", unwell" : "") + "; an ask would be " + (r.isSuccess() ? "granted" : r.word().text()
           + " " + r.binding() + (r.holders().isEmpty() ? "" : ", held by " + String.join(" ", r.holders()))));
       return 0;
     }
@@ -320,7 +320,7 @@
 
     @Override
     public Integer call() throws BadFileException, IOException {
-      for (State.Change c : common.client().whole().history()) {
+      for (LedgerState.HistoryEntry c : common.client().fullState().history()) {
         System.out.println(c.index() + " " + Instant.ofEpochMilli(c.atMillis()) + " " + c.what() + " " + c.member()
             + (c.by().isEmpty() ? "" : " by " + c.by()) + (c.why().isEmpty() ? "" : ": " + c.why()));
       }
@@ -336,6 +336,6 @@
     }
     sizes.put(AgreeConfig.VOTERS, read.agree().voters().size());
     Map<String, Limit> limits = new TreeMap<>(read.agree().rules().groups());
-    return new ArrayList<>(Ledger.neverGrant(limits, sizes));
+    return new ArrayList<>(DisruptionLedger.neverGrant(limits, sizes));
   }
 }
--- a/dist/src/test/java/cloverpulley/cli/OutsRig.java
+++ b/dist/src/test/java/cloverpulley/cli/OutsRig.java
@@ -4,11 +4,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cloverpulley.agree.AgreeClient;
-import cloverpulley.agree.AgreeConfig.VoterAt;
+import cloverpulley.agree.AgreeConfig.VoterAddress;
 import cloverpulley.outs.Command;
 import cloverpulley.outs.Reply;
-import cloverpulley.outs.State;
-import cloverpulley.outs.Word;
+import cloverpulley.outs.LedgerState;
+import cloverpulley.outs.ResultCode;
 import cloverpulley.standins.StandInUpstream;
 import cloverpulley.standins.StandInUpstream.Answer;
 import cloverpulley.standins.faults.AgreeingFleet;
@@ -70,16 +70,16 @@
     for (Instance i : fleet.instances()) {
       i.start();
     }
-    List<VoterAt> voters = new ArrayList<>();
+    List<VoterAddress> voters = new ArrayList<>();
     for (int i = 0; i < VOTERS; i++) {
-      voters.add(new VoterAt("b" + i, null, fleet.api(i)));
+      voters.add(new VoterAddress("b" + i, null, fleet.api(i)));
     }
     client = new AgreeClient(voters);
     for (Instance i : fleet.instances()) {
       asking.at(i);
     }
     await("all are enrolled", () -> whole().members().size() == 6 + ALL && whole().rules().version() == 1
-        && whole().members().values().stream().noneMatch(State.Member::unwell));
+        && whole().members().values().stream().noneMatch(LedgerState.Member::unwell));
   }
 
   @AfterEach
@@ -98,8 +98,8 @@
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  State whole() throws IOException {
-    return client.whole();
+  LedgerState whole() throws IOException {
+    return client.fullState();
   }
 
   static void await(String what, Callable<Boolean> holds) throws Exception {
@@ -120,18 +120,18 @@
 
   Reply ask(AgreeClient by, String name, String member, long waitMillis) throws IOException {
     Reply r = by.command(new Command.Ask(name, member, "it", "test", waitMillis, false), 20_000);
-    if (r.isYes()) {
+    if (r.isSuccess()) {
       outSince.putIfAbsent(member, System.nanoTime());
     }
     return r;
   }
 
   void bringBack(String member) throws IOException {
-    assertEquals(Word.DONE, client.command(new Command.Return(member, "it", whole().outs().get(member).epoch()), 20_000).word());
+    assertEquals(ResultCode.DONE, client.command(new Command.Return(member, "it", whole().outs().get(member).epoch()), 20_000).word());
   }
 
   AgreeClient at(int voter) {
-    return new AgreeClient(List.of(new VoterAt("b" + voter, null, fleet.api(voter))));
+    return new AgreeClient(List.of(new VoterAddress("b" + voter, null, fleet.api(voter))));
   }
 
   int leader() throws Exception {
--- a/dist/src/test/java/cloverpulley/cli/VotersIT.java
+++ b/dist/src/test/java/cloverpulley/cli/VotersIT.java
@@ -6,11 +6,11 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cloverpulley.agree.AgreeClient;
-import cloverpulley.agree.AgreeConfig.VoterAt;
+import cloverpulley.agree.AgreeConfig.VoterAddress;
 import cloverpulley.outs.Command;
 import cloverpulley.outs.Phase;
-import cloverpulley.outs.Replacing.Step;
-import cloverpulley.outs.Word;
+import cloverpulley.outs.VoterReplacement.Step;
+import cloverpulley.outs.ResultCode;
 import cloverpulley.standins.faults.Instance;
 import java.nio.file.Files;
 import java.util.ArrayList;
@@ -42,7 +42,7 @@
     fleet.instances().get(lost).start();
     asking.at(fleet.instances().get(lost));
     assertTrue(fleet.instances().get(lost).log().contains("does not vote"), "it does not vote with what it made up");
-    assertEquals(Word.DONE, client.command(new Command.Left("s0", epoch), 20_000).word());
+    assertEquals(ResultCode.DONE, client.command(new Command.Left("s0", epoch), 20_000).word());
     assertEquals(1, Main.run("outs", "replace", "b" + lost, "b" + lost, "--config", fleet.config(1).toString()), "not under its own name");
     assertEquals(1, Main.run("outs", "replace", "b" + lost, "b3", "--config", fleet.config(1).toString()), "no voter's file has it");
 
@@ -51,9 +51,9 @@
       startAgain(i); // The others go on with their old files: two of the voters that they know are there.
     }
     assertTrue(fleet.instances().get(3).isAlive());
-    List<VoterAt> voters = new ArrayList<>();
+    List<VoterAddress> voters = new ArrayList<>();
     for (int i : new int[] {kept, 1, 3}) {
-      voters.add(new VoterAt("b" + i, null, fleet.api(i)));
+      voters.add(new VoterAddress("b" + i, null, fleet.api(i)));
     }
     client = new AgreeClient(voters);
     await("two of three lead again", () -> whole().outs().containsKey("s0"));
@@ -71,11 +71,12 @@
     // The new one and one of the old are the majority now, and know all there was.
     fleet.instances().get(kept).kill();
     assertEquals("cell:0", ask(client, "v2", "s1", 0).binding());
-    assertEquals(Word.SAME_AGAIN, ask(client, "v", "s0", 0).word());
+    assertEquals(ResultCode.SAME_AGAIN, ask(client, "v", "s0", 0).word());
     long other = ask(client, "v3", "s3", 0).epoch();
-    await("all have acted", () -> client.notActed(other).isEmpty()); // Else who loses the majority now would not have heard of it.
+    await("all have acted", () -> client.laggingInstances(other).isEmpty()); // Else who loses the majority now would not have heard of it.
     fleet.instances().get(1).kill();
-    assertThrows(AgreeClient.NoMajority.class, () -> client.command(new Command.Ask("v4", "s4", "it", "", 0, false), 2000), "one of three is none");
+    assertThrows(AgreeClient.NoMajorityException.class, () -> client.command(new Command.Ask("v4", "s4", "it", "", 0, false), 2000),
+        "one of three is none");
     fleet.instances().get(1).start();
     asking.at(fleet.instances().get(1));
     // It joined, and after a restart it is a voter like any other.
@@ -98,28 +99,28 @@
     fleet.limitFiles(full, 160);
     fleet.instances().get(full).start();
     asking.at(fleet.instances().get(full));
-    await("it takes part", () -> at(full).whole().index() >= whole().index());
+    await("it takes part", () -> at(full).fullState().index() >= whole().index());
     for (int i = 0; i < 400; i++) {
       client.command(new Command.Halt("h" + i % 5, "it", "so that there is something to write"), 20_000);
       client.command(new Command.Resume("h" + i % 5, "it"), 20_000);
     }
     await("its voter has ended", () -> {
       try {
-        at(full).whole();
+        at(full).fullState();
         return false;
-      } catch (AgreeClient.NoMajority e) {
+      } catch (AgreeClient.NoMajorityException e) {
         return e.getMessage().contains("could not be written");
       }
     });
     assertTrue(fleet.instances().get(full).isAlive());
     int before = asking.answered();
     await("its clients and the others' are served", () -> asking.answered() > before + 500);
-    assertEquals(Word.GRANTED, ask(client, "f", "s0", 0).word(), "two of three are a majority");
+    assertEquals(ResultCode.GRANTED, ask(client, "f", "s0", 0).word(), "two of three are a majority");
     fleet.instances().get(full).kill();
     fleet.limitFiles(full, 0);
     fleet.instances().get(full).start();
     asking.at(fleet.instances().get(full));
-    await("it has caught up", () -> at(full).whole().outs().containsKey("s0"));
+    await("it has caught up", () -> at(full).fullState().outs().containsKey("s0"));
     int other = full == 1 ? 0 : 1;
     fleet.instances().get(other).kill();
     assertEquals("cell:0", ask(client, "f2", "s1", 0).binding(), "it is half of the majority again");
@@ -133,13 +134,13 @@
     try (Instance next = fleet.second(4).start()) {
       next.address("balance");
       assertEquals(6 + ALL, whole().members().size());
-      assertEquals(Word.GRANTED, ask(client, "u", "s0", 0).word());
-      await("both have acted", () -> client.notActed(whole().outs().get("s0").epoch()).isEmpty());
+      assertEquals(ResultCode.GRANTED, ask(client, "u", "s0", 0).word());
+      await("both have acted", () -> client.laggingInstances(whole().outs().get("s0").epoch()).isEmpty());
       assertEquals(0, old.terminate());
       long over = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
       await("it would have been silent", () -> System.nanoTime() > over);
       assertFalse(whole().members().get("b4").unwell(), "its successor is there");
-      assertEquals(Word.GRANTED, ask(client, "u2", "b3", 0).word(), "the one place of a balancer is free");
+      assertEquals(ResultCode.GRANTED, ask(client, "u2", "b3", 0).word(), "the one place of a balancer is free");
       bringBack("b3");
       next.kill();
       await("now it is counted", () -> whole().members().get("b4").unwell());
