--- a/bench/src/main/java/cloverpulley/bench/QuotaBench.java
+++ b/bench/src/main/java/cloverpulley/bench/QuotaBench.java
@@ -127,7 +127,7 @@
         order[i] = r.nextInt(paths.length);
       }
       for (String p : paths) {
-        quotas.ask(now, p, cost); // All are there before anything counts.
+        quotas.tryAcquire(now, p, cost); // All are there before anything counts.
       }
     }
 
@@ -137,10 +137,10 @@
       for (int i = 0; i < DECISIONS; i++) {
         now += 500; // Two million a second, twice what there is.
         String path = paths[(order[i & order.length - 1] + i) % paths.length];
-        long grant = quotas.ask(now, path, cost);
-        if (!Quotas.isRefused(grant)) {
+        long grant = quotas.tryAcquire(now, path, cost);
+        if (!Quotas.isRejected(grant)) {
           given++;
-          quotas.end(now, path, grant);
+          quotas.release(now, path, grant);
         }
       }
       if (given < DECISIONS / 4) {
@@ -177,10 +177,10 @@
         pick -= rates[i];
         if (pick < 0) {
           asked[i][slot]++;
-          long grant = q.ask(SECOND + (long) (t * SECOND), names[i], new double[] {1});
-          if (!Quotas.isRefused(grant)) {
+          long grant = q.tryAcquire(SECOND + (long) (t * SECOND), names[i], new double[] {1});
+          if (!Quotas.isRejected(grant)) {
             given[i][slot]++;
-            q.end(SECOND + (long) (t * SECOND), names[i], grant);
+            q.release(SECOND + (long) (t * SECOND), names[i], grant);
           }
           break;
         }
--- a/decision/src/main/java/cloverpulley/quota/Quotas.java
+++ b/decision/src/main/java/cloverpulley/quota/Quotas.java
@@ -287,9 +287,9 @@
   /**
    * Asks for what a request costs: a figure for each lane, which counts 1 for concurrency. What is granted is charged at once.
    *
-   * @return the grant, to be given back to {@link #settle} and {@link #end}; for a refusal see {@link #isRefused}
+   * @return the grant, to be given back to {@link #settle} and {@link #release}; for a refusal see {@link #isRejected}
    */
-  public long ask(long at, String path, double[] cost) {
+  public long tryAcquire(long at, String path, double[] cost) {
     now = Math.max(now, at); // A clock that steps back stands still here.
     Node leaf = node(path);
     long grant = 0;
@@ -442,17 +442,17 @@
   }
 
   /** Whether it was refused. */
-  public static boolean isRefused(long grant) {
+  public static boolean isRejected(long grant) {
     return (grant & REFUSED) != 0;
   }
 
   /** Of a refusal: the lane that bound. */
-  public Lane bound(long refusal) {
+  public Lane bindingLane(long refusal) {
     return lanes.get((int) (refusal & 15));
   }
 
   /** Of a refusal: whether a ceiling bound, and not that nobody had anything to lend. */
-  public static boolean isCeiling(long refusal) {
+  public static boolean isCeilingRejection(long refusal) {
     return (refusal & 16) != 0;
   }
 
@@ -462,7 +462,7 @@
   }
 
   /** How many levels up a lane's tokens came from: 0 for its own guarantee. */
-  public static int lent(long grant, int lane) {
+  public static int lenderDistance(long grant, int lane) {
     return (int) (grant >>> BITS * lane & 15);
   }
 
@@ -484,7 +484,7 @@
       }
       int up = 0;
       for (Node n = leaf; n != null; n = n.parent, up++) {
-        if (up >= lent(grant, i)) {
+        if (up >= lenderDistance(grant, i)) {
           fill(n);
           n.tokens[i] = Math.max(-BELOW * Math.max(n.guarantee[i], more), Math.min(n.guarantee[i], n.tokens[i] - more));
         } else if (more > 0) {
@@ -501,9 +501,9 @@
   }
 
   /** It is over, whatever its end: its place in flight is given back. To be called once for each grant. */
-  public void end(long at, String path, long grant) {
+  public void release(long at, String path, long grant) {
     now = Math.max(now, at);
-    if (isRefused(grant)) {
+    if (isRejected(grant)) {
       return;
     }
     for (Node n = node(path); n != null; n = n.parent) {
--- a/decision/src/test/java/cloverpulley/quota/Play.java
+++ b/decision/src/test/java/cloverpulley/quota/Play.java
@@ -90,12 +90,12 @@
         double[] cost = costs.get(n.leaf);
         int slot = (int) (n.at / SLOT);
         a.asked[slot] += cost[0];
-        long grant = quotas.ask(from + n.at, path, cost);
-        if (Quotas.isRefused(grant)) {
+        long grant = quotas.tryAcquire(from + n.at, path, cost);
+        if (Quotas.isRejected(grant)) {
           a.refusals++;
         } else {
           a.given[slot] += cost[0];
-          quotas.end(from + n.at, path, grant);
+          quotas.release(from + n.at, path, grant);
         }
       }
       queue.add(new Next(after(n.leaf, n.at), n.leaf));
--- a/decision/src/test/java/cloverpulley/quota/QuotasTest.java
+++ b/decision/src/test/java/cloverpulley/quota/QuotasTest.java
@@ -103,14 +103,14 @@
     int given = 0;
     long refused = 0;
     for (int i = 0; i < 400; i++) {
-      long grant = q.ask(START + i, "b", of(1, 60, 0));
-      given += Quotas.isRefused(grant) ? 0 : 1;
-      refused = Quotas.isRefused(grant) ? grant : refused;
+      long grant = q.tryAcquire(START + i, "b", of(1, 60, 0));
+      given += Quotas.isRejected(grant) ? 0 : 1;
+      refused = Quotas.isRejected(grant) ? grant : refused;
     }
     assertEquals(100, given, "6,000 of work, its ceiling, by 60");
-    assertEquals(Dimension.WORK, q.bound(refused).dimension());
-    assertTrue(Quotas.isCeiling(refused));
-    assertFalse(Quotas.isRefused(q.ask(START + 500, "a", of(1, 60, 0))), "another's ceiling is its own");
+    assertEquals(Dimension.WORK, q.bindingLane(refused).dimension());
+    assertTrue(Quotas.isCeilingRejection(refused));
+    assertFalse(Quotas.isRejected(q.tryAcquire(START + 500, "a", of(1, 60, 0))), "another's ceiling is its own");
   }
 
   @Test
@@ -120,21 +120,21 @@
     Quotas q = new Quotas(plan, 10, START);
     List<Long> open = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
-      long g = q.ask(START, "a", of(1));
-      if (!Quotas.isRefused(g)) {
+      long g = q.tryAcquire(START, "a", of(1));
+      if (!Quotas.isRejected(g)) {
         open.add(g);
       }
     }
     assertEquals(80, open.size(), "its ceiling, 30 of them lent");
     int b = 0;
     for (int i = 0; i < 100; i++) {
-      b += Quotas.isRefused(q.ask(START, "b", of(1))) ? 0 : 1;
+      b += Quotas.isRejected(q.tryAcquire(START, "b", of(1))) ? 0 : 1;
     }
     assertEquals(50, b, "its guarantee, whatever was lent");
-    open.forEach(g -> q.end(START, "a", g));
+    open.forEach(g -> q.release(START, "a", g));
     int again = 0;
     for (int i = 0; i < 100; i++) {
-      again += Quotas.isRefused(q.ask(START, "a", of(1))) ? 0 : 1;
+      again += Quotas.isRejected(q.tryAcquire(START, "a", of(1))) ? 0 : 1;
     }
     assertEquals(50, again, "while b holds its own 50");
   }
@@ -149,7 +149,7 @@
     long at = START;
     while (at < START + 200 * SECOND) {
       at += r.nextLong(SECOND / 50);
-      if (!Quotas.isRefused(q.ask(at, "a", of(1, 1)))) {
+      if (!Quotas.isRejected(q.tryAcquire(at, "a", of(1, 1)))) {
         given.add(at);
       }
     }
@@ -172,11 +172,11 @@
     List<Lane> lanes = List.of(new Lane(Dimension.WORK, SECOND));
     QuotaPlan plan = new QuotaPlan.Builder(lanes, of(1000)).node("a", 1, of(100), null, null).build();
     Quotas q = new Quotas(plan, 10, START);
-    assertFalse(Quotas.isRefused(q.ask(START, "a", of(6000))), "the root has all it can hold");
-    assertTrue(Quotas.isRefused(q.ask(START + SECOND / 2, "a", of(600))));
-    assertFalse(Quotas.isRefused(q.ask(START + 8 * SECOND, "a", of(60))));
-    assertFalse(Quotas.isRefused(q.ask(START + 9 * SECOND, "a", of(1e300))), "a hint that lies is charged to a bound");
-    assertFalse(Quotas.isRefused(q.ask(START + 200 * SECOND, "a", of(60))));
+    assertFalse(Quotas.isRejected(q.tryAcquire(START, "a", of(6000))), "the root has all it can hold");
+    assertTrue(Quotas.isRejected(q.tryAcquire(START + SECOND / 2, "a", of(600))));
+    assertFalse(Quotas.isRejected(q.tryAcquire(START + 8 * SECOND, "a", of(60))));
+    assertFalse(Quotas.isRejected(q.tryAcquire(START + 9 * SECOND, "a", of(1e300))), "a hint that lies is charged to a bound");
+    assertFalse(Quotas.isRejected(q.tryAcquire(START + 200 * SECOND, "a", of(60))));
   }
 
   @Test
@@ -184,10 +184,10 @@
     List<Lane> lanes = List.of(new Lane(Dimension.BYTES_OUT, SECOND));
     QuotaPlan plan = new QuotaPlan.Builder(lanes, of(1000)).node("a", 1, of(1000), null, null).build();
     Quotas q = new Quotas(plan, 10, START);
-    long g = q.ask(START, "a", of(900));
+    long g = q.tryAcquire(START, "a", of(900));
     q.settle(START, "a", g, START, of(900), of(100));
-    assertFalse(Quotas.isRefused(q.ask(START, "a", of(900))), "what was not used is there again");
-    assertTrue(Quotas.isRefused(q.ask(START, "a", of(100))));
+    assertFalse(Quotas.isRejected(q.tryAcquire(START, "a", of(900))), "what was not used is there again");
+    assertTrue(Quotas.isRejected(q.tryAcquire(START, "a", of(100))));
   }
 
   /** What an answer did not take is there again under a ceiling too, as long as its window holds what was charged. */
@@ -196,14 +196,14 @@
     List<Lane> lanes = List.of(new Lane(Dimension.BYTES_OUT, SECOND));
     QuotaPlan plan = new QuotaPlan.Builder(lanes, of(10_000)).node("a", 1, of(1000), of(1000), null).build();
     Quotas q = new Quotas(plan, 10, START);
-    long g = q.ask(START, "a", of(900));
-    assertTrue(Quotas.isRefused(q.ask(START, "a", of(900))));
+    long g = q.tryAcquire(START, "a", of(900));
+    assertTrue(Quotas.isRejected(q.tryAcquire(START, "a", of(900))));
     q.settle(START + SECOND / 10, "a", g, START, of(900), of(0));
-    long next = q.ask(START + SECOND / 10, "a", of(900));
-    assertFalse(Quotas.isRefused(next));
+    long next = q.tryAcquire(START + SECOND / 10, "a", of(900));
+    assertFalse(Quotas.isRejected(next));
     // The first has left the window by now: giving it back again may not make room for more than the ceiling.
     q.settle(START + SECOND * 105 / 100, "a", g, START - SECOND / 5, of(900), of(0));
-    assertTrue(Quotas.isRefused(q.ask(START + SECOND * 105 / 100, "a", of(900))), "900 of 1,000 stand since a tenth of a second");
+    assertTrue(Quotas.isRejected(q.tryAcquire(START + SECOND * 105 / 100, "a", of(900))), "900 of 1,000 stand since a tenth of a second");
   }
 
   /** What is known with the answer alone counts against a ceiling that nothing had counted against before. */
@@ -212,10 +212,10 @@
     List<Lane> lanes = List.of(new Lane(Dimension.BYTES_OUT, SECOND));
     QuotaPlan plan = new QuotaPlan.Builder(lanes, of(10_000)).node("a", 1, of(1000), of(1000), null).build();
     Quotas q = new Quotas(plan, 10, START);
-    long g = q.ask(START, "a", of(0));
+    long g = q.tryAcquire(START, "a", of(0));
     q.settle(START, "a", g, START, of(0), of(900));
     long at = START + SECOND * 95 / 100; // Its own tokens are there again, the window is not over.
-    assertTrue(Quotas.isRefused(q.ask(at, "a", of(900))));
+    assertTrue(Quotas.isRejected(q.tryAcquire(at, "a", of(900))));
   }
 
   /** A restart between the answer and the next request: what was kept at the grant is not all that is owed. */
@@ -225,14 +225,14 @@
     QuotaPlan plan = new QuotaPlan.Builder(lanes, of(1000)).node("a", 1, of(1000), of(1000), null).build();
     Quotas q = new Quotas(plan, 10, START);
     q.keepCharged(START);
-    long g = q.ask(START, "a", of(0));
+    long g = q.tryAcquire(START, "a", of(0));
     List<Quotas.Kept> atTheGrant = q.keepCharged(START);
     q.settle(START, "a", g, START, of(0), of(900));
     List<Quotas.Kept> after = q.keepCharged(START);
     Quotas next = new Quotas(plan, 10, START);
     next.restore(START, 0, atTheGrant);
     next.restore(START, 0, after);
-    assertTrue(Quotas.isRefused(next.ask(START, "a", of(900))), "a restart forgets what an answer took");
+    assertTrue(Quotas.isRejected(next.tryAcquire(START, "a", of(900))), "a restart forgets what an answer took");
   }
 
   @Test
@@ -241,15 +241,15 @@
     long g;
     long at = START;
     do {
-      g = q.ask(at, "a", of(1));
-      q.ask(at, "b", of(1));
-    } while (!Quotas.isRefused(g));
+      g = q.tryAcquire(at, "a", of(1));
+      q.tryAcquire(at, "b", of(1));
+    } while (!Quotas.isRejected(g));
     long when = q.retryAt();
     assertTrue(when > at && when <= at + SECOND / 10 + 1, "" + (when - at));
     for (int i = 0; i < 200; i++) {
-      q.ask(when - 1, "b", of(1)); // Takes all that could be lent.
+      q.tryAcquire(when - 1, "b", of(1)); // Takes all that could be lent.
     }
-    assertFalse(Quotas.isRefused(q.ask(when, "a", of(1))));
+    assertFalse(Quotas.isRejected(q.tryAcquire(when, "a", of(1))));
   }
 
   /** Clocks that step: back they stand still, forward nobody has more than a window's worth. */
@@ -258,12 +258,12 @@
     Quotas q = new Quotas(Play.requestsPerSecond(100).node("a", 1, of(50), null, null).build(), 10, START);
     int given = 0;
     for (int i = 0; i < 1000; i++) {
-      given += Quotas.isRefused(q.ask(START - i * SECOND, "a", of(1))) ? 0 : 1;
+      given += Quotas.isRejected(q.tryAcquire(START - i * SECOND, "a", of(1))) ? 0 : 1;
     }
     assertTrue(given <= 150, "" + given);
     int more = 0;
     for (int i = 0; i < 1000; i++) {
-      more += Quotas.isRefused(q.ask(START + 1_000_000 * SECOND, "a", of(1))) ? 0 : 1;
+      more += Quotas.isRejected(q.tryAcquire(START + 1_000_000 * SECOND, "a", of(1))) ? 0 : 1;
     }
     assertTrue(more >= 50 && more <= 150, "" + more);
   }
@@ -278,13 +278,13 @@
     Quotas q = new Quotas(large, 10, START);
     List<Long> open = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
-      open.add(q.ask(START, "a/x", of(1, 1)));
+      open.add(q.tryAcquire(START, "a/x", of(1, 1)));
     }
     q.take(small, START + 1);
-    assertTrue(Quotas.isRefused(q.ask(START + 2, "a", of(1, 1))), "40 are in flight where 5 may be");
-    assertFalse(Quotas.isRefused(q.ask(START + 2, "b", of(1, 1))), "which is not b's matter");
-    open.forEach(g -> q.end(START + 3, "a/x", g)); // Their node has gone; whoever is above has their place back.
-    assertFalse(Quotas.isRefused(q.ask(START + 5 * SECOND, "a", of(1, 1))));
+    assertTrue(Quotas.isRejected(q.tryAcquire(START + 2, "a", of(1, 1))), "40 are in flight where 5 may be");
+    assertFalse(Quotas.isRejected(q.tryAcquire(START + 2, "b", of(1, 1))), "which is not b's matter");
+    open.forEach(g -> q.release(START + 3, "a/x", g)); // Their node has gone; whoever is above has their place back.
+    assertFalse(Quotas.isRejected(q.tryAcquire(START + 5 * SECOND, "a", of(1, 1))));
     assertThrows(IllegalArgumentException.class, () -> q.take(partners(), START), "other lanes");
   }
 
@@ -298,16 +298,16 @@
     int asked = 0;
     for (int i = 0; i < 200_000; i++) {
       long at = START + i * (SECOND / 20_000);
-      q.ask(at, "steppe/t" + i, of(1));
+      q.tryAcquire(at, "steppe/t" + i, of(1));
       if (i % 5 == 0) {
         asked++;
-        agro += Quotas.isRefused(q.ask(at, "agro", of(1))) ? 0 : 1;
+        agro += Quotas.isRejected(q.tryAcquire(at, "agro", of(1))) ? 0 : 1;
       }
     }
     assertTrue(q.nodes() <= 20_003, "" + q.nodes());
     assertTrue(agro >= 0.97 * asked, agro + " of " + asked);
     for (int i = 0; i < 40_000; i++) { // Idle ones go as others come.
-      q.ask(START + 100 * SECOND + i * 1_000_000L, "steppe/u" + i, of(1));
+      q.tryAcquire(START + 100 * SECOND + i * 1_000_000L, "steppe/u" + i, of(1));
     }
     assertTrue(q.nodes() <= 20_003, "" + q.nodes());
   }
@@ -319,10 +319,10 @@
     Quotas q = new Quotas(plan, 10, START);
     int given = 0;
     for (int i = 0; i < 50; i++) {
-      given += Quotas.isRefused(q.ask(START, "nobody" + i, of(1))) ? 0 : 1;
+      given += Quotas.isRejected(q.tryAcquire(START, "nobody" + i, of(1))) ? 0 : 1;
     }
     assertEquals(5, given);
-    assertTrue(Quotas.isRefused(q.ask(START, "", of(1))), "who names nobody is a stranger, and not the root");
+    assertTrue(Quotas.isRejected(q.tryAcquire(START, "", of(1))), "who names nobody is a stranger, and not the root");
     assertEquals(3, q.nodes());
   }
 
@@ -349,14 +349,14 @@
     Quotas second = new Quotas(partners(), 100, end);
     second.restore(end, 0, kept);
     int given = 0;
-    while (!Quotas.isRefused(second.ask(end, "agro", of(1)))) {
+    while (!Quotas.isRejected(second.tryAcquire(end, "agro", of(1)))) {
       given++;
     }
     assertTrue(given <= 60, "a restart gives no second helping: " + given);
     Quotas old = new Quotas(partners(), 100, end);
     old.restore(end, 60 * SECOND, kept);
     int later = 0;
-    while (!Quotas.isRefused(old.ask(end, "agro", of(1)))) {
+    while (!Quotas.isRejected(old.tryAcquire(end, "agro", of(1)))) {
       later++;
     }
     assertTrue(later >= 500, "a minute later all has been filled: " + later);
--- a/dist/src/main/java/cloverpulley/cli/QuotaCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/QuotaCommand.java
@@ -156,15 +156,15 @@
 
     private void ask(Quotas q, String path, long at, double[] cost, Count count) {
       count.asked++;
-      long grant = q.ask(SECOND + at, path, cost);
-      if (!Quotas.isRefused(grant)) {
+      long grant = q.tryAcquire(SECOND + at, path, cost);
+      if (!Quotas.isRejected(grant)) {
         boolean lent = false;
         for (int i = 0; i < cost.length; i++) {
-          lent |= Quotas.lent(grant, i) > 0;
+          lent |= Quotas.lenderDistance(grant, i) > 0;
         }
         count.lent += lent ? 1 : 0;
         count.own += lent ? 0 : 1;
-        q.end(SECOND + at, path, grant);
+        q.release(SECOND + at, path, grant);
       }
     }
 
--- a/dns/src/main/java/cloverpulley/dns/Resolver.java
+++ b/dns/src/main/java/cloverpulley/dns/Resolver.java
@@ -215,8 +215,8 @@
     if (quotas == null || q.message.opcode() != Message.QUERY && !q.client.isTcp() && repeated.isKnown(new Repeated.Key(q))) {
       return true;
     }
-    long grant = quotas.ask(q.tenant, 1, q.message.bytes().length, 0, false);
-    if (Quotas.isRefused(grant)) {
+    long grant = quotas.tryAcquire(q.tenant, 1, q.message.bytes().length, 0, false);
+    if (Quotas.isRejected(grant)) {
       fail(q, new Verdict(true, Reason.QUOTA, quotas.retryAfterNanos()));
       return false;
     }
--- a/processor/src/main/java/cloverpulley/processor/Calls.java
+++ b/processor/src/main/java/cloverpulley/processor/Calls.java
@@ -94,8 +94,8 @@
     if (quotas != null && finding instanceof Repeats.First) {
       // A first alone: of what was asked before something may have run, and a refusal would say that nothing has.
       octets = quotas.expectedOctets(CallExchange.kind(call));
-      grant = quotas.ask(call.quotaPath(), 1, 0, octets, call.hintNanos() / 1e6, true);
-      if (Quotas.isRefused(grant)) {
+      grant = quotas.tryAcquire(call.quotaPath(), 1, 0, octets, call.hintNanos() / 1e6, true);
+      if (Quotas.isRejected(grant)) {
         if (call.id() != null) {
           repeats.answered(clock.now(), call.id());
         }
@@ -118,7 +118,7 @@
     if (x.granted) {
       x.granted = false;
       quotas.answered(x.call.quotaPath(), x.grant, x.grantedAt, x.kind(), x.expectedOctets, x.octets);
-      quotas.end(x.call.quotaPath(), x.grant);
+      quotas.release(x.call.quotaPath(), x.grant);
     }
   }
 
--- a/quota/src/main/java/cloverpulley/quota/service/QuotaKeeper.java
+++ b/quota/src/main/java/cloverpulley/quota/service/QuotaKeeper.java
@@ -121,9 +121,9 @@
     return quotas;
   }
 
-  /** One request of so much work, without an answer whose octets count; a grant, or a refusal ({@link Quotas#isRefused}). */
-  public long ask(String path, double requests, double bytesIn, double workMillis, boolean inFlight) {
-    return ask(path, requests, bytesIn, 0, workMillis, inFlight);
+  /** One request of so much work, without an answer whose octets count; a grant, or a refusal ({@link Quotas#isRejected}). */
+  public long tryAcquire(String path, double requests, double bytesIn, double workMillis, boolean inFlight) {
+    return tryAcquire(path, requests, bytesIn, 0, workMillis, inFlight);
   }
 
   /** What the answer to a request of a kind is expected to have in octets; 0 where no lane counts them. */
@@ -133,14 +133,14 @@
 
   /**
    * The answer to what was granted has been seen, or there will be none: what was expected of it is set right. Once for each grant,
-   * before its {@link #end}.
+   * before its {@link #release}.
    *
    * @param askedAt clock reading at which it was granted
-   * @param expected what {@link #ask} was told
+   * @param expected what {@link #tryAcquire} was told
    * @param octets of the answer; below 0 where there was none, which teaches nothing of its kind
    */
   public void answered(String path, long grant, long askedAt, String kind, double expected, long octets) {
-    if (out.isEmpty() || Quotas.isRefused(grant)) {
+    if (out.isEmpty() || Quotas.isRejected(grant)) {
       return;
     }
     if (octets >= 0) {
@@ -154,7 +154,7 @@
   }
 
   /** The same, of whose answer so many octets are expected. */
-  public long ask(String path, double requests, double bytesIn, double bytesOut, double workMillis, boolean inFlight) {
+  public long tryAcquire(String path, double requests, double bytesIn, double bytesOut, double workMillis, boolean inFlight) {
     List<Lane> lanes = config.plan().lanes();
     for (int i = 0; i < cost.length; i++) {
       cost[i] = switch (lanes.get(i).dimension()) {
@@ -165,16 +165,16 @@
         case CONCURRENCY -> inFlight ? 1 : 0;
       };
     }
-    long grant = quotas.ask(nanos.getAsLong(), path == null ? "" : path, cost);
-    if (!inFlight && !Quotas.isRefused(grant)) {
-      quotas.end(nanos.getAsLong(), path == null ? "" : path, grant);
+    long grant = quotas.tryAcquire(nanos.getAsLong(), path == null ? "" : path, cost);
+    if (!inFlight && !Quotas.isRejected(grant)) {
+      quotas.release(nanos.getAsLong(), path == null ? "" : path, grant);
     }
     return grant;
   }
 
   /** The request of a grant is over, whatever its end; once for each grant of one that was in flight. */
-  public void end(String path, long grant) {
-    quotas.end(nanos.getAsLong(), path == null ? "" : path, grant);
+  public void release(String path, long grant) {
+    quotas.release(nanos.getAsLong(), path == null ? "" : path, grant);
   }
 
   /** In how many nanoseconds the share of whoever was refused last is there. */
--- a/quota/src/main/java/cloverpulley/quota/service/RateLimitServer.java
+++ b/quota/src/main/java/cloverpulley/quota/service/RateLimitServer.java
@@ -88,9 +88,9 @@
     long wait = 0;
     for (RateLimitDescriptor d : request.getDescriptorsList()) {
       long hits = d.hasHitsAddend() ? d.getHitsAddend().getValue() : Math.max(1, Integer.toUnsignedLong(request.getHitsAddend()));
-      long grant = keeper.ask(path(d), Math.max(0, Math.min(MOST_HITS, hits)), 0, 0, false);
+      long grant = keeper.tryAcquire(path(d), Math.max(0, Math.min(MOST_HITS, hits)), 0, 0, false);
       DescriptorStatus.Builder status = DescriptorStatus.newBuilder().setCode(Code.OK);
-      if (Quotas.isRefused(grant)) {
+      if (Quotas.isRejected(grant)) {
         long nanos = keeper.retryAfterNanos();
         wait = Math.max(wait, nanos);
         all.setOverallCode(Code.OVER_LIMIT);
--- a/quota/src/test/java/cloverpulley/quota/service/LeaseLinkTest.java
+++ b/quota/src/test/java/cloverpulley/quota/service/LeaseLinkTest.java
@@ -49,8 +49,8 @@
     void ask(int n) throws Exception {
       loop.submit(() -> {
         for (int i = 0; i < n; i++) {
-          long g = keeper.ask("a", 1, 0, 0, false);
-          assertTrue(Quotas.isRefused(g) || g >= 0);
+          long g = keeper.tryAcquire("a", 1, 0, 0, false);
+          assertTrue(Quotas.isRejected(g) || g >= 0);
         }
       }).get();
     }
