--- a/bench/src/main/java/cloverpulley/bench/QuotaBench.java
+++ b/bench/src/main/java/cloverpulley/bench/QuotaBench.java
@@ -223,9 +223,9 @@
     try (QuotaJournal j = new QuotaJournal(file, "bench", Long.MAX_VALUE, false)) {
       j.open();
       for (int i = 0; i < 1000; i++) {
-        List<Quotas.Kept> batch = new ArrayList<>();
+        List<Quotas.NodeSnapshot> batch = new ArrayList<>();
         for (int k = 0; k < 1000; k++) {
-          batch.add(new Quotas.Kept("p/t" + (i * 1000 + k) % 200_000, new double[] {k}, new double[1], new double[1], new double[1]));
+          batch.add(new Quotas.NodeSnapshot("p/t" + (i * 1000 + k) % 200_000, new double[] {k}, new double[1], new double[1], new double[1]));
         }
         j.append(millis, batch);
       }
@@ -233,8 +233,8 @@
     long start = System.nanoTime();
     Quotas q = new Quotas(plan, 1_000_000, SECOND);
     try (QuotaJournal j = new QuotaJournal(file, "bench", Long.MAX_VALUE, false)) {
-      for (QuotaJournal.Timed t : j.open().kept()) {
-        q.restore(SECOND, 0, List.of(t.kept()));
+      for (QuotaJournal.TimestampedSnapshot t : j.open().snapshots()) {
+        q.restore(SECOND, 0, List.of(t.snapshot()));
       }
     }
     double took = (System.nanoTime() - start) / 1e9;
--- a/decision/src/main/java/cloverpulley/quota/Lending.java
+++ b/decision/src/main/java/cloverpulley/quota/Lending.java
@@ -67,7 +67,7 @@
   }
 
   /** What a child that does not borrow is to be paid back, for each unit of its weight. */
-  double owed(Node child, int lane, long now) {
+  double credit(Node child, int lane, long now) {
     if (child.parent == null || child.parent.accounts == null || child.parent.accounts[lane] == null || child.loans == null
         || now - child.loans.tried[lane] <= ASKING_NANOS) {
       return 0;
--- a/decision/src/main/java/cloverpulley/quota/Quotas.java
+++ b/decision/src/main/java/cloverpulley/quota/Quotas.java
@@ -43,7 +43,7 @@
   private static final long REFUSED = 1L << 62;
 
   /** What is known of a node, for people. */
-  public record Status(String path, double[] tokens, double[] guarantee, int inFlight, double[] behind, double[] owed) {}
+  public record NodeStatus(String path, double[] tokens, double[] guarantee, int inFlight, double[] lag, double[] credit) {}
 
   private QuotaPlan plan;
   private List<Lane> lanes;
@@ -56,7 +56,7 @@
   private Lending lending;
   private final List<Node> charged = new ArrayList<>();
   /** Whether anybody asks for what was charged: from the first time on. */
-  private boolean keeps;
+  private boolean tracksChanges;
   /** Whether anybody asks for what was asked. */
   private boolean counts;
   private long now;
@@ -327,7 +327,7 @@
 
   /** What is kept of a node over a restart has changed. */
   private void changed(Node n) {
-    if (keeps && !n.charged) {
+    if (tracksChanges && !n.charged) {
       n.charged = true;
       charged.add(n);
     }
@@ -514,72 +514,72 @@
   // ---- What is seen and kept of it -----------------------------------------------------------------------
 
   /** Tells of all nodes that are kept, at a clock reading. */
-  public void each(long at, Consumer<Status> to) {
+  public void forEachNode(long at, Consumer<NodeStatus> to) {
     now = Math.max(now, at);
     for (Node n : List.copyOf(nodes.values())) {
       fill(n);
-      double[] behind = new double[lanes.size()];
-      double[] owed = new double[lanes.size()];
+      double[] lag = new double[lanes.size()];
+      double[] credit = new double[lanes.size()];
       for (int i = 0; i < lanes.size(); i++) {
         boolean asks = n.loans != null && n.parent != null && now - n.loans.tried[i] <= Lending.ASKING_NANOS;
-        behind[i] = asks ? lending.account(n.parent, i).most - n.loans.had[i] : 0;
-        owed[i] = lending.owed(n, i, now);
+        lag[i] = asks ? lending.account(n.parent, i).most - n.loans.had[i] : 0;
+        credit[i] = lending.credit(n, i, now);
       }
-      to.accept(new Status(n.path, n.tokens.clone(), n.guarantee, n.inFlight, behind, owed));
+      to.accept(new NodeStatus(n.path, n.tokens.clone(), n.guarantee, n.inFlight, lag, credit));
     }
   }
 
   /**
    * One node's state as it is kept over a restart: nothing that is in flight, for that ends with the process.
    *
-   * @param inWindow what counts against its ceilings
+   * @param windowUsage what counts against its ceilings
    */
-  public record Kept(String path, double[] used, double[] behind, double[] owed, double[] inWindow) {}
+  public record NodeSnapshot(String path, double[] used, double[] lag, double[] credit, double[] windowUsage) {}
 
   /** What a successor has to know, at a clock reading; nodes of which nothing is to be known are left out. */
-  public List<Kept> keep(long at) {
-    return keep(at, nodes.values());
+  public List<NodeSnapshot> snapshot(long at) {
+    return snapshot(at, nodes.values());
   }
 
   /** The same of those nodes alone to which something was charged since the last call. */
-  public List<Kept> keepCharged(long at) {
-    keeps = true;
-    List<Kept> some = keep(at, charged);
+  public List<NodeSnapshot> snapshotChanged(long at) {
+    tracksChanges = true;
+    List<NodeSnapshot> some = snapshot(at, charged);
     charged.forEach(n -> n.charged = false);
     charged.clear();
     return some;
   }
 
-  private List<Kept> keep(long at, java.util.Collection<Node> of) {
+  private List<NodeSnapshot> snapshot(long at, java.util.Collection<Node> of) {
     now = Math.max(now, at);
-    List<Kept> all = new ArrayList<>();
+    List<NodeSnapshot> all = new ArrayList<>();
     for (Node n : of) {
       fill(n);
       double[] used = new double[lanes.size()];
-      double[] behind = new double[lanes.size()];
-      double[] owed = new double[lanes.size()];
-      double[] inWindow = new double[lanes.size()];
+      double[] lag = new double[lanes.size()];
+      double[] credit = new double[lanes.size()];
+      double[] windowUsage = new double[lanes.size()];
       boolean any = false;
       for (int i = 0; i < lanes.size(); i++) {
         used[i] = lanes.get(i).isLevel() ? 0 : n.guarantee[i] - n.tokens[i];
         boolean asks = n.loans != null && n.parent != null && now - n.loans.tried[i] <= Lending.ASKING_NANOS;
-        behind[i] = asks ? lending.account(n.parent, i).most - n.loans.had[i] : 0;
-        owed[i] = lending.owed(n, i, now);
-        inWindow[i] = n.ceilings == null || n.ceilings[i] == null ? 0 : n.ceilings[i].sum(now);
-        any |= used[i] > 1e-9 || behind[i] > 0 || owed[i] > 0 || inWindow[i] > 0;
+        lag[i] = asks ? lending.account(n.parent, i).most - n.loans.had[i] : 0;
+        credit[i] = lending.credit(n, i, now);
+        windowUsage[i] = n.ceilings == null || n.ceilings[i] == null ? 0 : n.ceilings[i].sum(now);
+        any |= used[i] > 1e-9 || lag[i] > 0 || credit[i] > 0 || windowUsage[i] > 0;
       }
       if (any) {
-        all.add(new Kept(n.path, used, behind, owed, inWindow));
+        all.add(new NodeSnapshot(n.path, used, lag, credit, windowUsage));
       }
     }
     return all;
   }
 
   /** Takes what a predecessor kept, {@code agoNanos} ago: what has been filled since is not used any more. */
-  public void restore(long at, long agoNanos, List<Kept> kept) {
+  public void restore(long at, long agoNanos, List<NodeSnapshot> kept) {
     now = Math.max(now, at);
     long ago = Math.max(0, agoNanos); // A file from the future is as old as this moment.
-    for (Kept k : kept) {
+    for (NodeSnapshot k : kept) {
       Node n = node(k.path());
       if (!n.path.equals(k.path())) {
         continue; // Its node is not in the plan any more, nor could one be made for it.
@@ -590,14 +590,14 @@
           double left = k.used()[i] - n.guarantee[i] * ((double) ago / lanes.get(i).windowNanos());
           n.tokens[i] = Math.max(-BELOW * n.guarantee[i], Math.min(n.tokens[i], n.guarantee[i] - Math.max(0, left)));
         }
-        if (k.inWindow()[i] > 0 && !lanes.get(i).isLevel() && ago < lanes.get(i).windowNanos()) {
+        if (k.windowUsage()[i] > 0 && !lanes.get(i).isLevel() && ago < lanes.get(i).windowNanos()) {
           // When in the window it was is not known: all of it counts as if it were now.
-          ceiling(n, i).add(now, k.inWindow()[i]);
+          ceiling(n, i).add(now, k.windowUsage()[i]);
         }
-        if (n.parent != null && k.behind()[i] + k.owed()[i] > 0) {
+        if (n.parent != null && k.lag()[i] + k.credit()[i] > 0) {
           // Counted from where the parent's account stands now; whoever is not named has had most.
           Node.Account a = lending.account(n.parent, i);
-          lending.loans(n, now).since[i] = a.lent - k.owed()[i] - k.behind()[i];
+          lending.loans(n, now).since[i] = a.lent - k.credit()[i] - k.lag()[i];
         }
       }
     }
--- a/decision/src/test/java/cloverpulley/quota/QuotasTest.java
+++ b/decision/src/test/java/cloverpulley/quota/QuotasTest.java
@@ -224,11 +224,11 @@
     List<Lane> lanes = List.of(new Lane(Dimension.BYTES_OUT, 60 * SECOND));
     QuotaPlan plan = new QuotaPlan.Builder(lanes, of(1000)).node("a", 1, of(1000), of(1000), null).build();
     Quotas q = new Quotas(plan, 10, START);
-    q.keepCharged(START);
+    q.snapshotChanged(START);
     long g = q.tryAcquire(START, "a", of(0));
-    List<Quotas.Kept> atTheGrant = q.keepCharged(START);
+    List<Quotas.NodeSnapshot> atTheGrant = q.snapshotChanged(START);
     q.settle(START, "a", g, START, of(0), of(900));
-    List<Quotas.Kept> after = q.keepCharged(START);
+    List<Quotas.NodeSnapshot> after = q.snapshotChanged(START);
     Quotas next = new Quotas(plan, 10, START);
     next.restore(START, 0, atTheGrant);
     next.restore(START, 0, after);
@@ -345,16 +345,16 @@
     Play p = new Play(SEED).client("agro", t -> 5000, false, 1);
     p.run(first, START, 20);
     long end = START + 20 * SECOND;
-    List<Quotas.Kept> kept = first.keep(end);
+    List<Quotas.NodeSnapshot> snapshots = first.snapshot(end);
     Quotas second = new Quotas(partners(), 100, end);
-    second.restore(end, 0, kept);
+    second.restore(end, 0, snapshots);
     int given = 0;
     while (!Quotas.isRejected(second.tryAcquire(end, "agro", of(1)))) {
       given++;
     }
     assertTrue(given <= 60, "a restart gives no second helping: " + given);
     Quotas old = new Quotas(partners(), 100, end);
-    old.restore(end, 60 * SECOND, kept);
+    old.restore(end, 60 * SECOND, snapshots);
     int later = 0;
     while (!Quotas.isRejected(old.tryAcquire(end, "agro", of(1)))) {
       later++;
--- a/dist/src/main/java/cloverpulley/cli/QuotaCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/QuotaCommand.java
@@ -63,19 +63,19 @@
         Files.copy(config.journal(), copy, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
         try (QuotaJournal journal = new QuotaJournal(copy, lanes.toString(), Long.MAX_VALUE, false)) {
           QuotaJournal.Recovered r = journal.open();
-          r.kept().forEach(t -> q.restore(SECOND, TimeUnit.MILLISECONDS.toNanos(System.currentTimeMillis() - t.unixMillis()),
-              List.of(t.kept())));
-          System.out.println("journal: " + r.kept().size() + " nodes, " + r.spoilt() + " spoilt frames, " + r.tornOctets()
+          r.snapshots().forEach(t -> q.restore(SECOND, TimeUnit.MILLISECONDS.toNanos(System.currentTimeMillis() - t.unixMillis()),
+              List.of(t.snapshot())));
+          System.out.println("journal: " + r.snapshots().size() + " nodes, " + r.corruptFrames() + " spoilt frames, " + r.truncatedBytes()
               + " octets torn off");
         } finally {
           Files.delete(copy);
         }
       }
       System.out.printf("%-32s %-26s %12s %12s %12s%n", "node", "lane", "guarantee", "left of it", "owed");
-      q.each(SECOND, s -> {
+      q.forEachNode(SECOND, s -> {
         for (int i = 0; i < lanes.size(); i++) {
           System.out.printf(Locale.ROOT, "%-32s %-26s %12.1f %12.1f %12.1f%n", i > 0 ? "" : s.path().isEmpty() ? "(all)"
-              : Safe.plain(s.path()), lanes.get(i), s.guarantee()[i], s.tokens()[i], s.owed()[i]);
+              : Safe.plain(s.path()), lanes.get(i), s.guarantee()[i], s.tokens()[i], s.credit()[i]);
         }
       });
       return 0;
--- a/quota/src/main/java/cloverpulley/quota/service/QuotaJournal.java
+++ b/quota/src/main/java/cloverpulley/quota/service/QuotaJournal.java
@@ -1,6 +1,6 @@
 package cloverpulley.quota.service;
 
-import cloverpulley.quota.Quotas.Kept;
+import cloverpulley.quota.Quotas.NodeSnapshot;
 import java.io.ByteArrayInputStream;
 import java.io.ByteArrayOutputStream;
 import java.io.DataInputStream;
@@ -39,10 +39,10 @@
   private static final long KEPT_MILLIS = 3_600_000;
 
   /** A node's state and when it was that. */
-  public record Timed(Kept kept, long unixMillis) {}
+  public record TimestampedSnapshot(NodeSnapshot snapshot, long unixMillis) {}
 
   /** What was found. */
-  public record Recovered(List<Timed> kept, int frames, int spoilt, long tornOctets) {}
+  public record Recovery(List<TimestampedSnapshot> snapshots, int frames, int corruptFrames, long truncatedBytes) {}
 
   /** Where octets go, so that a test can take a disk's part. */
   interface Disk {
@@ -57,7 +57,7 @@
   private final long most;
   private final boolean force;
   private final Disk disk;
-  private final Map<String, Timed> last = new LinkedHashMap<>();
+  private final Map<String, TimestampedSnapshot> last = new LinkedHashMap<>();
   private FileChannel out;
   private long size;
 
@@ -83,7 +83,7 @@
    *
    * @throws IOException where it can't be read or written, or belongs to another installation
    */
-  public Recovered open() throws IOException {
+  public Recovery open() throws IOException {
     if (file.toAbsolutePath().getParent() != null) {
       Files.createDirectories(file.toAbsolutePath().getParent());
     }
@@ -96,7 +96,7 @@
     byte[] name = installation.getBytes(java.nio.charset.StandardCharsets.UTF_8);
     if (all.length < 12 + name.length) {
       begin(out, name);
-      return new Recovered(List.of(), 0, 0, all.length);
+      return new Recovery(List.of(), 0, 0, all.length);
     }
     ByteBuffer head = ByteBuffer.wrap(all);
     if (head.getLong() != MAGIC || head.getInt() != name.length || !head.slice(12, name.length).equals(ByteBuffer.wrap(name))) {
@@ -106,9 +106,9 @@
     return recover(all, 12 + name.length);
   }
 
-  private Recovered recover(byte[] all, int from) throws IOException {
+  private Recovery recover(byte[] all, int from) throws IOException {
     int frames = 0;
-    int spoilt = 0;
+    int corruptFrames = 0;
     int end = from;
     int at = from;
     boolean lost = false;
@@ -120,26 +120,26 @@
       boolean fits = magic == FRAME && length >= 0 && length <= MOST_FRAME && at + HEAD + length <= all.length
           && h.getInt() == sum(all, at, length);
       if (!fits) {
-        spoilt += lost ? 0 : 1;
+        corruptFrames += lost ? 0 : 1;
         lost = true;
         at++;
         continue;
       }
       lost = false;
-      for (Kept k : read(all, at + HEAD, length)) {
+      for (NodeSnapshot k : read(all, at + HEAD, length)) {
         last.remove(k.path());
-        last.put(k.path(), new Timed(k, millis));
+        last.put(k.path(), new TimestampedSnapshot(k, millis));
       }
       frames++;
       at += HEAD + length;
       end = at;
     }
     // What follows the last frame that fits was cut off in its writing: no spoilt frame, but a tail.
-    spoilt -= lost ? 1 : 0;
+    corruptFrames -= lost ? 1 : 0;
     out.truncate(end);
     out.position(end);
     size = end;
-    return new Recovered(new ArrayList<>(last.values()), frames, spoilt, all.length - end);
+    return new Recovery(new ArrayList<>(last.values()), frames, corruptFrames, all.length - end);
   }
 
   private static int sum(byte[] all, int at, int length) {
@@ -165,7 +165,7 @@
   }
 
   /** Appends the states of nodes that have changed, all of one time. */
-  public void append(long unixMillis, Collection<Kept> changed) throws IOException {
+  public void append(long unixMillis, Collection<NodeSnapshot> changed) throws IOException {
     if (changed.isEmpty()) {
       return;
     }
@@ -180,7 +180,7 @@
     size += frame.limit();
     changed.forEach(k -> {
       last.remove(k.path());
-      last.put(k.path(), new Timed(k, unixMillis));
+      last.put(k.path(), new TimestampedSnapshot(k, unixMillis));
     });
     if (force) {
       out.force(false);
@@ -190,18 +190,18 @@
     }
   }
 
-  private static ByteBuffer frame(long unixMillis, Collection<Kept> of) throws IOException {
+  private static ByteBuffer frame(long unixMillis, Collection<NodeSnapshot> of) throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     DataOutputStream d = new DataOutputStream(bytes);
     d.writeInt(of.size());
-    for (Kept k : of) {
+    for (NodeSnapshot k : of) {
       d.writeUTF(k.path());
       d.writeByte(k.used().length);
       for (int i = 0; i < k.used().length; i++) {
         d.writeFloat((float) k.used()[i]);
-        d.writeFloat((float) k.behind()[i]);
-        d.writeFloat((float) k.owed()[i]);
-        d.writeFloat((float) k.inWindow()[i]);
+        d.writeFloat((float) k.lag()[i]);
+        d.writeFloat((float) k.credit()[i]);
+        d.writeFloat((float) k.windowUsage()[i]);
       }
     }
     byte[] body = bytes.toByteArray();
@@ -210,8 +210,8 @@
     return b.flip();
   }
 
-  private static List<Kept> read(byte[] all, int at, int length) throws IOException {
-    List<Kept> kept = new ArrayList<>();
+  private static List<NodeSnapshot> read(byte[] all, int at, int length) throws IOException {
+    List<NodeSnapshot> snapshots = new ArrayList<>();
     DataInputStream d = new DataInputStream(new ByteArrayInputStream(all, at, length));
     int n = d.readInt();
     for (int i = 0; i < n; i++) {
@@ -226,9 +226,9 @@
           f[k][j] = d.readFloat();
         }
       }
-      kept.add(new Kept(path, f[0], f[1], f[2], f[3]));
+      snapshots.add(new NodeSnapshot(path, f[0], f[1], f[2], f[3]));
     }
-    return kept;
+    return snapshots;
   }
 
   /** Written anew beside the old one, and in its place in one step: at any moment one of the two is whole. */
@@ -240,9 +240,9 @@
       begin(next, installation.getBytes(java.nio.charset.StandardCharsets.UTF_8));
       last.values().removeIf(t -> t.unixMillis < unixMillis - KEPT_MILLIS);
       // In batches of one time each; most are of few times, for what is charged is charged again.
-      Map<Long, List<Kept>> byTime = new TreeMap<>();
-      last.values().forEach(t -> byTime.computeIfAbsent(t.unixMillis, k -> new ArrayList<>()).add(t.kept));
-      for (Map.Entry<Long, List<Kept>> e : byTime.entrySet()) {
+      Map<Long, List<NodeSnapshot>> byTime = new TreeMap<>();
+      last.values().forEach(t -> byTime.computeIfAbsent(t.unixMillis, k -> new ArrayList<>()).add(t.snapshot));
+      for (Map.Entry<Long, List<NodeSnapshot>> e : byTime.entrySet()) {
         for (int i = 0; i < e.getValue().size(); i += BATCH) {
           ByteBuffer b = frame(e.getKey(), e.getValue().subList(i, Math.min(e.getValue().size(), i + BATCH)));
           write(next, b, size);
--- a/quota/src/main/java/cloverpulley/quota/service/QuotaKeeper.java
+++ b/quota/src/main/java/cloverpulley/quota/service/QuotaKeeper.java
@@ -5,7 +5,7 @@
 import cloverpulley.quota.Lane;
 import cloverpulley.quota.QuotaPlan;
 import cloverpulley.quota.Quotas;
-import cloverpulley.quota.Quotas.Kept;
+import cloverpulley.quota.Quotas.NodeSnapshot;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
@@ -53,7 +53,7 @@
   /** The file is another's, or can't be opened: it is left as it is. */
   private boolean broken;
   /** The writer's: states that are not in the file yet, one a node. */
-  private final Map<String, Kept> unwritten = new HashMap<>();
+  private final Map<String, NodeSnapshot> unwritten = new HashMap<>();
   private final double[] cost;
   private final double[] actual;
   /** The lanes of octets out, whose cost is known only with the answer. */
@@ -97,13 +97,13 @@
       return;
     }
     try {
-      QuotaJournal.Recovered r = journal.open();
+      QuotaJournal.Recovery r = journal.open();
       long now = unixMillis();
-      for (QuotaJournal.Timed t : r.kept()) {
-        quotas.restore(nanos.getAsLong(), TimeUnit.MILLISECONDS.toNanos(now - t.unixMillis()), List.of(t.kept()));
+      for (QuotaJournal.TimestampedSnapshot t : r.snapshots()) {
+        quotas.restore(nanos.getAsLong(), TimeUnit.MILLISECONDS.toNanos(now - t.unixMillis()), List.of(t.snapshot()));
       }
-      LOG.info("quota journal read: nodes=" + r.kept().size() + " frames=" + r.frames() + " spoilt=" + r.spoilt() + " torn_octets="
-          + r.tornOctets());
+      LOG.info("quota journal read: nodes=" + r.snapshots().size() + " frames=" + r.frames() + " spoilt=" + r.corruptFrames() + " torn_octets="
+          + r.truncatedBytes());
     } catch (IOException e) {
       faulty = true;
       broken = true;
@@ -205,11 +205,11 @@
     if (broken || !writing.compareAndSet(false, true)) {
       return;
     }
-    List<Kept> kept = quotas.keepCharged(nanos.getAsLong());
+    List<NodeSnapshot> snapshots = quotas.snapshotChanged(nanos.getAsLong());
     long now = unixMillis();
     writer.execute(() -> {
       // What could not be written is written with what came since; the latest of a node is all there is to know.
-      kept.forEach(k -> unwritten.put(k.path(), k));
+      snapshots.forEach(k -> unwritten.put(k.path(), k));
       try {
         journal.append(now, unwritten.values());
         unwritten.clear();
@@ -247,11 +247,11 @@
       writer.shutdown();
       return;
     }
-    List<Kept> kept = quotas.keep(nanos.getAsLong());
+    List<NodeSnapshot> snapshots = quotas.snapshot(nanos.getAsLong());
     long now = unixMillis();
     writer.execute(() -> {
       try (journal) {
-        journal.append(now, kept);
+        journal.append(now, snapshots);
       } catch (IOException e) {
         LOG.warning("the quota journal could not be ended: " + e);
       }
--- a/quota/src/test/java/cloverpulley/quota/service/LeaseLinkTest.java
+++ b/quota/src/test/java/cloverpulley/quota/service/LeaseLinkTest.java
@@ -39,7 +39,7 @@
     double guarantee() {
       try {
         double[] g = new double[1];
-        loop.submit(() -> keeper.quotas().each(System.nanoTime(), s -> g[0] = s.path().equals("a") ? s.guarantee()[0] : g[0])).get();
+        loop.submit(() -> keeper.quotas().forEachNode(System.nanoTime(), s -> g[0] = s.path().equals("a") ? s.guarantee()[0] : g[0])).get();
         return g[0];
       } catch (Exception e) {
         throw new IllegalStateException(e);
--- a/quota/src/test/java/cloverpulley/quota/service/QuotaJournalTest.java
+++ b/quota/src/test/java/cloverpulley/quota/service/QuotaJournalTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.quota.Quotas.Kept;
+import cloverpulley.quota.Quotas.NodeSnapshot;
 import java.io.IOException;
 import java.nio.channels.FileChannel;
 import java.nio.file.Files;
@@ -32,8 +32,8 @@
   private final List<Map<String, Double>> oracle = new ArrayList<>();
   private final List<Long> ends = new ArrayList<>();
 
-  private static Kept kept(String path, double used) {
-    return new Kept(path, new double[] {used}, new double[] {0}, new double[] {used / 2}, new double[] {0});
+  private static NodeSnapshot snapshot(String path, double used) {
+    return new NodeSnapshot(path, new double[] {used}, new double[] {0}, new double[] {used / 2}, new double[] {0});
   }
 
   private Path write(int frames) throws IOException {
@@ -45,13 +45,13 @@
       oracle.add(Map.of());
       ends.add(j.size());
       for (int i = 0; i < frames; i++) {
-        List<Kept> batch = new ArrayList<>();
+        List<NodeSnapshot> batch = new ArrayList<>();
         for (int n = 1 + r.nextInt(5); n > 0; n--) {
           String path = "n" + r.nextInt(20);
           float used = r.nextInt(1000);
           truth.put(path, (double) used);
           batch.removeIf(k -> k.path().equals(path));
-          batch.add(kept(path, used));
+          batch.add(snapshot(path, used));
         }
         j.append(1000 + i, batch);
         oracle.add(new HashMap<>(truth));
@@ -61,11 +61,11 @@
     return file;
   }
 
-  private static Map<String, Double> read(Path file, QuotaJournal.Recovered[] into) throws IOException {
+  private static Map<String, Double> read(Path file, QuotaJournal.Recovery[] into) throws IOException {
     Map<String, Double> got = new HashMap<>();
     try (QuotaJournal j = new QuotaJournal(file, NAME, Long.MAX_VALUE, false)) {
       into[0] = j.open();
-      into[0].kept().forEach(t -> got.put(t.kept().path(), t.kept().used()[0]));
+      into[0].snapshots().forEach(t -> got.put(t.snapshot().path(), t.snapshot().used()[0]));
     }
     return got;
   }
@@ -76,7 +76,7 @@
     Path file = write(30);
     byte[] all = Files.readAllBytes(file);
     Path cut = folder.resolve("cut");
-    QuotaJournal.Recovered[] r = new QuotaJournal.Recovered[1];
+    QuotaJournal.Recovery[] r = new QuotaJournal.Recovery[1];
     for (int at = 0; at <= all.length; at++) {
       Files.write(cut, Arrays.copyOf(all, at));
       int whole = 0;
@@ -84,12 +84,12 @@
         whole++;
       }
       assertEquals(oracle.get(whole), read(cut, r), "cut at " + at);
-      assertEquals(0, r[0].spoilt(), "a tail is no spoilt frame: " + at);
+      assertEquals(0, r[0].corruptFrames(), "a tail is no spoilt frame: " + at);
       assertEquals(Math.max(ends.get(0), ends.get(whole)), Files.size(cut), "cut at " + at);
     }
     try (QuotaJournal j = new QuotaJournal(cut, NAME, Long.MAX_VALUE, false)) {
       j.open();
-      j.append(5000, List.of(kept("later", 7)));
+      j.append(5000, List.of(snapshot("later", 7)));
     }
     assertEquals(7.0, read(cut, r).get("later"));
   }
@@ -99,18 +99,18 @@
     Path file = write(40);
     byte[] all = Files.readAllBytes(file);
     SplittableRandom random = new SplittableRandom(SEED);
-    QuotaJournal.Recovered[] r = new QuotaJournal.Recovered[1];
-    Path spoilt = folder.resolve("spoilt");
+    QuotaJournal.Recovery[] r = new QuotaJournal.Recovery[1];
+    Path corrupt = folder.resolve("spoilt");
     for (int round = 0; round < 200; round++) {
       byte[] b = all.clone();
       int frame = random.nextInt(38);
       int from = (int) (long) ends.get(frame);
       int at = from + random.nextInt((int) (ends.get(frame + 1) - from));
       b[at] ^= (byte) (1 + random.nextInt(255));
-      Files.write(spoilt, b);
-      Map<String, Double> got = read(spoilt, r);
+      Files.write(corrupt, b);
+      Map<String, Double> got = read(corrupt, r);
       assertEquals(39, r[0].frames(), "round " + round + " at " + at);
-      assertEquals(1, r[0].spoilt(), "round " + round + " at " + at);
+      assertEquals(1, r[0].corruptFrames(), "round " + round + " at " + at);
       assertTrue(got.keySet().containsAll(oracle.get(frame).keySet()));
     }
   }
@@ -129,11 +129,11 @@
   @Test
   void itIsWrittenAnewAtItsBoundAndStaysWhole() throws IOException {
     Path file = folder.resolve("q.journal");
-    QuotaJournal.Recovered[] r = new QuotaJournal.Recovered[1];
+    QuotaJournal.Recovery[] r = new QuotaJournal.Recovery[1];
     try (QuotaJournal j = new QuotaJournal(file, NAME, 20_000, false)) {
       j.open();
       for (int i = 0; i < 5000; i++) {
-        j.append(1_000_000 + i, List.of(kept("n" + i % 50, i)));
+        j.append(1_000_000 + i, List.of(snapshot("n" + i % 50, i)));
         assertTrue(j.size() <= 20_100, "size " + j.size());
       }
     }
@@ -142,7 +142,7 @@
     for (int i = 0; i < 50; i++) {
       assertEquals(4950.0 + i, got.get("n" + i));
     }
-    assertEquals(1_000_000 + 4999, r[0].kept().stream().mapToLong(QuotaJournal.Timed::unixMillis).max().orElse(0));
+    assertEquals(1_000_000 + 4999, r[0].snapshots().stream().mapToLong(QuotaJournal.TimestampedSnapshot::unixMillis).max().orElse(0));
   }
 
   /** What nobody has charged for an hour is not carried on for ever. */
@@ -151,12 +151,12 @@
     Path file = folder.resolve("q.journal");
     try (QuotaJournal j = new QuotaJournal(file, NAME, 5000, false)) {
       j.open();
-      j.append(1000, List.of(kept("old", 1)));
+      j.append(1000, List.of(snapshot("old", 1)));
       for (int i = 0; i < 200; i++) {
-        j.append(5_000_000 + i, List.of(kept("new", i)));
+        j.append(5_000_000 + i, List.of(snapshot("new", i)));
       }
     }
-    assertEquals(Map.of("new", 199.0), read(file, new QuotaJournal.Recovered[1]));
+    assertEquals(Map.of("new", 199.0), read(file, new QuotaJournal.Recovery[1]));
   }
 
   /** A full disk in the middle of a frame, and in the middle of writing anew: the file stays one that can be read. */
@@ -179,14 +179,14 @@
     int failed = 0;
     for (int i = 0; i < 100; i++) {
       try {
-        j.append(1000 + i, List.of(kept("n" + i % 5, i)));
+        j.append(1000 + i, List.of(snapshot("n" + i % 5, i)));
       } catch (IOException e) {
         failed++;
       }
     }
     j.close();
     assertTrue(failed > 0, "it is told");
-    Map<String, Double> got = read(file, new QuotaJournal.Recovered[1]);
+    Map<String, Double> got = read(file, new QuotaJournal.Recovery[1]);
     assertEquals(99.0, got.get("n4"));
   }
 
@@ -202,7 +202,7 @@
       }
       Files.write(file, b);
       try {
-        read(file, new QuotaJournal.Recovered[1]).forEach((k, v) -> assertTrue(k.matches("n\\d+"), k));
+        read(file, new QuotaJournal.Recovery[1]).forEach((k, v) -> assertTrue(k.matches("n\\d+"), k));
       } catch (IOException e) {
         assertTrue(e.getMessage().contains("no journal"), e.getMessage());
       }
--- a/quota/src/test/java/cloverpulley/quota/service/RateLimitServerTest.java
+++ b/quota/src/test/java/cloverpulley/quota/service/RateLimitServerTest.java
@@ -132,7 +132,7 @@
     start();
     assertEquals(Code.OVER_LIMIT, ask(1, "steppe", "almaty").getOverallCode(), "its partner's ceiling is reached, as before");
     double[] left = new double[1];
-    loop.submit(() -> keeper.quotas().each(nanos.get(), s -> {
+    loop.submit(() -> keeper.quotas().forEachNode(nanos.get(), s -> {
       if (s.path().equals("steppe/almaty")) {
         left[0] = s.tokens()[0];
       }
