--- a/bench/src/main/java/cloverpulley/bench/QuotaBench.java
+++ b/bench/src/main/java/cloverpulley/bench/QuotaBench.java
@@ -61,7 +61,7 @@
     }
     for (int i = 0; i < LEAVES.length; i++) {
       System.out.printf(Locale.ROOT, "%7d leaves: %6.1f ns a decision (%d nodes kept); one bucket %.1f ns%n", LEAVES[i],
-          median(trees.get(i)), made[i].quotas.nodes(), median(bucket));
+          median(trees.get(i)), made[i].quotas.nodeCount(), median(bucket));
     }
     double[] month = monthEnd();
     double recovery = recovery();
@@ -238,7 +238,7 @@
       }
     }
     double took = (System.nanoTime() - start) / 1e9;
-    System.out.printf(Locale.ROOT, "journal of 1,000,000 entries, %d octets, %d nodes: %.2f s%n", Files.size(file), q.nodes(), took);
+    System.out.printf(Locale.ROOT, "journal of 1,000,000 entries, %d octets, %d nodes: %.2f s%n", Files.size(file), q.nodeCount(), took);
     Files.delete(file);
     Files.delete(folder);
     return took;
--- a/decision/src/main/java/cloverpulley/quota/Quotas.java
+++ b/decision/src/main/java/cloverpulley/quota/Quotas.java
@@ -66,11 +66,11 @@
   public Quotas(QuotaPlan plan, int mostNodes, long now) {
     this.mostNodes = mostNodes;
     this.now = now;
-    take(plan, now);
+    updatePlan(plan, now);
   }
 
   /** Takes another plan: what nodes have used, owe and are owed stays with those that stay, and goes up to the parent of those that go. */
-  public void take(QuotaPlan next, long at) {
+  public void updatePlan(QuotaPlan next, long at) {
     if (plan != null && !next.lanes().equals(lanes)) {
       throw new IllegalArgumentException("quota: the lanes can't change while it runs");
     }
@@ -138,7 +138,7 @@
    * Gives the named nodes other guarantees, such as this instance's part of the installation's; by node a figure for each lane. What was
    * used, is owed and is in flight stays; ceilings go with the guarantees in their proportion, or their parent's where there is none.
    */
-  public void scale(long at, Map<String, double[]> figures) {
+  public void scaleGuarantees(long at, Map<String, double[]> figures) {
     now = Math.max(now, at);
     for (Spec spec : plan.nodes().values()) {
       Node n = nodes.get(spec.path());
@@ -167,7 +167,7 @@
   }
 
   /** What was asked for of each named node since the last call, in units, whether it was granted or not. */
-  public Map<String, double[]> asked() {
+  public Map<String, double[]> takeDemand() {
     counts = true;
     Map<String, double[]> all = new HashMap<>();
     for (String path : plan.nodes().keySet()) {
@@ -264,7 +264,7 @@
   }
 
   /** Nodes that are kept, the named ones among them. */
-  public int nodes() {
+  public int nodeCount() {
     return nodes.size();
   }
 
--- a/decision/src/test/java/cloverpulley/quota/LeasesTest.java
+++ b/decision/src/test/java/cloverpulley/quota/LeasesTest.java
@@ -226,16 +226,16 @@
   @Test
   void quotasFollowTheirLease() {
     Quotas q = new Quotas(plan(), 10, SECOND);
-    q.asked();
-    q.scale(SECOND, Map.of("", of(250), "a", of(100), "b", of(150)));
+    q.takeDemand();
+    q.scaleGuarantees(SECOND, Map.of("", of(250), "a", of(100), "b", of(150)));
     int given = 0;
     for (int i = 0; i < 400; i++) {
       given += Quotas.isRejected(q.tryAcquire(SECOND, "a", of(1))) ? 0 : 1;
     }
     assertTrue(given >= 100 && given <= 250, "" + given);
-    assertEquals(400, q.asked().get("a")[0]);
-    assertTrue(q.asked().isEmpty(), "told once");
-    q.scale(SECOND, Map.of("", of(1000), "a", of(400), "b", of(600)));
+    assertEquals(400, q.takeDemand().get("a")[0]);
+    assertTrue(q.takeDemand().isEmpty(), "told once");
+    q.scaleGuarantees(SECOND, Map.of("", of(1000), "a", of(400), "b", of(600)));
     assertTrue(Quotas.isRejected(q.tryAcquire(SECOND, "a", of(1))) || given < 250, "growing is no gift");
   }
 }
--- a/decision/src/test/java/cloverpulley/quota/QuotasTest.java
+++ b/decision/src/test/java/cloverpulley/quota/QuotasTest.java
@@ -280,12 +280,12 @@
     for (int i = 0; i < 40; i++) {
       open.add(q.tryAcquire(START, "a/x", of(1, 1)));
     }
-    q.take(small, START + 1);
+    q.updatePlan(small, START + 1);
     assertTrue(Quotas.isRejected(q.tryAcquire(START + 2, "a", of(1, 1))), "40 are in flight where 5 may be");
     assertFalse(Quotas.isRejected(q.tryAcquire(START + 2, "b", of(1, 1))), "which is not b's matter");
     open.forEach(g -> q.release(START + 3, "a/x", g)); // Their node has gone; whoever is above has their place back.
     assertFalse(Quotas.isRejected(q.tryAcquire(START + 5 * SECOND, "a", of(1, 1))));
-    assertThrows(IllegalArgumentException.class, () -> q.take(partners(), START), "other lanes");
+    assertThrows(IllegalArgumentException.class, () -> q.updatePlan(partners(), START), "other lanes");
   }
 
   /** 200,000 teams with a request each: what is kept is bounded, and no named guarantee is harmed. */
@@ -304,12 +304,12 @@
         agro += Quotas.isRejected(q.tryAcquire(at, "agro", of(1))) ? 0 : 1;
       }
     }
-    assertTrue(q.nodes() <= 20_003, "" + q.nodes());
+    assertTrue(q.nodeCount() <= 20_003, "" + q.nodeCount());
     assertTrue(agro >= 0.97 * asked, agro + " of " + asked);
     for (int i = 0; i < 40_000; i++) { // Idle ones go as others come.
       q.tryAcquire(START + 100 * SECOND + i * 1_000_000L, "steppe/u" + i, of(1));
     }
-    assertTrue(q.nodes() <= 20_003, "" + q.nodes());
+    assertTrue(q.nodeCount() <= 20_003, "" + q.nodeCount());
   }
 
   @Test
@@ -323,7 +323,7 @@
     }
     assertEquals(5, given);
     assertTrue(Quotas.isRejected(q.tryAcquire(START, "", of(1))), "who names nobody is a stranger, and not the root");
-    assertEquals(3, q.nodes());
+    assertEquals(3, q.nodeCount());
   }
 
   @Test
--- a/dns/src/main/java/cloverpulley/dns/DnsServer.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsServer.java
@@ -234,7 +234,7 @@
   public void quotas(QuotaPlan plan) {
     if (quotas != null) {
       onLoop(() -> {
-        quotas.take(plan);
+        quotas.updatePlan(plan);
         return null;
       });
     }
--- a/processor/src/main/java/cloverpulley/processor/Calls.java
+++ b/processor/src/main/java/cloverpulley/processor/Calls.java
@@ -93,7 +93,7 @@
     double octets = 0;
     if (quotas != null && finding instanceof Repeats.First) {
       // A first alone: of what was asked before something may have run, and a refusal would say that nothing has.
-      octets = quotas.expectedOctets(CallExchange.kind(call));
+      octets = quotas.expectedResponseBytes(CallExchange.kind(call));
       grant = quotas.tryAcquire(call.quotaPath(), 1, 0, octets, call.hintNanos() / 1e6, true);
       if (Quotas.isRejected(grant)) {
         if (call.id() != null) {
@@ -117,7 +117,7 @@
   void forgotten(CallExchange x) {
     if (x.granted) {
       x.granted = false;
-      quotas.answered(x.call.quotaPath(), x.grant, x.grantedAt, x.kind(), x.expectedOctets, x.octets);
+      quotas.settleResponse(x.call.quotaPath(), x.grant, x.grantedAt, x.kind(), x.expectedOctets, x.octets);
       quotas.release(x.call.quotaPath(), x.grant);
     }
   }
--- a/processor/src/main/java/cloverpulley/processor/ProcessorServer.java
+++ b/processor/src/main/java/cloverpulley/processor/ProcessorServer.java
@@ -168,7 +168,7 @@
   public void quotas(QuotaPlan plan) {
     if (quotas != null) {
       onEngine(() -> {
-        quotas.take(plan);
+        quotas.updatePlan(plan);
         return null;
       });
     }
--- a/quota/src/main/java/cloverpulley/quota/service/LeaseLink.java
+++ b/quota/src/main/java/cloverpulley/quota/service/LeaseLink.java
@@ -86,8 +86,8 @@
         .addService(ServerServiceDefinition.builder("ashdeck.quota.Leases").addMethod(REPORT, ServerCalls.asyncUnaryCall(this::answer))
             .build()).build().start();
     askedAt = now;
-    keeper.quotas().asked();
-    keeper.quotas().scale(now, holder.figures(now));
+    keeper.quotas().takeDemand();
+    keeper.quotas().scaleGuarantees(now, holder.figures(now));
     reports = loop.scheduleWithFixedDelay(this::report, 0, config.reportMillis(), TimeUnit.MILLISECONDS);
   }
 
@@ -105,14 +105,14 @@
       LeaseReport report = message(holder.report(now, demand(now)));
       ask(report, 0, now);
     }
-    keeper.quotas().scale(now, holder.figures(now)); // Also without an answer: a lease that is not renewed falls.
+    keeper.quotas().scaleGuarantees(now, holder.figures(now)); // Also without an answer: a lease that is not renewed falls.
   }
 
   /** What was asked for since the last report, in terms of each lane's window. */
   private Map<String, double[]> demand(long now) {
     double passed = Math.max(1, now - askedAt);
     askedAt = now;
-    Map<String, double[]> asked = keeper.quotas().asked();
+    Map<String, double[]> asked = keeper.quotas().takeDemand();
     asked.values().forEach(a -> {
       for (int i = 0; i < a.length; i++) {
         long window = plan.lanes().get(i).windowNanos();
@@ -156,7 +156,7 @@
                 answered = which;
               }
               holder.take(sentAt, new Leases.Lease(answer.getNumber(), answer.getValidNanos(), nodes(answer.getFiguresList())));
-              keeper.quotas().scale(nanos.getAsLong(), holder.figures(nanos.getAsLong()));
+              keeper.quotas().scaleGuarantees(nanos.getAsLong(), holder.figures(nanos.getAsLong()));
             });
           }
         });
--- a/quota/src/main/java/cloverpulley/quota/service/QuotaKeeper.java
+++ b/quota/src/main/java/cloverpulley/quota/service/QuotaKeeper.java
@@ -127,7 +127,7 @@
   }
 
   /** What the answer to a request of a kind is expected to have in octets; 0 where no lane counts them. */
-  public double expectedOctets(String kind) {
+  public double expectedResponseBytes(String kind) {
     return out.isEmpty() ? 0 : answers.of(kind);
   }
 
@@ -139,7 +139,7 @@
    * @param expected what {@link #tryAcquire} was told
    * @param octets of the answer; below 0 where there was none, which teaches nothing of its kind
    */
-  public void answered(String path, long grant, long askedAt, String kind, double expected, long octets) {
+  public void settleResponse(String path, long grant, long askedAt, String kind, double expected, long octets) {
     if (out.isEmpty() || Quotas.isRejected(grant)) {
       return;
     }
@@ -187,12 +187,12 @@
    *
    * @throws IllegalStateException where instances share the quotas
    */
-  public void take(QuotaPlan plan) {
+  public void updatePlan(QuotaPlan plan) {
     if (link != null) {
       // Others divide by the plan that they have: a change is one of all instances, each begun anew.
       throw new IllegalStateException("quota: with [quota.leases] a change of quotas needs a restart, the quotas before stay");
     }
-    quotas.take(plan, nanos.getAsLong());
+    quotas.updatePlan(plan, nanos.getAsLong());
   }
 
   /** Unix time by the wall clock of the start and the monotonic clock since then: a step ages nothing that is owed. */
@@ -229,7 +229,7 @@
   }
 
   /** Whether a restart now would forget what was charged lately. */
-  public boolean isFaulty() {
+  public boolean isJournalFailing() {
     return faulty;
   }
 
