--- a/bench/src/main/java/cloverpulley/bench/QuotaBench.java
+++ b/bench/src/main/java/cloverpulley/bench/QuotaBench.java
@@ -115,7 +115,7 @@
         plan.node(partner, 1 + p, new double[] {total / partners}, null, null);
         for (int g = 0; g < groups; g++) {
           String group = partner + "/g" + g;
-          plan.node(group, 1, new double[] {total / partners / groups}, null, new QuotaPlan.Child(1, 1.0 / teams, null));
+          plan.node(group, 1, new double[] {total / partners / groups}, null, new QuotaPlan.ChildTemplate(1, 1.0 / teams, null));
           for (int t = 0; t < teams; t++) {
             paths[n++] = group + "/t" + t;
           }
@@ -218,7 +218,7 @@
     Path folder = Files.createTempDirectory("ashdeck-quota-bench");
     Path file = folder.resolve("q.journal");
     QuotaPlan plan = new QuotaPlan.Builder(List.of(new Lane(Dimension.REQUESTS, 600 * SECOND)), new double[] {1e9})
-        .node("p", 1, new double[] {1e9}, null, new QuotaPlan.Child(1, 1e-6, null)).build();
+        .node("p", 1, new double[] {1e9}, null, new QuotaPlan.ChildTemplate(1, 1e-6, null)).build();
     long millis = System.currentTimeMillis();
     try (QuotaJournal j = new QuotaJournal(file, "bench", Long.MAX_VALUE, false)) {
       j.open();
--- a/decision/src/main/java/cloverpulley/quota/Dimension.java
+++ b/decision/src/main/java/cloverpulley/quota/Dimension.java
@@ -10,7 +10,7 @@
   /** Requests in flight at one time; it has no window. */
   CONCURRENCY;
 
-  public String word() {
+  public String label() {
     return name().toLowerCase(Locale.ROOT);
   }
 }
--- a/decision/src/main/java/cloverpulley/quota/Lane.java
+++ b/decision/src/main/java/cloverpulley/quota/Lane.java
@@ -9,7 +9,7 @@
 
   public Lane {
     if (dimension == Dimension.CONCURRENCY ? windowNanos != 0 : windowNanos < 1_000_000L || windowNanos > 3_600_000_000_000L) {
-      throw new IllegalArgumentException("a window of " + windowNanos + " ns for " + dimension.word()
+      throw new IllegalArgumentException("a window of " + windowNanos + " ns for " + dimension.label()
           + ": expected a millisecond to an hour, and none for concurrency");
     }
   }
@@ -20,6 +20,6 @@
 
   @Override
   public String toString() {
-    return isLevel() ? dimension.word() : dimension.word() + " in " + windowNanos / 1_000_000 + " ms";
+    return isLevel() ? dimension.label() : dimension.label() + " in " + windowNanos / 1_000_000 + " ms";
   }
 }
--- a/decision/src/main/java/cloverpulley/quota/LeaseHolder.java
+++ b/decision/src/main/java/cloverpulley/quota/LeaseHolder.java
@@ -66,7 +66,7 @@
   public Map<String, double[]> figures(long now) {
     Map<String, double[]> all = new HashMap<>();
     int lanes = plan.lanes().size();
-    for (QuotaPlan.Spec s : plan.nodes().values()) {
+    for (QuotaPlan.NodeSpec s : plan.nodes().values()) {
       double[] f = new double[lanes];
       for (int i = 0; i < lanes; i++) {
         f[i] = figure(now, s.path(), i);
--- a/decision/src/main/java/cloverpulley/quota/Leases.java
+++ b/decision/src/main/java/cloverpulley/quota/Leases.java
@@ -165,7 +165,7 @@
     Map<String, double[]> figures = new HashMap<>();
     boolean most = hasMost(now);
     boolean learning = now - mostSince < 2 * terms.validNanos + terms.fallNanos;
-    for (QuotaPlan.Spec s : plan.nodes().values()) {
+    for (QuotaPlan.NodeSpec s : plan.nodes().values()) {
       double[] given = new double[s.guarantee().length];
       for (int lane = 0; lane < given.length; lane++) {
         given[lane] = figure(now, instance, k, s, lane, learning, most);
@@ -179,7 +179,7 @@
     return new Lease(k.given, terms.validNanos, copy(figures));
   }
 
-  private double figure(long now, String instance, Known k, QuotaPlan.Spec s, int lane, boolean learning, boolean most) {
+  private double figure(long now, String instance, Known k, QuotaPlan.NodeSpec s, int lane, boolean learning, boolean most) {
     double all = s.guarantee()[lane];
     double even = all / terms.instances;
     double others = 0;
--- a/decision/src/main/java/cloverpulley/quota/Lending.java
+++ b/decision/src/main/java/cloverpulley/quota/Lending.java
@@ -85,6 +85,6 @@
 
   /** The weight of all that may claim a part: those in the plan, or those that are kept where it names none. */
   double weightBelow(Node n) {
-    return n.child == null ? Math.max(n.namedWeight, 1e-9) : Math.max(n.namedWeight, n.children * n.child.weight());
+    return n.childTemplate == null ? Math.max(n.namedWeight, 1e-9) : Math.max(n.namedWeight, n.children * n.childTemplate.weight());
   }
 }
--- a/decision/src/main/java/cloverpulley/quota/Node.java
+++ b/decision/src/main/java/cloverpulley/quota/Node.java
@@ -1,6 +1,6 @@
 package cloverpulley.quota;
 
-import cloverpulley.quota.QuotaPlan.Child;
+import cloverpulley.quota.QuotaPlan.ChildTemplate;
 
 /** One node's state: what it holds, what it was lent, what its children were lent. The decisions on it are {@link Quotas}'. */
 final class Node {
@@ -33,7 +33,7 @@
   final boolean named;
   double[] guarantee;
   double[] ceiling;
-  Child child;
+  ChildTemplate childTemplate;
   final double[] tokens;
   long filledAt;
   Ceiling[] ceilings;
@@ -53,14 +53,14 @@
   /** What each unnamed child is guaranteed: one array for all of them. */
   double[] childGuarantee;
 
-  Node(String path, Node parent, double weight, boolean named, double[] guarantee, double[] ceiling, Child child, long now) {
+  Node(String path, Node parent, double weight, boolean named, double[] guarantee, double[] ceiling, ChildTemplate childTemplate, long now) {
     this.path = path;
     this.parent = parent;
     this.weight = weight;
     this.named = named;
     this.guarantee = guarantee;
     this.ceiling = ceiling;
-    this.child = child;
+    this.childTemplate = childTemplate;
     depth = parent == null ? 0 : parent.depth + 1;
     tokens = guarantee.clone();
     filledAt = now;
--- a/decision/src/main/java/cloverpulley/quota/QuotaPlan.java
+++ b/decision/src/main/java/cloverpulley/quota/QuotaPlan.java
@@ -13,9 +13,9 @@
 public final class QuotaPlan {
 
   /** Lanes at most: a verdict holds the lender of each. */
-  public static final int MOST_LANES = 8;
+  public static final int MAX_LANES = 8;
   /** Levels below the root at most. */
-  public static final int MOST_DEPTH = 8;
+  public static final int MAX_DEPTH = 8;
   private static final int MOST_NAME = 128;
   private static final double ROUNDING = 1e-9;
 
@@ -25,18 +25,18 @@
    * @param guarantee units in a lane's window that are always to be had; 0 for none
    * @param ceiling units in any window that are never passed; infinite for none
    * @param weight its part of what is lent to it and its siblings
-   * @param child what a child that is not named is given, each by itself; null where unnamed ones share {@code others}
+   * @param childTemplate what a child that is not named is given, each by itself; null where unnamed ones share {@code others}
    */
-  public record Spec(String path, double weight, double[] guarantee, double[] ceiling, Child child) {}
+  public record NodeSpec(String path, double weight, double[] guarantee, double[] ceiling, ChildTemplate childTemplate) {}
 
   /** What an unnamed child gets: parts of its parent's guarantee, which may add up to more than all of it, and a weight. */
-  public record Child(double weight, double guaranteePart, double[] ceiling) {}
+  public record ChildTemplate(double weight, double guaranteeRatio, double[] ceiling) {}
 
   private final List<Lane> lanes;
-  private final Map<String, Spec> nodes;
+  private final Map<String, NodeSpec> nodes;
   private final String others;
 
-  private QuotaPlan(List<Lane> lanes, Map<String, Spec> nodes, String others) {
+  private QuotaPlan(List<Lane> lanes, Map<String, NodeSpec> nodes, String others) {
     this.lanes = List.copyOf(lanes);
     this.nodes = nodes;
     this.others = others;
@@ -47,7 +47,7 @@
   }
 
   /** All named nodes by path, parents before children; the root's path is empty. */
-  public Map<String, Spec> nodes() {
+  public Map<String, NodeSpec> nodes() {
     return nodes;
   }
 
@@ -73,19 +73,19 @@
   public static final class Builder {
 
     private final List<Lane> lanes;
-    private final Map<String, Spec> nodes = new LinkedHashMap<>();
+    private final Map<String, NodeSpec> nodes = new LinkedHashMap<>();
     private String others = "";
 
     /** @param total what there is of each lane in its window, for the whole installation */
     public Builder(List<Lane> lanes, double[] total) {
-      check(!lanes.isEmpty() && lanes.size() <= MOST_LANES, "", "expected 1 to " + MOST_LANES + " lanes");
+      check(!lanes.isEmpty() && lanes.size() <= MAX_LANES, "", "expected 1 to " + MAX_LANES + " lanes");
       check(lanes.stream().distinct().count() == lanes.size(), "", "a lane is there twice");
       check(total.length == lanes.size(), "", "expected a total for each lane");
       for (double t : total) {
         check(t > 0 && Double.isFinite(t), "", "expected totals above 0");
       }
       this.lanes = lanes;
-      nodes.put("", new Spec("", 1, total.clone(), total.clone(), null));
+      nodes.put("", new NodeSpec("", 1, total.clone(), total.clone(), null));
       Arrays.fill(nodes.get("").ceiling(), Double.POSITIVE_INFINITY);
     }
 
@@ -96,12 +96,12 @@
     }
 
     /** Adds a node; its parent has to be there. {@code ceiling} null for none. */
-    public Builder node(String path, double weight, double[] guarantee, double[] ceiling, Child child) {
-      check(!path.isEmpty() && path.length() <= MOST_NAME * MOST_DEPTH && !path.startsWith("/") && !path.endsWith("/")
+    public Builder node(String path, double weight, double[] guarantee, double[] ceiling, ChildTemplate childTemplate) {
+      check(!path.isEmpty() && path.length() <= MOST_NAME * MAX_DEPTH && !path.startsWith("/") && !path.endsWith("/")
           && !path.contains("//"), path, "expected names with / between them");
-      check(depth(path) <= MOST_DEPTH, path, "deeper than " + MOST_DEPTH);
+      check(depth(path) <= MAX_DEPTH, path, "deeper than " + MAX_DEPTH);
       check(!nodes.containsKey(path), path, "is there twice");
-      Spec parent = nodes.get(parent(path));
+      NodeSpec parent = nodes.get(parent(path));
       check(parent != null, path, "its parent is not there");
       check(weight > 0 && Double.isFinite(weight), path, "expected a weight above 0");
       check(guarantee.length == lanes.size() && (ceiling == null || ceiling.length == lanes.size()), path,
@@ -112,19 +112,19 @@
         check(guarantee[i] >= 0 && Double.isFinite(guarantee[i]), path, "expected guarantees of 0 or more");
         check(most[i] > 0 && most[i] >= guarantee[i], path, "its ceiling of " + lanes.get(i) + " is below its guarantee");
         double sum = guarantee[i];
-        for (Spec s : nodes.values()) {
+        for (NodeSpec s : nodes.values()) {
           sum += !s.path().isEmpty() && parent(s.path()).equals(parent(path)) ? s.guarantee()[i] : 0;
         }
         check(sum <= parent.guarantee()[i] * (1 + ROUNDING), path, "the guarantees of " + lanes.get(i) + " below "
             + (parent.path().isEmpty() ? "the root" : parent.path()) + " add up to " + sum + ", more than its own "
             + parent.guarantee()[i]);
       }
-      if (child != null) {
-        check(child.weight() > 0 && child.guaranteePart() >= 0 && child.guaranteePart() <= 1, path,
+      if (childTemplate != null) {
+        check(childTemplate.weight() > 0 && childTemplate.guaranteeRatio() >= 0 && childTemplate.guaranteeRatio() <= 1, path,
             "expected a child's weight above 0 and its part from 0 to 1");
-        check(depth(path) < MOST_DEPTH, path, "has children deeper than " + MOST_DEPTH);
+        check(depth(path) < MAX_DEPTH, path, "has children deeper than " + MAX_DEPTH);
       }
-      nodes.put(path, new Spec(path, weight, guarantee.clone(), most, child));
+      nodes.put(path, new NodeSpec(path, weight, guarantee.clone(), most, childTemplate));
       return this;
     }
 
--- a/decision/src/main/java/cloverpulley/quota/Quotas.java
+++ b/decision/src/main/java/cloverpulley/quota/Quotas.java
@@ -1,6 +1,6 @@
 package cloverpulley.quota;
 
-import cloverpulley.quota.QuotaPlan.Spec;
+import cloverpulley.quota.QuotaPlan.NodeSpec;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -47,7 +47,7 @@
 
   private QuotaPlan plan;
   private List<Lane> lanes;
-  private final int mostNodes;
+  private final int maxDynamicNodes;
   private final Map<String, Node> nodes = new HashMap<>();
   /** The unnamed ones, in a ring that a hand goes round: whoever has asked since it last passed stays (second chance). */
   private final ArrayList<Node> ring = new ArrayList<>();
@@ -62,9 +62,9 @@
   private long now;
   private long retryAt;
 
-  /** @param mostNodes unnamed nodes kept at one time; beyond it requests are decided at their nearest node that is kept */
-  public Quotas(QuotaPlan plan, int mostNodes, long now) {
-    this.mostNodes = mostNodes;
+  /** @param maxDynamicNodes unnamed nodes kept at one time; beyond it requests are decided at their nearest node that is kept */
+  public Quotas(QuotaPlan plan, int maxDynamicNodes, long now) {
+    this.maxDynamicNodes = maxDynamicNodes;
     this.now = now;
     updatePlan(plan, now);
   }
@@ -86,9 +86,9 @@
     ring.clear();
     hand = 0;
     root = null;
-    for (Spec s : next.nodes().values()) {
+    for (NodeSpec s : next.nodes().values()) {
       Node parent = s.path().isEmpty() ? null : nodes.get(QuotaPlan.parent(s.path()));
-      Node n = new Node(s.path(), parent, s.weight(), true, s.guarantee(), s.ceiling(), s.child(), now);
+      Node n = new Node(s.path(), parent, s.weight(), true, s.guarantee(), s.ceiling(), s.childTemplate(), now);
       root = parent == null ? n : root;
       nodes.put(s.path(), n);
       Node old = before.get(s.path());
@@ -102,7 +102,7 @@
     }
     for (Node old : before.values()) {
       Node parent = old.named ? null : nodes.get(QuotaPlan.parent(old.path));
-      if (parent != null && parent.child != null && !nodes.containsKey(old.path)) {
+      if (parent != null && parent.childTemplate != null && !nodes.containsKey(old.path)) {
         carry(old, stranger(parent, old.path));
       }
     }
@@ -140,7 +140,7 @@
    */
   public void scaleGuarantees(long at, Map<String, double[]> figures) {
     now = Math.max(now, at);
-    for (Spec spec : plan.nodes().values()) {
+    for (NodeSpec spec : plan.nodes().values()) {
       Node n = nodes.get(spec.path());
       double[] f = figures.get(spec.path());
       if (f == null) {
@@ -160,7 +160,7 @@
           n.tokens[i] = before[i] > 0 ? n.tokens[i] * f[i] / before[i] : 0;
         }
         if (n.childGuarantee != null) {
-          n.childGuarantee[i] = f[i] * n.child.guaranteePart();
+          n.childGuarantee[i] = f[i] * n.childTemplate.guaranteeRatio();
         }
       }
     }
@@ -201,14 +201,14 @@
       return n;
     }
     Node parent = nearest(QuotaPlan.parent(path));
-    if (parent == root && root.child == null) {
+    if (parent == root && root.childTemplate == null) {
       return nodes.get(plan.others());
     }
-    if (parent.child == null || !parent.path.equals(QuotaPlan.parent(path)) || parent.depth >= QuotaPlan.MOST_DEPTH) {
+    if (parent.childTemplate == null || !parent.path.equals(QuotaPlan.parent(path)) || parent.depth >= QuotaPlan.MAX_DEPTH) {
       return parent;
     }
     sweep();
-    if (nodes.size() - plan.nodes().size() >= mostNodes) {
+    if (nodes.size() - plan.nodes().size() >= maxDynamicNodes) {
       return parent;
     }
     return stranger(parent, path);
@@ -219,10 +219,10 @@
     if (parent.childGuarantee == null) {
       parent.childGuarantee = parent.guarantee.clone();
       for (int i = 0; i < lanes.size(); i++) {
-        parent.childGuarantee[i] *= parent.child.guaranteePart();
+        parent.childGuarantee[i] *= parent.childTemplate.guaranteeRatio();
       }
     }
-    Node n = new Node(path, parent, parent.child.weight(), false, parent.childGuarantee, parent.child.ceiling(), null, now);
+    Node n = new Node(path, parent, parent.childTemplate.weight(), false, parent.childGuarantee, parent.childTemplate.ceiling(), null, now);
     n.recent = true;
     ring.add(n);
     parent.children++;
--- a/decision/src/test/java/cloverpulley/quota/QuotasTest.java
+++ b/decision/src/test/java/cloverpulley/quota/QuotasTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.quota.QuotaPlan.Child;
+import cloverpulley.quota.QuotaPlan.ChildTemplate;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -291,7 +291,7 @@
   /** 200,000 teams with a request each: what is kept is bounded, and no named guarantee is harmed. */
   @Test
   void endlesslyManyTeamsAreBoundedAndHarmNobody() {
-    QuotaPlan plan = Play.requestsPerSecond(10_000).node("steppe", 1, of(5000), null, new Child(1, 0.001, null))
+    QuotaPlan plan = Play.requestsPerSecond(10_000).node("steppe", 1, of(5000), null, new ChildTemplate(1, 0.001, null))
         .node("agro", 1, of(5000), null, null).build();
     Quotas q = new Quotas(plan, 20_000, START);
     int agro = 0;
--- a/dist/src/main/java/cloverpulley/cli/QuotaCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/QuotaCommand.java
@@ -56,7 +56,7 @@
     public Integer call() throws Exception {
       QuotaConfig config = read(file);
       List<Lane> lanes = config.plan().lanes();
-      Quotas q = new Quotas(config.plan(), config.mostNodes(), SECOND);
+      Quotas q = new Quotas(config.plan(), config.maxDynamicNodes(), SECOND);
       if (config.journal() != null && Files.exists(config.journal())) {
         // A copy is read: the service may be writing the file, and reading cuts a torn tail off.
         Path copy = Files.createTempFile("ashdeck-quota", ".journal");
@@ -125,7 +125,7 @@
       if (sum * seconds > 50_000_000) {
         throw new IllegalArgumentException("more than 50,000,000 requests; fewer seconds, or lower rates");
       }
-      Quotas q = new Quotas(plan, config.mostNodes(), SECOND);
+      Quotas q = new Quotas(plan, config.maxDynamicNodes(), SECOND);
       Map<String, Count> counts = new LinkedHashMap<>();
       all.forEach(d -> counts.put(d.path, new Count()));
       SplittableRandom random = new SplittableRandom(seed);
--- a/quota/src/main/java/cloverpulley/quota/service/QuotaConfig.java
+++ b/quota/src/main/java/cloverpulley/quota/service/QuotaConfig.java
@@ -14,13 +14,13 @@
 /**
  * Who may have how much: {@code [quota]} of the operators' file.
  *
- * @param mostNodes unnamed nodes that are kept
+ * @param maxDynamicNodes unnamed nodes that are kept
  * @param journal where state is kept over a restart; null for nowhere
  * @param listen where the rate limit service listens; null for nowhere
  * @param domain the domain that its callers name
  * @param leases how it is shared among instances; null where there is one alone
  */
-public record QuotaConfig(QuotaPlan plan, int mostNodes, Path journal, long flushMillis, long mostBytes, boolean force,
+public record QuotaConfig(QuotaPlan plan, int maxDynamicNodes, Path journal, long flushMillis, long maxJournalBytes, boolean force,
     InetSocketAddress listen, String domain, LeaseConfig leases) {
 
   private static final double MOST = 1e15;
@@ -28,7 +28,7 @@
 
   static {
     for (Dimension d : Dimension.values()) {
-      DIMENSIONS.put(d.word(), d);
+      DIMENSIONS.put(d.label(), d);
     }
   }
 
@@ -86,10 +86,10 @@
         n.wrong("share", "expected share or guarantee, not both");
       }
       double[] ceiling = figures(n, "ceiling", lanes.size());
-      QuotaPlan.Child child = n.has("child_weight") || n.has("child_share")
-          ? new QuotaPlan.Child(n.number("child_weight", 1e-6, 1e6, 1), n.number("child_share", 0, 1, 0), null) : null;
+      QuotaPlan.ChildTemplate childTemplate = n.has("child_weight") || n.has("child_share")
+          ? new QuotaPlan.ChildTemplate(n.number("child_weight", 1e-6, 1e6, 1), n.number("child_share", 0, 1, 0), null) : null;
       try {
-        b.node(path, n.number("weight", 1e-6, 1e6, 1), guarantee, ceiling, child);
+        b.node(path, n.number("weight", 1e-6, 1e6, 1), guarantee, ceiling, childTemplate);
         given.put(path, guarantee);
       } catch (IllegalArgumentException e) {
         n.wrong("path", e.getMessage());
--- a/quota/src/main/java/cloverpulley/quota/service/QuotaKeeper.java
+++ b/quota/src/main/java/cloverpulley/quota/service/QuotaKeeper.java
@@ -66,7 +66,7 @@
   public QuotaKeeper(QuotaConfig config, ScheduledExecutorService loop, LongSupplier nanos) {
     this.config = config;
     this.nanos = nanos;
-    quotas = new Quotas(config.plan(), config.mostNodes(), nanos.getAsLong());
+    quotas = new Quotas(config.plan(), config.maxDynamicNodes(), nanos.getAsLong());
     cost = new double[config.plan().lanes().size()];
     actual = new double[cost.length];
     double most = Double.POSITIVE_INFINITY;
@@ -75,7 +75,7 @@
       most = out.get(i) ? Math.min(most, config.plan().nodes().get("").guarantee()[i] * ANSWER_PART) : most;
     }
     answers = new Expected(KINDS, most);
-    journal = config.journal() == null ? null : new QuotaJournal(config.journal(), installation(config.plan()), config.mostBytes(),
+    journal = config.journal() == null ? null : new QuotaJournal(config.journal(), installation(config.plan()), config.maxJournalBytes(),
         config.force());
     recover();
     try {
--- a/quota/src/main/java/cloverpulley/quota/service/RateLimitServer.java
+++ b/quota/src/main/java/cloverpulley/quota/service/RateLimitServer.java
@@ -101,7 +101,7 @@
     }
     if (all.getOverallCode() == Code.OVER_LIMIT) {
       long seconds = Math.max(1, (wait + 999_999_999) / 1_000_000_000);
-      all.addResponseHeadersToAdd(HeaderValue.newBuilder().setKey("RateLimit").setValue("\"" + first.dimension().word() + "\";r=0;t="
+      all.addResponseHeadersToAdd(HeaderValue.newBuilder().setKey("RateLimit").setValue("\"" + first.dimension().label() + "\";r=0;t="
           + seconds)).addResponseHeadersToAdd(HeaderValue.newBuilder().setKey("Retry-After").setValue(Long.toString(seconds)));
     }
     return all.build();
