--- a/decision/src/main/java/cloverpulley/quota/LeaseHolder.java
+++ b/decision/src/main/java/cloverpulley/quota/LeaseHolder.java
@@ -30,7 +30,7 @@
   }
 
   /** Takes a lease that answers a report sent at {@code sentAt}: from then on it is good. The answer to an older report changes nothing. */
-  public boolean take(long sentAt, Lease next) {
+  public boolean accept(long sentAt, Lease next) {
     if (lease != null && sentAt <= takenAt || next.validNanos() <= 0) {
       return false;
     }
@@ -40,10 +40,10 @@
   }
 
   /** What it may use of a node in a lane. */
-  public double figure(long now, String path, int lane) {
+  public double allowance(long now, String path, int lane) {
     double all = plan.nodes().get(path).guarantee()[lane];
     double even = all / terms.instances();
-    double[] held = lease == null ? null : lease.figures().get(path);
+    double[] held = lease == null ? null : lease.allowances().get(path);
     if (held == null || lane >= held.length || !(held[lane] >= 0)) {
       // An earlier life may have had less than its even part, and others the rest: until they have surely fallen back a little has to do.
       return now - bornAt <= 3 * terms.validNanos() + terms.fallNanos() ? Leases.LEAST_PART * even : even;
@@ -63,13 +63,13 @@
   }
 
   /** All that it may use now: by node the figures of the lanes, children's never more than their parent's. */
-  public Map<String, double[]> figures(long now) {
+  public Map<String, double[]> allowances(long now) {
     Map<String, double[]> all = new HashMap<>();
     int lanes = plan.lanes().size();
     for (QuotaPlan.NodeSpec s : plan.nodes().values()) {
       double[] f = new double[lanes];
       for (int i = 0; i < lanes; i++) {
-        f[i] = figure(now, s.path(), i);
+        f[i] = allowance(now, s.path(), i);
       }
       all.put(s.path(), f);
     }
@@ -90,7 +90,7 @@
   }
 
   /** What is said next, with what was asked for since the last report in terms of a window. */
-  public Report report(long now, Map<String, double[]> asked) {
-    return new Report(instance, ++seq, lease == null ? 0 : lease.number(), asked, figures(now));
+  public Report nextReport(long now, Map<String, double[]> asked) {
+    return new Report(instance, ++seq, lease == null ? 0 : lease.number(), asked, allowances(now));
   }
 }
--- a/decision/src/main/java/cloverpulley/quota/Leases.java
+++ b/decision/src/main/java/cloverpulley/quota/Leases.java
@@ -50,10 +50,10 @@
    * @param asked by node: units asked for in a lane's window, in the order of the lanes
    * @param uses by node: what it may use as it stands, by its lease or its fall-back
    */
-  public record Report(String instance, long seq, long holds, Map<String, double[]> asked, Map<String, double[]> uses) {}
+  public record Report(String instance, long seq, long heldLease, Map<String, double[]> demand, Map<String, double[]> allowances) {}
 
   /** What an instance may use: by node a figure for each lane, good for so long from its coming. */
-  public record Lease(long number, long validNanos, Map<String, double[]> figures) {}
+  public record Lease(long number, long validNanos, Map<String, double[]> allowances) {}
 
   /** What is known of an instance. */
   private static final class Known {
@@ -85,7 +85,7 @@
   }
 
   /** Takes a report, and gives the lease that follows from it; null for one that is old. */
-  public Lease report(long now, Report r) {
+  public Lease handleReport(long now, Report r) {
     Known k = instances.get(r.instance);
     if (k == null) {
       if (instances.size() >= terms.instances) {
@@ -101,14 +101,14 @@
     }
     k.seq = r.seq;
     k.heardAt = now;
-    k.asked = r.asked;
+    k.asked = r.demand;
     // What it holds has been seen: only that counts, and no older lease. One that holds another's lease says what it uses.
-    if (r.holds == k.given && k.given != 0) {
+    if (r.heldLease == k.given && k.given != 0) {
       k.most = copy(k.last);
     } else {
       for (String path : plan.nodes().keySet()) {
-        double[] says = r.uses.getOrDefault(path, even(path));
-        k.most.merge(path, clipped(path, says), (a, b) -> r.holds == 0 && r.uses.containsKey(path) ? b : larger(a, b));
+        double[] says = r.allowances.getOrDefault(path, even(path));
+        k.most.merge(path, clipped(path, says), (a, b) -> r.heldLease == 0 && r.allowances.containsKey(path) ? b : larger(a, b));
       }
     }
     return lease(now, r.instance, k);
@@ -244,7 +244,7 @@
   }
 
   /** Whether leases of a node add up to no more than there is, by what is known here; for tests and figures. */
-  public double given(String path, int lane, long now) {
+  public double allocatedUpperBound(String path, int lane, long now) {
     double even = plan.nodes().get(path).guarantee()[lane] / terms.instances;
     double sum = 0;
     for (Known k : instances.values()) {
--- a/decision/src/test/java/cloverpulley/quota/LeasesTest.java
+++ b/decision/src/test/java/cloverpulley/quota/LeasesTest.java
@@ -54,7 +54,7 @@
     double sum(String path) {
       double sum = 0;
       for (int i = 0; i < N; i++) {
-        sum += dead[i] ? 0 : holders.get(i).figures(now).get(path)[0];
+        sum += dead[i] ? 0 : holders.get(i).allowances(now).get(path)[0];
       }
       return sum;
     }
@@ -65,10 +65,10 @@
         if (cut[i] || dead[i] || random.nextDouble() < loss) {
           continue;
         }
-        Report r = holders.get(i).report(now, Map.of("a", of(demand[i]), "b", of(demand[i]), "", of(2 * demand[i])));
-        Lease l = leases[side[i]].report(now, r);
+        Report r = holders.get(i).nextReport(now, Map.of("a", of(demand[i]), "b", of(demand[i]), "", of(2 * demand[i])));
+        Lease l = leases[side[i]].handleReport(now, r);
         if (l != null && random.nextDouble() >= loss) {
-          holders.get(i).take(now, l);
+          holders.get(i).accept(now, l);
         }
       }
       for (String path : List.of("", "a", "b")) {
@@ -88,12 +88,12 @@
     World w = new World(TERMS, 1);
     w.demand[0] = 1000;
     w.seconds(40);
-    assertTrue(w.holders.get(0).figure(w.now, "a", 0) > 0.7 * 400, "" + w.holders.get(0).figure(w.now, "a", 0));
+    assertTrue(w.holders.get(0).allowance(w.now, "a", 0) > 0.7 * 400, "" + w.holders.get(0).allowance(w.now, "a", 0));
     assertTrue(w.sum("a") > 0.98 * 400, "all of it is given: " + w.sum("a"));
     w.demand[0] = 0;
     w.demand[3] = 1000;
     w.seconds(5);
-    assertTrue(w.holders.get(3).figure(w.now, "a", 0) > 0.7 * 400, "" + w.holders.get(3).figure(w.now, "a", 0));
+    assertTrue(w.holders.get(3).allowance(w.now, "a", 0) > 0.7 * 400, "" + w.holders.get(3).allowance(w.now, "a", 0));
     assertTrue(w.worst <= 1 + 1e-6, "at every moment no more than there is: " + w.worst);
   }
 
@@ -106,8 +106,8 @@
     w.cut[0] = true; // It held most of it.
     w.demand[2] = 1000;
     w.seconds(60);
-    assertEquals(80, w.holders.get(0).figure(w.now, "a", 0), 1, "cut off, it has fallen to its even part");
-    assertTrue(w.holders.get(2).figure(w.now, "a", 0) >= 150, "the rest is the others': " + w.holders.get(2).figure(w.now, "a", 0));
+    assertEquals(80, w.holders.get(0).allowance(w.now, "a", 0), 1, "cut off, it has fallen to its even part");
+    assertTrue(w.holders.get(2).allowance(w.now, "a", 0) >= 150, "the rest is the others': " + w.holders.get(2).allowance(w.now, "a", 0));
     // The dead one comes back under its name, with nothing and an old count; the cut heals.
     w.dead[1] = false;
     w.holders.set(1, new LeaseHolder(w.plan, w.terms, "i1", w.now, 0));
@@ -115,7 +115,7 @@
     w.demand[0] = 0;
     w.demand[1] = 1000;
     w.seconds(30);
-    assertTrue(w.holders.get(1).figure(w.now, "a", 0) > 130, "" + w.holders.get(1).figure(w.now, "a", 0));
+    assertTrue(w.holders.get(1).allowance(w.now, "a", 0) > 130, "" + w.holders.get(1).allowance(w.now, "a", 0));
     assertTrue(w.worst <= 1 + 1e-6, "at every moment: " + w.worst);
   }
 
@@ -129,13 +129,13 @@
     }
     w.seconds(60);
     for (int i = 1; i < N; i++) {
-      assertTrue(w.holders.get(i).figure(w.now, "a", 0) > 79, "its even part: " + w.holders.get(i).figure(w.now, "a", 0));
+      assertTrue(w.holders.get(i).allowance(w.now, "a", 0) > 79, "its even part: " + w.holders.get(i).allowance(w.now, "a", 0));
     }
     World nan = new World(TERMS, 4);
     nan.demand[0] = Double.NaN;
     nan.demand[1] = -5;
     nan.seconds(60);
-    assertTrue(nan.holders.get(2).figure(nan.now, "a", 0) >= 60);
+    assertTrue(nan.holders.get(2).allowance(nan.now, "a", 0) >= 60);
   }
 
   @Test
@@ -160,12 +160,12 @@
     World w = new World(TERMS, 8);
     w.demand[0] = 1000;
     w.seconds(60);
-    assertTrue(w.holders.get(0).figure(w.now, "a", 0) > 280);
+    assertTrue(w.holders.get(0).allowance(w.now, "a", 0) > 280);
     w.side[1] = w.side[2] = w.side[3] = 1;
     w.demand[1] = 1000;
     w.seconds(90);
-    assertEquals(80, w.holders.get(0).figure(w.now, "a", 0), 1, "the lesser side has its even parts");
-    assertTrue(w.holders.get(1).figure(w.now, "a", 0) > 150, "" + w.holders.get(1).figure(w.now, "a", 0));
+    assertEquals(80, w.holders.get(0).allowance(w.now, "a", 0), 1, "the lesser side has its even parts");
+    assertTrue(w.holders.get(1).allowance(w.now, "a", 0) > 150, "" + w.holders.get(1).allowance(w.now, "a", 0));
     w.side[1] = w.side[2] = w.side[3] = 0;
     w.seconds(90);
     assertTrue(w.worst <= 1 + 1e-6, "at every moment: " + w.worst);
@@ -212,13 +212,13 @@
   @Test
   void oldReportsAndOneInstanceTooManyAreRefused() {
     Leases l = new Leases(plan(), TERMS, 0, 0);
-    assertTrue(l.report(0, new Report("i0", 5, 0, Map.of(), Map.of())) != null);
-    assertNull(l.report(1, new Report("i0", 5, 0, Map.of(), Map.of())));
-    assertNull(l.report(1, new Report("i0", 4, 0, Map.of(), Map.of())));
+    assertTrue(l.handleReport(0, new Report("i0", 5, 0, Map.of(), Map.of())) != null);
+    assertNull(l.handleReport(1, new Report("i0", 5, 0, Map.of(), Map.of())));
+    assertNull(l.handleReport(1, new Report("i0", 4, 0, Map.of(), Map.of())));
     for (int i = 1; i < N; i++) {
-      l.report(0, new Report("i" + i, 1, 0, Map.of(), Map.of()));
+      l.handleReport(0, new Report("i" + i, 1, 0, Map.of(), Map.of()));
     }
-    assertThrows(IllegalArgumentException.class, () -> l.report(0, new Report("i9", 1, 0, Map.of(), Map.of())));
+    assertThrows(IllegalArgumentException.class, () -> l.handleReport(0, new Report("i9", 1, 0, Map.of(), Map.of())));
     assertThrows(IllegalArgumentException.class, () -> new Terms(0, 1, 1, 0));
   }
 
--- a/quota/src/main/java/cloverpulley/quota/service/LeaseLink.java
+++ b/quota/src/main/java/cloverpulley/quota/service/LeaseLink.java
@@ -33,7 +33,7 @@
 import java.util.logging.Logger;
 
 /**
- * An instance's talk with whoever divides the quotas, and its own answers where it is one of those. What is decided is {@link Leases}' and
+ * An instance's talk with whoever divides the quotas, and its own answers where it is one of those. What is decided is {@link Leases}'s and
  * {@link LeaseHolder}'s; here are the sockets. All state lives on the loop.
  */
 public final class LeaseLink implements AutoCloseable {
@@ -87,7 +87,7 @@
             .build()).build().start();
     askedAt = now;
     keeper.quotas().takeDemand();
-    keeper.quotas().scaleGuarantees(now, holder.figures(now));
+    keeper.quotas().scaleGuarantees(now, holder.allowances(now));
     reports = loop.scheduleWithFixedDelay(this::report, 0, config.reportMillis(), TimeUnit.MILLISECONDS);
   }
 
@@ -102,10 +102,10 @@
     long now = nanos.getAsLong();
     if (!waiting) {
       waiting = true;
-      LeaseReport report = message(holder.report(now, demand(now)));
+      LeaseReport report = message(holder.nextReport(now, demand(now)));
       ask(report, 0, now);
     }
-    keeper.quotas().scaleGuarantees(now, holder.figures(now)); // Also without an answer: a lease that is not renewed falls.
+    keeper.quotas().scaleGuarantees(now, holder.allowances(now)); // Also without an answer: a lease that is not renewed falls.
   }
 
   /** What was asked for since the last report, in terms of each lane's window. */
@@ -155,8 +155,8 @@
                 LOG.info("quotas are divided by " + config.coordinators().get(which));
                 answered = which;
               }
-              holder.take(sentAt, new Leases.Lease(answer.getNumber(), answer.getValidNanos(), nodes(answer.getFiguresList())));
-              keeper.quotas().scaleGuarantees(nanos.getAsLong(), holder.figures(nanos.getAsLong()));
+              holder.accept(sentAt, new Leases.Lease(answer.getNumber(), answer.getValidNanos(), nodes(answer.getFiguresList())));
+              keeper.quotas().scaleGuarantees(nanos.getAsLong(), holder.allowances(nanos.getAsLong()));
             });
           }
         });
@@ -181,14 +181,14 @@
     try {
       loop.execute(() -> {
         try {
-          Leases.Lease lease = leases.report(nanos.getAsLong(), new Leases.Report(report.getInstance(), report.getSeq(), report.getHolds(),
-              nodes(report.getAskedList()), nodes(report.getUsesList())));
+          Leases.Lease lease = leases.handleReport(nanos.getAsLong(), new Leases.Report(report.getInstance(),
+              report.getSeq(), report.getHolds(), nodes(report.getAskedList()), nodes(report.getUsesList())));
           if (lease == null) {
             to.onError(new StatusRuntimeException(Status.ABORTED.withDescription("an older report")));
             return;
           }
           LeaseAnswer.Builder a = LeaseAnswer.newBuilder().setNumber(lease.number()).setValidNanos(lease.validNanos());
-          lease.figures().forEach((path, f) -> a.addFigures(node(path, f)));
+          lease.allowances().forEach((path, f) -> a.addFigures(node(path, f)));
           to.onNext(a.build());
           to.onCompleted();
         } catch (IllegalArgumentException e) {
@@ -202,9 +202,9 @@
 
   private LeaseReport message(Leases.Report r) {
     LeaseReport.Builder b = LeaseReport.newBuilder().setInstallation(installation).setInstance(r.instance()).setSeq(r.seq())
-        .setHolds(r.holds());
-    r.asked().forEach((path, f) -> b.addAsked(node(path, f)));
-    r.uses().forEach((path, f) -> b.addUses(node(path, f)));
+        .setHolds(r.heldLease());
+    r.demand().forEach((path, f) -> b.addAsked(node(path, f)));
+    r.allowances().forEach((path, f) -> b.addUses(node(path, f)));
     return b.build();
   }
 
