--- a/quota/src/main/java/cloverpulley/quota/service/QuotaKeeper.java
+++ b/quota/src/main/java/cloverpulley/quota/service/QuotaKeeper.java
@@ -1,11 +1,11 @@
 package cloverpulley.quota.service;
 
 import cloverpulley.quota.Dimension;
-import cloverpulley.quota.Expected;
 import cloverpulley.quota.Lane;
 import cloverpulley.quota.QuotaPlan;
 import cloverpulley.quota.Quotas;
 import cloverpulley.quota.Quotas.NodeSnapshot;
+import cloverpulley.quota.SizeEstimator;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.net.InetSocketAddress;
@@ -58,7 +58,7 @@
   private final double[] actual;
   /** The lanes of octets out, whose cost is known only with the answer. */
   private final BitSet out = new BitSet();
-  private final Expected answers;
+  private final SizeEstimator responseSizes;
   private final long startMillis = System.currentTimeMillis();
   private final long startNanos = System.nanoTime();
 
@@ -74,7 +74,7 @@
       out.set(i, config.plan().lanes().get(i).dimension() == Dimension.BYTES_OUT);
       most = out.get(i) ? Math.min(most, config.plan().nodes().get("").guarantee()[i] * ANSWER_PART) : most;
     }
-    answers = new Expected(KINDS, most);
+    responseSizes = new SizeEstimator(KINDS, most);
     journal = config.journal() == null ? null : new QuotaJournal(config.journal(), installation(config.plan()), config.maxJournalBytes(),
         config.force());
     recover();
@@ -128,7 +128,7 @@
 
   /** What the answer to a request of a kind is expected to have in octets; 0 where no lane counts them. */
   public double expectedResponseBytes(String kind) {
-    return out.isEmpty() ? 0 : answers.of(kind);
+    return out.isEmpty() ? 0 : responseSizes.estimate(kind);
   }
 
   /**
@@ -144,7 +144,7 @@
       return;
     }
     if (octets >= 0) {
-      answers.seen(kind, octets);
+      responseSizes.record(kind, octets);
     }
     for (int i = 0; i < cost.length; i++) {
       cost[i] = out.get(i) ? expected : 0;
