--- a/decision/src/main/java/cloverpulley/quota/Dimension.java
+++ b/decision/src/main/java/cloverpulley/quota/Dimension.java
@@ -2,12 +2,12 @@
 
 import java.util.Locale;
 
-/** What is limited. */
+/** Dimension of a limit. */
 public enum Dimension {
   REQUESTS, BYTES_IN, BYTES_OUT,
-  /** By hint, in milliseconds of a server's time. */
+  /** Server time in milliseconds, from the cost hint of a request. */
   WORK,
-  /** Requests in flight at one time; it has no window. */
+  /** Requests in flight; it has no window. */
   CONCURRENCY;
 
   public String label() {
--- a/decision/src/main/java/cloverpulley/quota/Lane.java
+++ b/decision/src/main/java/cloverpulley/quota/Lane.java
@@ -1,9 +1,9 @@
 package cloverpulley.quota;
 
 /**
- * A dimension over a window: every node of a tree has a guarantee and a ceiling in each lane.
+ * A dimension measured over a window. Each node has a guarantee and a ceiling in each lane.
  *
- * @param windowNanos 0 for {@link Dimension#CONCURRENCY} alone
+ * @param windowNanos length of the window; 0 for {@link Dimension#CONCURRENCY}, which has none
  */
 public record Lane(Dimension dimension, long windowNanos) {
 
@@ -14,12 +14,12 @@
     }
   }
 
-  boolean isLevel() {
+  boolean isConcurrency() {
     return dimension == Dimension.CONCURRENCY;
   }
 
   @Override
   public String toString() {
-    return isLevel() ? dimension.label() : dimension.label() + " in " + windowNanos / 1_000_000 + " ms";
+    return isConcurrency() ? dimension.label() : dimension.label() + " in " + windowNanos / 1_000_000 + " ms";
   }
 }
--- a/decision/src/main/java/cloverpulley/quota/Lending.java
+++ b/decision/src/main/java/cloverpulley/quota/Lending.java
@@ -2,15 +2,15 @@
 
 import java.util.List;
 
-/** The accounts of what was lent: who is how far ahead of its siblings, and what who lent is to be paid back. */
+/** Accounts of borrowed tokens: the lead of a borrower over its siblings, and the credit of a node that lent its idle share. */
 final class Lending {
 
-  /** A borrower that has not asked for so long lends again. */
-  static final long ASKING_NANOS = 1_000_000_000L;
-  /** What is paid back, and how far behind one may be, is bounded: so many seconds of the lender's rate for each unit of weight. */
-  private static final double REPAID_SECONDS = 3;
-  /** But so many requests such as the present one at least: less would be the chance of who comes first. */
-  private static final double REPAID_REQUESTS = 16;
+  /** A child that has not tried to borrow for this long counts as a lender. */
+  static final long BORROWER_TIMEOUT_NANOS = 1_000_000_000L;
+  /** Bound of lag and credit per unit of weight, in seconds of the lender's rate. */
+  private static final double MAX_LAG_SECONDS = 3;
+  /** The bound of lag is at least this many requests of the current size: with less, arrival order would decide who is served. */
+  private static final double MIN_LAG_REQUESTS = 16;
   private static final double SECOND = 1e9;
 
   private final List<Lane> lanes;
@@ -19,16 +19,16 @@
     this.lanes = lanes;
   }
 
-  Node.Loans loans(Node n, long now) {
-    if (n.loans == null) {
-      n.loans = new Node.Loans(lanes.size());
+  Node.Borrower borrower(Node n, long now) {
+    if (n.borrower == null) {
+      n.borrower = new Node.Borrower(lanes.size());
       for (int i = 0; i < lanes.size() && n.parent != null; i++) {
-        // One that is in the plan lent from the beginning on; one that was made for a stranger did not.
-        n.loans.since[i] = n.named ? 0 : account(n.parent, i).lent;
-        n.loans.tried[i] = now - 2 * ASKING_NANOS;
+        // A configured node has been lending from the start; a dynamic node from its creation.
+        n.borrower.lentMark[i] = n.configured ? 0 : account(n.parent, i).lentPerWeight;
+        n.borrower.lastAttemptAt[i] = now - 2 * BORROWER_TIMEOUT_NANOS;
       }
     }
-    return n.loans;
+    return n.borrower;
   }
 
   Node.Account account(Node n, int lane) {
@@ -41,50 +41,50 @@
     return n.accounts[lane];
   }
 
-  /** How far ahead of its siblings a child is that asks now: 0 for as far behind as counts, 1 for nobody before it. */
-  double ahead(Node child, int lane, double x, long now) {
+  /** Returns the lead of a child that tries to borrow: 0 at the bound of lag, 1 where no sibling has borrowed more per unit of weight. */
+  double lead(Node child, int lane, double units, long now) {
     Node.Account a = account(child.parent, lane);
-    Node.Loans l = loans(child, now);
-    double most = Math.max(repaid(child.parent, lane), REPAID_REQUESTS * x / child.weight);
-    double behind = now - l.tried[lane] > ASKING_NANOS ? Math.min(most, Math.max(0, a.lent - l.since[lane])) : most;
-    l.had[lane] = Math.max(l.had[lane], a.most - behind);
-    l.tried[lane] = now;
-    l.since[lane] = a.lent;
-    return Math.min(1, Math.max(0, 1 - (a.most - l.had[lane]) / most));
+    Node.Borrower b = borrower(child, now);
+    double bound = Math.max(maxLag(child.parent, lane), MIN_LAG_REQUESTS * units / child.weight);
+    double lag = now - b.lastAttemptAt[lane] > BORROWER_TIMEOUT_NANOS ? Math.min(bound, Math.max(0, a.lentPerWeight - b.lentMark[lane])) : bound;
+    b.borrowed[lane] = Math.max(b.borrowed[lane], a.maxBorrowed - lag);
+    b.lastAttemptAt[lane] = now;
+    b.lentMark[lane] = a.lentPerWeight;
+    return Math.min(1, Math.max(0, 1 - (a.maxBorrowed - b.borrowed[lane]) / bound));
   }
 
-  /** The most that anybody below a node is behind, for each unit of its weight. */
-  double repaid(Node parent, int lane) {
+  /** Returns the bound of lag of a node's children, per unit of weight. */
+  double maxLag(Node parent, int lane) {
     Node n = parent;
     while (n.guarantee[lane] <= 0 && n.parent != null) {
       n = n.parent;
     }
-    return REPAID_SECONDS * rate(n, lane) / weightBelow(parent);
+    return MAX_LAG_SECONDS * rate(n, lane) / childWeight(parent);
   }
 
   double rate(Node n, int lane) {
-    return lanes.get(lane).isLevel() ? n.guarantee[lane] : n.guarantee[lane] * SECOND / lanes.get(lane).windowNanos();
+    return lanes.get(lane).isConcurrency() ? n.guarantee[lane] : n.guarantee[lane] * SECOND / lanes.get(lane).windowNanos();
   }
 
-  /** What a child that does not borrow is to be paid back, for each unit of its weight. */
+  /** Returns what a child that does not borrow is to be paid back, per unit of weight. */
   double credit(Node child, int lane, long now) {
-    if (child.parent == null || child.parent.accounts == null || child.parent.accounts[lane] == null || child.loans == null
-        || now - child.loans.tried[lane] <= ASKING_NANOS) {
+    if (child.parent == null || child.parent.accounts == null || child.parent.accounts[lane] == null || child.borrower == null
+        || now - child.borrower.lastAttemptAt[lane] <= BORROWER_TIMEOUT_NANOS) {
       return 0;
     }
-    return Math.max(0, Math.min(repaid(child.parent, lane), child.parent.accounts[lane].lent - child.loans.since[lane]));
+    return Math.max(0, Math.min(maxLag(child.parent, lane), child.parent.accounts[lane].lentPerWeight - child.borrower.lentMark[lane]));
   }
 
-  void borrowed(Node child, int lane, double x, long now) {
+  void recordBorrowing(Node child, int lane, double units, long now) {
     Node.Account a = account(child.parent, lane);
-    Node.Loans l = loans(child, now);
-    l.had[lane] += x / child.weight;
-    a.most = Math.max(a.most, l.had[lane]);
-    a.lent += x / weightBelow(child.parent);
+    Node.Borrower b = borrower(child, now);
+    b.borrowed[lane] += units / child.weight;
+    a.maxBorrowed = Math.max(a.maxBorrowed, b.borrowed[lane]);
+    a.lentPerWeight += units / childWeight(child.parent);
   }
 
-  /** The weight of all that may claim a part: those in the plan, or those that are kept where it names none. */
-  double weightBelow(Node n) {
-    return n.childTemplate == null ? Math.max(n.namedWeight, 1e-9) : Math.max(n.namedWeight, n.children * n.childTemplate.weight());
+  /** Returns the total weight of the children: the configured ones, or with a template at least that of all existing children. */
+  double childWeight(Node n) {
+    return n.childTemplate == null ? Math.max(n.configuredWeight, 1e-9) : Math.max(n.configuredWeight, n.childCount * n.childTemplate.weight());
   }
 }
--- a/decision/src/main/java/cloverpulley/quota/Node.java
+++ b/decision/src/main/java/cloverpulley/quota/Node.java
@@ -2,67 +2,67 @@
 
 import cloverpulley.quota.QuotaPlan.ChildTemplate;
 
-/** One node's state: what it holds, what it was lent, what its children were lent. The decisions on it are {@link Quotas}'. */
+/** State of one node: its tokens, what it has borrowed and what its children have borrowed. {@link Quotas} decides on it. */
 final class Node {
 
-  /** What only those who borrow have. */
-  static final class Loans {
-    final double[] had;
-    final double[] since;
-    final long[] tried;
+  /** State per lane of a node that has tried to borrow. Borrowed units are per unit of weight. */
+  static final class Borrower {
+    final double[] borrowed;
+    final double[] lentMark;
+    final long[] lastAttemptAt;
 
-    Loans(int lanes) {
-      had = new double[lanes];
-      since = new double[lanes];
-      tried = new long[lanes];
+    Borrower(int lanes) {
+      borrowed = new double[lanes];
+      lentMark = new double[lanes];
+      lastAttemptAt = new long[lanes];
     }
   }
 
-  /** What a node's children were lent in one lane. */
+  /** What a node has lent to its children in one lane. */
   static final class Account {
-    /** For each unit of all known children's weight: the fair part of whoever had none of it. */
-    double lent;
-    /** What the one that has had most for its weight has had. */
-    double most;
+    /** Units lent per unit of the children's total weight: the fair part of a child that borrowed none. */
+    double lentPerWeight;
+    /** Units borrowed per unit of weight by the child that has borrowed most. */
+    double maxBorrowed;
   }
 
   final String path;
   final Node parent;
   final int depth;
   final double weight;
-  final boolean named;
+  final boolean configured;
   double[] guarantee;
   double[] ceiling;
   ChildTemplate childTemplate;
   final double[] tokens;
-  long filledAt;
-  Ceiling[] ceilings;
-  Loans loans;
+  long refilledAt;
+  SlidingWindow[] windows;
+  Borrower borrower;
   Account[] accounts;
-  /** Nodes below it that are kept. */
-  int children;
+  /** Number of existing children, configured and dynamic. */
+  int childCount;
   int inFlight;
-  /** Of the children that the plan names. */
-  double namedWeight;
-  /** Units asked for since somebody asked for that; null for none, and in nodes that are not named. */
-  double[] asked;
-  /** Whether anything has been charged to it since it was last kept. */
-  boolean charged;
-  /** Whether it has asked since the hand last passed. */
-  boolean recent;
-  /** What each unnamed child is guaranteed: one array for all of them. */
+  /** Total weight of the configured children. */
+  double configuredWeight;
+  /** Units requested since demand was last taken; null for none and in dynamic nodes. */
+  double[] demand;
+  /** Whether it has been charged since its last snapshot. */
+  boolean changed;
+  /** Whether it has been looked up since the clock hand last passed it. */
+  boolean referenced;
+  /** Guarantee of each dynamic child; one array shared by all of them. */
   double[] childGuarantee;
 
-  Node(String path, Node parent, double weight, boolean named, double[] guarantee, double[] ceiling, ChildTemplate childTemplate, long now) {
+  Node(String path, Node parent, double weight, boolean configured, double[] guarantee, double[] ceiling, ChildTemplate childTemplate, long now) {
     this.path = path;
     this.parent = parent;
     this.weight = weight;
-    this.named = named;
+    this.configured = configured;
     this.guarantee = guarantee;
     this.ceiling = ceiling;
     this.childTemplate = childTemplate;
     depth = parent == null ? 0 : parent.depth + 1;
     tokens = guarantee.clone();
-    filledAt = now;
+    refilledAt = now;
   }
 }
--- a/decision/src/main/java/cloverpulley/quota/QuotaPlan.java
+++ b/decision/src/main/java/cloverpulley/quota/QuotaPlan.java
@@ -7,29 +7,32 @@
 import java.util.Map;
 
 /**
- * What the operators give to whom: a tree of nodes, each with a guarantee and a ceiling in each lane, and a weight among its siblings for
- * what is lent. Immutable. The guarantees of a node's children never add up to more than its own: what is promised can be kept.
+ * Quotas as configured by the operators: a tree of nodes, each with a guarantee and a ceiling per lane and a weight among its siblings for
+ * borrowing. Immutable. The guarantees of a node's children never add up to more than its own, so that all of them can be kept.
  */
 public final class QuotaPlan {
 
-  /** Lanes at most: a verdict holds the lender of each. */
+  /** Maximum number of lanes: the lender of each takes bits of a grant. */
   public static final int MAX_LANES = 8;
-  /** Levels below the root at most. */
+  /** Maximum number of levels below the root. */
   public static final int MAX_DEPTH = 8;
-  private static final int MOST_NAME = 128;
-  private static final double ROUNDING = 1e-9;
+  private static final int MAX_NAME_LENGTH = 128;
+  private static final double ROUNDING_TOLERANCE = 1e-9;
 
   /**
-   * One node.
+   * Configuration of one node.
    *
-   * @param guarantee units in a lane's window that are always to be had; 0 for none
-   * @param ceiling units in any window that are never passed; infinite for none
-   * @param weight its part of what is lent to it and its siblings
-   * @param childTemplate what a child that is not named is given, each by itself; null where unnamed ones share {@code others}
+   * @param guarantee units per window of a lane that are always available; 0 for none
+   * @param ceiling units that are not exceeded in any window; infinite for none
+   * @param weight share of borrowed units among its siblings
+   * @param childTemplate what each child that is not in the plan gets; null where those share the node {@code others}
    */
   public record NodeSpec(String path, double weight, double[] guarantee, double[] ceiling, ChildTemplate childTemplate) {}
 
-  /** What an unnamed child gets: parts of its parent's guarantee, which may add up to more than all of it, and a weight. */
+  /**
+   * Limits of a child that is not in the plan: its ratio of the parent's guarantee, of which all children together may exceed 1, and its
+   * weight.
+   */
   public record ChildTemplate(double weight, double guaranteeRatio, double[] ceiling) {}
 
   private final List<Lane> lanes;
@@ -46,12 +49,12 @@
     return lanes;
   }
 
-  /** All named nodes by path, parents before children; the root's path is empty. */
+  /** All configured nodes by path, parents before children; the root's path is empty. */
   public Map<String, NodeSpec> nodes() {
     return nodes;
   }
 
-  /** Where those go that name nobody, or nobody known; "" for the root itself. */
+  /** Path of the node for requests without a path or with an unknown one; empty for the root. */
   public String others() {
     return others;
   }
@@ -69,18 +72,18 @@
     return depth;
   }
 
-  /** Puts a plan together, and refuses what makes no sense, naming the node. */
+  /** Builds a plan and rejects invalid nodes by path. */
   public static final class Builder {
 
     private final List<Lane> lanes;
     private final Map<String, NodeSpec> nodes = new LinkedHashMap<>();
     private String others = "";
 
-    /** @param total what there is of each lane in its window, for the whole installation */
+    /** @param total units per window of each lane for the whole installation */
     public Builder(List<Lane> lanes, double[] total) {
       check(!lanes.isEmpty() && lanes.size() <= MAX_LANES, "", "expected 1 to " + MAX_LANES + " lanes");
-      check(lanes.stream().distinct().count() == lanes.size(), "", "a lane is there twice");
-      check(total.length == lanes.size(), "", "expected a total for each lane");
+      check(lanes.stream().distinct().count() == lanes.size(), "", "duplicate lane");
+      check(total.length == lanes.size(), "", "expected one total per lane");
       for (double t : total) {
         check(t > 0 && Double.isFinite(t), "", "expected totals above 0");
       }
@@ -95,42 +98,42 @@
       }
     }
 
-    /** Adds a node; its parent has to be there. {@code ceiling} null for none. */
+    /** Adds a node below an existing parent. A null {@code ceiling} means none. */
     public Builder node(String path, double weight, double[] guarantee, double[] ceiling, ChildTemplate childTemplate) {
-      check(!path.isEmpty() && path.length() <= MOST_NAME * MAX_DEPTH && !path.startsWith("/") && !path.endsWith("/")
+      check(!path.isEmpty() && path.length() <= MAX_NAME_LENGTH * MAX_DEPTH && !path.startsWith("/") && !path.endsWith("/")
           && !path.contains("//"), path, "expected names with / between them");
-      check(depth(path) <= MAX_DEPTH, path, "deeper than " + MAX_DEPTH);
-      check(!nodes.containsKey(path), path, "is there twice");
+      check(depth(path) <= MAX_DEPTH, path, "nested deeper than " + MAX_DEPTH);
+      check(!nodes.containsKey(path), path, "defined twice");
       NodeSpec parent = nodes.get(parent(path));
-      check(parent != null, path, "its parent is not there");
+      check(parent != null, path, "its parent is not defined");
       check(weight > 0 && Double.isFinite(weight), path, "expected a weight above 0");
       check(guarantee.length == lanes.size() && (ceiling == null || ceiling.length == lanes.size()), path,
-          "expected a figure for each lane");
-      double[] most = new double[lanes.size()];
+          "expected one value per lane");
+      double[] limits = new double[lanes.size()];
       for (int i = 0; i < lanes.size(); i++) {
-        most[i] = ceiling == null ? Double.POSITIVE_INFINITY : ceiling[i];
+        limits[i] = ceiling == null ? Double.POSITIVE_INFINITY : ceiling[i];
         check(guarantee[i] >= 0 && Double.isFinite(guarantee[i]), path, "expected guarantees of 0 or more");
-        check(most[i] > 0 && most[i] >= guarantee[i], path, "its ceiling of " + lanes.get(i) + " is below its guarantee");
+        check(limits[i] > 0 && limits[i] >= guarantee[i], path, "its ceiling of " + lanes.get(i) + " is below its guarantee");
         double sum = guarantee[i];
         for (NodeSpec s : nodes.values()) {
           sum += !s.path().isEmpty() && parent(s.path()).equals(parent(path)) ? s.guarantee()[i] : 0;
         }
-        check(sum <= parent.guarantee()[i] * (1 + ROUNDING), path, "the guarantees of " + lanes.get(i) + " below "
+        check(sum <= parent.guarantee()[i] * (1 + ROUNDING_TOLERANCE), path, "the guarantees of " + lanes.get(i) + " below "
             + (parent.path().isEmpty() ? "the root" : parent.path()) + " add up to " + sum + ", more than its own "
             + parent.guarantee()[i]);
       }
       if (childTemplate != null) {
         check(childTemplate.weight() > 0 && childTemplate.guaranteeRatio() >= 0 && childTemplate.guaranteeRatio() <= 1, path,
-            "expected a child's weight above 0 and its part from 0 to 1");
-        check(depth(path) < MAX_DEPTH, path, "has children deeper than " + MAX_DEPTH);
+            "expected a child weight above 0 and a child share from 0 to 1");
+        check(depth(path) < MAX_DEPTH, path, "has children nested deeper than " + MAX_DEPTH);
       }
-      nodes.put(path, new NodeSpec(path, weight, guarantee.clone(), most, childTemplate));
+      nodes.put(path, new NodeSpec(path, weight, guarantee.clone(), limits, childTemplate));
       return this;
     }
 
-    /** Where the unknown go; the node has to be there. */
+    /** Sets the node for unknown paths, which has to exist. */
     public Builder others(String path) {
-      check(nodes.containsKey(path), path, "is not there, and can't be where the unknown go");
+      check(nodes.containsKey(path), path, "is not defined and can't be the node for unknown paths");
       others = path;
       return this;
     }
@@ -140,7 +143,7 @@
     }
   }
 
-  /** Names of the nodes below one that are in the plan. */
+  /** Paths of the configured children of a node. */
   List<String> children(String path) {
     List<String> children = new ArrayList<>();
     for (String n : nodes.keySet()) {
--- a/decision/src/main/java/cloverpulley/quota/Quotas.java
+++ b/decision/src/main/java/cloverpulley/quota/Quotas.java
@@ -8,156 +8,161 @@
 import java.util.function.Consumer;
 
 /**
- * Decides who may take how much, by a tree of nodes ({@link QuotaPlan}). Each node holds tokens in each lane, filled at its guarantee.
+ * Decides which requests are within quota, over a tree of nodes ({@link QuotaPlan}). Each node has a token bucket in each lane, refilled at
+ * the node's guarantee.
  *
  * <ul>
- * <li>A request whose node has the tokens passes, whatever others do: a guarantee never waits for a borrower. What it takes is charged to
- *     the node and to all above it, which may go below zero by it, to a bound.
- * <li>Without them it borrows from the nearest node above that has them: idle share, for those above were charged for all that was used
- *     below. First inside the same parent, then above.
- * <li>Each child has an account of what it was lent for its weight. The further ahead of its siblings it is, the fuller the lender has to
- *     be before it lends to it: who has had less is served down to the last token, who has had most only from about half on. So idle
- *     share goes by weight and not by asking, and none of it is left unused (start-time fair queueing, Goyal, Vin and Cheng 1996, with
- *     the level of the tokens in the queue's place).
- * <li>Who comes back after lending starts behind those that borrowed meanwhile, by its fair part of what was lent, to a bound: that is
- *     how it is paid back, out of idle share alone and never out of anybody's guarantee.
+ * <li>A request whose node has enough tokens is granted regardless of other nodes: a guarantee never waits for a borrower. Its cost is
+ *     charged to the node and to all its ancestors, whose balance may become negative down to a bound.
+ * <li>Otherwise it borrows from the nearest ancestor that has enough tokens. These are idle share, because ancestors are charged for all
+ *     use below them. Siblings' idle share is used before that of other subtrees.
+ * <li>Each child has an account of what it has borrowed per unit of weight. The further a child is ahead of its siblings, the fuller the
+ *     lender has to be before it lends to it: the child that has borrowed least is served down to the last token, the one that has borrowed
+ *     most only while the lender is at least half full. Idle share is therefore divided by weight, not by request rate, and none is left
+ *     unused. This is start-time fair queueing (Goyal, Vin and Cheng 1996) with the token level in place of the queue.
+ * <li>A child that borrows again after a time of lending starts behind the current borrowers by its fair part of what was lent meanwhile,
+ *     up to a bound. It is paid back this way out of idle share alone, never out of a guarantee.
  * </ul>
  *
- * A decision costs the depth of the tree. Idle nodes that are owed nothing and owe nothing are let go. One thread.
+ * A decision takes time proportional to the depth of the tree. Dynamic nodes without state are evicted. Not thread-safe.
  */
 public final class Quotas {
 
-  /** How full a lender has to be for whoever is furthest ahead. */
-  private static final double AMPLE = 0.5;
-  /** In flight: what is kept back there is never used, so it is little. */
-  private static final double AMPLE_LEVEL = 0.02;
-  /** How much the accounts below weigh against those of the level above. */
-  private static final double BELOW_PART = 0.125;
-  /** Nodes charged for what others below were guaranteed go below zero by so many windows at most. */
-  private static final double BELOW = 1;
-  /** One request is charged for this many times what its node can ever hold, at most: a hint may lie. */
-  private static final double MOST_COST = 60;
-  private static final int SWEEP = 2;
-  private static final int BITS = 4;
-  /** A verdict that refuses has this bit; below it stands the lane that binds. */
-  private static final long REFUSED = 1L << 62;
-
-  /** What is known of a node, for people. */
+  /** Fill ratio that a lender needs to lend to the child that is furthest ahead. */
+  private static final double RESERVE_RATIO = 0.5;
+  /** The same for concurrency. The reserve is never used there, so it is small. */
+  private static final double CONCURRENCY_RESERVE_RATIO = 0.02;
+  /** Weight of the lead at the level below in the lead at the next level. */
+  private static final double LOWER_LEVEL_WEIGHT = 0.125;
+  /** A node charged for the guaranteed use of its descendants may have a negative balance of at most this many windows. */
+  private static final double MAX_DEBT_WINDOWS = 1;
+  /** A single request is charged at most this many times the root's guarantee, because its cost hint may be wrong. */
+  private static final double MAX_COST_RATIO = 60;
+  private static final int SWEEP_STEPS = 2;
+  private static final int BITS_PER_LANE = 4;
+  /** Set in the result of a rejected request; the bits below hold the lane that rejected it and whether a ceiling did. */
+  private static final long REJECTED = 1L << 62;
+
+  /** State of a node for display. Lag and credit are per unit of weight; see {@link NodeSnapshot}. */
   public record NodeStatus(String path, double[] tokens, double[] guarantee, int inFlight, double[] lag, double[] credit) {}
 
   private QuotaPlan plan;
   private List<Lane> lanes;
   private final int maxDynamicNodes;
   private final Map<String, Node> nodes = new HashMap<>();
-  /** The unnamed ones, in a ring that a hand goes round: whoever has asked since it last passed stays (second chance). */
-  private final ArrayList<Node> ring = new ArrayList<>();
-  private int hand;
+  /** Dynamic nodes in CLOCK order (second chance): a node referenced since the hand last passed it is not evicted. */
+  private final ArrayList<Node> clockRing = new ArrayList<>();
+  private int clockHand;
   private Node root;
   private Lending lending;
-  private final List<Node> charged = new ArrayList<>();
-  /** Whether anybody asks for what was charged: from the first time on. */
+  private final List<Node> changedNodes = new ArrayList<>();
+  /** Whether changed nodes are recorded; set by the first call of {@link #snapshotChanged}. */
   private boolean tracksChanges;
-  /** Whether anybody asks for what was asked. */
-  private boolean counts;
+  /** Whether demand is recorded; set by the first call of {@link #takeDemand}. */
+  private boolean tracksDemand;
   private long now;
   private long retryAt;
 
-  /** @param maxDynamicNodes unnamed nodes kept at one time; beyond it requests are decided at their nearest node that is kept */
+  /** @param maxDynamicNodes limit of dynamic nodes; beyond it a request is decided at its nearest existing ancestor */
   public Quotas(QuotaPlan plan, int maxDynamicNodes, long now) {
     this.maxDynamicNodes = maxDynamicNodes;
     this.now = now;
     updatePlan(plan, now);
   }
 
-  /** Takes another plan: what nodes have used, owe and are owed stays with those that stay, and goes up to the parent of those that go. */
+  /**
+   * Replaces the plan. Nodes that remain keep their usage, lag, credit and requests in flight; removed nodes leave those in flight to the
+   * nearest remaining ancestor.
+   */
   public void updatePlan(QuotaPlan next, long at) {
     if (plan != null && !next.lanes().equals(lanes)) {
-      throw new IllegalArgumentException("quota: the lanes can't change while it runs");
+      throw new IllegalArgumentException("quota: the lanes can't be changed at runtime");
     }
     now = Math.max(now, at);
     lanes = next.lanes();
     lending = lending == null ? new Lending(lanes) : lending;
-    Map<String, Node> before = new HashMap<>(nodes);
+    Map<String, Node> previous = new HashMap<>(nodes);
     plan = next;
-    if (!before.isEmpty()) {
-      before.values().forEach(this::fill);
+    if (!previous.isEmpty()) {
+      previous.values().forEach(this::refill);
     }
     nodes.clear();
-    ring.clear();
-    hand = 0;
+    clockRing.clear();
+    clockHand = 0;
     root = null;
     for (NodeSpec s : next.nodes().values()) {
       Node parent = s.path().isEmpty() ? null : nodes.get(QuotaPlan.parent(s.path()));
       Node n = new Node(s.path(), parent, s.weight(), true, s.guarantee(), s.ceiling(), s.childTemplate(), now);
       root = parent == null ? n : root;
       nodes.put(s.path(), n);
-      Node old = before.get(s.path());
+      Node old = previous.get(s.path());
       if (parent != null) {
-        parent.children++;
-        parent.namedWeight += s.weight();
+        parent.childCount++;
+        parent.configuredWeight += s.weight();
       }
       if (old != null) {
-        carry(old, n);
+        copyState(old, n);
       }
     }
-    for (Node old : before.values()) {
-      Node parent = old.named ? null : nodes.get(QuotaPlan.parent(old.path));
+    for (Node old : previous.values()) {
+      Node parent = old.configured ? null : nodes.get(QuotaPlan.parent(old.path));
       if (parent != null && parent.childTemplate != null && !nodes.containsKey(old.path)) {
-        carry(old, stranger(parent, old.path));
+        copyState(old, createDynamicNode(parent, old.path));
       }
     }
-    for (Node old : before.values()) {
+    for (Node old : previous.values()) {
       if (!nodes.containsKey(old.path)) {
-        // A node that goes leaves what is in flight to whoever is above: its ends still come.
-        Node heir = nearest(old.path);
-        if (old.inFlight > 0 && heir.inFlight < old.inFlight) {
-          heir.inFlight = Math.max(heir.inFlight, old.inFlight);
+        // The requests in flight of a removed node are released later; its nearest ancestor counts them.
+        Node ancestor = nearestNode(old.path);
+        if (old.inFlight > 0 && ancestor.inFlight < old.inFlight) {
+          ancestor.inFlight = Math.max(ancestor.inFlight, old.inFlight);
         }
       }
     }
   }
 
-  /** A smaller quota is not below zero for what it was larger before; what was used of it counts on. */
-  private void carry(Node old, Node n) {
-    n.filledAt = old.filledAt;
+  /** Copies a node's state. Usage carries over, but a smaller guarantee does not turn earlier use of a larger one into debt beyond the bound. */
+  private void copyState(Node old, Node n) {
+    n.refilledAt = old.refilledAt;
     n.inFlight = old.inFlight;
-    n.ceilings = old.ceilings;
+    n.windows = old.windows;
     for (int i = 0; i < lanes.size(); i++) {
-      n.tokens[i] = Math.max(-BELOW * n.guarantee[i], n.guarantee[i] - (old.guarantee[i] - old.tokens[i]));
+      n.tokens[i] = Math.max(-MAX_DEBT_WINDOWS * n.guarantee[i], n.guarantee[i] - (old.guarantee[i] - old.tokens[i]));
     }
-    if (old.loans != null) {
-      Node.Loans l = lending.loans(n, now);
-      System.arraycopy(old.loans.had, 0, l.had, 0, lanes.size());
-      System.arraycopy(old.loans.since, 0, l.since, 0, lanes.size());
-      System.arraycopy(old.loans.tried, 0, l.tried, 0, lanes.size());
+    if (old.borrower != null) {
+      Node.Borrower b = lending.borrower(n, now);
+      System.arraycopy(old.borrower.borrowed, 0, b.borrowed, 0, lanes.size());
+      System.arraycopy(old.borrower.lentMark, 0, b.lentMark, 0, lanes.size());
+      System.arraycopy(old.borrower.lastAttemptAt, 0, b.lastAttemptAt, 0, lanes.size());
     }
     n.accounts = old.accounts;
   }
 
   /**
-   * Gives the named nodes other guarantees, such as this instance's part of the installation's; by node a figure for each lane. What was
-   * used, is owed and is in flight stays; ceilings go with the guarantees in their proportion, or their parent's where there is none.
+   * Sets other guarantees for configured nodes, such as this instance's share of the installation's: one value per lane for each path.
+   * Usage, credit and requests in flight stay. Ceilings are scaled in proportion to the node's guarantee, or its parent's where the node
+   * has none.
    */
-  public void scaleGuarantees(long at, Map<String, double[]> figures) {
+  public void scaleGuarantees(long at, Map<String, double[]> guarantees) {
     now = Math.max(now, at);
     for (NodeSpec spec : plan.nodes().values()) {
       Node n = nodes.get(spec.path());
-      double[] f = figures.get(spec.path());
+      double[] f = guarantees.get(spec.path());
       if (f == null) {
         continue;
       }
-      fill(n);
-      double[] before = n.guarantee;
+      refill(n);
+      double[] previous = n.guarantee;
       n.guarantee = f.clone();
       n.ceiling = spec.ceiling().clone();
       for (int i = 0; i < lanes.size(); i++) {
-        double part = spec.guarantee()[i] > 0 ? f[i] / spec.guarantee()[i]
+        double ratio = spec.guarantee()[i] > 0 ? f[i] / spec.guarantee()[i]
             : n.parent == null ? 1 : plan.nodes().get(n.parent.path).guarantee()[i] > 0
                 ? n.parent.guarantee[i] / plan.nodes().get(n.parent.path).guarantee()[i] : 1;
-        n.ceiling[i] *= part;
-        if (!lanes.get(i).isLevel()) {
-          // Half full stays half full: a lease that grows is no gift of tokens, one that shrinks no debt.
-          n.tokens[i] = before[i] > 0 ? n.tokens[i] * f[i] / before[i] : 0;
+        n.ceiling[i] *= ratio;
+        if (!lanes.get(i).isConcurrency()) {
+          // Keeps the fill ratio: a growing lease adds no tokens for free and a shrinking one creates no debt.
+          n.tokens[i] = previous[i] > 0 ? n.tokens[i] * f[i] / previous[i] : 0;
         }
         if (n.childGuarantee != null) {
           n.childGuarantee[i] = f[i] * n.childTemplate.guaranteeRatio();
@@ -166,23 +171,23 @@
     }
   }
 
-  /** What was asked for of each named node since the last call, in units, whether it was granted or not. */
+  /** Returns the units requested of each configured node since the last call, granted or not, and resets them. */
   public Map<String, double[]> takeDemand() {
-    counts = true;
-    Map<String, double[]> all = new HashMap<>();
+    tracksDemand = true;
+    Map<String, double[]> result = new HashMap<>();
     for (String path : plan.nodes().keySet()) {
       Node n = nodes.get(path);
-      if (n.asked != null) {
-        all.put(path, n.asked);
-        n.asked = null;
+      if (n.demand != null) {
+        result.put(path, n.demand);
+        n.demand = null;
       }
     }
-    return all;
+    return result;
   }
 
-  // ---- Finding a node ------------------------------------------------------------------------------------
+  // ---- Node lookup ---------------------------------------------------------------------------------------
 
-  private Node nearest(String path) {
+  private Node nearestNode(String path) {
     String at = path;
     while (true) {
       Node n = nodes.get(at);
@@ -193,29 +198,29 @@
     }
   }
 
-  /** The node of a path: a named one, one made for an unnamed child where its parent gives those something, or the nearest above. */
-  private Node node(String path) {
-    Node n = nodes.get(path.isEmpty() ? plan.others() : path); // Who names nobody is no more the root than a stranger is.
+  /** Returns the configured node of a path, a dynamic node where the parent has a template for children, or the nearest ancestor. */
+  private Node findOrCreateNode(String path) {
+    Node n = nodes.get(path.isEmpty() ? plan.others() : path); // An empty path is not charged to the root but to the node for unknown paths.
     if (n != null) {
-      n.recent = true;
+      n.referenced = true;
       return n;
     }
-    Node parent = nearest(QuotaPlan.parent(path));
+    Node parent = nearestNode(QuotaPlan.parent(path));
     if (parent == root && root.childTemplate == null) {
       return nodes.get(plan.others());
     }
     if (parent.childTemplate == null || !parent.path.equals(QuotaPlan.parent(path)) || parent.depth >= QuotaPlan.MAX_DEPTH) {
       return parent;
     }
-    sweep();
+    evictIdleNodes();
     if (nodes.size() - plan.nodes().size() >= maxDynamicNodes) {
       return parent;
     }
-    return stranger(parent, path);
+    return createDynamicNode(parent, path);
   }
 
-  /** Makes a node for a child that the plan does not name. */
-  private Node stranger(Node parent, String path) {
+  /** Creates a node for a child that is not in the plan, from the template of its parent. */
+  private Node createDynamicNode(Node parent, String path) {
     if (parent.childGuarantee == null) {
       parent.childGuarantee = parent.guarantee.clone();
       for (int i = 0; i < lanes.size(); i++) {
@@ -223,306 +228,309 @@
       }
     }
     Node n = new Node(path, parent, parent.childTemplate.weight(), false, parent.childGuarantee, parent.childTemplate.ceiling(), null, now);
-    n.recent = true;
-    ring.add(n);
-    parent.children++;
+    n.referenced = true;
+    clockRing.add(n);
+    parent.childCount++;
     nodes.put(path, n);
     return n;
   }
 
-  /** Lets go of unnamed nodes that ask no more, a few with each new one: what is full, in no window and owed nothing tells nothing. */
-  private void sweep() {
-    for (int i = 0; i < SWEEP && !ring.isEmpty(); i++) {
-      hand = hand >= ring.size() ? 0 : hand;
-      Node n = ring.get(hand);
-      fill(n);
-      if (n.recent || n.children > 0 || n.inFlight > 0 || n.charged || !isClear(n)) {
-        n.recent = false;
-        hand++;
+  /**
+   * Evicts dynamic nodes without state, at most two for each new node. A full bucket with empty windows and no recent borrowing needs no
+   * node.
+   */
+  private void evictIdleNodes() {
+    for (int i = 0; i < SWEEP_STEPS && !clockRing.isEmpty(); i++) {
+      clockHand = clockHand >= clockRing.size() ? 0 : clockHand;
+      Node n = clockRing.get(clockHand);
+      refill(n);
+      if (n.referenced || n.childCount > 0 || n.inFlight > 0 || n.changed || !isIdle(n)) {
+        n.referenced = false;
+        clockHand++;
         continue;
       }
-      n.parent.children--;
+      n.parent.childCount--;
       nodes.remove(n.path);
-      ring.set(hand, ring.get(ring.size() - 1));
-      ring.remove(ring.size() - 1);
+      clockRing.set(clockHand, clockRing.get(clockRing.size() - 1));
+      clockRing.remove(clockRing.size() - 1);
     }
   }
 
-  private boolean isClear(Node n) {
+  private boolean isIdle(Node n) {
     for (int i = 0; i < lanes.size(); i++) {
       if (n.tokens[i] < n.guarantee[i] * (1 - 1e-9)) {
         return false;
       }
-      if (n.ceilings != null && n.ceilings[i] != null && !n.ceilings[i].isEmpty(now)) {
+      if (n.windows != null && n.windows[i] != null && !n.windows[i].isEmpty(now)) {
         return false;
       }
-      if (n.loans != null && now - n.loans.tried[i] <= Lending.ASKING_NANOS) {
+      if (n.borrower != null && now - n.borrower.lastAttemptAt[i] <= Lending.BORROWER_TIMEOUT_NANOS) {
         return false;
       }
     }
     return true;
   }
 
-  /** Nodes that are kept, the named ones among them. */
+  /** Returns the number of nodes, configured and dynamic. */
   public int nodeCount() {
     return nodes.size();
   }
 
-  // ---- The decision --------------------------------------------------------------------------------------
+  // ---- Decision ------------------------------------------------------------------------------------------
 
-  private void fill(Node n) {
-    long passed = now - n.filledAt;
+  private void refill(Node n) {
+    long passed = now - n.refilledAt;
     if (passed <= 0) {
       return;
     }
-    n.filledAt = now;
+    n.refilledAt = now;
     for (int i = 0; i < n.tokens.length; i++) {
       Lane lane = lanes.get(i);
-      if (!lane.isLevel()) {
+      if (!lane.isConcurrency()) {
         n.tokens[i] = Math.min(n.guarantee[i], n.tokens[i] + n.guarantee[i] * ((double) passed / lane.windowNanos()));
       }
     }
   }
 
   /**
-   * Asks for what a request costs: a figure for each lane, which counts 1 for concurrency. What is granted is charged at once.
+   * Requests the given cost, one value per lane; concurrency costs 1. A granted cost is charged immediately.
    *
-   * @return the grant, to be given back to {@link #settle} and {@link #release}; for a refusal see {@link #isRejected}
+   * @return the grant, to be passed to {@link #settle} and {@link #release}; a rejection where {@link #isRejected} says so
    */
   public long tryAcquire(long at, String path, double[] cost) {
-    now = Math.max(now, at); // A clock that steps back stands still here.
-    Node leaf = node(path);
+    now = Math.max(now, at); // Time does not go back if the clock does.
+    Node leaf = findOrCreateNode(path);
     long grant = 0;
     for (Node n = leaf; n != null; n = n.parent) {
-      fill(n);
+      refill(n);
     }
-    for (Node n = leaf; n != null && counts; n = n.parent) {
-      count(n, cost);
+    for (Node n = leaf; n != null && tracksDemand; n = n.parent) {
+      recordDemand(n, cost);
     }
     for (int i = 0; i < cost.length; i++) {
-      double x = charged(leaf, i, cost[i]);
-      if (x <= 0) {
+      double units = cappedCost(leaf, i, cost[i]);
+      if (units <= 0) {
         continue;
       }
       for (Node n = leaf; n != null; n = n.parent) {
-        if (!underCeiling(n, i, x)) {
-          return refuse(i, n, x, true);
+        if (!isUnderCeiling(n, i, units)) {
+          return reject(i, n, units, true);
         }
       }
-      int lender = lender(leaf, i, x);
-      if (lender < 0) {
-        return refuse(i, leaf, x, false);
+      int lenderDistance = findLender(leaf, i, units);
+      if (lenderDistance < 0) {
+        return reject(i, leaf, units, false);
       }
-      grant |= (long) lender << BITS * i;
+      grant |= (long) lenderDistance << BITS_PER_LANE * i;
     }
     for (int i = 0; i < cost.length; i++) {
-      charge(leaf, i, charged(leaf, i, cost[i]), (int) (grant >>> BITS * i & 15));
+      charge(leaf, i, cappedCost(leaf, i, cost[i]), (int) (grant >>> BITS_PER_LANE * i & 15));
     }
     for (Node n = leaf; n != null; n = n.parent) {
       n.inFlight++;
-      changed(n);
+      markChanged(n);
     }
     return grant;
   }
 
-  /** What is kept of a node over a restart has changed. */
-  private void changed(Node n) {
-    if (tracksChanges && !n.charged) {
-      n.charged = true;
-      charged.add(n);
+  /** Marks a node whose saved state is out of date. */
+  private void markChanged(Node n) {
+    if (tracksChanges && !n.changed) {
+      n.changed = true;
+      changedNodes.add(n);
     }
   }
 
-  private void count(Node n, double[] cost) {
-    if (!n.named) {
+  private void recordDemand(Node n, double[] cost) {
+    if (!n.configured) {
       return;
     }
-    if (n.asked == null) {
-      n.asked = new double[lanes.size()];
+    if (n.demand == null) {
+      n.demand = new double[lanes.size()];
     }
     for (int i = 0; i < cost.length; i++) {
-      // Of a level the most at one time is what is asked for.
-      n.asked[i] = lanes.get(i).isLevel() ? Math.max(n.asked[i], n.inFlight + cost[i]) : n.asked[i] + cost[i];
+      // Demand for concurrency is the peak.
+      n.demand[i] = lanes.get(i).isConcurrency() ? Math.max(n.demand[i], n.inFlight + cost[i]) : n.demand[i] + cost[i];
     }
   }
 
-  /** What a request is charged for: no more than some times what there ever is, however large its hint. */
-  private double charged(Node leaf, int lane, double x) {
-    return lanes.get(lane).isLevel() ? Math.min(1, x) : Math.min(x, MOST_COST * root.guarantee[lane]);
+  /** Returns the cost that is charged: a request is charged a bounded multiple of the root's guarantee, however large its hint. */
+  private double cappedCost(Node leaf, int lane, double units) {
+    return lanes.get(lane).isConcurrency() ? Math.min(1, units) : Math.min(units, MAX_COST_RATIO * root.guarantee[lane]);
   }
 
-  private boolean underCeiling(Node n, int lane, double x) {
-    double most = n.ceiling == null ? Double.POSITIVE_INFINITY : n.ceiling[lane];
-    if (most == Double.POSITIVE_INFINITY) {
+  private boolean isUnderCeiling(Node n, int lane, double units) {
+    double limit = n.ceiling == null ? Double.POSITIVE_INFINITY : n.ceiling[lane];
+    if (limit == Double.POSITIVE_INFINITY) {
       return true;
     }
-    if (lanes.get(lane).isLevel()) {
-      return n.inFlight + 1 <= most;
+    if (lanes.get(lane).isConcurrency()) {
+      return n.inFlight + 1 <= limit;
     }
-    double sum = n.ceilings == null || n.ceilings[lane] == null ? 0 : n.ceilings[lane].sum(now);
-    // One request of more work or octets than all there is passes alone, or it never would.
-    return sum + x <= most || sum == 0 && lanes.get(lane).dimension() != Dimension.REQUESTS;
+    double sum = n.windows == null || n.windows[lane] == null ? 0 : n.windows[lane].sum(now);
+    // A single request of more work or bytes than the ceiling is granted while the window is empty; otherwise it never could be.
+    return sum + units <= limit || sum == 0 && lanes.get(lane).dimension() != Dimension.REQUESTS;
   }
 
-  private double tokens(Node n, int lane) {
-    return lanes.get(lane).isLevel() ? n.guarantee[lane] - n.inFlight : n.tokens[lane];
+  private double availableTokens(Node n, int lane) {
+    return lanes.get(lane).isConcurrency() ? n.guarantee[lane] - n.inFlight : n.tokens[lane];
   }
 
-  /** Enough for a request, or all there can be where that is larger: then it waits for all of it, and the rest is owed. */
-  private boolean has(Node n, int lane, double x) {
-    return n.guarantee[lane] > 0 && tokens(n, lane) >= Math.min(x, n.guarantee[lane]) * (1 - 1e-12);
+  /** Whether a node has enough tokens. A request larger than the whole bucket needs a full bucket; the rest becomes debt. */
+  private boolean hasTokens(Node n, int lane, double units) {
+    return n.guarantee[lane] > 0 && availableTokens(n, lane) >= Math.min(units, n.guarantee[lane]) * (1 - 1e-12);
   }
 
-  /** Levels up to the node whose tokens it takes: 0 for its own; below 0 for none. */
-  private int lender(Node leaf, int lane, double x) {
-    if (has(leaf, lane, x)) {
+  /** Returns the number of levels up to the node whose tokens are used: 0 for the node itself, -1 for none. */
+  private int findLender(Node leaf, int lane, double units) {
+    if (hasTokens(leaf, lane, units)) {
       return 0;
     }
-    // The nearest that may lend: one may be too empty for who is that far ahead, and the one above it full enough all the same.
-    double ahead = 0;
-    int up = 1;
-    for (Node c = leaf; c.parent != null; c = c.parent, up++) {
-      ahead = lending.ahead(c, lane, x, now) + BELOW_PART * ahead;
+    // The nearest ancestor that may lend: one may be too empty for a child that far ahead while the next one above is full enough.
+    double lead = 0;
+    int distance = 1;
+    for (Node c = leaf; c.parent != null; c = c.parent, distance++) {
+      lead = lending.lead(c, lane, units, now) + LOWER_LEVEL_WEIGHT * lead;
       Node lender = c.parent;
-      double kept = (lanes.get(lane).isLevel() ? AMPLE_LEVEL : AMPLE) * ahead * lender.guarantee[lane] - 1;
-      if (has(lender, lane, x) && tokens(lender, lane) >= Math.min(lender.guarantee[lane], x + kept) * (1 - 1e-12)) {
-        return up;
+      double reserve = (lanes.get(lane).isConcurrency() ? CONCURRENCY_RESERVE_RATIO : RESERVE_RATIO) * lead * lender.guarantee[lane] - 1;
+      if (hasTokens(lender, lane, units) && availableTokens(lender, lane) >= Math.min(lender.guarantee[lane], units + reserve) * (1 - 1e-12)) {
+        return distance;
       }
     }
     return -1;
   }
 
-  private void charge(Node leaf, int lane, double x, int lender) {
-    if (x <= 0) {
+  private void charge(Node leaf, int lane, double units, int lenderDistance) {
+    if (units <= 0) {
       return;
     }
-    boolean level = lanes.get(lane).isLevel();
-    int up = 0;
-    for (Node n = leaf; n != null; n = n.parent, up++) {
-      if (up >= lender && !level) {
-        n.tokens[lane] = Math.max(-BELOW * Math.max(n.guarantee[lane], x), n.tokens[lane] - x);
-      } else if (up < lender && n.parent != null) {
-        lending.borrowed(n, lane, x, now);
+    boolean concurrency = lanes.get(lane).isConcurrency();
+    int distance = 0;
+    for (Node n = leaf; n != null; n = n.parent, distance++) {
+      if (distance >= lenderDistance && !concurrency) {
+        n.tokens[lane] = Math.max(-MAX_DEBT_WINDOWS * Math.max(n.guarantee[lane], units), n.tokens[lane] - units);
+      } else if (distance < lenderDistance && n.parent != null) {
+        lending.recordBorrowing(n, lane, units, now);
       }
-      if (n.ceiling != null && n.ceiling[lane] != Double.POSITIVE_INFINITY && !level) {
-        ceiling(n, lane).add(now, x);
+      if (n.ceiling != null && n.ceiling[lane] != Double.POSITIVE_INFINITY && !concurrency) {
+        window(n, lane).add(now, units);
       }
     }
   }
 
-  private Ceiling ceiling(Node n, int lane) {
-    if (n.ceilings == null) {
-      n.ceilings = new Ceiling[lanes.size()];
+  private SlidingWindow window(Node n, int lane) {
+    if (n.windows == null) {
+      n.windows = new SlidingWindow[lanes.size()];
     }
-    if (n.ceilings[lane] == null) {
-      n.ceilings[lane] = new Ceiling(lanes.get(lane).windowNanos(), now);
+    if (n.windows[lane] == null) {
+      n.windows[lane] = new SlidingWindow(lanes.get(lane).windowNanos(), now);
     }
-    return n.ceilings[lane];
+    return n.windows[lane];
   }
 
-  // ---- Refusals ------------------------------------------------------------------------------------------
+  // ---- Rejections ----------------------------------------------------------------------------------------
 
-  private long refuse(int lane, Node n, double x, boolean ceiling) {
-    long wait;
-    if (lanes.get(lane).isLevel()) {
-      wait = 0; // When something ends nobody knows.
+  private long reject(int lane, Node n, double units, boolean ceiling) {
+    long waitNanos;
+    if (lanes.get(lane).isConcurrency()) {
+      waitNanos = 0; // It is unknown when a request in flight ends.
     } else if (ceiling) {
-      Ceiling c = n.ceilings == null ? null : n.ceilings[lane];
-      wait = c == null ? lanes.get(lane).windowNanos() : c.until(now, c.sum(now) + x - n.ceiling[lane]);
+      SlidingWindow c = n.windows == null ? null : n.windows[lane];
+      waitNanos = c == null ? lanes.get(lane).windowNanos() : c.nanosUntilFreed(now, c.sum(now) + units - n.ceiling[lane]);
     } else {
       Node own = n;
       while (own.parent != null && own.guarantee[lane] <= 0) {
-        own = own.parent; // Without a guarantee of its own it waits for whoever lends to it.
+        own = own.parent; // A node without a guarantee waits for its nearest ancestor that has one.
       }
-      double missing = Math.min(x, own.guarantee[lane]) - own.tokens[lane];
-      wait = (long) Math.ceil(Math.max(0, missing) / own.guarantee[lane] * lanes.get(lane).windowNanos());
+      double missing = Math.min(units, own.guarantee[lane]) - own.tokens[lane];
+      waitNanos = (long) Math.ceil(Math.max(0, missing) / own.guarantee[lane] * lanes.get(lane).windowNanos());
     }
-    retryAt = now + wait;
-    return REFUSED | (ceiling ? 16 : 0) | lane;
+    retryAt = now + waitNanos;
+    return REJECTED | (ceiling ? 16 : 0) | lane;
   }
 
-  /** Whether it was refused. */
+  /** Returns whether the request was rejected. */
   public static boolean isRejected(long grant) {
-    return (grant & REFUSED) != 0;
+    return (grant & REJECTED) != 0;
   }
 
-  /** Of a refusal: the lane that bound. */
-  public Lane bindingLane(long refusal) {
-    return lanes.get((int) (refusal & 15));
+  /** Returns the lane that caused a rejection. */
+  public Lane bindingLane(long rejection) {
+    return lanes.get((int) (rejection & 15));
   }
 
-  /** Of a refusal: whether a ceiling bound, and not that nobody had anything to lend. */
-  public static boolean isCeilingRejection(long refusal) {
-    return (refusal & 16) != 0;
+  /** Returns whether a rejection was caused by a ceiling, and not by a lack of tokens to borrow. */
+  public static boolean isCeilingRejection(long rejection) {
+    return (rejection & 16) != 0;
   }
 
-  /** When the share of whoever was refused last will really be there; a clock reading. */
+  /** Clock reading at which the request rejected last could be granted. */
   public long retryAt() {
     return retryAt;
   }
 
-  /** How many levels up a lane's tokens came from: 0 for its own guarantee. */
+  /** Returns how many levels up the tokens of a lane came from: 0 for the node's own. */
   public static int lenderDistance(long grant, int lane) {
-    return (int) (grant >>> BITS * lane & 15);
+    return (int) (grant >>> BITS_PER_LANE * lane & 15);
   }
 
-  // ---- What comes after ----------------------------------------------------------------------------------
+  // ---- Settlement ----------------------------------------------------------------------------------------
 
   /**
-   * What it really took, once that is known: the difference is charged, or given back, where the estimate was. What was borrowed and
-   * not used stays owed: it was not there for others meanwhile.
+   * Replaces the estimated cost by the actual cost once it is known: the difference is charged or refunded where the estimate was charged.
+   * Borrowed tokens that were not used still count as borrowed, because other nodes could not use them meanwhile.
    *
-   * @param askedAt clock reading at which it was granted
+   * @param grantedAt clock reading of the grant
    */
-  public void settle(long at, String path, long grant, long askedAt, double[] estimated, double[] actual) {
+  public void settle(long at, String path, long grant, long grantedAt, double[] estimated, double[] actual) {
     now = Math.max(now, at);
-    Node leaf = node(path);
+    Node leaf = findOrCreateNode(path);
     for (int i = 0; i < actual.length; i++) {
-      double more = lanes.get(i).isLevel() ? 0 : charged(leaf, i, actual[i]) - charged(leaf, i, estimated[i]);
-      if (more == 0) {
+      double delta = lanes.get(i).isConcurrency() ? 0 : cappedCost(leaf, i, actual[i]) - cappedCost(leaf, i, estimated[i]);
+      if (delta == 0) {
         continue;
       }
-      int up = 0;
-      for (Node n = leaf; n != null; n = n.parent, up++) {
-        if (up >= lenderDistance(grant, i)) {
-          fill(n);
-          n.tokens[i] = Math.max(-BELOW * Math.max(n.guarantee[i], more), Math.min(n.guarantee[i], n.tokens[i] - more));
-        } else if (more > 0) {
-          lending.borrowed(n, i, more, now);
+      int distance = 0;
+      for (Node n = leaf; n != null; n = n.parent, distance++) {
+        if (distance >= lenderDistance(grant, i)) {
+          refill(n);
+          n.tokens[i] = Math.max(-MAX_DEBT_WINDOWS * Math.max(n.guarantee[i], delta), Math.min(n.guarantee[i], n.tokens[i] - delta));
+        } else if (delta > 0) {
+          lending.recordBorrowing(n, i, delta, now);
         }
-        if (more > 0 && n.ceiling != null && n.ceiling[i] != Double.POSITIVE_INFINITY) {
-          ceiling(n, i).add(now, more);
-        } else if (more < 0 && n.ceilings != null && n.ceilings[i] != null) {
-          n.ceilings[i].takeBack(now, askedAt, -more);
+        if (delta > 0 && n.ceiling != null && n.ceiling[i] != Double.POSITIVE_INFINITY) {
+          window(n, i).add(now, delta);
+        } else if (delta < 0 && n.windows != null && n.windows[i] != null) {
+          n.windows[i].refund(now, grantedAt, -delta);
         }
-        changed(n); // Guards a restart in between: what was kept at the grant knows nothing of this.
+        markChanged(n); // A restart must not lose this: the snapshot at the grant held the estimate only.
       }
     }
   }
 
-  /** It is over, whatever its end: its place in flight is given back. To be called once for each grant. */
+  /** Ends a granted request, whatever its outcome, and releases its concurrency. To be called once for each grant. */
   public void release(long at, String path, long grant) {
     now = Math.max(now, at);
     if (isRejected(grant)) {
       return;
     }
-    for (Node n = node(path); n != null; n = n.parent) {
+    for (Node n = findOrCreateNode(path); n != null; n = n.parent) {
       n.inFlight = Math.max(0, n.inFlight - 1);
     }
   }
 
-  // ---- What is seen and kept of it -----------------------------------------------------------------------
+  // ---- Status and snapshots ------------------------------------------------------------------------------
 
-  /** Tells of all nodes that are kept, at a clock reading. */
+  /** Passes the status of each node at a clock reading to a consumer. */
   public void forEachNode(long at, Consumer<NodeStatus> to) {
     now = Math.max(now, at);
     for (Node n : List.copyOf(nodes.values())) {
-      fill(n);
+      refill(n);
       double[] lag = new double[lanes.size()];
       double[] credit = new double[lanes.size()];
       for (int i = 0; i < lanes.size(); i++) {
-        boolean asks = n.loans != null && n.parent != null && now - n.loans.tried[i] <= Lending.ASKING_NANOS;
-        lag[i] = asks ? lending.account(n.parent, i).most - n.loans.had[i] : 0;
+        boolean borrowing = n.borrower != null && n.parent != null && now - n.borrower.lastAttemptAt[i] <= Lending.BORROWER_TIMEOUT_NANOS;
+        lag[i] = borrowing ? lending.account(n.parent, i).maxBorrowed - n.borrower.borrowed[i] : 0;
         credit[i] = lending.credit(n, i, now);
       }
       to.accept(new NodeStatus(n.path, n.tokens.clone(), n.guarantee, n.inFlight, lag, credit));
@@ -530,74 +538,77 @@
   }
 
   /**
-   * One node's state as it is kept over a restart: nothing that is in flight, for that ends with the process.
+   * State of a node that is kept over a restart. Requests in flight are left out: they end with the process.
    *
-   * @param windowUsage what counts against its ceilings
+   * @param used units missing from the full bucket
+   * @param lag of a borrower: how much less it has borrowed than the sibling that has borrowed most, per unit of weight
+   * @param credit of a lender: what it is to be paid back, per unit of weight
+   * @param windowUsage units that count against the ceilings
    */
   public record NodeSnapshot(String path, double[] used, double[] lag, double[] credit, double[] windowUsage) {}
 
-  /** What a successor has to know, at a clock reading; nodes of which nothing is to be known are left out. */
+  /** Returns the snapshots of all nodes with state at a clock reading. */
   public List<NodeSnapshot> snapshot(long at) {
     return snapshot(at, nodes.values());
   }
 
-  /** The same of those nodes alone to which something was charged since the last call. */
+  /** Returns the snapshots of the nodes that were charged since the last call. */
   public List<NodeSnapshot> snapshotChanged(long at) {
     tracksChanges = true;
-    List<NodeSnapshot> some = snapshot(at, charged);
-    charged.forEach(n -> n.charged = false);
-    charged.clear();
-    return some;
+    List<NodeSnapshot> result = snapshot(at, changedNodes);
+    changedNodes.forEach(n -> n.changed = false);
+    changedNodes.clear();
+    return result;
   }
 
   private List<NodeSnapshot> snapshot(long at, java.util.Collection<Node> of) {
     now = Math.max(now, at);
-    List<NodeSnapshot> all = new ArrayList<>();
+    List<NodeSnapshot> result = new ArrayList<>();
     for (Node n : of) {
-      fill(n);
+      refill(n);
       double[] used = new double[lanes.size()];
       double[] lag = new double[lanes.size()];
       double[] credit = new double[lanes.size()];
       double[] windowUsage = new double[lanes.size()];
-      boolean any = false;
+      boolean hasState = false;
       for (int i = 0; i < lanes.size(); i++) {
-        used[i] = lanes.get(i).isLevel() ? 0 : n.guarantee[i] - n.tokens[i];
-        boolean asks = n.loans != null && n.parent != null && now - n.loans.tried[i] <= Lending.ASKING_NANOS;
-        lag[i] = asks ? lending.account(n.parent, i).most - n.loans.had[i] : 0;
+        used[i] = lanes.get(i).isConcurrency() ? 0 : n.guarantee[i] - n.tokens[i];
+        boolean borrowing = n.borrower != null && n.parent != null && now - n.borrower.lastAttemptAt[i] <= Lending.BORROWER_TIMEOUT_NANOS;
+        lag[i] = borrowing ? lending.account(n.parent, i).maxBorrowed - n.borrower.borrowed[i] : 0;
         credit[i] = lending.credit(n, i, now);
-        windowUsage[i] = n.ceilings == null || n.ceilings[i] == null ? 0 : n.ceilings[i].sum(now);
-        any |= used[i] > 1e-9 || lag[i] > 0 || credit[i] > 0 || windowUsage[i] > 0;
+        windowUsage[i] = n.windows == null || n.windows[i] == null ? 0 : n.windows[i].sum(now);
+        hasState |= used[i] > 1e-9 || lag[i] > 0 || credit[i] > 0 || windowUsage[i] > 0;
       }
-      if (any) {
-        all.add(new NodeSnapshot(n.path, used, lag, credit, windowUsage));
+      if (hasState) {
+        result.add(new NodeSnapshot(n.path, used, lag, credit, windowUsage));
       }
     }
-    return all;
+    return result;
   }
 
-  /** Takes what a predecessor kept, {@code agoNanos} ago: what has been filled since is not used any more. */
-  public void restore(long at, long agoNanos, List<NodeSnapshot> kept) {
+  /** Restores snapshots taken by a predecessor {@code ageNanos} ago; buckets are refilled for that time. */
+  public void restore(long at, long ageNanos, List<NodeSnapshot> snapshots) {
     now = Math.max(now, at);
-    long ago = Math.max(0, agoNanos); // A file from the future is as old as this moment.
-    for (NodeSnapshot k : kept) {
-      Node n = node(k.path());
+    long age = Math.max(0, ageNanos); // A timestamp in the future counts as now.
+    for (NodeSnapshot k : snapshots) {
+      Node n = findOrCreateNode(k.path());
       if (!n.path.equals(k.path())) {
-        continue; // Its node is not in the plan any more, nor could one be made for it.
+        continue; // Its node is no longer in the plan, and none can be created for it.
       }
-      fill(n);
+      refill(n);
       for (int i = 0; i < Math.min(lanes.size(), k.used().length); i++) {
-        if (!lanes.get(i).isLevel()) {
-          double left = k.used()[i] - n.guarantee[i] * ((double) ago / lanes.get(i).windowNanos());
-          n.tokens[i] = Math.max(-BELOW * n.guarantee[i], Math.min(n.tokens[i], n.guarantee[i] - Math.max(0, left)));
+        if (!lanes.get(i).isConcurrency()) {
+          double remaining = k.used()[i] - n.guarantee[i] * ((double) age / lanes.get(i).windowNanos());
+          n.tokens[i] = Math.max(-MAX_DEBT_WINDOWS * n.guarantee[i], Math.min(n.tokens[i], n.guarantee[i] - Math.max(0, remaining)));
         }
-        if (k.windowUsage()[i] > 0 && !lanes.get(i).isLevel() && ago < lanes.get(i).windowNanos()) {
-          // When in the window it was is not known: all of it counts as if it were now.
-          ceiling(n, i).add(now, k.windowUsage()[i]);
+        if (k.windowUsage()[i] > 0 && !lanes.get(i).isConcurrency() && age < lanes.get(i).windowNanos()) {
+          // The time of use within the window is unknown, so all of it counts as used now.
+          window(n, i).add(now, k.windowUsage()[i]);
         }
         if (n.parent != null && k.lag()[i] + k.credit()[i] > 0) {
-          // Counted from where the parent's account stands now; whoever is not named has had most.
+          // Relative to the current account of the parent; a node without lag or credit is assumed to have borrowed most.
           Node.Account a = lending.account(n.parent, i);
-          lending.loans(n, now).since[i] = a.lent - k.credit()[i] - k.lag()[i];
+          lending.borrower(n, now).lentMark[i] = a.lentPerWeight - k.credit()[i] - k.lag()[i];
         }
       }
     }
--- a/decision/src/main/java/cloverpulley/quota/package-info.java
+++ b/decision/src/main/java/cloverpulley/quota/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Nested quotas: who may have how much of an installation, in several dimensions over several windows, with idle share lent and paid back.
- * Pure: clock readings in nanoseconds in, verdicts out; no I/O, threads or randomness.
+ * Hierarchical quotas of an installation, in several dimensions over several windows; idle share is lent and paid back. Pure logic: clock
+ * readings in nanoseconds in, decisions out; no I/O, threads or randomness.
  */
 package cloverpulley.quota;
