--- a/decision/src/main/java/cloverpulley/quota/LeaseHolder.java
+++ b/decision/src/main/java/cloverpulley/quota/LeaseHolder.java
@@ -46,7 +46,7 @@
     double[] held = lease == null ? null : lease.allowances().get(path);
     if (held == null || lane >= held.length || !(held[lane] >= 0)) {
       // An earlier life may have had less than its even part, and others the rest: until they have surely fallen back a little has to do.
-      return now - bornAt <= 3 * terms.validNanos() + terms.fallNanos() ? Leases.LEAST_PART * even : even;
+      return now - bornAt <= 3 * terms.validNanos() + terms.fallNanos() ? Leases.MIN_SHARE_RATIO * even : even;
     }
     // Never more than there is, whoever gave it.
     double given = Math.min(all, held[lane]);
--- a/decision/src/main/java/cloverpulley/quota/Leases.java
+++ b/decision/src/main/java/cloverpulley/quota/Leases.java
@@ -7,111 +7,114 @@
 import java.util.Map;
 
 /**
- * Divides each node's guarantee among the instances of an installation: leases, after demand, for a time. The sum of what instances may
- * use is never more than the guarantee: a lease grows only by what others have been seen to have given up, and an instance that is not
- * heard of is taken to use its even part, to which it falls back by itself ({@link LeaseHolder}). Max-min fair: whoever claims a demand
- * that it has not gets no more than what the others leave of theirs, up to an even part each.
+ * Divides each node's guarantee among the instances of an installation, in leases that follow demand and expire. The sum of what instances
+ * may use never exceeds the guarantee: a lease grows only by what other instances are known to have released, and an instance that does not
+ * report is assumed to use its even share, to which it falls back by itself ({@link LeaseHolder}). The division is max-min fair: an
+ * instance that overstates its demand gets no more than what the others leave of their even shares.
  *
- * <p>Several may divide at a time, as instances turn to the first that they can reach: one that does not hear of more than half of all
- * gives nobody more than an even part, and one that begins to lets nobody grow until all older leases have surely fallen back.
+ * <p>Several coordinators may be active at a time, because each instance uses the first that it can reach. A coordinator without reports
+ * from a majority of the instances gives none of them more than an even share; one that has just gained a majority lets no lease grow until
+ * all older leases must have fallen back.
  *
- * <p>Pure: reports in, leases out. One thread.
+ * <p>Pure logic: reports in, leases out. Not thread-safe.
  */
 public final class Leases {
 
-  /** Every instance that is heard of has this part of its even part at least: who asks for nothing now may ask in a moment. */
-  static final double LEAST_PART = 0.2;
-  /** A lease is this much more than what was asked for, where there is as much. */
+  /** Minimum part of its even share for each reporting instance: one without demand may have some at any moment. */
+  static final double MIN_SHARE_RATIO = 0.2;
+  /** A lease exceeds the demand by this factor where enough is available. */
   private static final double HEADROOM = 1.2;
-  private static final double ROUNDING = 1e-9;
+  private static final double ROUNDING_TOLERANCE = 1e-9;
 
   /**
-   * @param instances how many there are in all, heard of or not
-   * @param validNanos how long a lease is good
-   * @param fallNanos how long after that it takes to fall to an even part
-   * @param reclaimNanos after so long without a word an instance's even part is given to others; 0 for never. Where one is cut off, and
-   *     not dead, the sum is then over by its even part
+   * Terms of the leases.
+   *
+   * @param instances number of instances, reporting or not
+   * @param validNanos validity of a lease
+   * @param fallNanos time after that in which an allowance falls linearly to the even share
+   * @param reclaimNanos time without a report after which an instance's even share is given to others; 0 for never. The sum then exceeds
+   *     the guarantee by that share if the instance is not dead but partitioned
    */
   public record Terms(int instances, long validNanos, long fallNanos, long reclaimNanos) {
     public Terms {
       if (instances < 1 || validNanos <= 0 || fallNanos < 0 || reclaimNanos < 0
           || reclaimNanos > 0 && reclaimNanos < validNanos + fallNanos) {
-        throw new IllegalArgumentException("quota leases: expected an instance at least, a time for which leases are good, and no reclaiming "
-            + "before they have fallen back");
+        throw new IllegalArgumentException("quota leases: expected at least 1 instance, a validity above 0 and reclaiming no earlier than "
+            + "the end of validity and fall-back");
       }
     }
   }
 
   /**
-   * What an instance says.
+   * Report of an instance.
    *
-   * @param seq grows with each report of one life; a report that is not newer is not counted
-   * @param holds the number of the lease that it has; 0 for none
-   * @param asked by node: units asked for in a lane's window, in the order of the lanes
-   * @param uses by node: what it may use as it stands, by its lease or its fall-back
+   * @param seq grows with each report since the instance's start; a report that is not newer is ignored
+   * @param heldLease number of the lease that it holds; 0 for none
+   * @param demand by node: units requested per window, in the order of the lanes
+   * @param allowances by node: what it may use at present, by its lease or its fall-back
    */
   public record Report(String instance, long seq, long heldLease, Map<String, double[]> demand, Map<String, double[]> allowances) {}
 
-  /** What an instance may use: by node a figure for each lane, good for so long from its coming. */
+  /** What an instance may use: by node one value per lane, valid for a time from the report that it answers. */
   public record Lease(long number, long validNanos, Map<String, double[]> allowances) {}
 
-  /** What is known of an instance. */
-  private static final class Known {
+  private static final class InstanceState {
     long seq;
-    long heardAt;
-    long holds;
-    Map<String, double[]> asked = Map.of();
-    /** The most that it may still be using, by what it was given and what it said. */
-    Map<String, double[]> most = new HashMap<>();
-    long given;
-    Map<String, double[]> last = Map.of();
+    long reportedAt;
+    long heldLease;
+    Map<String, double[]> demand = Map.of();
+    /** Upper bound of what it may still be using, from its leases and its reports. */
+    Map<String, double[]> maxAllowances = new HashMap<>();
+    long lastLease;
+    Map<String, double[]> lastAllowances = Map.of();
   }
 
   private final QuotaPlan plan;
   private final Terms terms;
-  private final Map<String, Known> instances = new HashMap<>();
+  private final Map<String, InstanceState> instances = new HashMap<>();
   private final long startedAt;
-  /** Since when it has been hearing of most instances. */
-  private long mostSince;
-  private long numbers;
+  /** Start of the time in which a majority of the instances has been reporting. */
+  private long majoritySince;
+  private long lastNumber;
 
-  /** @param numbersFrom leases of a coordinator that was one before never bear a number again: such as a clock reading */
-  public Leases(QuotaPlan plan, Terms terms, long now, long numbersFrom) {
+  /** @param firstNumber lower bound of lease numbers, such as a clock reading, so that none of an earlier coordinator's is used again */
+  public Leases(QuotaPlan plan, Terms terms, long now, long firstNumber) {
     this.plan = plan;
     this.terms = terms;
     startedAt = now;
-    mostSince = now;
-    numbers = numbersFrom;
+    majoritySince = now;
+    lastNumber = firstNumber;
   }
 
-  /** Takes a report, and gives the lease that follows from it; null for one that is old. */
+  /** Processes a report and returns the lease that answers it; null for an outdated report. */
   public Lease handleReport(long now, Report r) {
-    Known k = instances.get(r.instance);
-    if (k == null) {
+    InstanceState state = instances.get(r.instance);
+    if (state == null) {
       if (instances.size() >= terms.instances) {
-        forgetGone(now);
+        removeExpired(now);
       }
       if (instances.size() >= terms.instances) {
-        throw new IllegalArgumentException("quota leases: " + r.instance + " is one more than the " + terms.instances + " instances there are");
+        throw new IllegalArgumentException("quota leases: " + r.instance + " exceeds the configured number of " + terms.instances + " instances");
       }
-      k = new Known();
-      instances.put(r.instance, k);
-    } else if (r.seq <= k.seq && now - k.heardAt <= terms.validNanos) {
-      return null; // Of the same life, late or twice. One that was not heard for so long may have begun anew.
+      state = new InstanceState();
+      instances.put(r.instance, state);
+    } else if (r.seq <= state.seq && now - state.reportedAt <= terms.validNanos) {
+      return null; // Late or repeated. An instance without reports for longer than the validity may have restarted its sequence.
     }
-    k.seq = r.seq;
-    k.heardAt = now;
-    k.asked = r.demand;
-    // What it holds has been seen: only that counts, and no older lease. One that holds another's lease says what it uses.
-    if (r.heldLease == k.given && k.given != 0) {
-      k.most = copy(k.last);
+    state.seq = r.seq;
+    state.reportedAt = now;
+    state.demand = r.demand;
+    // An instance that confirms the last lease can't be using an older one. One with another coordinator's lease reports what it uses.
+    if (r.heldLease == state.lastLease && state.lastLease != 0) {
+      state.maxAllowances = copy(state.lastAllowances);
     } else {
       for (String path : plan.nodes().keySet()) {
-        double[] says = r.allowances.getOrDefault(path, even(path));
-        k.most.merge(path, clipped(path, says), (a, b) -> r.heldLease == 0 && r.allowances.containsKey(path) ? b : larger(a, b));
+        double[] reported = r.allowances.getOrDefault(path, evenShare(path));
+        state.maxAllowances.merge(path, clamp(path, reported), (a, b) -> r.heldLease == 0 && r.allowances.containsKey(path) ? b
+            : elementwiseMax(a, b));
       }
     }
-    return lease(now, r.instance, k);
+    return issueLease(now, r.instance, state);
   }
 
   private static Map<String, double[]> copy(Map<String, double[]> of) {
@@ -120,136 +123,139 @@
     return copy;
   }
 
-  private static double[] larger(double[] a, double[] b) {
-    double[] larger = a.clone();
-    for (int i = 0; i < larger.length; i++) {
-      larger[i] = Math.max(a[i], b[i]);
+  private static double[] elementwiseMax(double[] a, double[] b) {
+    double[] max = a.clone();
+    for (int i = 0; i < max.length; i++) {
+      max[i] = Math.max(a[i], b[i]);
     }
-    return larger;
+    return max;
   }
 
-  /** What somebody says that it uses is never more than there is. */
-  private double[] clipped(String path, double[] says) {
-    double[] all = plan.nodes().get(path).guarantee();
-    double[] clipped = new double[all.length];
-    for (int i = 0; i < all.length; i++) {
-      double s = i < says.length && says[i] >= 0 ? says[i] : all[i];
-      clipped[i] = Math.min(all[i], s);
+  /** Limits a reported allowance to the guarantee. */
+  private double[] clamp(String path, double[] reported) {
+    double[] guarantee = plan.nodes().get(path).guarantee();
+    double[] clamped = new double[guarantee.length];
+    for (int i = 0; i < guarantee.length; i++) {
+      double s = i < reported.length && reported[i] >= 0 ? reported[i] : guarantee[i];
+      clamped[i] = Math.min(guarantee[i], s);
     }
-    return clipped;
+    return clamped;
   }
 
-  private double[] even(String path) {
-    double[] even = plan.nodes().get(path).guarantee().clone();
-    for (int i = 0; i < even.length; i++) {
-      even[i] /= terms.instances;
+  private double[] evenShare(String path) {
+    double[] evenShare = plan.nodes().get(path).guarantee().clone();
+    for (int i = 0; i < evenShare.length; i++) {
+      evenShare[i] /= terms.instances;
     }
-    return even;
+    return evenShare;
   }
 
-  private void forgetGone(long now) {
-    long most = terms.validNanos + terms.fallNanos;
-    instances.values().removeIf(k -> now - k.heardAt > most);
+  private void removeExpired(long now) {
+    long expiryNanos = terms.validNanos + terms.fallNanos;
+    instances.values().removeIf(state -> now - state.reportedAt > expiryNanos);
   }
 
-  /** What an instance may be using at this time at most. */
-  private double using(Known k, long now, String path, int lane, double even) {
-    double most = k.most.containsKey(path) ? k.most.get(path)[lane] : even;
-    long past = now - k.heardAt - terms.validNanos;
-    // Its lease may have come late by as much as it is good, and falls after that.
-    double left = past <= terms.validNanos ? 1 : terms.fallNanos == 0 ? 0 : Math.max(0, 1 - (past - terms.validNanos) / (double) terms.fallNanos);
-    return most > even ? even + (most - even) * left : most + (even - most) * (past > 0 ? 1 : 0);
+  /** Returns the upper bound of what an instance may be using now. */
+  private double maxInUse(InstanceState state, long now, String path, int lane, double evenShare) {
+    double maxAllowance = state.maxAllowances.containsKey(path) ? state.maxAllowances.get(path)[lane] : evenShare;
+    long past = now - state.reportedAt - terms.validNanos;
+    // Its lease may have arrived late by up to its validity; it falls after that.
+    double remaining = past <= terms.validNanos ? 1 : terms.fallNanos == 0 ? 0
+        : Math.max(0, 1 - (past - terms.validNanos) / (double) terms.fallNanos);
+    return maxAllowance > evenShare ? evenShare + (maxAllowance - evenShare) * remaining
+        : maxAllowance + (evenShare - maxAllowance) * (past > 0 ? 1 : 0);
   }
 
-  private Lease lease(long now, String instance, Known k) {
-    Map<String, double[]> figures = new HashMap<>();
-    boolean most = hasMost(now);
-    boolean learning = now - mostSince < 2 * terms.validNanos + terms.fallNanos;
+  private Lease issueLease(long now, String instance, InstanceState state) {
+    Map<String, double[]> allowances = new HashMap<>();
+    boolean hasMajority = hasMajority(now);
+    boolean inGracePeriod = now - majoritySince < 2 * terms.validNanos + terms.fallNanos;
     for (QuotaPlan.NodeSpec s : plan.nodes().values()) {
-      double[] given = new double[s.guarantee().length];
-      for (int lane = 0; lane < given.length; lane++) {
-        given[lane] = figure(now, instance, k, s, lane, learning, most);
+      double[] allowance = new double[s.guarantee().length];
+      for (int lane = 0; lane < allowance.length; lane++) {
+        allowance[lane] = computeAllowance(now, instance, state, s, lane, inGracePeriod, hasMajority);
       }
-      figures.put(s.path(), given);
+      allowances.put(s.path(), allowance);
     }
-    k.last = figures;
-    k.given = ++numbers;
-    // Until it is seen to hold the new one it may use either.
-    figures.forEach((path, f) -> k.most.merge(path, f, Leases::larger));
-    return new Lease(k.given, terms.validNanos, copy(figures));
+    state.lastAllowances = allowances;
+    state.lastLease = ++lastNumber;
+    // Until it confirms the new lease, it may be using either.
+    allowances.forEach((path, f) -> state.maxAllowances.merge(path, f, Leases::elementwiseMax));
+    return new Lease(state.lastLease, terms.validNanos, copy(allowances));
   }
 
-  private double figure(long now, String instance, Known k, QuotaPlan.NodeSpec s, int lane, boolean learning, boolean most) {
-    double all = s.guarantee()[lane];
-    double even = all / terms.instances;
+  private double computeAllowance(long now, String instance, InstanceState state, QuotaPlan.NodeSpec s, int lane, boolean inGracePeriod,
+      boolean hasMajority) {
+    double total = s.guarantee()[lane];
+    double evenShare = total / terms.instances;
     double others = 0;
-    int heard = 0;
+    int reporting = 0;
     List<Double> demands = new ArrayList<>();
-    for (Map.Entry<String, Known> e : instances.entrySet()) {
-      Known o = e.getValue();
-      boolean gone = terms.reclaimNanos > 0 && now - o.heardAt > terms.reclaimNanos;
-      if (!gone) {
-        heard++;
-        demands.add(demand(o, s.path(), lane, even));
-        others += e.getKey().equals(instance) ? 0 : using(o, now, s.path(), lane, even);
+    for (Map.Entry<String, InstanceState> e : instances.entrySet()) {
+      InstanceState other = e.getValue();
+      boolean expired = terms.reclaimNanos > 0 && now - other.reportedAt > terms.reclaimNanos;
+      if (!expired) {
+        reporting++;
+        demands.add(demand(other, s.path(), lane, evenShare));
+        others += e.getKey().equals(instance) ? 0 : maxInUse(other, now, s.path(), lane, evenShare);
       }
     }
-    // Those never heard of use their even part: before the end of the learning nobody knows who there is.
-    int unheard = terms.instances - heard;
+    // Instances that never reported use their even share. During the grace period it is unknown which instances exist.
+    int missing = terms.instances - reporting;
     boolean reclaimed = terms.reclaimNanos > 0 && now - startedAt > terms.reclaimNanos;
-    double there = all - (reclaimed ? 0 : unheard * even);
-    double wanted = fair(demands, demand(k, s.path(), lane, even), there);
-    double own = k.most.containsKey(s.path()) ? k.most.get(s.path())[lane] : even;
-    double room = Math.max(0, all - (reclaimed ? 0 : unheard * even) - others);
-    // Somebody not heard of may hold more than its even part, of another coordinator: while that may be, nobody grows. Without most of the
-    // instances there may be another coordinator that has them: then nobody has more than its even part either.
-    double may = !most ? Math.min(Math.min(wanted, own), even) : learning ? Math.min(wanted, own) : wanted;
-    return Math.max(0, Math.min(may, room));
-  }
-
-  /** Whether more than half of all instances have been heard of lately: no two coordinators can say so for long. */
-  private boolean hasMost(long now) {
-    int lately = 0;
-    for (Known k : instances.values()) {
-      lately += now - k.heardAt <= terms.validNanos ? 1 : 0;
+    double available = total - (reclaimed ? 0 : missing * evenShare);
+    double target = maxMinShare(demands, demand(state, s.path(), lane, evenShare), available);
+    double current = state.maxAllowances.containsKey(s.path()) ? state.maxAllowances.get(s.path())[lane] : evenShare;
+    double capacity = Math.max(0, total - (reclaimed ? 0 : missing * evenShare) - others);
+    // An instance that has not reported may hold more than its even share from another coordinator, so no lease grows during the grace
+    // period. Without a majority another coordinator may have it, so no instance gets more than its even share.
+    double allowed = !hasMajority ? Math.min(Math.min(target, current), evenShare) : inGracePeriod ? Math.min(target, current) : target;
+    return Math.max(0, Math.min(allowed, capacity));
+  }
+
+  /** Whether more than half of all instances reported within the validity. Two coordinators can't both see that for long. */
+  private boolean hasMajority(long now) {
+    int recent = 0;
+    for (InstanceState state : instances.values()) {
+      recent += now - state.reportedAt <= terms.validNanos ? 1 : 0;
     }
-    boolean has = 2 * lately > terms.instances;
+    boolean has = 2 * recent > terms.instances;
     if (!has) {
-      mostSince = now;
+      majoritySince = now;
     }
     return has;
   }
 
-  private static double demand(Known k, String path, int lane, double even) {
-    double[] asked = k.asked.get(path);
-    double said = asked == null || lane >= asked.length || !(asked[lane] >= 0) ? 0 : asked[lane];
-    return Math.max(LEAST_PART * even, HEADROOM * said);
+  private static double demand(InstanceState state, String path, int lane, double evenShare) {
+    double[] demand = state.demand.get(path);
+    double units = demand == null || lane >= demand.length || !(demand[lane] >= 0) ? 0 : demand[lane];
+    return Math.max(MIN_SHARE_RATIO * evenShare, HEADROOM * units);
   }
 
-  /** Max-min fair: the part of one demand of all, what is left over divided evenly. */
-  static double fair(List<Double> demands, double own, double all) {
+  /** Returns the max-min fair share of one demand; what all demands leave is divided evenly. */
+  static double maxMinShare(List<Double> demands, double own, double supply) {
     double[] sorted = demands.stream().mapToDouble(d -> d).sorted().toArray();
-    double left = all;
+    double remaining = supply;
     double level = Double.POSITIVE_INFINITY;
     for (int i = 0; i < sorted.length; i++) {
-      double part = left / (sorted.length - i);
+      double part = remaining / (sorted.length - i);
       if (sorted[i] > part) {
         level = part;
         break;
       }
-      left -= sorted[i];
+      remaining -= sorted[i];
     }
-    double over = level == Double.POSITIVE_INFINITY && sorted.length > 0 ? Math.max(0, all - Arrays.stream(sorted).sum()) / sorted.length : 0;
-    return Math.min(own, level) + over;
+    double surplus = level == Double.POSITIVE_INFINITY && sorted.length > 0 ? Math.max(0, supply - Arrays.stream(sorted).sum()) / sorted.length : 0;
+    return Math.min(own, level) + surplus;
   }
 
-  /** Whether leases of a node add up to no more than there is, by what is known here; for tests and figures. */
+  /** Returns the upper bound of what all known instances may be using of a node, for tests and figures. */
   public double allocatedUpperBound(String path, int lane, long now) {
-    double even = plan.nodes().get(path).guarantee()[lane] / terms.instances;
+    double evenShare = plan.nodes().get(path).guarantee()[lane] / terms.instances;
     double sum = 0;
-    for (Known k : instances.values()) {
-      sum += using(k, now, path, lane, even);
+    for (InstanceState state : instances.values()) {
+      sum += maxInUse(state, now, path, lane, evenShare);
     }
-    return sum * (1 + ROUNDING);
+    return sum * (1 + ROUNDING_TOLERANCE);
   }
 }
