--- a/quota/src/main/java/cloverpulley/quota/service/LeaseConfig.java
+++ b/quota/src/main/java/cloverpulley/quota/service/LeaseConfig.java
@@ -7,11 +7,11 @@
 import java.util.List;
 
 /**
- * How several instances share one installation's quotas: {@code [quota.leases]}.
+ * How instances share the quotas of one installation: {@code [quota.leases]}.
  *
- * @param instance this one's name, unlike that of any other
- * @param coordinators whom to ask, the first that answers; the same order on all
- * @param listen where this one answers as a coordinator; null where it does not
+ * @param instance unique name of this instance
+ * @param coordinators addresses of the coordinators; the first that responds is used, so all instances need the same order
+ * @param listen address on which this instance is a coordinator; null where it is none
  */
 public record LeaseConfig(String instance, Leases.Terms terms, List<InetSocketAddress> coordinators, InetSocketAddress listen,
     long reportMillis) {
@@ -24,39 +24,39 @@
       quota.table("leases");
       return null;
     }
-    Section s = quota.table("leases");
-    String instance = s.text("instance");
+    Section section = quota.table("leases");
+    String instance = section.text("instance");
     if (!instance.matches("[!-~]{1,64}")) {
-      s.wrong("instance", "expected 1 to 64 printable characters without a blank");
+      section.wrong("instance", "expected 1 to 64 printable characters without spaces");
     }
     List<InetSocketAddress> coordinators = new ArrayList<>();
-    for (String text : s.texts("coordinators", List.of())) {
-      InetSocketAddress a = Section.address(text);
-      if (a == null || !a.getAddress().isLoopbackAddress()) {
-        s.wrong("coordinators", "expected loopback addresses in figures with a port, got \"" + text + "\"");
+    for (String text : section.texts("coordinators", List.of())) {
+      InetSocketAddress address = Section.address(text);
+      if (address == null || !address.getAddress().isLoopbackAddress()) {
+        section.wrong("coordinators", "expected numeric loopback addresses with a port, got \"" + text + "\"");
       } else {
-        coordinators.add(a);
+        coordinators.add(address);
       }
     }
     if (coordinators.isEmpty()) {
-      s.wrong("coordinators", "expected at least one");
+      section.wrong("coordinators", "expected at least one");
     }
-    InetSocketAddress listen = s.has("listen") ? s.address("listen", null) : null;
+    InetSocketAddress listen = section.has("listen") ? section.address("listen", null) : null;
     if (listen != null && !listen.getAddress().isLoopbackAddress()) {
-      s.wrong("listen", "expected a loopback address: leases are not signed");
+      section.wrong("listen", "expected a loopback address: leases are not authenticated");
     }
-    long valid = s.whole("valid_ms", 10, 600_000, 10_000);
-    long fall = s.whole("fall_ms", 0, 600_000, 10_000);
-    long reclaim = s.whole("reclaim_ms", 0, DAY_MS, 0);
-    if (reclaim > 0 && reclaim < valid + fall) {
-      s.wrong("reclaim_ms", "expected 0, or no less than valid_ms and fall_ms together, got " + reclaim);
-      reclaim = 0;
+    long validMillis = section.whole("valid_ms", 10, 600_000, 10_000);
+    long fallMillis = section.whole("fall_ms", 0, 600_000, 10_000);
+    long reclaimMillis = section.whole("reclaim_ms", 0, DAY_MS, 0);
+    if (reclaimMillis > 0 && reclaimMillis < validMillis + fallMillis) {
+      section.wrong("reclaim_ms", "expected 0 or at least the sum of valid_ms and fall_ms, got " + reclaimMillis);
+      reclaimMillis = 0;
     }
-    long report = s.whole("report_ms", 5, 60_000, 1000);
-    if (report * 3 > valid) {
-      s.wrong("report_ms", "expected no more than a third of valid_ms, got " + report);
+    long reportMillis = section.whole("report_ms", 5, 60_000, 1000);
+    if (reportMillis * 3 > validMillis) {
+      section.wrong("report_ms", "expected at most a third of valid_ms, got " + reportMillis);
     }
-    return new LeaseConfig(instance, new Leases.Terms((int) s.whole("instances", 1, 10_000), valid * 1_000_000, fall * 1_000_000,
-        reclaim * 1_000_000), coordinators, listen, report);
+    return new LeaseConfig(instance, new Leases.Terms((int) section.whole("instances", 1, 10_000), validMillis * 1_000_000, fallMillis * 1_000_000,
+        reclaimMillis * 1_000_000), coordinators, listen, reportMillis);
   }
 }
