--- a/quota/src/main/java/cloverpulley/quota/service/LeaseLink.java
+++ b/quota/src/main/java/cloverpulley/quota/service/LeaseLink.java
@@ -33,16 +33,16 @@
 import java.util.logging.Logger;
 
 /**
- * An instance's talk with whoever divides the quotas, and its own answers where it is one of those. What is decided is {@link Leases}'s and
- * {@link LeaseHolder}'s; here are the sockets. All state lives on the loop.
+ * Connects an instance to the coordinators that issue leases, and is a coordinator itself where configured. The decisions are made by
+ * {@link Leases} and {@link LeaseHolder}; this class does the I/O. All state is confined to the loop.
  */
 public final class LeaseLink implements AutoCloseable {
 
   private static final Logger LOG = Logger.getLogger(LeaseLink.class.getName());
 
-  private static final int MOST_MESSAGE = 4 << 20;
-  private static final int MOST_NODES = 10_000;
-  private static final int MOST_PATH = 1100;
+  private static final int MAX_MESSAGE_BYTES = 4 << 20;
+  private static final int MAX_NODES = 10_000;
+  private static final int MAX_PATH_LENGTH = 1100;
   private static final long STOP_SECONDS = 2;
 
   static final MethodDescriptor<LeaseReport, LeaseAnswer> REPORT = MethodDescriptor.<LeaseReport, LeaseAnswer>newBuilder()
@@ -56,17 +56,17 @@
   private final ScheduledExecutorService loop;
   private final LongSupplier nanos;
   private final LeaseHolder holder;
-  private final Leases leases;
+  private final Leases coordinator;
   private final List<ManagedChannel> channels = new ArrayList<>();
   private final Server server;
-  private final ScheduledFuture<?> reports;
+  private final ScheduledFuture<?> reportTask;
   private final String installation;
-  private long askedAt;
-  /** Which coordinator answered last; -1 for none. */
-  private int answered = -1;
-  private boolean waiting;
+  private long demandTakenAt;
+  /** Index of the coordinator that responded last; -1 for none. */
+  private int activeCoordinator = -1;
+  private boolean reportPending;
 
-  /** Starts to report, and to answer where the configuration says so; called on the loop. */
+  /** Starts to report, and to coordinate where configured; called on the loop. */
   LeaseLink(QuotaPlan plan, LeaseConfig config, QuotaKeeper keeper, ScheduledExecutorService loop, LongSupplier nanos) throws IOException {
     this.plan = plan;
     this.config = config;
@@ -75,165 +75,165 @@
     this.nanos = nanos;
     installation = plan.lanes() + " " + plan.nodes().keySet().hashCode();
     long now = nanos.getAsLong();
-    // A wall clock tells lives and coordinators apart; the loop's own begins anew with each.
-    long since = System.currentTimeMillis() * 1_000_000;
-    holder = new LeaseHolder(plan, config.terms(), config.instance(), now, since);
-    leases = config.listen() == null ? null : new Leases(plan, config.terms(), now, since);
+    // Wall-clock time distinguishes restarts of instances and coordinators; the loop's clock starts anew with each process.
+    long epochNanos = System.currentTimeMillis() * 1_000_000;
+    holder = new LeaseHolder(plan, config.terms(), config.instance(), now, epochNanos);
+    coordinator = config.listen() == null ? null : new Leases(plan, config.terms(), now, epochNanos);
     for (InetSocketAddress a : config.coordinators()) {
-      channels.add(NettyChannelBuilder.forAddress(a).usePlaintext().maxInboundMessageSize(MOST_MESSAGE).build());
+      channels.add(NettyChannelBuilder.forAddress(a).usePlaintext().maxInboundMessageSize(MAX_MESSAGE_BYTES).build());
     }
-    server = leases == null ? null : NettyServerBuilder.forAddress(config.listen()).directExecutor().maxInboundMessageSize(MOST_MESSAGE)
-        .addService(ServerServiceDefinition.builder("ashdeck.quota.Leases").addMethod(REPORT, ServerCalls.asyncUnaryCall(this::answer))
+    server = coordinator == null ? null : NettyServerBuilder.forAddress(config.listen()).directExecutor().maxInboundMessageSize(MAX_MESSAGE_BYTES)
+        .addService(ServerServiceDefinition.builder("ashdeck.quota.Leases").addMethod(REPORT, ServerCalls.asyncUnaryCall(this::handleReport))
             .build()).build().start();
-    askedAt = now;
+    demandTakenAt = now;
     keeper.quotas().takeDemand();
     keeper.quotas().scaleGuarantees(now, holder.allowances(now));
-    reports = loop.scheduleWithFixedDelay(this::report, 0, config.reportMillis(), TimeUnit.MILLISECONDS);
+    reportTask = loop.scheduleWithFixedDelay(this::sendReport, 0, config.reportMillis(), TimeUnit.MILLISECONDS);
   }
 
-  /** Where it answers; null where it does not. */
+  /** Address of this coordinator; null where it is none. */
   InetSocketAddress address() {
     return server == null ? null : (InetSocketAddress) server.getListenSockets().get(0);
   }
 
-  // ---- As an instance ------------------------------------------------------------------------------------
+  // ---- Instance ------------------------------------------------------------------------------------------
 
-  private void report() {
+  private void sendReport() {
     long now = nanos.getAsLong();
-    if (!waiting) {
-      waiting = true;
-      LeaseReport report = message(holder.nextReport(now, demand(now)));
-      ask(report, 0, now);
+    if (!reportPending) {
+      reportPending = true;
+      LeaseReport report = toMessage(holder.nextReport(now, demand(now)));
+      sendTo(report, 0, now);
     }
-    keeper.quotas().scaleGuarantees(now, holder.allowances(now)); // Also without an answer: a lease that is not renewed falls.
+    keeper.quotas().scaleGuarantees(now, holder.allowances(now)); // Also without a response: a lease that is not renewed falls.
   }
 
-  /** What was asked for since the last report, in terms of each lane's window. */
+  /** Returns the units requested since the last report, scaled to each lane's window. */
   private Map<String, double[]> demand(long now) {
-    double passed = Math.max(1, now - askedAt);
-    askedAt = now;
-    Map<String, double[]> asked = keeper.quotas().takeDemand();
-    asked.values().forEach(a -> {
+    double elapsed = Math.max(1, now - demandTakenAt);
+    demandTakenAt = now;
+    Map<String, double[]> demand = keeper.quotas().takeDemand();
+    demand.values().forEach(a -> {
       for (int i = 0; i < a.length; i++) {
         long window = plan.lanes().get(i).windowNanos();
-        a[i] *= window == 0 ? 1 : window / passed;
+        a[i] *= window == 0 ? 1 : window / elapsed;
       }
     });
-    return asked;
+    return demand;
   }
 
-  /** The first that answers, in order; whoever comes after is asked only where those before do not. */
-  private void ask(LeaseReport report, int which, long sentAt) {
-    if (which >= channels.size()) {
-      waiting = false;
-      if (answered >= 0) {
-        LOG.warning("no coordinator of quotas answers; the last lease goes on and falls to an even part");
-        answered = -1;
+  /** Sends a report to the coordinators in order until one responds. */
+  private void sendTo(LeaseReport report, int index, long sentAt) {
+    if (index >= channels.size()) {
+      reportPending = false;
+      if (activeCoordinator >= 0) {
+        LOG.warning("no quota coordinator responds; the last lease expires and falls back to an even share");
+        activeCoordinator = -1;
       }
       return;
     }
-    long patience = Math.max(20, config.reportMillis() / 2);
-    ClientCalls.asyncUnaryCall(channels.get(which).newCall(REPORT, CallOptions.DEFAULT.withDeadlineAfter(patience, TimeUnit.MILLISECONDS)),
+    long timeoutMillis = Math.max(20, config.reportMillis() / 2);
+    ClientCalls.asyncUnaryCall(channels.get(index).newCall(REPORT, CallOptions.DEFAULT.withDeadlineAfter(timeoutMillis, TimeUnit.MILLISECONDS)),
         report, new StreamObserver<>() {
-          private LeaseAnswer answer;
+          private LeaseAnswer response;
 
           @Override
           public void onNext(LeaseAnswer value) {
-            answer = value;
+            response = value;
           }
 
           @Override
           public void onError(Throwable t) {
-            onLoop(() -> ask(report, which + 1, sentAt));
+            runOnLoop(() -> sendTo(report, index + 1, sentAt));
           }
 
           @Override
           public void onCompleted() {
-            onLoop(() -> {
-              waiting = false;
-              if (answered != which) {
-                LOG.info("quotas are divided by " + config.coordinators().get(which));
-                answered = which;
+            runOnLoop(() -> {
+              reportPending = false;
+              if (activeCoordinator != index) {
+                LOG.info("quota leases are issued by " + config.coordinators().get(index));
+                activeCoordinator = index;
               }
-              holder.accept(sentAt, new Leases.Lease(answer.getNumber(), answer.getValidNanos(), nodes(answer.getFiguresList())));
+              holder.accept(sentAt, new Leases.Lease(response.getNumber(), response.getValidNanos(), toMap(response.getFiguresList())));
               keeper.quotas().scaleGuarantees(nanos.getAsLong(), holder.allowances(nanos.getAsLong()));
             });
           }
         });
   }
 
-  private void onLoop(Runnable task) {
+  private void runOnLoop(Runnable task) {
     try {
       loop.execute(task);
     } catch (RejectedExecutionException e) {
-      LOG.fine("an answer that came after the end");
+      LOG.fine("lease response received after shutdown");
     }
   }
 
-  // ---- As a coordinator ----------------------------------------------------------------------------------
+  // ---- Coordinator ---------------------------------------------------------------------------------------
 
-  private void answer(LeaseReport report, StreamObserver<LeaseAnswer> to) {
-    if (!report.getInstallation().equals(installation) || report.getAskedCount() > MOST_NODES || report.getUsesCount() > MOST_NODES
+  private void handleReport(LeaseReport report, StreamObserver<LeaseAnswer> observer) {
+    if (!report.getInstallation().equals(installation) || report.getAskedCount() > MAX_NODES || report.getUsesCount() > MAX_NODES
         || report.getInstance().isEmpty() || report.getInstance().length() > 64) {
-      to.onError(new StatusRuntimeException(Status.INVALID_ARGUMENT.withDescription("a report of another installation's quotas")));
+      observer.onError(new StatusRuntimeException(Status.INVALID_ARGUMENT.withDescription("invalid report, or report of another installation")));
       return;
     }
     try {
       loop.execute(() -> {
         try {
-          Leases.Lease lease = leases.handleReport(nanos.getAsLong(), new Leases.Report(report.getInstance(),
-              report.getSeq(), report.getHolds(), nodes(report.getAskedList()), nodes(report.getUsesList())));
+          Leases.Lease lease = coordinator.handleReport(nanos.getAsLong(), new Leases.Report(report.getInstance(),
+              report.getSeq(), report.getHolds(), toMap(report.getAskedList()), toMap(report.getUsesList())));
           if (lease == null) {
-            to.onError(new StatusRuntimeException(Status.ABORTED.withDescription("an older report")));
+            observer.onError(new StatusRuntimeException(Status.ABORTED.withDescription("outdated report")));
             return;
           }
           LeaseAnswer.Builder a = LeaseAnswer.newBuilder().setNumber(lease.number()).setValidNanos(lease.validNanos());
-          lease.allowances().forEach((path, f) -> a.addFigures(node(path, f)));
-          to.onNext(a.build());
-          to.onCompleted();
+          lease.allowances().forEach((path, f) -> a.addFigures(toMessage(path, f)));
+          observer.onNext(a.build());
+          observer.onCompleted();
         } catch (IllegalArgumentException e) {
-          to.onError(new StatusRuntimeException(Status.RESOURCE_EXHAUSTED.withDescription(e.getMessage())));
+          observer.onError(new StatusRuntimeException(Status.RESOURCE_EXHAUSTED.withDescription(e.getMessage())));
         }
       });
     } catch (RejectedExecutionException e) {
-      to.onError(new StatusRuntimeException(Status.UNAVAILABLE));
+      observer.onError(new StatusRuntimeException(Status.UNAVAILABLE));
     }
   }
 
-  private LeaseReport message(Leases.Report r) {
+  private LeaseReport toMessage(Leases.Report r) {
     LeaseReport.Builder b = LeaseReport.newBuilder().setInstallation(installation).setInstance(r.instance()).setSeq(r.seq())
         .setHolds(r.heldLease());
-    r.demand().forEach((path, f) -> b.addAsked(node(path, f)));
-    r.allowances().forEach((path, f) -> b.addUses(node(path, f)));
+    r.demand().forEach((path, values) -> b.addAsked(toMessage(path, values)));
+    r.allowances().forEach((path, values) -> b.addUses(toMessage(path, values)));
     return b.build();
   }
 
-  private static Node node(String path, double[] figures) {
+  private static Node toMessage(String path, double[] values) {
     Node.Builder n = Node.newBuilder().setPath(path);
-    for (double f : figures) {
-      n.addFigures(f);
+    for (double value : values) {
+      n.addFigures(value);
     }
     return n.build();
   }
 
-  /** Nodes of the plan alone: what else is named would be kept for nothing. */
-  private Map<String, double[]> nodes(List<Node> of) {
-    Map<String, double[]> all = new HashMap<>();
-    for (Node n : of) {
-      if (n.getPath().length() <= MOST_PATH && plan.nodes().containsKey(n.getPath()) && n.getFiguresCount() == plan.lanes().size()) {
-        double[] f = new double[n.getFiguresCount()];
-        for (int i = 0; i < f.length; i++) {
-          f[i] = n.getFigures(i);
+  /** Converts nodes to a map; nodes that are not in the plan are dropped so that they take no memory. */
+  private Map<String, double[]> toMap(List<Node> nodes) {
+    Map<String, double[]> result = new HashMap<>();
+    for (Node n : nodes) {
+      if (n.getPath().length() <= MAX_PATH_LENGTH && plan.nodes().containsKey(n.getPath()) && n.getFiguresCount() == plan.lanes().size()) {
+        double[] values = new double[n.getFiguresCount()];
+        for (int i = 0; i < values.length; i++) {
+          values[i] = n.getFigures(i);
         }
-        all.put(n.getPath(), f);
+        result.put(n.getPath(), values);
       }
     }
-    return all;
+    return result;
   }
 
   @Override
   public void close() {
-    reports.cancel(false);
+    reportTask.cancel(false);
     channels.forEach(ManagedChannel::shutdownNow);
     if (server != null) {
       server.shutdownNow();
