--- a/quota/src/main/java/cloverpulley/quota/service/QuotaJournal.java
+++ b/quota/src/main/java/cloverpulley/quota/service/QuotaJournal.java
@@ -21,250 +21,250 @@
 import java.util.zip.CRC32C;
 
 /**
- * What nodes have used and are owed, kept over a restart: an append-only file of frames, each a batch of nodes' whole states at one time
- * under a CRC-32C, so that reading them in order and keeping the last of each node is the recovery, and reading one twice does no harm.
- * Past its bound the file is written anew with the last states alone, beside the old one, and put in its place in one step. A torn tail is
- * cut off; a spoilt frame is passed over to the next that fits, and counted: what was in it is taken from the frame before, which says
- * less used and more owed by what came between.
+ * Journal of the quota state over restarts. An append-only file of frames; each frame holds complete snapshots of a batch of nodes at one
+ * time and a CRC-32C. Recovery reads the frames in order and keeps the last snapshot of each node; reading a frame twice does no harm.
+ * Beyond a size limit the file is compacted: the latest snapshots are written to a new file that replaces the old one atomically. A
+ * truncated frame at the end is cut off. A corrupt frame is skipped up to the next valid one and counted; its nodes are recovered from an
+ * earlier frame, which understates usage and overstates credit by what happened in between.
  */
 public final class QuotaJournal implements AutoCloseable {
 
-  private static final long MAGIC = 0x4153_4851_5543_0001L; // "ASHQ", and the version at its end.
-  private static final int FRAME = 0x51F0_A3E7;
-  private static final int HEAD = 20;
-  private static final int MOST_FRAME = 64 << 20;
-  private static final int MOST_LANES = 16;
-  private static final int BATCH = 10_000;
-  /** What nobody charged for so long has filled again in every window there may be; debts older than that are forgiven. */
-  private static final long KEPT_MILLIS = 3_600_000;
+  private static final long MAGIC = 0x4153_4851_5543_0001L; // "ASHQ" and a version in the last bytes.
+  private static final int FRAME_MAGIC = 0x51F0_A3E7;
+  private static final int HEADER_BYTES = 20;
+  private static final int MAX_FRAME_BYTES = 64 << 20;
+  private static final int MAX_LANES = 16;
+  private static final int COMPACTION_BATCH = 10_000;
+  /** A node without charges for this long has been refilled in every possible window; older credit is dropped. */
+  private static final long RETENTION_MILLIS = 3_600_000;
 
-  /** A node's state and when it was that. */
   public record TimestampedSnapshot(NodeSnapshot snapshot, long unixMillis) {}
 
-  /** What was found. */
+  /** Result of recovery: the latest snapshot of each node, and what was found in the file. */
   public record Recovery(List<TimestampedSnapshot> snapshots, int frames, int corruptFrames, long truncatedBytes) {}
 
-  /** Where octets go, so that a test can take a disk's part. */
-  interface Disk {
+  /** Opens the files, so that tests can inject disk errors. */
+  interface FileOpener {
     FileChannel open(Path file) throws IOException;
   }
 
-  private static final Disk REAL = file -> FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
+  private static final FileOpener DEFAULT_OPENER = file -> FileChannel.open(file, StandardOpenOption.CREATE, StandardOpenOption.WRITE,
       StandardOpenOption.READ);
 
   private final Path file;
   private final String installation;
-  private final long most;
+  private final long maxBytes;
   private final boolean force;
-  private final Disk disk;
-  private final Map<String, TimestampedSnapshot> last = new LinkedHashMap<>();
-  private FileChannel out;
+  private final FileOpener opener;
+  private final Map<String, TimestampedSnapshot> latest = new LinkedHashMap<>();
+  private FileChannel channel;
   private long size;
 
   /**
-   * @param installation what this file belongs to, such as the names of the lanes: another's is refused
-   * @param most octets at which the file is written anew
-   * @param force whether each batch is forced to the disk
+   * @param installation identity of the installation, such as its lanes; a file of another one is rejected
+   * @param maxBytes size beyond which the file is compacted
+   * @param force whether each write is forced to the disk
    */
-  public QuotaJournal(Path file, String installation, long most, boolean force) {
-    this(file, installation, most, force, REAL);
+  public QuotaJournal(Path file, String installation, long maxBytes, boolean force) {
+    this(file, installation, maxBytes, force, DEFAULT_OPENER);
   }
 
-  QuotaJournal(Path file, String installation, long most, boolean force, Disk disk) {
+  QuotaJournal(Path file, String installation, long maxBytes, boolean force, FileOpener opener) {
     this.file = file;
     this.installation = installation;
-    this.most = most;
+    this.maxBytes = maxBytes;
     this.force = force;
-    this.disk = disk;
+    this.opener = opener;
   }
 
   /**
-   * Reads what there is, cuts a torn tail off, and goes on behind it.
+   * Recovers the state from the file, cuts off a truncated frame at the end and continues to write behind it.
    *
-   * @throws IOException where it can't be read or written, or belongs to another installation
+   * @throws IOException if the file can't be read or written, or belongs to another installation
    */
   public Recovery open() throws IOException {
     if (file.toAbsolutePath().getParent() != null) {
       Files.createDirectories(file.toAbsolutePath().getParent());
     }
-    out = disk.open(file);
-    byte[] all = new byte[(int) Math.min(out.size(), Integer.MAX_VALUE - 16)];
-    ByteBuffer b = ByteBuffer.wrap(all);
-    while (b.hasRemaining() && out.read(b, b.position()) >= 0) {
+    channel = opener.open(file);
+    byte[] bytes = new byte[(int) Math.min(channel.size(), Integer.MAX_VALUE - 16)];
+    ByteBuffer buffer = ByteBuffer.wrap(bytes);
+    while (buffer.hasRemaining() && channel.read(buffer, buffer.position()) >= 0) {
       continue;
     }
     byte[] name = installation.getBytes(java.nio.charset.StandardCharsets.UTF_8);
-    if (all.length < 12 + name.length) {
-      begin(out, name);
-      return new Recovery(List.of(), 0, 0, all.length);
+    if (bytes.length < 12 + name.length) {
+      writeHeader(channel, name);
+      return new Recovery(List.of(), 0, 0, bytes.length);
     }
-    ByteBuffer head = ByteBuffer.wrap(all);
-    if (head.getLong() != MAGIC || head.getInt() != name.length || !head.slice(12, name.length).equals(ByteBuffer.wrap(name))) {
-      out.close();
-      throw new IOException(file + ": no journal of this installation's quotas, or of another version; it is left as it is");
+    ByteBuffer header = ByteBuffer.wrap(bytes);
+    if (header.getLong() != MAGIC || header.getInt() != name.length || !header.slice(12, name.length).equals(ByteBuffer.wrap(name))) {
+      channel.close();
+      throw new IOException(file + ": not a quota journal of this installation, or one of another version; the file is left unchanged");
     }
-    return recover(all, 12 + name.length);
+    return recover(bytes, 12 + name.length);
   }
 
-  private Recovery recover(byte[] all, int from) throws IOException {
+  private Recovery recover(byte[] bytes, int from) throws IOException {
     int frames = 0;
     int corruptFrames = 0;
     int end = from;
     int at = from;
-    boolean lost = false;
-    while (at + HEAD <= all.length) {
-      ByteBuffer h = ByteBuffer.wrap(all, at, HEAD);
-      int magic = h.getInt();
-      int length = h.getInt();
-      long millis = h.getLong();
-      boolean fits = magic == FRAME && length >= 0 && length <= MOST_FRAME && at + HEAD + length <= all.length
-          && h.getInt() == sum(all, at, length);
-      if (!fits) {
-        corruptFrames += lost ? 0 : 1;
-        lost = true;
+    boolean inCorruptRegion = false;
+    while (at + HEADER_BYTES <= bytes.length) {
+      ByteBuffer header = ByteBuffer.wrap(bytes, at, HEADER_BYTES);
+      int magic = header.getInt();
+      int length = header.getInt();
+      long unixMillis = header.getLong();
+      boolean valid = magic == FRAME_MAGIC && length >= 0 && length <= MAX_FRAME_BYTES && at + HEADER_BYTES + length <= bytes.length
+          && header.getInt() == checksum(bytes, at, length);
+      if (!valid) {
+        corruptFrames += inCorruptRegion ? 0 : 1;
+        inCorruptRegion = true;
         at++;
         continue;
       }
-      lost = false;
-      for (NodeSnapshot k : read(all, at + HEAD, length)) {
-        last.remove(k.path());
-        last.put(k.path(), new TimestampedSnapshot(k, millis));
+      inCorruptRegion = false;
+      for (NodeSnapshot k : decodeFrame(bytes, at + HEADER_BYTES, length)) {
+        latest.remove(k.path());
+        latest.put(k.path(), new TimestampedSnapshot(k, unixMillis));
       }
       frames++;
-      at += HEAD + length;
+      at += HEADER_BYTES + length;
       end = at;
     }
-    // What follows the last frame that fits was cut off in its writing: no spoilt frame, but a tail.
-    corruptFrames -= lost ? 1 : 0;
-    out.truncate(end);
-    out.position(end);
+    // Bytes behind the last valid frame are a truncated write, not a corrupt frame.
+    corruptFrames -= inCorruptRegion ? 1 : 0;
+    channel.truncate(end);
+    channel.position(end);
     size = end;
-    return new Recovery(new ArrayList<>(last.values()), frames, corruptFrames, all.length - end);
+    return new Recovery(new ArrayList<>(latest.values()), frames, corruptFrames, bytes.length - end);
   }
 
-  private static int sum(byte[] all, int at, int length) {
+  private static int checksum(byte[] bytes, int at, int length) {
     CRC32C crc = new CRC32C();
-    crc.update(all, at, 16);
-    crc.update(all, at + HEAD, length);
+    crc.update(bytes, at, 16);
+    crc.update(bytes, at + HEADER_BYTES, length);
     return (int) crc.getValue();
   }
 
-  private void begin(FileChannel to, byte[] name) throws IOException {
-    to.truncate(0);
-    ByteBuffer b = ByteBuffer.allocate(12 + name.length).putLong(MAGIC).putInt(name.length).put(name).flip();
-    size = b.remaining();
-    write(to, b, 0);
-    to.position(size);
+  private void writeHeader(FileChannel target, byte[] name) throws IOException {
+    target.truncate(0);
+    ByteBuffer buffer = ByteBuffer.allocate(12 + name.length).putLong(MAGIC).putInt(name.length).put(name).flip();
+    size = buffer.remaining();
+    writeFully(target, buffer, 0);
+    target.position(size);
   }
 
-  private static void write(FileChannel to, ByteBuffer b, long at) throws IOException {
+  private static void writeFully(FileChannel target, ByteBuffer buffer, long at) throws IOException {
     long p = at;
-    while (b.hasRemaining()) {
-      p += to.write(b, p);
+    while (buffer.hasRemaining()) {
+      p += target.write(buffer, p);
     }
   }
 
-  /** Appends the states of nodes that have changed, all of one time. */
-  public void append(long unixMillis, Collection<NodeSnapshot> changed) throws IOException {
-    if (changed.isEmpty()) {
+  /** Appends snapshots of changed nodes, all taken at one time. */
+  public void append(long unixMillis, Collection<NodeSnapshot> snapshots) throws IOException {
+    if (snapshots.isEmpty()) {
       return;
     }
-    if (out == null) {
+    if (channel == null) {
       if (size == 0) {
         throw new IOException(file + ": the journal is not open");
       }
-      out = disk.open(file); // Written anew, and then not to be opened: it may be now.
+      channel = opener.open(file); // The file could not be reopened after a compaction; try again.
     }
-    ByteBuffer frame = frame(unixMillis, changed);
-    write(out, frame, size);
+    ByteBuffer frame = encodeFrame(unixMillis, snapshots);
+    writeFully(channel, frame, size);
     size += frame.limit();
-    changed.forEach(k -> {
-      last.remove(k.path());
-      last.put(k.path(), new TimestampedSnapshot(k, unixMillis));
+    snapshots.forEach(k -> {
+      latest.remove(k.path());
+      latest.put(k.path(), new TimestampedSnapshot(k, unixMillis));
     });
     if (force) {
-      out.force(false);
+      channel.force(false);
     }
-    if (size > most) {
+    if (size > maxBytes) {
       compact(unixMillis);
     }
   }
 
-  private static ByteBuffer frame(long unixMillis, Collection<NodeSnapshot> of) throws IOException {
-    ByteArrayOutputStream bytes = new ByteArrayOutputStream();
-    DataOutputStream d = new DataOutputStream(bytes);
-    d.writeInt(of.size());
-    for (NodeSnapshot k : of) {
-      d.writeUTF(k.path());
-      d.writeByte(k.used().length);
+  private static ByteBuffer encodeFrame(long unixMillis, Collection<NodeSnapshot> snapshots) throws IOException {
+    ByteArrayOutputStream output = new ByteArrayOutputStream();
+    DataOutputStream data = new DataOutputStream(output);
+    data.writeInt(snapshots.size());
+    for (NodeSnapshot k : snapshots) {
+      data.writeUTF(k.path());
+      data.writeByte(k.used().length);
       for (int i = 0; i < k.used().length; i++) {
-        d.writeFloat((float) k.used()[i]);
-        d.writeFloat((float) k.lag()[i]);
-        d.writeFloat((float) k.credit()[i]);
-        d.writeFloat((float) k.windowUsage()[i]);
+        data.writeFloat((float) k.used()[i]);
+        data.writeFloat((float) k.lag()[i]);
+        data.writeFloat((float) k.credit()[i]);
+        data.writeFloat((float) k.windowUsage()[i]);
       }
     }
-    byte[] body = bytes.toByteArray();
-    ByteBuffer b = ByteBuffer.allocate(HEAD + body.length).putInt(FRAME).putInt(body.length).putLong(unixMillis).putInt(0).put(body);
-    b.putInt(16, sum(b.array(), 0, body.length));
-    return b.flip();
+    byte[] body = output.toByteArray();
+    ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + body.length).putInt(FRAME_MAGIC).putInt(body.length).putLong(unixMillis)
+        .putInt(0).put(body);
+    buffer.putInt(16, checksum(buffer.array(), 0, body.length));
+    return buffer.flip();
   }
 
-  private static List<NodeSnapshot> read(byte[] all, int at, int length) throws IOException {
+  private static List<NodeSnapshot> decodeFrame(byte[] bytes, int at, int length) throws IOException {
     List<NodeSnapshot> snapshots = new ArrayList<>();
-    DataInputStream d = new DataInputStream(new ByteArrayInputStream(all, at, length));
-    int n = d.readInt();
-    for (int i = 0; i < n; i++) {
-      String path = d.readUTF();
-      int lanes = d.readUnsignedByte();
-      if (lanes > MOST_LANES) {
-        throw new IOException("more lanes than there may be");
+    DataInputStream data = new DataInputStream(new ByteArrayInputStream(bytes, at, length));
+    int count = data.readInt();
+    for (int i = 0; i < count; i++) {
+      String path = data.readUTF();
+      int lanes = data.readUnsignedByte();
+      if (lanes > MAX_LANES) {
+        throw new IOException("more lanes than supported");
       }
-      double[][] f = new double[4][lanes];
+      double[][] values = new double[4][lanes];
       for (int j = 0; j < lanes; j++) {
         for (int k = 0; k < 4; k++) {
-          f[k][j] = d.readFloat();
+          values[k][j] = data.readFloat();
         }
       }
-      snapshots.add(new NodeSnapshot(path, f[0], f[1], f[2], f[3]));
+      snapshots.add(new NodeSnapshot(path, values[0], values[1], values[2], values[3]));
     }
     return snapshots;
   }
 
-  /** Written anew beside the old one, and in its place in one step: at any moment one of the two is whole. */
+  /** Writes the latest snapshots to a new file and replaces the old one atomically: one of the two is complete at any time. */
   private void compact(long unixMillis) throws IOException {
-    Path part = file.resolveSibling(file.getFileName() + ".part");
-    Files.deleteIfExists(part);
-    long before = size;
-    try (FileChannel next = disk.open(part)) {
-      begin(next, installation.getBytes(java.nio.charset.StandardCharsets.UTF_8));
-      last.values().removeIf(t -> t.unixMillis < unixMillis - KEPT_MILLIS);
-      // In batches of one time each; most are of few times, for what is charged is charged again.
+    Path temporary = file.resolveSibling(file.getFileName() + ".part");
+    Files.deleteIfExists(temporary);
+    long previousSize = size;
+    try (FileChannel target = opener.open(temporary)) {
+      writeHeader(target, installation.getBytes(java.nio.charset.StandardCharsets.UTF_8));
+      latest.values().removeIf(t -> t.unixMillis < unixMillis - RETENTION_MILLIS);
+      // One frame per time and batch. There are few different times, because active nodes are charged again.
       Map<Long, List<NodeSnapshot>> byTime = new TreeMap<>();
-      last.values().forEach(t -> byTime.computeIfAbsent(t.unixMillis, k -> new ArrayList<>()).add(t.snapshot));
+      latest.values().forEach(t -> byTime.computeIfAbsent(t.unixMillis, k -> new ArrayList<>()).add(t.snapshot));
       for (Map.Entry<Long, List<NodeSnapshot>> e : byTime.entrySet()) {
-        for (int i = 0; i < e.getValue().size(); i += BATCH) {
-          ByteBuffer b = frame(e.getKey(), e.getValue().subList(i, Math.min(e.getValue().size(), i + BATCH)));
-          write(next, b, size);
-          size += b.limit();
+        for (int i = 0; i < e.getValue().size(); i += COMPACTION_BATCH) {
+          ByteBuffer buffer = encodeFrame(e.getKey(), e.getValue().subList(i, Math.min(e.getValue().size(), i + COMPACTION_BATCH)));
+          writeFully(target, buffer, size);
+          size += buffer.limit();
         }
       }
-      next.force(true);
+      target.force(true);
     } catch (IOException e) {
-      size = before; // The old one goes on.
+      size = previousSize; // The old file stays in use.
       throw e;
     }
     try {
-      Files.move(part, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+      Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
     } catch (IOException e) {
-      size = before;
+      size = previousSize;
       throw e;
     }
-    // The old one has no name any more: nothing may go there.
-    FileChannel old = out;
-    out = null;
+    // The old file is unlinked and must not be written any more.
+    FileChannel old = channel;
+    channel = null;
     old.close();
-    out = disk.open(file);
+    channel = opener.open(file);
   }
 
   long size() {
@@ -273,10 +273,10 @@
 
   @Override
   public void close() throws IOException {
-    if (out != null) {
-      out.force(false);
-      out.close();
-      out = null;
+    if (channel != null) {
+      channel.force(false);
+      channel.close();
+      channel = null;
     }
   }
 }
--- a/quota/src/test/java/cloverpulley/quota/service/QuotaJournalTest.java
+++ b/quota/src/test/java/cloverpulley/quota/service/QuotaJournalTest.java
@@ -120,7 +120,7 @@
     Path file = write(3);
     byte[] before = Files.readAllBytes(file);
     QuotaJournal other = new QuotaJournal(file, "[work in 1000 ms]xxx", Long.MAX_VALUE, false);
-    assertTrue(assertThrows(IOException.class, other::open).getMessage().contains("no journal of this installation"));
+    assertTrue(assertThrows(IOException.class, other::open).getMessage().contains("not a quota journal of this installation"));
     Path text = Files.writeString(folder.resolve("text"), "something else, and rather long, so that it is no cut-off head of ours");
     assertThrows(IOException.class, () -> new QuotaJournal(text, NAME, 100, false).open());
     assertArrayEquals(before, Files.readAllBytes(file));
@@ -163,7 +163,7 @@
   @Test
   void aFullDiskLosesNothingThatWasWhole() throws IOException {
     Path file = folder.resolve("q.journal");
-    QuotaJournal.Disk readOnlySecond = new QuotaJournal.Disk() {
+    QuotaJournal.FileOpener readOnlySecond = new QuotaJournal.FileOpener() {
       private int opened;
 
       @Override
@@ -204,7 +204,7 @@
       try {
         read(file, new QuotaJournal.Recovery[1]).forEach((k, v) -> assertTrue(k.matches("n\\d+"), k));
       } catch (IOException e) {
-        assertTrue(e.getMessage().contains("no journal"), e.getMessage());
+        assertTrue(e.getMessage().contains("not a quota journal"), e.getMessage());
       }
     }
   }
