--- a/quota/src/main/java/cloverpulley/quota/service/QuotaKeeper.java
+++ b/quota/src/main/java/cloverpulley/quota/service/QuotaKeeper.java
@@ -23,16 +23,16 @@
 import java.util.logging.Logger;
 
 /**
- * Quotas on a loop, and their journal beside it: what was charged goes to the file some times a second, by a thread of its own that the
- * loop never waits for. A disk that fails is named once; decisions go on, and all is written again once it can be. Everything but the
- * start and the end is called on the loop.
+ * Runs the quotas on an event loop and keeps their journal. Changed state is written several times a second by a separate thread that the
+ * loop never waits for. A failing disk is logged once; decisions continue, and all unwritten state is written as soon as the disk works
+ * again. All methods except the constructor and {@link #close} are called on the loop.
  */
 public final class QuotaKeeper implements AutoCloseable {
 
-  /** Kinds of answers whose octets are remembered: bounds it where kinds come from callers. */
-  private static final int KINDS = 1024;
-  /** An answer teaches no more than this part of all octets that there are in a window. */
-  private static final double ANSWER_PART = 0.1;
+  /** Number of response kinds whose size is estimated; bounded because kinds come from callers. */
+  private static final int MAX_KINDS = 1024;
+  /** A response counts in the estimate for at most this part of all bytes available in a window. */
+  private static final double MAX_SAMPLE_RATIO = 0.1;
 
   private static final Logger LOG = Logger.getLogger(QuotaKeeper.class.getName());
   private static final long CLOSE_SECONDS = 5;
@@ -41,53 +41,53 @@
   private final Quotas quotas;
   private final QuotaJournal journal;
   private final LongSupplier nanos;
-  private final ScheduledFuture<?> flushes;
+  private final ScheduledFuture<?> flushTask;
   private final ExecutorService writer = Executors.newSingleThreadExecutor(task -> {
     Thread t = new Thread(task, "quota journal");
     t.setDaemon(true);
     return t;
   });
-  private final LeaseLink link;
+  private final LeaseLink leaseLink;
   private final AtomicBoolean writing = new AtomicBoolean();
-  private volatile boolean faulty;
-  /** The file is another's, or can't be opened: it is left as it is. */
-  private boolean broken;
-  /** The writer's: states that are not in the file yet, one a node. */
+  private volatile boolean journalFailing;
+  /** The journal can't be opened or belongs to another installation; it is left unchanged. */
+  private boolean journalUnusable;
+  /** Snapshots not yet in the file, one per node; used by the writer thread only. */
   private final Map<String, NodeSnapshot> unwritten = new HashMap<>();
   private final double[] cost;
   private final double[] actual;
-  /** The lanes of octets out, whose cost is known only with the answer. */
-  private final BitSet out = new BitSet();
+  /** Lanes of bytes out, whose cost is known only with the response. */
+  private final BitSet bytesOutLanes = new BitSet();
   private final SizeEstimator responseSizes;
   private final long startMillis = System.currentTimeMillis();
   private final long startNanos = System.nanoTime();
 
-  /** Reads the journal, if there is one, and starts; what a file lacks or spoils is told in the log. */
+  /** Restores the journal, if there is one, and starts; missing or corrupt data is logged. */
   public QuotaKeeper(QuotaConfig config, ScheduledExecutorService loop, LongSupplier nanos) {
     this.config = config;
     this.nanos = nanos;
     quotas = new Quotas(config.plan(), config.maxDynamicNodes(), nanos.getAsLong());
     cost = new double[config.plan().lanes().size()];
     actual = new double[cost.length];
-    double most = Double.POSITIVE_INFINITY;
+    double maxSampleBytes = Double.POSITIVE_INFINITY;
     for (int i = 0; i < cost.length; i++) {
-      out.set(i, config.plan().lanes().get(i).dimension() == Dimension.BYTES_OUT);
-      most = out.get(i) ? Math.min(most, config.plan().nodes().get("").guarantee()[i] * ANSWER_PART) : most;
+      bytesOutLanes.set(i, config.plan().lanes().get(i).dimension() == Dimension.BYTES_OUT);
+      maxSampleBytes = bytesOutLanes.get(i) ? Math.min(maxSampleBytes, config.plan().nodes().get("").guarantee()[i] * MAX_SAMPLE_RATIO) : maxSampleBytes;
     }
-    responseSizes = new SizeEstimator(KINDS, most);
+    responseSizes = new SizeEstimator(MAX_KINDS, maxSampleBytes);
     journal = config.journal() == null ? null : new QuotaJournal(config.journal(), installation(config.plan()), config.maxJournalBytes(),
         config.force());
     recover();
     try {
-      link = config.leases() == null ? null : new LeaseLink(config.plan(), config.leases(), this, loop, nanos);
+      leaseLink = config.leases() == null ? null : new LeaseLink(config.plan(), config.leases(), this, loop, nanos);
     } catch (IOException e) {
-      throw new UncheckedIOException("quotas can't be divided at " + config.leases().listen() + ": " + e.getMessage(), e);
+      throw new UncheckedIOException("can't listen for quota lease reports at " + config.leases().listen() + ": " + e.getMessage(), e);
     }
-    flushes = journal == null ? null : loop.scheduleWithFixedDelay(this::flush, config.flushMillis(), config.flushMillis(),
+    flushTask = journal == null ? null : loop.scheduleWithFixedDelay(this::flush, config.flushMillis(), config.flushMillis(),
         TimeUnit.MILLISECONDS);
   }
 
-  /** Lanes are what a state's figures mean: a file with others is another installation's. */
+  /** The lanes give the values of a snapshot their meaning, so a file with other lanes belongs to another installation. */
   static String installation(QuotaPlan plan) {
     return plan.lanes().toString();
   }
@@ -105,55 +105,54 @@
       LOG.info("quota journal read: nodes=" + r.snapshots().size() + " frames=" + r.frames() + " spoilt=" + r.corruptFrames() + " torn_octets="
           + r.truncatedBytes());
     } catch (IOException e) {
-      faulty = true;
-      broken = true;
-      LOG.warning("quotas start without what was owed: " + e.getMessage());
+      journalFailing = true;
+      journalUnusable = true;
+      LOG.warning("quota journal not restored, starting without saved state: " + e.getMessage());
     }
   }
 
-  /** Where it divides the quotas among instances; null where it does not. */
+  /** Address of this instance's lease coordinator; null where it is none. */
   public InetSocketAddress leaseAddress() {
-    return link == null ? null : link.address();
+    return leaseLink == null ? null : leaseLink.address();
   }
 
-  /** The decisions themselves. */
   public Quotas quotas() {
     return quotas;
   }
 
-  /** One request of so much work, without an answer whose octets count; a grant, or a refusal ({@link Quotas#isRejected}). */
+  /** Requests the given cost without counting bytes of the response. Returns a grant, or a rejection ({@link Quotas#isRejected}). */
   public long tryAcquire(String path, double requests, double bytesIn, double workMillis, boolean inFlight) {
     return tryAcquire(path, requests, bytesIn, 0, workMillis, inFlight);
   }
 
-  /** What the answer to a request of a kind is expected to have in octets; 0 where no lane counts them. */
+  /** Returns the estimated size of the response to a request of a kind; 0 where no lane counts it. */
   public double expectedResponseBytes(String kind) {
-    return out.isEmpty() ? 0 : responseSizes.estimate(kind);
+    return bytesOutLanes.isEmpty() ? 0 : responseSizes.estimate(kind);
   }
 
   /**
-   * The answer to what was granted has been seen, or there will be none: what was expected of it is set right. Once for each grant,
-   * before its {@link #release}.
+   * Replaces the estimated response size of a grant by the actual one. To be called once for each grant, before {@link #release}, also
+   * where there was no response.
    *
-   * @param askedAt clock reading at which it was granted
-   * @param expected what {@link #tryAcquire} was told
-   * @param octets of the answer; below 0 where there was none, which teaches nothing of its kind
+   * @param grantedAt clock reading of the grant
+   * @param expected the estimate passed to {@link #tryAcquire}
+   * @param bytes size of the response; negative for no response, which doesn't count in the estimate
    */
-  public void settleResponse(String path, long grant, long askedAt, String kind, double expected, long octets) {
-    if (out.isEmpty() || Quotas.isRejected(grant)) {
+  public void settleResponse(String path, long grant, long grantedAt, String kind, double expected, long bytes) {
+    if (bytesOutLanes.isEmpty() || Quotas.isRejected(grant)) {
       return;
     }
-    if (octets >= 0) {
-      responseSizes.record(kind, octets);
+    if (bytes >= 0) {
+      responseSizes.record(kind, bytes);
     }
     for (int i = 0; i < cost.length; i++) {
-      cost[i] = out.get(i) ? expected : 0;
-      actual[i] = out.get(i) ? Math.max(0, octets) : 0;
+      cost[i] = bytesOutLanes.get(i) ? expected : 0;
+      actual[i] = bytesOutLanes.get(i) ? Math.max(0, bytes) : 0;
     }
-    quotas.settle(nanos.getAsLong(), path == null ? "" : path, grant, askedAt, cost, actual);
+    quotas.settle(nanos.getAsLong(), path == null ? "" : path, grant, grantedAt, cost, actual);
   }
 
-  /** The same, of whose answer so many octets are expected. */
+  /** Requests the given cost with an estimated response size. Returns a grant, or a rejection ({@link Quotas#isRejected}). */
   public long tryAcquire(String path, double requests, double bytesIn, double bytesOut, double workMillis, boolean inFlight) {
     List<Lane> lanes = config.plan().lanes();
     for (int i = 0; i < cost.length; i++) {
@@ -172,78 +171,78 @@
     return grant;
   }
 
-  /** The request of a grant is over, whatever its end; once for each grant of one that was in flight. */
+  /** Ends a granted request, whatever its outcome; once for each grant of a request in flight. */
   public void release(String path, long grant) {
     quotas.release(nanos.getAsLong(), path == null ? "" : path, grant);
   }
 
-  /** In how many nanoseconds the share of whoever was refused last is there. */
+  /** Returns the time until the request rejected last could be granted. */
   public long retryAfterNanos() {
     return Math.max(0, quotas.retryAt() - nanos.getAsLong());
   }
 
   /**
-   * Another plan; what was used, is owed and is in flight stays.
+   * Replaces the plan; usage, credit and requests in flight stay.
    *
-   * @throws IllegalStateException where instances share the quotas
+   * @throws IllegalStateException if instances share the quotas
    */
   public void updatePlan(QuotaPlan plan) {
-    if (link != null) {
-      // Others divide by the plan that they have: a change is one of all instances, each begun anew.
-      throw new IllegalStateException("quota: with [quota.leases] a change of quotas needs a restart, the quotas before stay");
+    if (leaseLink != null) {
+      // Other instances divide by the plan that they started with, so all of them have to be restarted with a new one.
+      throw new IllegalStateException("quota: with [quota.leases] a change of quotas needs a restart, the previous quotas remain in effect");
     }
     quotas.updatePlan(plan, nanos.getAsLong());
   }
 
-  /** Unix time by the wall clock of the start and the monotonic clock since then: a step ages nothing that is owed. */
+  /** Unix time from the wall clock at the start and the monotonic clock since then, so that a clock step ages no saved state. */
   private long unixMillis() {
     return startMillis + TimeUnit.NANOSECONDS.toMillis(System.nanoTime() - startNanos);
   }
 
   private void flush() {
-    // One writing at a time: while the disk is slow, what is charged gathers in the nodes, and not in a queue.
-    if (broken || !writing.compareAndSet(false, true)) {
+    // One write at a time: while the disk is slow, changes accumulate in the nodes and not in a queue.
+    if (journalUnusable || !writing.compareAndSet(false, true)) {
       return;
     }
     List<NodeSnapshot> snapshots = quotas.snapshotChanged(nanos.getAsLong());
     long now = unixMillis();
     writer.execute(() -> {
-      // What could not be written is written with what came since; the latest of a node is all there is to know.
+      // Snapshots of a failed write are written with the next one; only the latest of each node counts.
       snapshots.forEach(k -> unwritten.put(k.path(), k));
       try {
         journal.append(now, unwritten.values());
         unwritten.clear();
-        if (faulty) {
+        if (journalFailing) {
           LOG.info("the quota journal can be written again");
         }
-        faulty = false;
+        journalFailing = false;
       } catch (IOException e) {
-        if (!faulty) {
-          LOG.warning("the quota journal can't be written, a restart would forget: " + e);
+        if (!journalFailing) {
+          LOG.warning("the quota journal can't be written, a restart would lose recent usage: " + e);
         }
-        faulty = true;
+        journalFailing = true;
       } finally {
         writing.set(false);
       }
     });
   }
 
-  /** Whether a restart now would forget what was charged lately. */
+  /** Whether a restart now would lose recent usage. */
   public boolean isJournalFailing() {
-    return faulty;
+    return journalFailing;
   }
 
-  /** Writes what is owed. To be called after the loop's last decision. */
+  /** Writes the final state. To be called after the last decision on the loop. */
   @Override
   public void close() {
-    if (link != null) {
-      link.close();
+    if (leaseLink != null) {
+      leaseLink.close();
     }
     if (journal == null) {
       return;
     }
-    flushes.cancel(false);
-    if (broken) {
+    flushTask.cancel(false);
+    if (journalUnusable) {
       writer.shutdown();
       return;
     }
@@ -253,7 +252,7 @@
       try (journal) {
         journal.append(now, snapshots);
       } catch (IOException e) {
-        LOG.warning("the quota journal could not be ended: " + e);
+        LOG.warning("the quota journal could not be closed: " + e);
       }
     });
     writer.shutdown();
