--- a/quota/src/main/java/cloverpulley/quota/service/QuotaKeeper.java
+++ b/quota/src/main/java/cloverpulley/quota/service/QuotaKeeper.java
@@ -69,12 +69,12 @@
     quotas = new Quotas(config.plan(), config.maxDynamicNodes(), nanos.getAsLong());
     cost = new double[config.plan().lanes().size()];
     actual = new double[cost.length];
-    double maxSampleBytes = Double.POSITIVE_INFINITY;
+    double maxSample = Double.POSITIVE_INFINITY;
     for (int i = 0; i < cost.length; i++) {
       bytesOutLanes.set(i, config.plan().lanes().get(i).dimension() == Dimension.BYTES_OUT);
-      maxSampleBytes = bytesOutLanes.get(i) ? Math.min(maxSampleBytes, config.plan().nodes().get("").guarantee()[i] * MAX_SAMPLE_RATIO) : maxSampleBytes;
+      maxSample = bytesOutLanes.get(i) ? Math.min(maxSample, config.plan().nodes().get("").guarantee()[i] * MAX_SAMPLE_RATIO) : maxSample;
     }
-    responseSizes = new SizeEstimator(MAX_KINDS, maxSampleBytes);
+    responseSizes = new SizeEstimator(MAX_KINDS, maxSample);
     journal = config.journal() == null ? null : new QuotaJournal(config.journal(), installation(config.plan()), config.maxJournalBytes(),
         config.force());
     recover();
--- a/quota/src/main/java/cloverpulley/quota/service/RateLimitServer.java
+++ b/quota/src/main/java/cloverpulley/quota/service/RateLimitServer.java
@@ -25,20 +25,21 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * {@code envoy.service.ratelimit.v3.RateLimitService}: partners' proxies ask for quotas alone. A descriptor's values, joined by /, are the
- * node's path. Each descriptor is asked by itself, and any refusal refuses all; what was granted beside it stays charged, as the published
- * service counts. Answers carry the RateLimit fields of draft-ietf-httpapi-ratelimit-headers.
+ * Serves {@code envoy.service.ratelimit.v3.RateLimitService}: proxies of partners request quota decisions alone. The values of a
+ * descriptor, joined by /, are the path of a node. Each descriptor is checked separately and any rejection rejects the request; what was
+ * granted for the other descriptors stays charged, as in the reference implementation. Responses carry the RateLimit fields of
+ * draft-ietf-httpapi-ratelimit-headers.
  */
 public final class RateLimitServer implements AutoCloseable {
 
-  private static final int MOST_MESSAGE = 64 << 10;
-  private static final int MOST_DESCRIPTORS = 64;
-  private static final int MOST_PATH = 256;
-  private static final long MOST_HITS = 1_000_000;
+  private static final int MAX_MESSAGE_BYTES = 64 << 10;
+  private static final int MAX_DESCRIPTORS = 64;
+  private static final int MAX_PATH_LENGTH = 256;
+  private static final long MAX_HITS = 1_000_000;
   private static final long STOP_SECONDS = 5;
-  private static final int CALLS = 10_000;
+  private static final int MAX_CONCURRENT_CALLS = 10_000;
 
-  /** The method as published. */
+  /** The method as published by Envoy. */
   public static final MethodDescriptor<RateLimitRequest, RateLimitResponse> SHOULD_RATE_LIMIT =
       MethodDescriptor.<RateLimitRequest, RateLimitResponse>newBuilder().setType(MethodDescriptor.MethodType.UNARY)
           .setFullMethodName("envoy.service.ratelimit.v3.RateLimitService/ShouldRateLimit")
@@ -48,74 +49,74 @@
   private final QuotaKeeper keeper;
   private final ScheduledExecutorService loop;
   private final String domain;
-  private final Lane first;
+  private final Lane firstLane;
   private final Server server;
 
   public RateLimitServer(QuotaConfig config, QuotaKeeper keeper, ScheduledExecutorService loop) throws IOException {
     this.keeper = keeper;
     this.loop = loop;
     domain = config.domain();
-    first = config.plan().lanes().get(0);
-    server = NettyServerBuilder.forAddress(config.listen()).directExecutor().maxInboundMessageSize(MOST_MESSAGE)
-        .maxConcurrentCallsPerConnection(CALLS)
+    firstLane = config.plan().lanes().get(0);
+    server = NettyServerBuilder.forAddress(config.listen()).directExecutor().maxInboundMessageSize(MAX_MESSAGE_BYTES)
+        .maxConcurrentCallsPerConnection(MAX_CONCURRENT_CALLS)
         .addService(ServerServiceDefinition.builder("envoy.service.ratelimit.v3.RateLimitService")
-            .addMethod(SHOULD_RATE_LIMIT, ServerCalls.asyncUnaryCall(this::call)).build()).build().start();
+            .addMethod(SHOULD_RATE_LIMIT, ServerCalls.asyncUnaryCall(this::shouldRateLimit)).build()).build().start();
   }
 
   public InetSocketAddress address() {
     return (InetSocketAddress) server.getListenSockets().get(0);
   }
 
-  private void call(RateLimitRequest request, StreamObserver<RateLimitResponse> to) {
-    if (!request.getDomain().equals(domain) || request.getDescriptorsCount() == 0 || request.getDescriptorsCount() > MOST_DESCRIPTORS) {
-      to.onError(new StatusRuntimeException(Status.INVALID_ARGUMENT.withDescription("expected the domain " + domain + " and 1 to "
-          + MOST_DESCRIPTORS + " descriptors")));
+  private void shouldRateLimit(RateLimitRequest request, StreamObserver<RateLimitResponse> observer) {
+    if (!request.getDomain().equals(domain) || request.getDescriptorsCount() == 0 || request.getDescriptorsCount() > MAX_DESCRIPTORS) {
+      observer.onError(new StatusRuntimeException(Status.INVALID_ARGUMENT.withDescription("expected the domain " + domain + " and 1 to "
+          + MAX_DESCRIPTORS + " descriptors")));
       return;
     }
     try {
       loop.execute(() -> {
-        RateLimitResponse answer = decide(request);
-        to.onNext(answer);
-        to.onCompleted();
+        RateLimitResponse response = decide(request);
+        observer.onNext(response);
+        observer.onCompleted();
       });
     } catch (RejectedExecutionException e) {
-      to.onError(new StatusRuntimeException(Status.UNAVAILABLE.withDescription("stopping")));
+      observer.onError(new StatusRuntimeException(Status.UNAVAILABLE.withDescription("stopping")));
     }
   }
 
   private RateLimitResponse decide(RateLimitRequest request) {
-    RateLimitResponse.Builder all = RateLimitResponse.newBuilder().setOverallCode(Code.OK);
-    long wait = 0;
-    for (RateLimitDescriptor d : request.getDescriptorsList()) {
-      long hits = d.hasHitsAddend() ? d.getHitsAddend().getValue() : Math.max(1, Integer.toUnsignedLong(request.getHitsAddend()));
-      long grant = keeper.tryAcquire(path(d), Math.max(0, Math.min(MOST_HITS, hits)), 0, 0, false);
+    RateLimitResponse.Builder response = RateLimitResponse.newBuilder().setOverallCode(Code.OK);
+    long waitNanos = 0;
+    for (RateLimitDescriptor descriptor : request.getDescriptorsList()) {
+      long hits = descriptor.hasHitsAddend() ? descriptor.getHitsAddend().getValue() : Math.max(1, Integer.toUnsignedLong(request.getHitsAddend()));
+      long grant = keeper.tryAcquire(path(descriptor), Math.max(0, Math.min(MAX_HITS, hits)), 0, 0, false);
       DescriptorStatus.Builder status = DescriptorStatus.newBuilder().setCode(Code.OK);
       if (Quotas.isRejected(grant)) {
         long nanos = keeper.retryAfterNanos();
-        wait = Math.max(wait, nanos);
-        all.setOverallCode(Code.OVER_LIMIT);
+        waitNanos = Math.max(waitNanos, nanos);
+        response.setOverallCode(Code.OVER_LIMIT);
         status.setCode(Code.OVER_LIMIT).setDurationUntilReset(Duration.newBuilder().setSeconds(nanos / 1_000_000_000)
             .setNanos((int) (nanos % 1_000_000_000)));
       }
-      all.addStatuses(status);
+      response.addStatuses(status);
     }
-    if (all.getOverallCode() == Code.OVER_LIMIT) {
-      long seconds = Math.max(1, (wait + 999_999_999) / 1_000_000_000);
-      all.addResponseHeadersToAdd(HeaderValue.newBuilder().setKey("RateLimit").setValue("\"" + first.dimension().label() + "\";r=0;t="
+    if (response.getOverallCode() == Code.OVER_LIMIT) {
+      long seconds = Math.max(1, (waitNanos + 999_999_999) / 1_000_000_000);
+      response.addResponseHeadersToAdd(HeaderValue.newBuilder().setKey("RateLimit").setValue("\"" + firstLane.dimension().label() + "\";r=0;t="
           + seconds)).addResponseHeadersToAdd(HeaderValue.newBuilder().setKey("Retry-After").setValue(Long.toString(seconds)));
     }
-    return all.build();
+    return response.build();
   }
 
-  /** A node's path; whatever can't be one is under nobody's name. */
-  static String path(RateLimitDescriptor d) {
+  /** Returns the path of a node; empty, for an unknown caller, where the values can't form a path. */
+  static String path(RateLimitDescriptor descriptor) {
     StringBuilder path = new StringBuilder();
-    for (RateLimitDescriptor.Entry e : d.getEntriesList()) {
-      String v = e.getValue();
-      if (v.isEmpty() || v.indexOf('/') >= 0 || path.length() + v.length() > MOST_PATH) {
+    for (RateLimitDescriptor.Entry entry : descriptor.getEntriesList()) {
+      String value = entry.getValue();
+      if (value.isEmpty() || value.indexOf('/') >= 0 || path.length() + value.length() > MAX_PATH_LENGTH) {
         return "";
       }
-      path.append(path.length() == 0 ? "" : "/").append(v);
+      path.append(path.length() == 0 ? "" : "/").append(value);
     }
     return path.toString();
   }
--- a/quota/src/main/java/cloverpulley/quota/service/package-info.java
+++ b/quota/src/main/java/cloverpulley/quota/service/package-info.java
@@ -1,2 +1,2 @@
-/** Quotas in service: the operators' file, the journal that a restart reads, the rate limit service; decisions are in {@code cloverpulley.quota}. */
+/** Quotas as a service: settings, journal, leases and the rate limit service. The decisions are made in {@code cloverpulley.quota}. */
 package cloverpulley.quota.service;
