--- a/decision/src/test/java/cloverpulley/quota/FluidTest.java
+++ b/decision/src/test/java/cloverpulley/quota/FluidTest.java
@@ -1,7 +1,7 @@
 package cloverpulley.quota;
 
-import static cloverpulley.quota.Play.SECOND;
-import static cloverpulley.quota.Play.of;
+import static cloverpulley.quota.Simulation.SECOND;
+import static cloverpulley.quota.Simulation.of;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.util.ArrayList;
@@ -83,10 +83,10 @@
       SplittableRandom random = new SplittableRandom(seed);
       Fluid f = new Fluid();
       double total = 600;
-      QuotaPlan.Builder plan = Play.requestsPerSecond(total);
+      QuotaPlan.Builder plan = Simulation.requestsPerSecond(total);
       List<String> leaves = new ArrayList<>();
       grow(random, f, plan, "", total, 0, leaves);
-      Play p = new Play(seed);
+      Simulation p = new Simulation(seed);
       for (String leaf : leaves) {
         double rate = random.nextInt(3) == 0 ? 0 : f.guarantee.get(leaf) * random.nextDouble() * 4 + random.nextInt(30);
         f.demand.put(leaf, rate);
@@ -99,7 +99,7 @@
       double use = 0;
       double due = 0;
       for (String leaf : leaves) {
-        double real = p.accounts.get(leaf).given(SETTLE, SECONDS) / (SECONDS - SETTLE);
+        double real = p.usages.get(leaf).granted(SETTLE, SECONDS) / (SECONDS - SETTLE);
         double off = Math.abs(real - reference.get(leaf)) / total;
         worst = Math.max(worst, off);
         assertTrue(off <= MARGIN, "seed " + seed + ", " + leaf + ": " + real + " and " + reference.get(leaf) + " of " + f.demand);
--- a/decision/src/test/java/cloverpulley/quota/LeasesTest.java
+++ b/decision/src/test/java/cloverpulley/quota/LeasesTest.java
@@ -1,7 +1,7 @@
 package cloverpulley.quota;
 
-import static cloverpulley.quota.Play.SECOND;
-import static cloverpulley.quota.Play.of;
+import static cloverpulley.quota.Simulation.SECOND;
+import static cloverpulley.quota.Simulation.of;
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertThrows;
@@ -23,7 +23,7 @@
   private static final Terms TERMS = new Terms(N, 10 * SECOND, 10 * SECOND, 0);
 
   private static QuotaPlan plan() {
-    return Play.requestsPerSecond(1000).node("a", 1, of(400), null, null).node("b", 1, of(600), null, null).build();
+    return Simulation.requestsPerSecond(1000).node("a", 1, of(400), null, null).node("b", 1, of(600), null, null).build();
   }
 
   /** Instances and two coordinators, with what passes between them; each turns to the first unless told otherwise. */
