--- a/decision/src/test/java/cloverpulley/quota/FluidTest.java
+++ b/decision/src/test/java/cloverpulley/quota/FluidTest.java
@@ -12,128 +12,128 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Against a reference that is slow and obviously right: fluid shares, each node given its guarantee up to its demand, what is left of a
- * parent divided by weight among children that want more, until nobody does. Random trees and steady demands; a failing seed replays.
- * {@code -Dquota.trees=N} plays more than CI does.
+ * Compares the shares with a slow and simple reference, a fluid model: each node gets its guarantee up to its demand, and the rest of a
+ * parent is divided by weight among the children with more demand until none has any. Random trees and constant demands; a failing seed can
+ * be replayed. {@code -Dquota.trees=N} sets the number of trees.
  */
 class FluidTest {
 
   private static final int TREES = Integer.getInteger("quota.trees", 150);
-  /** Full buckets at the start are spent by then. */
-  private static final double SETTLE = 40;
+  /** The buckets that are full at the start are used up by then. */
+  private static final double WARMUP_SECONDS = 40;
   private static final double SECONDS = 70;
-  /** Of the total: what turns, slots of chance and full buckets may make of a steady state. */
-  private static final double MARGIN = 0.02;
+  /** Difference in a steady state from rounding to requests, random slots and full buckets, as a ratio of the total. */
+  private static final double TOLERANCE = 0.02;
 
-  /** A tree being filled. */
-  private static final class Fluid {
+  /** Reference model of a tree. */
+  private static final class FluidModel {
     final Map<String, Double> guarantee = new HashMap<>();
     final Map<String, Double> weight = new HashMap<>();
     final Map<String, List<String>> children = new HashMap<>();
     final Map<String, Double> demand = new HashMap<>();
 
-    double wants(String n) {
+    double totalDemand(String n) {
       double sum = demand.getOrDefault(n, 0.0);
       for (String c : children.getOrDefault(n, List.of())) {
-        sum += wants(c);
+        sum += totalDemand(c);
       }
       return sum;
     }
 
-    /** Divides so much among a node's leaves. */
-    void divide(String n, double supply, Map<String, Double> out) {
-      List<String> below = children.getOrDefault(n, List.of());
-      if (below.isEmpty()) {
-        out.put(n, Math.min(supply, demand.getOrDefault(n, 0.0)));
+    /** Divides the supply of a node among its leaves. */
+    void divide(String n, double supply, Map<String, Double> result) {
+      List<String> childPaths = children.getOrDefault(n, List.of());
+      if (childPaths.isEmpty()) {
+        result.put(n, Math.min(supply, demand.getOrDefault(n, 0.0)));
         return;
       }
-      Map<String, Double> given = new HashMap<>();
-      double left = supply;
-      for (String c : below) {
-        given.put(c, Math.min(guarantee.get(c), wants(c)));
-        left -= given.get(c);
+      Map<String, Double> allocated = new HashMap<>();
+      double remaining = supply;
+      for (String c : childPaths) {
+        allocated.put(c, Math.min(guarantee.get(c), totalDemand(c)));
+        remaining -= allocated.get(c);
       }
-      for (int round = 0; round < 200 && left > 1e-9; round++) {
+      for (int round = 0; round < 200 && remaining > 1e-9; round++) {
         double weights = 0;
-        for (String c : below) {
-          weights += wants(c) - given.get(c) > 1e-9 ? weight.get(c) : 0;
+        for (String c : childPaths) {
+          weights += totalDemand(c) - allocated.get(c) > 1e-9 ? weight.get(c) : 0;
         }
         if (weights == 0) {
           break;
         }
-        double spent = 0;
-        for (String c : below) {
-          double more = Math.min(wants(c) - given.get(c), left * weight.get(c) / weights);
+        double used = 0;
+        for (String c : childPaths) {
+          double more = Math.min(totalDemand(c) - allocated.get(c), remaining * weight.get(c) / weights);
           if (more > 1e-9) {
-            given.merge(c, more, Double::sum);
-            spent += more;
+            allocated.merge(c, more, Double::sum);
+            used += more;
           }
         }
-        left -= spent;
+        remaining -= used;
       }
-      below.forEach(c -> divide(c, given.get(c), out));
+      childPaths.forEach(c -> divide(c, allocated.get(c), result));
     }
   }
 
   @Test
-  void sharesAreThoseOfTheFluidReference() {
-    double worst = 0;
-    double worstUse = 1;
+  void sharesMatchTheFluidReference() {
+    double maxDifference = 0;
+    double minUtilisation = 1;
     for (int seed = 1; seed <= TREES; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
-      Fluid f = new Fluid();
+      FluidModel model = new FluidModel();
       double total = 600;
       QuotaPlan.Builder plan = Simulation.requestsPerSecond(total);
       List<String> leaves = new ArrayList<>();
-      grow(random, f, plan, "", total, 0, leaves);
-      Simulation p = new Simulation(seed);
+      buildTree(random, model, plan, "", total, 0, leaves);
+      Simulation clients = new Simulation(seed);
       for (String leaf : leaves) {
-        double rate = random.nextInt(3) == 0 ? 0 : f.guarantee.get(leaf) * random.nextDouble() * 4 + random.nextInt(30);
-        f.demand.put(leaf, rate);
-        p.client(leaf, t -> rate, true, 1);
+        double rate = random.nextInt(3) == 0 ? 0 : model.guarantee.get(leaf) * random.nextDouble() * 4 + random.nextInt(30);
+        model.demand.put(leaf, rate);
+        clients.client(leaf, t -> rate, true, 1);
       }
       Quotas q = new Quotas(plan.build(), 100, SECOND);
-      p.run(q, SECOND, SECONDS);
+      clients.run(q, SECOND, SECONDS);
       Map<String, Double> reference = new HashMap<>();
-      f.divide("", total, reference);
-      double use = 0;
-      double due = 0;
+      model.divide("", total, reference);
+      double used = 0;
+      double expected = 0;
       for (String leaf : leaves) {
-        double real = p.usages.get(leaf).granted(SETTLE, SECONDS) / (SECONDS - SETTLE);
-        double off = Math.abs(real - reference.get(leaf)) / total;
-        worst = Math.max(worst, off);
-        assertTrue(off <= MARGIN, "seed " + seed + ", " + leaf + ": " + real + " and " + reference.get(leaf) + " of " + f.demand);
-        use += real;
-        due += reference.get(leaf);
-        double least = Math.min(f.demand.get(leaf), f.guarantee.get(leaf));
-        assertTrue(real >= 0.97 * least - 1, "seed " + seed + ", " + leaf + ": " + real + " of its guaranteed " + least);
+        double actual = clients.usages.get(leaf).granted(WARMUP_SECONDS, SECONDS) / (SECONDS - WARMUP_SECONDS);
+        double difference = Math.abs(actual - reference.get(leaf)) / total;
+        maxDifference = Math.max(maxDifference, difference);
+        assertTrue(difference <= TOLERANCE, "seed " + seed + ", " + leaf + ": " + actual + " and " + reference.get(leaf) + " of " + model.demand);
+        used += actual;
+        expected += reference.get(leaf);
+        double guaranteed = Math.min(model.demand.get(leaf), model.guarantee.get(leaf));
+        assertTrue(actual >= 0.97 * guaranteed - 1, "seed " + seed + ", " + leaf + ": " + actual + " of its guaranteed " + guaranteed);
       }
-      if (due > 100) {
-        worstUse = Math.min(worstUse, use / due);
-        assertTrue(use >= 0.98 * due, "seed " + seed + ": used " + use + " of " + due);
+      if (expected > 100) {
+        minUtilisation = Math.min(minUtilisation, used / expected);
+        assertTrue(used >= 0.98 * expected, "seed " + seed + ": used " + used + " of " + expected);
       }
     }
-    System.out.printf("quota: %d trees, worst difference %.4f of the total, worst use %.4f%n", TREES, worst, worstUse);
+    System.out.printf("quota: %d trees, worst difference %.4f of the total, worst use %.4f%n", TREES, maxDifference, minUtilisation);
   }
 
-  private static void grow(SplittableRandom random, Fluid f, QuotaPlan.Builder plan, String path, double guarantee, int depth,
+  private static void buildTree(SplittableRandom random, FluidModel model, QuotaPlan.Builder plan, String path, double guarantee, int depth,
       List<String> leaves) {
     int children = depth == 0 ? 2 + random.nextInt(3) : depth >= 3 ? 0 : random.nextInt(4);
     if (children == 0) {
       leaves.add(path);
       return;
     }
-    double left = guarantee;
+    double remaining = guarantee;
     for (int i = 0; i < children; i++) {
       String child = path.isEmpty() ? "n" + i : path + "/n" + i;
-      double g = Math.floor(left * random.nextDouble() * (i == children - 1 ? 1 : 0.7));
-      left -= g;
-      double w = 1 + random.nextInt(5);
-      plan.node(child, w, of(g), null, null);
-      f.guarantee.put(child, g);
-      f.weight.put(child, w);
-      f.children.computeIfAbsent(path, k -> new ArrayList<>()).add(child);
-      grow(random, f, plan, child, g, depth + 1, leaves);
+      double childGuarantee = Math.floor(remaining * random.nextDouble() * (i == children - 1 ? 1 : 0.7));
+      remaining -= childGuarantee;
+      double childWeight = 1 + random.nextInt(5);
+      plan.node(child, childWeight, of(childGuarantee), null, null);
+      model.guarantee.put(child, childGuarantee);
+      model.weight.put(child, childWeight);
+      model.children.computeIfAbsent(path, k -> new ArrayList<>()).add(child);
+      buildTree(random, model, plan, child, childGuarantee, depth + 1, leaves);
     }
   }
 }
