--- a/quota/src/test/java/cloverpulley/quota/service/LeaseLinkTest.java
+++ b/quota/src/test/java/cloverpulley/quota/service/LeaseLinkTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Three instances over loopback sockets, each with a loop of its own: demand moves, a coordinator dies, nobody has more than there is. */
+/** Three instances with event loops of their own over loopback sockets: demand moves, coordinators fail, and the guarantee is never exceeded. */
 @Timeout(90)
 class LeaseLinkTest {
 
@@ -46,11 +46,11 @@
       }
     }
 
-    void ask(int n) throws Exception {
+    void request(int n) throws Exception {
       loop.submit(() -> {
         for (int i = 0; i < n; i++) {
-          long g = keeper.tryAcquire("a", 1, 0, 0, false);
-          assertTrue(Quotas.isRejected(g) || g >= 0);
+          long grant = keeper.tryAcquire("a", 1, 0, 0, false);
+          assertTrue(Quotas.isRejected(grant) || grant >= 0);
         }
       }).get();
     }
@@ -107,44 +107,44 @@
     instances.add(i);
   }
 
-  private void await(String what, BooleanSupplier condition, int asks) throws Exception {
+  private void await(String what, BooleanSupplier condition, int requester) throws Exception {
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(40);
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < until, "never: " + what);
-      instances.get(asks).ask(300);
+      assertTrue(System.nanoTime() < until, "timed out: " + what);
+      instances.get(requester).request(300);
       TimeUnit.MILLISECONDS.sleep(20);
     }
   }
 
   @Test
-  void demandIsFollowedAndADeadCoordinatorIsReplaced() throws Exception {
+  void leasesFollowDemandAndADeadCoordinatorIsReplaced() throws Exception {
     int a = freePort();
     int b = freePort();
     start(config("i0", a, b, a));
     start(config("i1", a, b, b));
     start(config("i2", a, b, 0));
-    await("the one that asks has most", () -> instances.get(2).guarantee() > 0.6 * TOTAL, 2);
+    await("the requesting instance has most", () -> instances.get(2).guarantee() > 0.6 * TOTAL, 2);
     assertTrue(instances.stream().mapToDouble(Instance::guarantee).sum() <= TOTAL * 1.001);
-    await("another asks", () -> instances.get(1).guarantee() > 0.6 * TOTAL, 1);
-    // The first coordinator goes: the second has most of the instances, and divides what is theirs.
+    await("another instance requests", () -> instances.get(1).guarantee() > 0.6 * TOTAL, 1);
+    // The first coordinator fails: the second has a majority of the instances and divides their shares.
     stop(instances.get(0));
-    await("the second divides", () -> instances.get(2).guarantee() > TOTAL / 3 * 1.2, 2);
-    assertTrue(instances.get(1).guarantee() + instances.get(2).guarantee() <= TOTAL * 2 / 3 * 1.001, "the dead one's part is kept for it");
-    // And it goes too: the last falls to its even part by itself.
+    await("the second coordinator issues leases", () -> instances.get(2).guarantee() > TOTAL / 3 * 1.2, 2);
+    assertTrue(instances.get(1).guarantee() + instances.get(2).guarantee() <= TOTAL * 2 / 3 * 1.001, "the share of the dead instance is reserved");
+    // The second fails too: the last instance falls back to its even share by itself.
     stop(instances.get(1));
-    await("its even part", () -> Math.abs(instances.get(2).guarantee() - TOTAL / 3) < 1, 2);
+    await("its even share", () -> Math.abs(instances.get(2).guarantee() - TOTAL / 3) < 1, 2);
   }
 
   @Test
-  void whatIsNoReportOfOursIsRefused() throws Exception {
+  void invalidReportsAreRejected() throws Exception {
     int a = freePort();
     start(config("i0", a, a, a));
     ManagedChannel channel = NettyChannelBuilder.forAddress("127.0.0.1", a).usePlaintext().build();
     try {
-      for (LeaseReport wrong : new LeaseReport[] {LeaseReport.getDefaultInstance(),
+      for (LeaseReport invalid : new LeaseReport[] {LeaseReport.getDefaultInstance(),
           LeaseReport.newBuilder().setInstallation("other").setInstance("x").build()}) {
         StatusRuntimeException e = assertThrows(StatusRuntimeException.class, () -> ClientCalls.blockingUnaryCall(channel, LeaseLink.REPORT,
-            CallOptions.DEFAULT.withDeadlineAfter(10, TimeUnit.SECONDS), wrong));
+            CallOptions.DEFAULT.withDeadlineAfter(10, TimeUnit.SECONDS), invalid));
         assertEquals(Status.Code.INVALID_ARGUMENT, e.getStatus().getCode());
       }
     } finally {
@@ -153,7 +153,7 @@
   }
 
   @Test
-  void aBadSectionNamesWhatIsWrong() {
+  void configurationErrorsNameTheSettings() {
     BadFileException e = assertThrows(BadFileException.class, () -> OperatorsFile.parse("f", """
         [quota]
         [[quota.lane]]
--- a/quota/src/test/java/cloverpulley/quota/service/QuotaJournalTest.java
+++ b/quota/src/test/java/cloverpulley/quota/service/QuotaJournalTest.java
@@ -20,74 +20,74 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a restart finds, whatever became of the file: held against an oracle that knows what was whole. */
+/** Recovery of the journal after truncation, corruption and disk errors, compared with the states that were completely written. */
 class QuotaJournalTest {
 
   private static final long SEED = 20261201;
-  private static final String NAME = "[requests in 1000 ms]";
+  private static final String INSTALLATION = "[requests in 1000 ms]";
 
   @TempDir
-  Path folder;
+  Path directory;
 
-  private final List<Map<String, Double>> oracle = new ArrayList<>();
-  private final List<Long> ends = new ArrayList<>();
+  private final List<Map<String, Double>> expected = new ArrayList<>();
+  private final List<Long> frameEnds = new ArrayList<>();
 
   private static NodeSnapshot snapshot(String path, double used) {
     return new NodeSnapshot(path, new double[] {used}, new double[] {0}, new double[] {used / 2}, new double[] {0});
   }
 
   private Path write(int frames) throws IOException {
-    Path file = folder.resolve("q.journal");
+    Path file = directory.resolve("q.journal");
     SplittableRandom r = new SplittableRandom(SEED);
-    Map<String, Double> truth = new HashMap<>();
-    try (QuotaJournal j = new QuotaJournal(file, NAME, Long.MAX_VALUE, false)) {
+    Map<String, Double> state = new HashMap<>();
+    try (QuotaJournal j = new QuotaJournal(file, INSTALLATION, Long.MAX_VALUE, false)) {
       j.open();
-      oracle.add(Map.of());
-      ends.add(j.size());
+      expected.add(Map.of());
+      frameEnds.add(j.size());
       for (int i = 0; i < frames; i++) {
         List<NodeSnapshot> batch = new ArrayList<>();
         for (int n = 1 + r.nextInt(5); n > 0; n--) {
           String path = "n" + r.nextInt(20);
           float used = r.nextInt(1000);
-          truth.put(path, (double) used);
+          state.put(path, (double) used);
           batch.removeIf(k -> k.path().equals(path));
           batch.add(snapshot(path, used));
         }
         j.append(1000 + i, batch);
-        oracle.add(new HashMap<>(truth));
-        ends.add(j.size());
+        expected.add(new HashMap<>(state));
+        frameEnds.add(j.size());
       }
     }
     return file;
   }
 
-  private static Map<String, Double> read(Path file, QuotaJournal.Recovery[] into) throws IOException {
-    Map<String, Double> got = new HashMap<>();
-    try (QuotaJournal j = new QuotaJournal(file, NAME, Long.MAX_VALUE, false)) {
-      into[0] = j.open();
-      into[0].snapshots().forEach(t -> got.put(t.snapshot().path(), t.snapshot().used()[0]));
+  private static Map<String, Double> read(Path file, QuotaJournal.Recovery[] recovery) throws IOException {
+    Map<String, Double> recovered = new HashMap<>();
+    try (QuotaJournal j = new QuotaJournal(file, INSTALLATION, Long.MAX_VALUE, false)) {
+      recovery[0] = j.open();
+      recovery[0].snapshots().forEach(t -> recovered.put(t.snapshot().path(), t.snapshot().used()[0]));
     }
-    return got;
+    return recovered;
   }
 
-  /** SIGKILL at each octet of a write: what was whole is there, what was not is cut off, and writing goes on behind it. */
+  /** SIGKILL at each byte of a write: complete frames are recovered, a truncated one is cut off, and writing continues behind them. */
   @Test
-  void atEachOctetOfAWriteTheLastWholeStateIsFound() throws IOException {
+  void recoversTheLastCompleteStateWhereverAWriteIsCut() throws IOException {
     Path file = write(30);
     byte[] all = Files.readAllBytes(file);
-    Path cut = folder.resolve("cut");
+    Path cut = directory.resolve("cut");
     QuotaJournal.Recovery[] r = new QuotaJournal.Recovery[1];
     for (int at = 0; at <= all.length; at++) {
       Files.write(cut, Arrays.copyOf(all, at));
-      int whole = 0;
-      while (whole + 1 < ends.size() && ends.get(whole + 1) <= at) {
-        whole++;
+      int complete = 0;
+      while (complete + 1 < frameEnds.size() && frameEnds.get(complete + 1) <= at) {
+        complete++;
       }
-      assertEquals(oracle.get(whole), read(cut, r), "cut at " + at);
-      assertEquals(0, r[0].corruptFrames(), "a tail is no spoilt frame: " + at);
-      assertEquals(Math.max(ends.get(0), ends.get(whole)), Files.size(cut), "cut at " + at);
+      assertEquals(expected.get(complete), read(cut, r), "cut at " + at);
+      assertEquals(0, r[0].corruptFrames(), "a truncated frame is not corrupt: " + at);
+      assertEquals(Math.max(frameEnds.get(0), frameEnds.get(complete)), Files.size(cut), "cut at " + at);
     }
-    try (QuotaJournal j = new QuotaJournal(cut, NAME, Long.MAX_VALUE, false)) {
+    try (QuotaJournal j = new QuotaJournal(cut, INSTALLATION, Long.MAX_VALUE, false)) {
       j.open();
       j.append(5000, List.of(snapshot("later", 7)));
     }
@@ -95,61 +95,61 @@
   }
 
   @Test
-  void aSpoiltFrameInTheMiddleCostsItselfAloneAndIsCounted() throws IOException {
+  void corruptFrameIsSkippedAndCounted() throws IOException {
     Path file = write(40);
     byte[] all = Files.readAllBytes(file);
     SplittableRandom random = new SplittableRandom(SEED);
     QuotaJournal.Recovery[] r = new QuotaJournal.Recovery[1];
-    Path corrupt = folder.resolve("spoilt");
+    Path corrupt = directory.resolve("corrupt");
     for (int round = 0; round < 200; round++) {
       byte[] b = all.clone();
       int frame = random.nextInt(38);
-      int from = (int) (long) ends.get(frame);
-      int at = from + random.nextInt((int) (ends.get(frame + 1) - from));
+      int from = (int) (long) frameEnds.get(frame);
+      int at = from + random.nextInt((int) (frameEnds.get(frame + 1) - from));
       b[at] ^= (byte) (1 + random.nextInt(255));
       Files.write(corrupt, b);
-      Map<String, Double> got = read(corrupt, r);
+      Map<String, Double> recovered = read(corrupt, r);
       assertEquals(39, r[0].frames(), "round " + round + " at " + at);
       assertEquals(1, r[0].corruptFrames(), "round " + round + " at " + at);
-      assertTrue(got.keySet().containsAll(oracle.get(frame).keySet()));
+      assertTrue(recovered.keySet().containsAll(expected.get(frame).keySet()));
     }
   }
 
   @Test
-  void anothersFileIsRefusedAndLeftAsItIs() throws IOException {
+  void fileOfAnotherInstallationIsRejectedAndUnchanged() throws IOException {
     Path file = write(3);
     byte[] before = Files.readAllBytes(file);
     QuotaJournal other = new QuotaJournal(file, "[work in 1000 ms]xxx", Long.MAX_VALUE, false);
     assertTrue(assertThrows(IOException.class, other::open).getMessage().contains("not a quota journal of this installation"));
-    Path text = Files.writeString(folder.resolve("text"), "something else, and rather long, so that it is no cut-off head of ours");
-    assertThrows(IOException.class, () -> new QuotaJournal(text, NAME, 100, false).open());
+    Path text = Files.writeString(directory.resolve("text"), "a file of another kind that is longer than the header of a quota journal");
+    assertThrows(IOException.class, () -> new QuotaJournal(text, INSTALLATION, 100, false).open());
     assertArrayEquals(before, Files.readAllBytes(file));
   }
 
   @Test
-  void itIsWrittenAnewAtItsBoundAndStaysWhole() throws IOException {
-    Path file = folder.resolve("q.journal");
+  void compactionBoundsTheSizeAndKeepsTheState() throws IOException {
+    Path file = directory.resolve("q.journal");
     QuotaJournal.Recovery[] r = new QuotaJournal.Recovery[1];
-    try (QuotaJournal j = new QuotaJournal(file, NAME, 20_000, false)) {
+    try (QuotaJournal j = new QuotaJournal(file, INSTALLATION, 20_000, false)) {
       j.open();
       for (int i = 0; i < 5000; i++) {
         j.append(1_000_000 + i, List.of(snapshot("n" + i % 50, i)));
         assertTrue(j.size() <= 20_100, "size " + j.size());
       }
     }
-    Map<String, Double> got = read(file, r);
-    assertEquals(50, got.size());
+    Map<String, Double> recovered = read(file, r);
+    assertEquals(50, recovered.size());
     for (int i = 0; i < 50; i++) {
-      assertEquals(4950.0 + i, got.get("n" + i));
+      assertEquals(4950.0 + i, recovered.get("n" + i));
     }
     assertEquals(1_000_000 + 4999, r[0].snapshots().stream().mapToLong(QuotaJournal.TimestampedSnapshot::unixMillis).max().orElse(0));
   }
 
-  /** What nobody has charged for an hour is not carried on for ever. */
+  /** Compaction drops snapshots that are older than an hour. */
   @Test
-  void theLongForgottenGoWithTheNextWritingAnew() throws IOException {
-    Path file = folder.resolve("q.journal");
-    try (QuotaJournal j = new QuotaJournal(file, NAME, 5000, false)) {
+  void compactionDropsExpiredSnapshots() throws IOException {
+    Path file = directory.resolve("q.journal");
+    try (QuotaJournal j = new QuotaJournal(file, INSTALLATION, 5000, false)) {
       j.open();
       j.append(1000, List.of(snapshot("old", 1)));
       for (int i = 0; i < 200; i++) {
@@ -159,11 +159,11 @@
     assertEquals(Map.of("new", 199.0), read(file, new QuotaJournal.Recovery[1]));
   }
 
-  /** A full disk in the middle of a frame, and in the middle of writing anew: the file stays one that can be read. */
+  /** The disk is full in the middle of a frame and of a compaction: the file stays readable. */
   @Test
-  void aFullDiskLosesNothingThatWasWhole() throws IOException {
-    Path file = folder.resolve("q.journal");
-    QuotaJournal.FileOpener readOnlySecond = new QuotaJournal.FileOpener() {
+  void fullDiskLosesNoCompleteFrame() throws IOException {
+    Path file = directory.resolve("q.journal");
+    QuotaJournal.FileOpener failingOpener = new QuotaJournal.FileOpener() {
       private int opened;
 
       @Override
@@ -174,7 +174,7 @@
         return FileChannel.open(f, StandardOpenOption.CREATE, StandardOpenOption.WRITE, StandardOpenOption.READ);
       }
     };
-    QuotaJournal j = new QuotaJournal(file, NAME, 2000, false, readOnlySecond);
+    QuotaJournal j = new QuotaJournal(file, INSTALLATION, 2000, false, failingOpener);
     j.open();
     int failed = 0;
     for (int i = 0; i < 100; i++) {
@@ -185,16 +185,16 @@
       }
     }
     j.close();
-    assertTrue(failed > 0, "it is told");
-    Map<String, Double> got = read(file, new QuotaJournal.Recovery[1]);
-    assertEquals(99.0, got.get("n4"));
+    assertTrue(failed > 0, "the failure is reported");
+    Map<String, Double> recovered = read(file, new QuotaJournal.Recovery[1]);
+    assertEquals(99.0, recovered.get("n4"));
   }
 
   @Test
-  void randomOctetsNeverBreakIt() throws IOException {
+  void randomCorruptionIsHandled() throws IOException {
     byte[] good = Files.readAllBytes(write(10));
     SplittableRandom random = new SplittableRandom(SEED);
-    Path file = folder.resolve("x");
+    Path file = directory.resolve("x");
     for (int i = 0; i < 500; i++) {
       byte[] b = good.clone();
       for (int n = random.nextInt(30); n > 0; n--) {
--- a/quota/src/test/java/cloverpulley/quota/service/RateLimitServerTest.java
+++ b/quota/src/test/java/cloverpulley/quota/service/RateLimitServerTest.java
@@ -27,13 +27,13 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The rate limit service over a socket, the same messages as published, and a restart that forgets nothing. */
+/** The rate limit service over a socket: limits, restarts and compatibility with the published messages. */
 @Timeout(60)
 class RateLimitServerTest {
 
   private static final String CONFIG = """
       [quota]
-      others = "strangers"
+      others = "unknown"
       [[quota.lane]]
       dimension = "requests"
       window_ms = 60000
@@ -46,7 +46,7 @@
       path = "steppe/almaty"
       share = 0.5
       [[quota.node]]
-      path = "strangers"
+      path = "unknown"
       guarantee = [1]
       ceiling = [1]
       [quota.journal]
@@ -57,7 +57,7 @@
       """;
 
   @TempDir
-  Path folder;
+  Path directory;
 
   private final ScheduledExecutorService loop = Executors.newSingleThreadScheduledExecutor();
   private final AtomicLong nanos = new AtomicLong(1_000_000_000_000L);
@@ -66,7 +66,7 @@
   private ManagedChannel channel;
 
   private QuotaConfig config() throws BadFileException {
-    return OperatorsFile.parse("f", CONFIG.replace("FILE", folder.resolve("q.journal").toString()), s -> QuotaConfig.read(s.table("quota")));
+    return OperatorsFile.parse("f", CONFIG.replace("FILE", directory.resolve("q.journal").toString()), s -> QuotaConfig.read(s.table("quota")));
   }
 
   private void start() throws Exception {
@@ -92,84 +92,84 @@
     loop.awaitTermination(5, TimeUnit.SECONDS);
   }
 
-  private RateLimitResponse ask(int hits, String... path) {
+  private RateLimitResponse requestDecision(int hits, String... path) {
     RateLimitDescriptor.Builder d = RateLimitDescriptor.newBuilder();
     for (String p : path) {
       d.addEntries(RateLimitDescriptor.Entry.newBuilder().setKey("k").setValue(p));
     }
-    return ask(RateLimitRequest.newBuilder().setDomain("ashdeck").setHitsAddend(hits).addDescriptors(d).build());
+    return requestDecision(RateLimitRequest.newBuilder().setDomain("ashdeck").setHitsAddend(hits).addDescriptors(d).build());
   }
 
-  private RateLimitResponse ask(RateLimitRequest r) {
+  private RateLimitResponse requestDecision(RateLimitRequest r) {
     return ClientCalls.blockingUnaryCall(channel, RateLimitServer.SHOULD_RATE_LIMIT, CallOptions.DEFAULT.withDeadlineAfter(20,
         TimeUnit.SECONDS), r);
   }
 
   @Test
-  void aNodeIsHeldToItsCeilingAndToldWhenToReturn() throws Exception {
+  void nodeIsLimitedToItsCeilingAndGetsARetryTime() throws Exception {
     start();
     for (int i = 0; i < 20; i++) {
-      assertEquals(Code.OK, ask(0, "steppe", "almaty").getOverallCode(), "" + i);
+      assertEquals(Code.OK, requestDecision(0, "steppe", "almaty").getOverallCode(), "" + i);
     }
-    RateLimitResponse over = ask(1, "steppe", "almaty");
-    assertEquals(Code.OVER_LIMIT, over.getOverallCode());
-    assertTrue(over.getStatuses(0).getDurationUntilReset().getSeconds() > 0, over.toString());
-    assertEquals("RateLimit", over.getResponseHeadersToAdd(0).getKey());
-    assertTrue(over.getResponseHeadersToAdd(0).getValue().matches("\"requests\";r=0;t=\\d+"), over.toString());
-    assertEquals(Code.OK, ask(1, "whoever").getOverallCode());
-    assertEquals(Code.OVER_LIMIT, ask(1, "another").getOverallCode(), "strangers share one");
-    nanos.addAndGet(TimeUnit.SECONDS.toNanos(over.getStatuses(0).getDurationUntilReset().getSeconds() + 10));
-    assertEquals(Code.OK, ask(1, "steppe", "almaty").getOverallCode());
+    RateLimitResponse rejected = requestDecision(1, "steppe", "almaty");
+    assertEquals(Code.OVER_LIMIT, rejected.getOverallCode());
+    assertTrue(rejected.getStatuses(0).getDurationUntilReset().getSeconds() > 0, rejected.toString());
+    assertEquals("RateLimit", rejected.getResponseHeadersToAdd(0).getKey());
+    assertTrue(rejected.getResponseHeadersToAdd(0).getValue().matches("\"requests\";r=0;t=\\d+"), rejected.toString());
+    assertEquals(Code.OK, requestDecision(1, "whoever").getOverallCode());
+    assertEquals(Code.OVER_LIMIT, requestDecision(1, "another").getOverallCode(), "unknown paths share one node");
+    nanos.addAndGet(TimeUnit.SECONDS.toNanos(rejected.getStatuses(0).getDurationUntilReset().getSeconds() + 10));
+    assertEquals(Code.OK, requestDecision(1, "steppe", "almaty").getOverallCode());
   }
 
   @Test
-  void aRestartForgetsNothing() throws Exception {
+  void restartKeepsTheState() throws Exception {
     start();
     for (int i = 0; i < 20; i++) {
-      ask(1, "steppe", "almaty");
+      requestDecision(1, "steppe", "almaty");
     }
     stop();
     start();
-    assertEquals(Code.OVER_LIMIT, ask(1, "steppe", "almaty").getOverallCode(), "its partner's ceiling is reached, as before");
-    double[] left = new double[1];
+    assertEquals(Code.OVER_LIMIT, requestDecision(1, "steppe", "almaty").getOverallCode(), "the ceiling of its parent is still reached");
+    double[] remaining = new double[1];
     loop.submit(() -> keeper.quotas().forEachNode(nanos.get(), s -> {
       if (s.path().equals("steppe/almaty")) {
-        left[0] = s.tokens()[0];
+        remaining[0] = s.tokens()[0];
       }
     })).get();
-    assertTrue(left[0] < 1, "its guarantee is used up: " + left[0]);
+    assertTrue(remaining[0] < 1, "its guarantee is used up: " + remaining[0]);
   }
 
-  /** The published classes read and write the same octets. */
+  /** The published classes read and write the same bytes. */
   @Test
-  void messagesAreThePublishedOnes() throws Exception {
+  void messagesMatchThePublishedOnes() throws Exception {
     start();
     var published = io.envoyproxy.envoy.service.ratelimit.v3.RateLimitRequest.newBuilder().setDomain("ashdeck").setHitsAddend(21)
         .addDescriptors(io.envoyproxy.envoy.extensions.common.ratelimit.v3.RateLimitDescriptor.newBuilder()
             .addEntries(Entry.newBuilder().setKey("partner").setValue("steppe"))).build();
-    RateLimitRequest ours = RateLimitRequest.parseFrom(published.toByteArray());
-    assertEquals("steppe", RateLimitServer.path(ours.getDescriptors(0)));
-    RateLimitResponse answer = ask(ours);
-    var read = io.envoyproxy.envoy.service.ratelimit.v3.RateLimitResponse.parseFrom(answer.toByteArray());
-    assertEquals(answer.getOverallCode().getNumber(), read.getOverallCode().getNumber());
-    assertEquals(answer.getStatuses(0).getDurationUntilReset(), read.getStatuses(0).getDurationUntilReset());
-    assertEquals(answer.getResponseHeadersToAddCount(), read.getResponseHeadersToAddCount());
+    RateLimitRequest parsed = RateLimitRequest.parseFrom(published.toByteArray());
+    assertEquals("steppe", RateLimitServer.path(parsed.getDescriptors(0)));
+    RateLimitResponse response = requestDecision(parsed);
+    var read = io.envoyproxy.envoy.service.ratelimit.v3.RateLimitResponse.parseFrom(response.toByteArray());
+    assertEquals(response.getOverallCode().getNumber(), read.getOverallCode().getNumber());
+    assertEquals(response.getStatuses(0).getDurationUntilReset(), read.getStatuses(0).getDurationUntilReset());
+    assertEquals(response.getResponseHeadersToAddCount(), read.getResponseHeadersToAddCount());
   }
 
   @Test
-  void whatMakesNoSenseIsRefused() throws Exception {
+  void invalidRequestsAreRejected() throws Exception {
     start();
-    for (RateLimitRequest wrong : new RateLimitRequest[] {RateLimitRequest.getDefaultInstance(),
+    for (RateLimitRequest invalid : new RateLimitRequest[] {RateLimitRequest.getDefaultInstance(),
         RateLimitRequest.newBuilder().setDomain("other").addDescriptors(RateLimitDescriptor.getDefaultInstance()).build(),
         RateLimitRequest.newBuilder().setDomain("ashdeck").build()}) {
-      assertEquals(Status.Code.INVALID_ARGUMENT, assertThrows(StatusRuntimeException.class, () -> ask(wrong)).getStatus().getCode());
+      assertEquals(Status.Code.INVALID_ARGUMENT, assertThrows(StatusRuntimeException.class, () -> requestDecision(invalid)).getStatus().getCode());
     }
-    assertEquals(Code.OK, ask(0, "a/b").getOverallCode(), "no path of that name: a stranger");
-    assertEquals(Code.OVER_LIMIT, ask(-1, "steppe").getOverallCode(), "4,294,967,295 at once");
+    assertEquals(Code.OK, requestDecision(0, "a/b").getOverallCode(), "not a valid path: unknown");
+    assertEquals(Code.OVER_LIMIT, requestDecision(-1, "steppe").getOverallCode(), "a hit count of 4,294,967,295");
   }
 
   @Test
-  void aBadFileNamesWhatIsWrong() {
+  void configurationErrorsNameTheSettings() {
     BadFileException e = assertThrows(BadFileException.class, () -> OperatorsFile.parse("f", """
         [quota]
         others = "nobody"
