--- a/bench/src/main/java/cloverpulley/bench/QuotaBench.java
+++ b/bench/src/main/java/cloverpulley/bench/QuotaBench.java
@@ -61,7 +61,7 @@
     }
     for (int i = 0; i < LEAVES.length; i++) {
       System.out.printf(Locale.ROOT, "%7d leaves: %6.1f ns a decision (%d nodes kept); one bucket %.1f ns%n", LEAVES[i],
-          median(trees.get(i)), made[i].quotas.nodes(), median(bucket));
+          median(trees.get(i)), made[i].quotas.nodeCount(), median(bucket));
     }
     double[] month = monthEnd();
     double recovery = recovery();
@@ -115,7 +115,7 @@
         plan.node(partner, 1 + p, new double[] {total / partners}, null, null);
         for (int g = 0; g < groups; g++) {
           String group = partner + "/g" + g;
-          plan.node(group, 1, new double[] {total / partners / groups}, null, new QuotaPlan.Child(1, 1.0 / teams, null));
+          plan.node(group, 1, new double[] {total / partners / groups}, null, new QuotaPlan.ChildTemplate(1, 1.0 / teams, null));
           for (int t = 0; t < teams; t++) {
             paths[n++] = group + "/t" + t;
           }
@@ -127,7 +127,7 @@
         order[i] = r.nextInt(paths.length);
       }
       for (String p : paths) {
-        quotas.ask(now, p, cost); // All are there before anything counts.
+        quotas.tryAcquire(now, p, cost); // All are there before anything counts.
       }
     }
 
@@ -137,10 +137,10 @@
       for (int i = 0; i < DECISIONS; i++) {
         now += 500; // Two million a second, twice what there is.
         String path = paths[(order[i & order.length - 1] + i) % paths.length];
-        long grant = quotas.ask(now, path, cost);
-        if (!Quotas.isRefused(grant)) {
+        long grant = quotas.tryAcquire(now, path, cost);
+        if (!Quotas.isRejected(grant)) {
           given++;
-          quotas.end(now, path, grant);
+          quotas.release(now, path, grant);
         }
       }
       if (given < DECISIONS / 4) {
@@ -177,10 +177,10 @@
         pick -= rates[i];
         if (pick < 0) {
           asked[i][slot]++;
-          long grant = q.ask(SECOND + (long) (t * SECOND), names[i], new double[] {1});
-          if (!Quotas.isRefused(grant)) {
+          long grant = q.tryAcquire(SECOND + (long) (t * SECOND), names[i], new double[] {1});
+          if (!Quotas.isRejected(grant)) {
             given[i][slot]++;
-            q.end(SECOND + (long) (t * SECOND), names[i], grant);
+            q.release(SECOND + (long) (t * SECOND), names[i], grant);
           }
           break;
         }
@@ -218,14 +218,14 @@
     Path folder = Files.createTempDirectory("ashdeck-quota-bench");
     Path file = folder.resolve("q.journal");
     QuotaPlan plan = new QuotaPlan.Builder(List.of(new Lane(Dimension.REQUESTS, 600 * SECOND)), new double[] {1e9})
-        .node("p", 1, new double[] {1e9}, null, new QuotaPlan.Child(1, 1e-6, null)).build();
+        .node("p", 1, new double[] {1e9}, null, new QuotaPlan.ChildTemplate(1, 1e-6, null)).build();
     long millis = System.currentTimeMillis();
     try (QuotaJournal j = new QuotaJournal(file, "bench", Long.MAX_VALUE, false)) {
       j.open();
       for (int i = 0; i < 1000; i++) {
-        List<Quotas.Kept> batch = new ArrayList<>();
+        List<Quotas.NodeSnapshot> batch = new ArrayList<>();
         for (int k = 0; k < 1000; k++) {
-          batch.add(new Quotas.Kept("p/t" + (i * 1000 + k) % 200_000, new double[] {k}, new double[1], new double[1], new double[1]));
+          batch.add(new Quotas.NodeSnapshot("p/t" + (i * 1000 + k) % 200_000, new double[] {k}, new double[1], new double[1], new double[1]));
         }
         j.append(millis, batch);
       }
@@ -233,12 +233,12 @@
     long start = System.nanoTime();
     Quotas q = new Quotas(plan, 1_000_000, SECOND);
     try (QuotaJournal j = new QuotaJournal(file, "bench", Long.MAX_VALUE, false)) {
-      for (QuotaJournal.Timed t : j.open().kept()) {
-        q.restore(SECOND, 0, List.of(t.kept()));
+      for (QuotaJournal.TimestampedSnapshot t : j.open().snapshots()) {
+        q.restore(SECOND, 0, List.of(t.snapshot()));
       }
     }
     double took = (System.nanoTime() - start) / 1e9;
-    System.out.printf(Locale.ROOT, "journal of 1,000,000 entries, %d octets, %d nodes: %.2f s%n", Files.size(file), q.nodes(), took);
+    System.out.printf(Locale.ROOT, "journal of 1,000,000 entries, %d octets, %d nodes: %.2f s%n", Files.size(file), q.nodeCount(), took);
     Files.delete(file);
     Files.delete(folder);
     return took;
--- a/dist/src/main/java/cloverpulley/cli/QuotaCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/QuotaCommand.java
@@ -56,26 +56,26 @@
     public Integer call() throws Exception {
       QuotaConfig config = read(file);
       List<Lane> lanes = config.plan().lanes();
-      Quotas q = new Quotas(config.plan(), config.mostNodes(), SECOND);
+      Quotas q = new Quotas(config.plan(), config.maxDynamicNodes(), SECOND);
       if (config.journal() != null && Files.exists(config.journal())) {
         // A copy is read: the service may be writing the file, and reading cuts a torn tail off.
         Path copy = Files.createTempFile("ashdeck-quota", ".journal");
         Files.copy(config.journal(), copy, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
         try (QuotaJournal journal = new QuotaJournal(copy, lanes.toString(), Long.MAX_VALUE, false)) {
           QuotaJournal.Recovered r = journal.open();
-          r.kept().forEach(t -> q.restore(SECOND, TimeUnit.MILLISECONDS.toNanos(System.currentTimeMillis() - t.unixMillis()),
-              List.of(t.kept())));
-          System.out.println("journal: " + r.kept().size() + " nodes, " + r.spoilt() + " spoilt frames, " + r.tornOctets()
+          r.snapshots().forEach(t -> q.restore(SECOND, TimeUnit.MILLISECONDS.toNanos(System.currentTimeMillis() - t.unixMillis()),
+              List.of(t.snapshot())));
+          System.out.println("journal: " + r.snapshots().size() + " nodes, " + r.corruptFrames() + " spoilt frames, " + r.truncatedBytes()
               + " octets torn off");
         } finally {
           Files.delete(copy);
         }
       }
       System.out.printf("%-32s %-26s %12s %12s %12s%n", "node", "lane", "guarantee", "left of it", "owed");
-      q.each(SECOND, s -> {
+      q.forEachNode(SECOND, s -> {
         for (int i = 0; i < lanes.size(); i++) {
           System.out.printf(Locale.ROOT, "%-32s %-26s %12.1f %12.1f %12.1f%n", i > 0 ? "" : s.path().isEmpty() ? "(all)"
-              : Sanitizer.printable(s.path()), lanes.get(i), s.guarantee()[i], s.tokens()[i], s.owed()[i]);
+              : Sanitizer.printable(s.path()), lanes.get(i), s.guarantee()[i], s.tokens()[i], s.credit()[i]);
         }
       });
       return 0;
@@ -125,7 +125,7 @@
       if (sum * seconds > 50_000_000) {
         throw new IllegalArgumentException("more than 50,000,000 requests; fewer seconds, or lower rates");
       }
-      Quotas q = new Quotas(plan, config.mostNodes(), SECOND);
+      Quotas q = new Quotas(plan, config.maxDynamicNodes(), SECOND);
       Map<String, Count> counts = new LinkedHashMap<>();
       all.forEach(d -> counts.put(d.path, new Count()));
       SplittableRandom random = new SplittableRandom(seed);
@@ -156,15 +156,15 @@
 
     private void ask(Quotas q, String path, long at, double[] cost, Count count) {
       count.asked++;
-      long grant = q.ask(SECOND + at, path, cost);
-      if (!Quotas.isRefused(grant)) {
+      long grant = q.tryAcquire(SECOND + at, path, cost);
+      if (!Quotas.isRejected(grant)) {
         boolean lent = false;
         for (int i = 0; i < cost.length; i++) {
-          lent |= Quotas.lent(grant, i) > 0;
+          lent |= Quotas.lenderDistance(grant, i) > 0;
         }
         count.lent += lent ? 1 : 0;
         count.own += lent ? 0 : 1;
-        q.end(SECOND + at, path, grant);
+        q.release(SECOND + at, path, grant);
       }
     }
 
