--- a/agree/src/main/java/cloverpulley/agree/AgreeApi.java
+++ b/agree/src/main/java/cloverpulley/agree/AgreeApi.java
@@ -98,7 +98,7 @@
   private <T> void handleCommand(HttpExchange x, Class<T> type, Function<T, CompletableFuture<?>> handler) throws IOException {
     byte[] body = readBody(x.getRequestBody());
     if (body == null) {
-      respond(x, 413, "longer than " + MAX_BODY_BYTES + " octets");
+      respond(x, 413, "longer than " + MAX_BODY_BYTES + " bytes");
       return;
     }
     T c;
--- a/agree/src/main/java/cloverpulley/agree/ElectionWatchdog.java
+++ b/agree/src/main/java/cloverpulley/agree/ElectionWatchdog.java
@@ -16,12 +16,12 @@
   /** Three times the leader heartbeat timeout, so that MicroRaft's own election has precedence. */
   static final long TIMEOUT_MICROS = 3_000_000;
 
-  private long lastHeartbeat;
+  private long lastHeartbeatMicros;
 
   /** Records a received message. */
   void onMessage(RaftMessage m, long nowMicros) {
     if (m instanceof AppendEntriesRequest || m instanceof InstallSnapshotRequest) {
-      lastHeartbeat = Math.max(lastHeartbeat, nowMicros);
+      lastHeartbeatMicros = Math.max(lastHeartbeatMicros, nowMicros);
     }
   }
 
@@ -32,12 +32,12 @@
    */
   RaftMessage check(long nowMicros, RaftEndpoint self, RaftEndpoint leader, int term, Object group) {
     if (leader == null || leader.equals(self)) {
-      lastHeartbeat = nowMicros;
+      lastHeartbeatMicros = nowMicros;
       return null;
-    } else if (nowMicros - lastHeartbeat < TIMEOUT_MICROS) {
+    } else if (nowMicros - lastHeartbeatMicros < TIMEOUT_MICROS) {
       return null;
     }
-    lastHeartbeat = nowMicros;
+    lastHeartbeatMicros = nowMicros;
     return Codec.MODEL.createVoteRequestBuilder().setGroupId(group).setSender(leader).setTerm(term + 1).setLastLogTerm(0).setLastLogIndex(0)
         .setSticky(false).build();
   }
--- a/agree/src/main/java/cloverpulley/agree/Histories.java
+++ b/agree/src/main/java/cloverpulley/agree/Histories.java
@@ -15,9 +15,10 @@
 import java.util.TreeSet;
 
 /**
- * Seeded simulation of a ledger on a virtual clock: real Raft and the real ledger under crashes, pauses, network partitions (of one link or
- * of the group), lost, slow and duplicated messages and clock skew, with operators that request permits, retry and return members. The limit is
- * checked independently, by the replies that the operators received and by what they did. The same seed gives the same history.
+ * Seeded simulation of a ledger on a virtual clock: real Raft and the real ledger under crashes, pauses, network partitions (of one link in
+ * one direction, or of the group into two sides), lost, slow and duplicated messages and clock skew, with operators that request permits, retry
+ * and return members. The limit is checked independently, by the replies that the operators received and by what they did. The same seed gives
+ * the same history.
  */
 public final class Histories {
 
--- a/agree/src/main/java/cloverpulley/agree/SimulatedVoter.java
+++ b/agree/src/main/java/cloverpulley/agree/SimulatedVoter.java
@@ -52,10 +52,10 @@
   }
 
   private final class Incarnation implements RaftNodeExecutor, Transport {
-    private final int own = incarnation;
+    private final int id = incarnation;
 
     private void run(Runnable task) {
-      if (own != incarnation || !up) {
+      if (id != incarnation || !up) {
         return;
       } else if (paused) {
         deferred.add(() -> run(task));
@@ -81,7 +81,7 @@
 
     @Override
     public void send(RaftEndpoint target, RaftMessage message) {
-      if (own == incarnation && up) {
+      if (id == incarnation && up) {
         try {
           send.accept((String) target.getId(), codec.write(message));
         } catch (IOException e) {
--- a/decision/src/main/java/cloverpulley/outs/MembershipReconciler.java
+++ b/decision/src/main/java/cloverpulley/outs/MembershipReconciler.java
@@ -97,8 +97,9 @@
     boolean isUnresponsive = now - since > silentMillis;
     LedgerState.Permit permit = s.outs().get(name);
     boolean returning = permit != null && permit.phase() == Phase.RETURNING;
-    boolean hasChanged = isUnresponsive != m.unwell() && (isUnresponsive || h != null && h.atMillis() >= leaderSince) || returning && !isUnresponsive;
-    if (hasChanged && now - reportedAt.getOrDefault(name, Long.MIN_VALUE / 2) >= silentMillis / 4) {
+    boolean needsReport = isUnresponsive != m.unwell() && (isUnresponsive || h != null && h.atMillis() >= leaderSince)
+        || returning && !isUnresponsive;
+    if (needsReport && now - reportedAt.getOrDefault(name, Long.MIN_VALUE / 2) >= silentMillis / 4) {
       reportedAt.put(name, now);
       commands.add(new Command.Seen(observer, name, isUnresponsive ? Health.SILENT : Health.WARM, s.index()));
     }
@@ -117,7 +118,7 @@
     long overloaded = responsive.stream().filter(h -> h.maxRejectionRatio() >= bound).count();
     if (overloaded >= MIN_OVERLOADED && 2 * overloaded > responsive.size()) {
       commands.add(new Command.Halt(DisruptionLedger.REJECTION_HALT, "ledger",
-          overloaded + " of " + responsive.size() + " instances reject too many requests"));
+          overloaded + " of " + responsive.size() + " instances refuse too much"));
     }
   }
 
--- a/decision/src/main/java/cloverpulley/outs/UpstreamHealthMonitor.java
+++ b/decision/src/main/java/cloverpulley/outs/UpstreamHealthMonitor.java
@@ -85,12 +85,12 @@
       Health health = t.failures >= MIN_FAILURES ? t.timedOut ? Health.SILENT : Health.DEAD
           : returning && nowMillis - t.returningSince < warmMillis ? Health.COLD : Health.WARM;
       boolean isKnown = health != Health.WARM || t.answeredAt > Long.MIN_VALUE && nowMillis - t.answeredAt < repeatMillis;
-      boolean isNews = health == Health.WARM ? unwell || returning : health != Health.COLD;
-      if (isKnown && isNews && (health != t.reported || nowMillis - t.reportedAt >= repeatMillis)) {
+      boolean needsReport = health == Health.WARM ? unwell || returning : health != Health.COLD;
+      if (isKnown && needsReport && (health != t.reported || nowMillis - t.reportedAt >= repeatMillis)) {
         t.reported = health;
         t.reportedAt = nowMillis;
         reports.add(new Command.Seen(observer, e.getKey(), health, s.index()));
-      } else if (!isNews) {
+      } else if (!needsReport) {
         t.reported = null;
       }
     }
--- a/decision/src/test/java/cloverpulley/outs/InstancesTest.java
+++ b/decision/src/test/java/cloverpulley/outs/InstancesTest.java
@@ -140,7 +140,8 @@
     reconciler.recordHeartbeat(100, "b2", new Heartbeat("new", List.of("balancers"), index, 0));
     reconciler.recordHeartbeat(110, "b2", new Heartbeat("old", List.of("balancers"), 0, 0));
     assertEquals(2, ledger.state().members().size());
-    assertEquals(List.of("b2"), reconciler.laggingInstances(200, index, ledger.state()), "the successor does not speak for its predecessor");
+    assertEquals(List.of("b2"), reconciler.laggingInstances(200, index, ledger.state()),
+        "a heartbeat of the successor does not count for its predecessor");
     reconciler.recordHeartbeat(300, "b2", new Heartbeat("old", List.of("balancers"), index, 0));
     assertEquals(List.of(), reconciler.laggingInstances(300, index, ledger.state()));
     reconciler.recordHeartbeat(400, "b2", new Heartbeat("old", List.of("balancers"), 0, 0));
