--- a/decision/src/main/java/cloverpulley/Upstreams.java
+++ b/decision/src/main/java/cloverpulley/Upstreams.java
@@ -1,9 +1,9 @@
 package cloverpulley;
 
-import cloverpulley.Balancer.PriorAttempt;
 import cloverpulley.Balancer.Endpoint;
 import cloverpulley.Balancer.EndpointUpdate;
 import cloverpulley.Balancer.ListKind;
+import cloverpulley.Balancer.PriorAttempt;
 import cloverpulley.Balancer.State;
 import cloverpulley.state.BalancerSnapshot.UpstreamSnapshot;
 import java.util.HashMap;
--- a/decision/src/main/java/cloverpulley/repeats/AttemptTracker.java
+++ b/decision/src/main/java/cloverpulley/repeats/AttemptTracker.java
@@ -1,7 +1,7 @@
 package cloverpulley.repeats;
 
-import cloverpulley.Balancer.PriorAttempt;
 import cloverpulley.Balancer.Effect;
+import cloverpulley.Balancer.PriorAttempt;
 import cloverpulley.Balancer.Status;
 import java.util.ArrayList;
 import java.util.Iterator;
--- a/decision/src/test/java/cloverpulley/OfflineTest.java
+++ b/decision/src/test/java/cloverpulley/OfflineTest.java
@@ -4,7 +4,6 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cloverpulley.Balancer.Action;
-import cloverpulley.Balancer.UpstreamSetOnline;
 import cloverpulley.Balancer.DedupScope;
 import cloverpulley.Balancer.Effect;
 import cloverpulley.Balancer.Endpoint;
@@ -14,6 +13,7 @@
 import cloverpulley.Balancer.State;
 import cloverpulley.Balancer.Status;
 import cloverpulley.Balancer.UpstreamSetOffline;
+import cloverpulley.Balancer.UpstreamSetOnline;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
--- a/decision/src/test/java/cloverpulley/PriorAttemptsTest.java
+++ b/decision/src/test/java/cloverpulley/PriorAttemptsTest.java
@@ -6,11 +6,11 @@
 
 import cloverpulley.Balancer.Action;
 import cloverpulley.Balancer.DedupScope;
-import cloverpulley.Balancer.PriorAttempt;
 import cloverpulley.Balancer.Effect;
 import cloverpulley.Balancer.Endpoint;
 import cloverpulley.Balancer.Fail;
 import cloverpulley.Balancer.ListKind;
+import cloverpulley.Balancer.PriorAttempt;
 import cloverpulley.Balancer.Reject;
 import cloverpulley.Balancer.Request;
 import cloverpulley.Balancer.SetTimer;
--- a/decision/src/test/java/cloverpulley/StreamingTest.java
+++ b/decision/src/test/java/cloverpulley/StreamingTest.java
@@ -6,6 +6,7 @@
 
 import cloverpulley.Balancer.Action;
 import cloverpulley.Balancer.AnswerStarted;
+import cloverpulley.Balancer.BodyDiscarded;
 import cloverpulley.Balancer.BodyEnded;
 import cloverpulley.Balancer.Cancel;
 import cloverpulley.Balancer.ClientGone;
@@ -15,7 +16,6 @@
 import cloverpulley.Balancer.Request;
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.Status;
-import cloverpulley.Balancer.BodyDiscarded;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/decision/src/test/java/cloverpulley/repeats/AttemptTrackerTest.java
+++ b/decision/src/test/java/cloverpulley/repeats/AttemptTrackerTest.java
@@ -4,15 +4,15 @@
 import static org.junit.jupiter.api.Assertions.assertInstanceOf;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.Balancer.PriorAttempt;
 import cloverpulley.Balancer.Effect;
+import cloverpulley.Balancer.PriorAttempt;
 import cloverpulley.Balancer.Status;
 import cloverpulley.repeats.AttemptTracker.Config;
-import cloverpulley.repeats.AttemptTracker.Result;
 import cloverpulley.repeats.AttemptTracker.FirstCall;
-import cloverpulley.repeats.AttemptTracker.TableFull;
 import cloverpulley.repeats.AttemptTracker.InProgress;
+import cloverpulley.repeats.AttemptTracker.Result;
 import cloverpulley.repeats.AttemptTracker.Retry;
+import cloverpulley.repeats.AttemptTracker.TableFull;
 import cloverpulley.repeats.AttemptTracker.UnknownHistory;
 import java.util.HashMap;
 import java.util.List;
--- a/http/src/test/java/cloverpulley/serve/LongBodyTest.java
+++ b/http/src/test/java/cloverpulley/serve/LongBodyTest.java
@@ -6,6 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cloverpulley.Balancer.AnswerStarted;
+import cloverpulley.Balancer.BodyDiscarded;
 import cloverpulley.Balancer.BodyEnded;
 import cloverpulley.Balancer.Fail;
 import cloverpulley.Balancer.Outcome;
@@ -13,7 +14,6 @@
 import cloverpulley.Balancer.Request;
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.Status;
-import cloverpulley.Balancer.BodyDiscarded;
 import cloverpulley.Reason;
 import cloverpulley.serve.Rig.Client;
 import cloverpulley.serve.Rig.Script;
--- a/http/src/test/java/cloverpulley/serve/OperationsTest.java
+++ b/http/src/test/java/cloverpulley/serve/OperationsTest.java
@@ -3,11 +3,11 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.Balancer.UpstreamSetOnline;
 import cloverpulley.Balancer.EndpointUpdate;
 import cloverpulley.Balancer.Fail;
 import cloverpulley.Balancer.Request;
 import cloverpulley.Balancer.UpstreamSetOffline;
+import cloverpulley.Balancer.UpstreamSetOnline;
 import cloverpulley.Reason;
 import cloverpulley.handover.ProcessRegistry;
 import cloverpulley.serve.Rig.Client;
--- a/http/src/test/java/cloverpulley/serve/RetuneTest.java
+++ b/http/src/test/java/cloverpulley/serve/RetuneTest.java
@@ -6,8 +6,8 @@
 
 import cloverpulley.Balancer.EndpointUpdate;
 import cloverpulley.Balancer.Request;
-import cloverpulley.Balancer.SettingsChanged;
 import cloverpulley.Balancer.Settings;
+import cloverpulley.Balancer.SettingsChanged;
 import cloverpulley.serve.Rig.Client;
 import cloverpulley.serve.Rig.Script;
 import java.io.IOException;
--- a/http/src/test/java/cloverpulley/serve/Rig.java
+++ b/http/src/test/java/cloverpulley/serve/Rig.java
@@ -2,13 +2,13 @@
 
 import static org.junit.jupiter.api.Assertions.assertNotNull;
 
+import cloverpulley.Balancer;
 import cloverpulley.Balancer.Action;
 import cloverpulley.Balancer.EndpointUpdate;
 import cloverpulley.Balancer.Event;
 import cloverpulley.Balancer.Outcome;
 import cloverpulley.Balancer.Request;
 import cloverpulley.Balancer.Send;
-import cloverpulley.Balancer;
 import cloverpulley.Reason;
 import java.io.BufferedInputStream;
 import java.io.IOException;
--- a/http/src/test/java/cloverpulley/serve/ServeTest.java
+++ b/http/src/test/java/cloverpulley/serve/ServeTest.java
@@ -4,15 +4,15 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.Reason;
 import cloverpulley.Balancer.ClientGone;
 import cloverpulley.Balancer.Fail;
 import cloverpulley.Balancer.PeerMessage;
 import cloverpulley.Balancer.Reject;
 import cloverpulley.Balancer.Request;
 import cloverpulley.Balancer.SendToPeer;
-import cloverpulley.Balancer.TimerFired;
 import cloverpulley.Balancer.SetTimer;
+import cloverpulley.Balancer.TimerFired;
+import cloverpulley.Reason;
 import cloverpulley.serve.Rig.Client;
 import cloverpulley.serve.Rig.Script;
 import java.io.IOException;
--- a/model/src/main/java/cloverpulley/model/ModelBalancer.java
+++ b/model/src/main/java/cloverpulley/model/ModelBalancer.java
@@ -1,5 +1,6 @@
 package cloverpulley.model;
 
+import cloverpulley.Balancer;
 import cloverpulley.Balancer.Action;
 import cloverpulley.Balancer.Endpoint;
 import cloverpulley.Balancer.Event;
@@ -7,7 +8,6 @@
 import cloverpulley.Balancer.RequestClass;
 import cloverpulley.Balancer.State;
 import cloverpulley.Balancer.Status;
-import cloverpulley.Balancer;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/model/src/main/java/cloverpulley/model/World.java
+++ b/model/src/main/java/cloverpulley/model/World.java
@@ -1,10 +1,10 @@
 package cloverpulley.model;
 
+import cloverpulley.Balancer;
 import cloverpulley.Balancer.Endpoint;
 import cloverpulley.Balancer.ListKind;
 import cloverpulley.Balancer.RequestClass;
 import cloverpulley.Balancer.State;
-import cloverpulley.Balancer;
 import java.util.ArrayList;
 import java.util.List;
 
