--- a/decision/src/main/java/cloverpulley/membership/ChangeReason.java
+++ b/decision/src/main/java/cloverpulley/membership/ChangeReason.java
@@ -28,7 +28,7 @@
   RENUMBERED,
   /** It refused connections and now accepts them: taken as a restart. */
   RESTARTED,
-  /** Its records have changed in what does not make it another server. */
+  /** Its records have changed, but not its identity. */
   CHANGED,
   /** In reserve: serves only if too few servers of a better priority can (RFC 2782). */
   RESERVE,
@@ -44,7 +44,7 @@
   OUTDATED_ZONE,
   /** Not usable: a service or address record is missing. */
   INCOMPLETE,
-  /** Rejected: the maximum number of instances is known. */
+  /** Rejected: the maximum number of instances is reached. */
   TOO_MANY;
 
   /** The code written to change records and reports. */
--- a/decision/src/main/java/cloverpulley/membership/Instance.java
+++ b/decision/src/main/java/cloverpulley/membership/Instance.java
@@ -15,8 +15,9 @@
     long listedAt = -1;
     /** Since when the resolver's list omits this instance, which it or the cached list had named; -1 otherwise. */
     long absentSince = -1;
-    /** The answer that omitted it would take the fleet below its floor, or had none of the accepted instances: it needs corroboration. */
+    /** The answer that omitted it would take the fleet below its floor, or counts as empty: other resolvers have to omit it too. */
     boolean needsCorroboration;
+    /** That answer had no instance that is accepted independently of the resolver, or a push left its list without any. */
     boolean emptyAnswer;
     /** It reported the current incarnation as draining and has not reported otherwise since. */
     boolean reportsDraining;
@@ -61,7 +62,7 @@
   /** Its entry on the published list; null if there is none. */
   Member published;
   String addressKey;
-  /** How it was last counted in the available servers by priority: 1 or 0, and at which priority. */
+  /** What it adds to the number of available servers of its priority, 0 or 1, and that priority. */
   int countedAvailable;
   int countedPriority;
 
--- a/decision/src/main/java/cloverpulley/membership/Membership.java
+++ b/decision/src/main/java/cloverpulley/membership/Membership.java
@@ -74,7 +74,7 @@
   private boolean recheckAwaiting;
   private int acceptedCount;
   private int corroboratedCount;
-  /** Withdrawn by one resolver while others still list them. */
+  /** The number of instances that are withdrawn while some resolver still lists them. */
   private int contestedCount;
   private int limitBase = -1;
   private int readyCount;
@@ -300,7 +300,7 @@
         omitted.add(i);
       }
     }
-    // An answer with none of the accepted instances counts as an empty one.
+    // An answer without any instance that is accepted independently of this resolver counts as an empty one.
     boolean emptyAnswer = names.stream().noneMatch(n -> isAcceptedIndependently(n, b.resolver()));
     boolean needsCorroboration = isBelowFloor(now, omitted, emptyAnswer);
     for (Instance i : omitted) {
@@ -639,7 +639,7 @@
     if (!newer || !i.accepted || views.length == 1 || witnesses >= rules.witnesses()) {
       return newer;
     }
-    // Reported by one resolver: allowed within its uncorroborated limit, or if no other resolver responds.
+    // Reported by too few: allowed within the resolver's uncorroborated limit, or if it has long been the only one that responds.
     boolean allowedAlone = i.soleResolver == resolver || uncorroborated[resolver] < uncorroboratedLimit(now, resolver, i)
         || othersUnresponsive(now, i, resolver) && isSoleResolverTrusted(now, i, resolver);
     if (!allowedAlone) {
@@ -710,7 +710,7 @@
     return !i.wasRemoved && i.firstSeenAt <= Math.min(until, startedAt + rules.firstWaitMillis());
   }
 
-  /** Records when all resolvers have listed a domain or failed to: instances that appear later count as started since. */
+  /** Records when all resolvers have listed a domain or failed to, and at least one has listed it: later instances count as started since. */
   private void recordFirstList(long now, String domain) {
     if (firstListedAt.containsKey(domain)) {
       return;
@@ -814,7 +814,7 @@
     }
   }
 
-  /** A resolver's attributes of the current incarnation; a TXT record without an SRV record applies to the current one. */
+  /** A resolver's attributes of the current incarnation; a TXT record without an SRV or address record applies to it too. */
   private TextKeys.Attributes currentAttributes(Instance i, int r) {
     Incarnation reported = views[r].incarnation(i.name, i.current.address());
     return reported == null ? views[r].attributes.get(i.name) : reported.isSame(i.current) ? reported.attributes() : null;
@@ -1146,7 +1146,7 @@
     i.countedPriority = priority;
   }
 
-  /** Determines the lowest-ranked priority that has to serve, and publishes the instances for which that changes. */
+  /** Determines the least preferred priority that has to serve, and publishes the instances for which that changes. */
   private void updateActivePriority(long now, Consumer<Change> out) {
     int active = Integer.MAX_VALUE;
     int available = 0;
--- a/decision/src/main/java/cloverpulley/membership/RefreshScheduler.java
+++ b/decision/src/main/java/cloverpulley/membership/RefreshScheduler.java
@@ -7,7 +7,7 @@
 
 /**
  * Schedules the refresh of cached records: at 80, 85, 90 and 95% of the TTL (RFC 6762, 5.2, which DNS-SD readers follow), each plus
- * up to 2% of jitter so that readers do not query at once. Once these are used up, failures are retried with exponential back-off.
+ * up to 2% of jitter so that readers do not query together. Once these are used up, failures are retried with exponential back-off.
  *
  * @param <K> identifies a query and the server it goes to
  */
@@ -22,7 +22,7 @@
     final K key;
     long answeredAt;
     long ttl;
-    int fraction;
+    int fractionIndex;
     int failures;
     /** The time of its latest timer; a timer that fires for another time has been replaced. */
     long at;
@@ -82,7 +82,7 @@
     if (e != null) {
       e.answeredAt = now;
       e.ttl = Math.max(minTtlMillis, Math.min(maxTtlMillis, ttlMillis));
-      e.fraction = 0;
+      e.fractionIndex = 0;
       e.failures = 0;
       e.inFlight = false;
       scheduleAt(e, e.refreshAgain ? now : refreshTime(e));
@@ -106,7 +106,7 @@
     }
     e.inFlight = false;
     e.refreshAgain = false;
-    if (e.ttl > 0 && ++e.fraction < TTL_FRACTIONS.length && refreshTime(e) > now) {
+    if (e.ttl > 0 && ++e.fractionIndex < TTL_FRACTIONS.length && refreshTime(e) > now) {
       scheduleAt(e, refreshTime(e));
     } else {
       long delay = Math.min(maxBackOffMillis, backOffMillis << Math.min(MAX_DOUBLINGS, e.failures++));
@@ -143,7 +143,7 @@
   }
 
   private long refreshTime(Entry<K> e) {
-    return e.answeredAt + (long) (e.ttl * (TTL_FRACTIONS[Math.min(e.fraction, TTL_FRACTIONS.length - 1)] + random.nextDouble(JITTER)));
+    return e.answeredAt + (long) (e.ttl * (TTL_FRACTIONS[Math.min(e.fractionIndex, TTL_FRACTIONS.length - 1)] + random.nextDouble(JITTER)));
   }
 
   private void scheduleAt(Entry<K> e, long at) {
--- a/decision/src/main/java/cloverpulley/membership/RegistrationLease.java
+++ b/decision/src/main/java/cloverpulley/membership/RegistrationLease.java
@@ -104,7 +104,7 @@
     }
   }
 
-  /** Whether the last successful update was a registration. */
+  /** Whether the primary is known to hold the registration: the last update that succeeded was one. */
   public boolean isRegistered() {
     return registered;
   }
--- a/decision/src/main/java/cloverpulley/membership/ResolverView.java
+++ b/decision/src/main/java/cloverpulley/membership/ResolverView.java
@@ -41,12 +41,12 @@
     return domains.computeIfAbsent(name, n -> new Domain());
   }
 
-  /** Stores the addresses; whether they changed. */
-  boolean updateAddresses(String target, boolean isIpv6, List<String> numeric) {
+  /** Stores the addresses and returns whether they changed. */
+  boolean updateAddresses(String target, boolean isIpv6, List<String> addresses) {
     Map<String, List<String>> family = isIpv6 ? ipv6 : ipv4;
     // An empty answer is stored as unknown, so that a target that its reader has dropped takes no memory.
-    List<String> previous = numeric.isEmpty() ? family.remove(target) : family.put(target, numeric);
-    return !numeric.equals(previous == null ? List.of() : previous);
+    List<String> previous = addresses.isEmpty() ? family.remove(target) : family.put(target, addresses);
+    return !addresses.equals(previous == null ? List.of() : previous);
   }
 
   /** The address in use if it is still listed, else the smallest as text, IPv4 before IPv6: all readers select the same one. */
--- a/decision/src/main/java/cloverpulley/membership/TextKeys.java
+++ b/decision/src/main/java/cloverpulley/membership/TextKeys.java
@@ -28,8 +28,8 @@
   /**
    * The attributes parsed from a TXT record.
    *
-   * @param size 0 if absent
-   * @param started Unix milliseconds; 0 if absent or not a number
+   * @param size 0 if absent or invalid
+   * @param started Unix milliseconds; 0 if absent or not a whole number
    * @param bootId the value of the started key as written; empty if absent or 0
    * @param unknownKeys pairs with other keys, shown to operators
    * @param problems values that were ignored, and why
@@ -90,7 +90,8 @@
   private static String token(Map<String, String> pairs, String key, List<String> problems) {
     String value = pairs.getOrDefault(lowerCase(key), "");
     if (value.length() > MAX_VALUE_LENGTH || value.chars().anyMatch(c -> c <= ' ' || c == '|' || c == 127)) {
-      problems.add(key + ": expected at most " + MAX_VALUE_LENGTH + " characters without blanks or |, got \"" + printable(value) + '"');
+      problems.add(key + ": expected at most " + MAX_VALUE_LENGTH + " characters without blanks, control characters or |, got \""
+          + printable(value) + '"');
       return "";
     }
     return value;
--- a/decision/src/main/java/cloverpulley/names/GracefulShutdown.java
+++ b/decision/src/main/java/cloverpulley/names/GracefulShutdown.java
@@ -32,7 +32,7 @@
     return begun;
   }
 
-  /** Whether new queries are rejected, for the client to send elsewhere. */
+  /** Whether new queries are rejected, for the client to send again to another process. */
   public boolean rejectsNew(long now) {
     return begun && now - since >= lasts / 2;
   }
--- a/decision/src/main/java/cloverpulley/names/ServerCapabilities.java
+++ b/decision/src/main/java/cloverpulley/names/ServerCapabilities.java
@@ -27,7 +27,7 @@
     servers.computeIfAbsent(server, s -> new Traits()).noEdnsUntil = now + ttlNanos;
   }
 
-  /** It has answered over TCP, where answers can't be forged, with another case than the question. */
+  /** It has answered over TCP, where nobody else can answer, with another case than the question's. */
   public void markCaseNotPreserved(long now, long server) {
     servers.computeIfAbsent(server, s -> new Traits()).noCaseUntil = now + ttlNanos;
   }
--- a/decision/src/main/java/cloverpulley/names/TtlPolicy.java
+++ b/decision/src/main/java/cloverpulley/names/TtlPolicy.java
@@ -15,7 +15,7 @@
    * @param maxNegativeTtl the same for negative answers
    * @param staleFor how long past its TTL an answer may be given when no server answers
    * @param prefetchRatio the last part of its TTL, 0 to 1, in which an answer is prefetched while it is still fresh
-   * @param prefetchHits the cache hits that an answer needs to be prefetched; 0 disables prefetching
+   * @param prefetchHits hits since it was cached that an answer needs for that; 0 for no prefetching
    */
   public record Config(long maxTtl, long maxNegativeTtl, long staleFor, double prefetchRatio, int prefetchHits) {}
 
--- a/decision/src/test/java/cloverpulley/membership/MembershipTest.java
+++ b/decision/src/test/java/cloverpulley/membership/MembershipTest.java
@@ -275,9 +275,9 @@
 
   @Test
   void forgedFleetIsLimitedByTheWeightOfItsResolver() {
-    Rules usual = Rules.of(3);
-    Rules rules = new Rules(List.of(0.2, 0.4, 0.4), usual.floorShare(), 2, 2, usual.confirmMillis(), usual.settleMillis(),
-        usual.longestTtlMillis(), usual.staleMillis(), usual.clockSkewMillis(), usual.firstWaitMillis(), usual.loneWaitMillis(), 1, 20_000);
+    Rules defaults = Rules.of(3);
+    Rules rules = new Rules(List.of(0.2, 0.4, 0.4), defaults.floorShare(), 2, 2, defaults.confirmMillis(), defaults.settleMillis(),
+        defaults.longestTtlMillis(), defaults.staleMillis(), defaults.clockSkewMillis(), defaults.firstWaitMillis(), defaults.loneWaitMillis(), 1, 20_000);
     MembershipFixture f = new MembershipFixture(rules);
     for (int i = 0; i < 30; i++) {
       f.answer(0, 99, fleet(1000, 2000));
@@ -566,8 +566,8 @@
     first.answer(1, 1, with(fleet(0, 9), server("s9", 9).bootId("b9")));
     MembershipFixture next = new MembershipFixture(2);
     first.list.values().forEach(m -> {
-      Membership.CachedDetails h = first.membership.cachedDetails(m);
-      next.membership.restoreCached(next.now, m, h.domain(), h.priority(), h.bootId());
+      Membership.CachedDetails details = first.membership.cachedDetails(m);
+      next.membership.restoreCached(next.now, m, details.domain(), details.priority(), details.bootId());
     });
     next.reconcile();
     assertEquals(first.list, next.list);
