--- a/decision/src/test/java/cloverpulley/membership/MembershipTest.java
+++ b/decision/src/test/java/cloverpulley/membership/MembershipTest.java
@@ -277,7 +277,8 @@
   void forgedFleetIsLimitedByTheWeightOfItsResolver() {
     Rules defaults = Rules.of(3);
     Rules rules = new Rules(List.of(0.2, 0.4, 0.4), defaults.floorShare(), 2, 2, defaults.confirmMillis(), defaults.settleMillis(),
-        defaults.longestTtlMillis(), defaults.staleMillis(), defaults.clockSkewMillis(), defaults.firstWaitMillis(), defaults.loneWaitMillis(), 1, 20_000);
+        defaults.longestTtlMillis(), defaults.staleMillis(), defaults.clockSkewMillis(), defaults.firstWaitMillis(),
+        defaults.loneWaitMillis(), 1, 20_000);
     MembershipFixture f = new MembershipFixture(rules);
     for (int i = 0; i < 30; i++) {
       f.answer(0, 99, fleet(1000, 2000));
