--- a/dist/src/main/java/cloverpulley/cli/QuotaCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/QuotaCommand.java
@@ -62,7 +62,7 @@
         Path copy = Files.createTempFile("ashdeck-quota", ".journal");
         Files.copy(config.journal(), copy, java.nio.file.StandardCopyOption.REPLACE_EXISTING);
         try (QuotaJournal journal = new QuotaJournal(copy, lanes.toString(), Long.MAX_VALUE, false)) {
-          QuotaJournal.Recovered r = journal.open();
+          QuotaJournal.Recovery r = journal.open();
           r.snapshots().forEach(t -> q.restore(SECOND, TimeUnit.MILLISECONDS.toNanos(System.currentTimeMillis() - t.unixMillis()),
               List.of(t.snapshot())));
           System.out.println("journal: " + r.snapshots().size() + " nodes, " + r.corruptFrames() + " spoilt frames, " + r.truncatedBytes()
