--- a/decision/src/main/java/cloverpulley/incident/Audit.java
+++ b/decision/src/main/java/cloverpulley/incident/Audit.java
@@ -26,19 +26,20 @@
   /**
    * The parameters of the rules; times are in microseconds.
    *
-   * @param drainGrace how long a server may still receive attempts after its instance was notified that it drains
+   * @param drainGrace how long a server may still receive attempts after the instance was notified that the server is draining or gone
    * @param initialCapacity capacity of a server at its start, as a fraction of its full capacity
    * @param warmUpTime time from the start of a server to its full capacity
-   * @param overloadFactor multiple of the attempts in proportion to its current capacity above which a starting server is overloaded
+   * @param overloadFactor a starting server is overloaded above this multiple of its proportionate number of attempts, which is the average
+   *     of the other servers times its current capacity
    * @param overloadWindow window over which those attempts are counted
-   * @param answerSlack how long past its deadline an answer is not yet late
+   * @param answerSlack how long after its deadline an answer still counts as in time
    */
   public record Limits(long drainGrace, double initialCapacity, long warmUpTime, double overloadFactor, long overloadWindow, long answerSlack) {
     public static final Limits DEFAULT = new Limits(2_000_000, 0.32, 8_500_000, 3, 3_000_000, 50_000);
   }
 
   private static final int MAX_FINDINGS = 1000;
-  /** Requests whose attempts are kept, as they may be retried; the least recently used are evicted. */
+  /** Requests whose attempts are kept, as they may be retried; those idle longest are evicted. */
   private static final int MAX_REQUESTS = 500_000;
   /** Attempts that a starting server may always receive: two per second over the window, plus the random variation of so small a number. */
   private static final int SLOW_START_MIN_SENDS = 12;
@@ -166,25 +167,25 @@
     Server to = s.servers.get(e.upstream());
     checkDrained(s, e, to);
     checkSlowStart(s, e, to);
-    ClassSettings type = classes.get(e.className());
-    if (type == null || type.effect.equals("safe")) {
+    ClassSettings settings = classes.get(e.className());
+    if (settings == null || settings.effect.equals("safe")) {
       return;
     }
     count(Check.NO_EFFECT_TWICE);
     List<SentAttempt> before = requests.computeIfAbsent(e.requestId(), k -> new ArrayList<>(1));
-    String group = group(type, to, e);
+    String group = group(settings, to, e);
     for (SentAttempt b : before) {
       String status = b.status[0];
       if (b.ended[0] && provesNotRun(status)) {
         continue;
       }
-      boolean sameGroup = b.group.equals(group) && Math.abs(e.at() - b.at) <= type.window;
-      if (type.effect.equals("unsafe") || !sameGroup) {
+      boolean sameGroup = b.group.equals(group) && Math.abs(e.at() - b.at) <= settings.window;
+      if (settings.effect.equals("unsafe") || !sameGroup) {
         // The order of records of different instances depends on their clocks, so only violations within one origin are certain.
         boolean certain = b.origin.equals(e.origin()) && s.dropped == 0;
-        report(Check.NO_EFFECT_TWICE, e, type.effect + " request sent to " + name(to, e) + " while attempt " + b.attempt + " of "
+        report(Check.NO_EFFECT_TWICE, e, settings.effect + " request sent to " + name(to, e) + " while attempt " + b.attempt + " of "
             + b.origin.instance() + " " + (b.ended[0] ? "had ended " + status : "was in flight")
-            + (type.effect.equals("unsafe") ? "" : ", in another group or past its dedup window"), certain);
+            + (settings.effect.equals("unsafe") ? "" : ", in another group or past its dedup window"), certain);
         break;
       }
     }
@@ -196,10 +197,10 @@
   }
 
   /** The group of servers that deduplicate one another's requests; server records have it as "zone cell". */
-  private static String group(ClassSettings type, Server to, Entry e) {
+  private static String group(ClassSettings settings, Server to, Entry e) {
     String of = to == null ? "?" + e.upstream() : to.group;
     int space = of.indexOf(' ');
-    return switch (type.scope) {
+    return switch (settings.scope) {
       case "all" -> "all";
       case "zone" -> space < 0 ? of : of.substring(0, space);
       default -> of;
@@ -229,8 +230,8 @@
   private void checkDrained(OriginState s, Entry e, Server to) {
     count(Check.NOTHING_TO_DRAINED);
     if (to != null && !to.state.equals("ready") && e.at() - to.since > limits.drainGrace) {
-      report(Check.NOTHING_TO_DRAINED, e, "sent to " + to.name + " " + (e.at() - to.since) / 1000 + " ms after the instance was notified that it is "
-          + to.state, true);
+      report(Check.NOTHING_TO_DRAINED, e, "sent to " + to.name + " " + (e.at() - to.since) / 1000
+          + " ms after the instance was notified that the server is " + to.state, true);
     }
   }
 
@@ -281,7 +282,7 @@
       }
       long inFlight = s.inFlight.values().stream().mapToLong(n -> n).sum();
       if (s.sent != s.outcomes + inFlight) {
-        all.add(new Finding(Check.SUMS, origin, 0, null, s.sent + " sends, " + s.outcomes + " outcomes and " + inFlight + " out",
+        all.add(new Finding(Check.SUMS, origin, 0, null, s.sent + " sends, " + s.outcomes + " outcomes and " + inFlight + " in flight",
             s.dropped == 0));
       }
       if (s.stopped && !s.accepted.isEmpty()) {
--- a/decision/src/main/java/cloverpulley/incident/ChangePointAnalysis.java
+++ b/decision/src/main/java/cloverpulley/incident/ChangePointAnalysis.java
@@ -9,11 +9,11 @@
 import org.apache.commons.statistics.distribution.PoissonDistribution;
 
 /**
- * Finds rises of the ratio of unserved answers and the changes that preceded them. Rises are change points of the ratio by second, found by
- * binary segmentation on the binomial likelihood, where each split must gain more than a penalty (Scott and Knott 1974; penalty as in
- * BIC). A change (of a server's state, a start or a stop, a failed list update) shortly before a rise is reported with two p-values: that of
- * the rise (Fisher's exact test of the seconds before and after) and that of a change of its kind being that close by chance (Poisson). Such
- * a change is reported as having preceded the rise, never as its cause.
+ * Finds rises of the ratio of unserved (rejected or failed) answers and the changes that preceded them. Rises are change points of the
+ * ratio by second, found by binary segmentation on the binomial likelihood, where each split must gain more than a penalty (Scott and Knott
+ * 1974; penalty as in BIC). A change (of a server's state, a start or a stop, a failed list update) shortly before a rise is reported with
+ * two p-values: that of the rise (Fisher's exact test of the seconds before and after) and that of a change of its kind being that close by
+ * chance (Poisson). Such a change is reported as having preceded the rise, never as its cause.
  */
 public final class ChangePointAnalysis {
 
@@ -139,7 +139,7 @@
 
   /** Fisher's exact test, one-sided: the probability of at least as many unserved answers after the split, given the total. */
   private static double fisherPValue(long[] all, long[] unserved, int a, int m, int b) {
-    // Scales counts beyond the distribution's int range; the p-value is negligible by then.
+    // Scales large counts down, as the distribution takes ints; the p-value is negligible by then.
     long scale = Math.max(1, (all[b] - all[a]) / 1_000_000);
     int population = (int) ((all[b] - all[a]) / scale);
     int successes = (int) ((unserved[b] - unserved[a]) / scale);
--- a/decision/src/main/java/cloverpulley/incident/Clocks.java
+++ b/decision/src/main/java/cloverpulley/incident/Clocks.java
@@ -54,7 +54,10 @@
   /** A clock step between two readings of that clock, with the offsets before and after it. */
   public record Step(String instance, long from, long to, Offset before, Offset after) {}
 
-  /** The constraint {@code offset(to) <= offset(from) + length}, from a correlation or from the drift after a knot; the other one is -1. */
+  /**
+   * The constraint {@code offset(to) <= offset(from) + length}, from a correlation or from the drift after a knot.
+   * {@code correlationIndex} and {@code knot} name its source; the one that does not apply is -1.
+   */
   private record Edge(int from, int to, long length, int correlationIndex, int knot) {}
 
   private final String reference;
--- a/decision/src/main/java/cloverpulley/incident/Entry.java
+++ b/decision/src/main/java/cloverpulley/incident/Entry.java
@@ -38,8 +38,8 @@
     return new Entry(origin, seq, at, kind, 0, null, null, null, 0, 0, 0, null, null, 0, 0);
   }
 
-  public Entry withRequest(long number, String callerId, String requestClass, String tenantName) {
-    return new Entry(origin, seq, at, kind, number, callerId, requestClass, tenantName, key, attempt, upstream, name, word, value, other);
+  public Entry withRequest(long number, String givenId, String requestClass, String tenantName) {
+    return new Entry(origin, seq, at, kind, number, givenId, requestClass, tenantName, key, attempt, upstream, name, word, value, other);
   }
 
   public Entry withAttempt(int number, long upstreamId) {
@@ -54,7 +54,7 @@
     return new Entry(origin, seq, at, kind, request, id, className, tenant, key, attempt, upstream, name, newWord, newValue, newOther);
   }
 
-  /** Identifies the request across instances: the caller's ID, or without one the origin and the engine's number; null if there is no request. */
+  /** Identifies the request across instances: the ID that its caller gave, or else the origin and the engine's number. Null without a request. */
   public String requestId() {
     return id != null ? id : request == 0 ? null : origin.instance() + "/" + origin.start() + "#" + request;
   }
--- a/decision/src/main/java/cloverpulley/incident/Kind.java
+++ b/decision/src/main/java/cloverpulley/incident/Kind.java
@@ -8,7 +8,10 @@
   STOP(9),
   /** A class it serves: {@code className}, {@code word} its effect and dedup scope, {@code value} its dedup window, {@code other} its deadline. */
   CLASS(9),
-  /** The engine accepted a request; {@code value} its deadline as a duration, {@code other} its hint, {@code key} a hash of its key. */
+  /**
+   * The engine accepted a request; {@code value} the time to its deadline, 0 for none, {@code other} its hint, {@code key} a
+   * hash of its key.
+   */
   TAKEN(1),
   /** An attempt was sent: {@code attempt}, {@code upstream}. */
   SENT(2),
@@ -30,7 +33,7 @@
   SERVER(8),
   /** A reading of the wall clock: {@code value} is its offset from the clock of the records. */
   CLOCK(6),
-  /** Records dropped because the queue was full: {@code word} their kind, {@code value} how many. */
+  /** Records dropped because the queue was too full: {@code word} their kind, {@code value} how many. */
   DROPPED(9),
   /** Records removed with an old segment: {@code value} how many, {@code other} the time of the last of them. */
   REMOVED(9),
@@ -45,7 +48,10 @@
     this.priority = priority;
   }
 
-  /** Retention priority from 1: lower ones are dropped first as the queue fills. Final answers and records that explain others go last. */
+  /**
+   * Priority from 1: as the queue fills, records of lower priority are dropped first. Final answers, and the state changes that explain what
+   * happened, are dropped last.
+   */
   public int priority() {
     return priority;
   }
--- a/decision/src/main/java/cloverpulley/incident/Origin.java
+++ b/decision/src/main/java/cloverpulley/incident/Origin.java
@@ -3,7 +3,7 @@
 /**
  * The incarnation of an instance that wrote a record.
  *
- * @param instance name of the instance; a restarted process keeps it
+ * @param instance name of the instance; successor processes keep it
  * @param start when this incarnation began, in microseconds of its own clock; no two incarnations of an instance share a value
  */
 public record Origin(String instance, long start) implements Comparable<Origin> {
--- a/decision/src/main/java/cloverpulley/incident/Timeline.java
+++ b/decision/src/main/java/cloverpulley/incident/Timeline.java
@@ -26,8 +26,8 @@
   /**
    * A period of an instance of which some or all records are missing.
    *
-   * @param minUnknown least number of requests or records affected
-   * @param maxUnknown the most of them; negative if unbounded
+   * @param minUnknown minimum number of requests or records affected
+   * @param maxUnknown maximum number of them; negative if unbounded
    */
   public record Gap(String instance, long from, long to, String reason, long minUnknown, long maxUnknown) {
     /** Whether there is no upper bound for what happened in it. */
@@ -88,7 +88,7 @@
   private final Map<String, Integer> callerOnly = new HashMap<>();
   private final Map<String, Integer> calleeOnly = new HashMap<>();
   private long unmatched;
-  /** Shares in millionths, as configured at the instances. */
+  /** Shares in millionths, as in the settings of the instances. */
   private final Map<String, Long> shares = new TreeMap<>();
 
   /**
@@ -188,7 +188,7 @@
     }
   }
 
-  /** Attempts whose answer only the caller recorded, by result; empty if no caller keeps records. */
+  /** Calls whose answer only the caller recorded, by result; empty if no caller keeps records. */
   public Map<Integer, Long> callerOnly() {
     Map<Integer, Long> counts = new TreeMap<>();
     callerOnly.values().forEach(answer -> counts.merge(answer, 1L, Long::sum));
--- a/incident/src/main/java/cloverpulley/incident/tool/HtmlReport.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/HtmlReport.java
@@ -15,8 +15,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Renders an incident as one self-contained page of HTML, without scripts or external resources. Text from requests is always escaped. Each
- * section names the query that lists its records.
+ * Renders an incident as one self-contained page of HTML, without scripts or external resources. Text from requests is always escaped. The
+ * sections on requests, reasons, retries and servers name the query that lists their records.
  */
 public final class HtmlReport {
 
@@ -37,29 +37,29 @@
       h2{margin-top:1.8em}.bad{color:#b3261e;font-weight:600}.unsure{color:#8a6100}.gap{background:#fbf0d9}svg{display:block}
       summary{cursor:pointer}text{font-size:11px;fill:#444}""";
 
-  private final IncidentAnalysis s;
-  private final Timeline c;
-  private final StringBuilder h = new StringBuilder();
+  private final IncidentAnalysis analysis;
+  private final Timeline timeline;
+  private final StringBuilder page = new StringBuilder();
   private final List<Long> intervals;
   private final long from;
   private final long to;
   private final List<Timeline.Gap> gaps;
 
-  public HtmlReport(IncidentAnalysis study) {
-    s = study;
-    c = study.timeline;
-    List<Long> all = c.intervals();
+  public HtmlReport(IncidentAnalysis incidentAnalysis) {
+    analysis = incidentAnalysis;
+    timeline = incidentAnalysis.timeline;
+    List<Long> all = timeline.intervals();
     intervals = all.size() > MAX_INTERVALS ? all.subList(0, MAX_INTERVALS) : all;
-    gaps = c.gaps(s.clocks);
+    gaps = timeline.gaps(analysis.clocks);
     long earliest = Long.MAX_VALUE;
     long latest = Long.MIN_VALUE;
-    for (Timeline.Incarnation l : c.incarnations()) {
-      long o = s.clocks.offset(l.origin.instance(), l.first).midpoint();
+    for (Timeline.Incarnation l : timeline.incarnations()) {
+      long o = analysis.clocks.offset(l.origin.instance(), l.first).midpoint();
       earliest = Math.min(earliest, l.first + o);
       latest = Math.max(latest, l.last + o);
     }
-    from = Math.max(earliest, s.options.from());
-    to = Math.max(from + 1, Math.min(latest, s.options.to()));
+    from = Math.max(earliest, analysis.options.from());
+    to = Math.max(from + 1, Math.min(latest, analysis.options.to()));
   }
 
   private static String formatted(String format, Object... args) {
@@ -76,56 +76,57 @@
 
   /** Renders the page. */
   public String html() {
-    h.append("<!DOCTYPE html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>Incident</title><style>").append(CSS)
+    page.append("<!DOCTYPE html><html lang=\"en\"><head><meta charset=\"utf-8\"><title>Incident</title><style>").append(CSS)
         .append("</style></head><body><h1>Incident ").append(time(from)).append(" to ").append(time(to)).append("</h1>");
-    h.append(formatted("<p>%d records, %d instances, %d requests answered, %d retries, %d requests with an unknown end.</p>",
-        s.read.records(), s.clocks.instances().size(), c.count(null, null, null, null),
-        c.retryOutcomes().values().stream().mapToLong(n -> n).sum(), c.unresolvedRequests()));
+    page.append(formatted("<p>%d records, %d instances, %d requests answered, %d retries, %d requests with an unknown end.</p>",
+        analysis.read.records(), analysis.clocks.instances().size(), timeline.count(null, null, null, null),
+        timeline.retryOutcomes().values().stream().mapToLong(n -> n).sum(), timeline.unresolvedRequests()));
     unknown();
     rules();
     requests();
     latency();
-    table("By class", c.classes().stream().toList(), true);
-    table("By tenant", c.tenants().stream().toList(), false);
+    table("By class", timeline.classes().stream().toList(), true);
+    table("By tenant", timeline.tenants().stream().toList(), false);
     reasons();
     retries();
     lanes();
     causes();
     clocks();
-    h.append("</body></html>\n");
-    return h.toString();
+    page.append("</body></html>\n");
+    return page.toString();
   }
 
   private void query(String expression) {
-    h.append("<p>Records: <code>ashdeck incident query '").append(Sanitizer.html(expression)).append("' DIR</code></p>");
+    page.append("<p>Records: <code>ashdeck incident query '").append(Sanitizer.html(expression)).append("' DIR</code></p>");
   }
 
   // ---- Gaps and unknowns -------------------------------------------------------------------------------
 
   private void unknown() {
-    h.append("<h2>What is not known</h2>");
+    page.append("<h2>What is not known</h2>");
     Map<String, Long> reasons = new TreeMap<>();
-    if (gaps.isEmpty() && s.read.spoiltBlocks() == 0 && s.read.tornOctets() == 0 && s.read.unread().isEmpty()
-        && c.callerOnly().isEmpty()) {
-      h.append("<p>Nothing: every instance recorded its start and its stop, no record was dropped, none is corrupt.</p>");
+    if (gaps.isEmpty() && analysis.read.spoiltBlocks() == 0 && analysis.read.tornOctets() == 0 && analysis.read.unread().isEmpty()
+        && timeline.callerOnly().isEmpty()) {
+      page.append("<p>Nothing: every instance recorded its start and its stop, no record was dropped, none is corrupt.</p>");
       return;
     }
-    c.callerOnly().forEach((answer, n) -> h.append(formatted("<p class=\"unsure\">%d attempts that callers recorded as %s are in no other record: "
-        + "the instances that answered them lost their records.</p>", n, Entry.answerName(answer))));
-    h.append("<table><tr><th>instance</th><th>from</th><th>to</th><th>requests</th><th>why</th></tr>");
+    timeline.callerOnly().forEach((answer, n) -> page.append(formatted(
+        "<p class=\"unsure\">%d calls that callers recorded as %s are in no other record: "
+            + "the instances that answered them lost their records.</p>", n, Entry.answerName(answer))));
+    page.append("<table><tr><th>instance</th><th>from</th><th>to</th><th>requests</th><th>why</th></tr>");
     for (Timeline.Gap g : gaps) {
-      h.append("<tr class=\"gap\"><td>").append(Sanitizer.html(g.instance())).append("</td><td>").append(time(g.from())).append("</td><td>")
+      page.append("<tr class=\"gap\"><td>").append(Sanitizer.html(g.instance())).append("</td><td>").append(time(g.from())).append("</td><td>")
           .append(time(g.to())).append("</td><td>").append(g.isUnbounded() ? g.minUnknown() + " or more"
               : g.minUnknown() == g.maxUnknown() ? "" + g.maxUnknown() : g.minUnknown() + " to " + g.maxUnknown())
           .append("</td><td>").append(Sanitizer.html(g.reason())).append("</td></tr>");
     }
-    h.append("</table>");
-    if (s.read.spoiltBlocks() > 0 || s.read.tornOctets() > 0) {
-      h.append(formatted("<p class=\"unsure\">%d blocks (%d bytes) are corrupt, %d bytes at the ends of segments are truncated.</p>",
-          s.read.spoiltBlocks(), s.read.lostOctets(), s.read.tornOctets()));
+    page.append("</table>");
+    if (analysis.read.spoiltBlocks() > 0 || analysis.read.tornOctets() > 0) {
+      page.append(formatted("<p class=\"unsure\">%d blocks (%d bytes) are corrupt, %d bytes at the ends of segments are truncated.</p>",
+          analysis.read.spoiltBlocks(), analysis.read.lostOctets(), analysis.read.tornOctets()));
     }
-    s.read.unread().forEach(u -> reasons.merge(String.valueOf(u.problem()), 1L, Long::sum));
-    reasons.forEach((why, n) -> h.append("<p class=\"unsure\">").append(n).append(" segments were not read: ").append(Sanitizer.html(why))
+    analysis.read.unread().forEach(u -> reasons.merge(String.valueOf(u.problem()), 1L, Long::sum));
+    reasons.forEach((reason, n) -> page.append("<p class=\"unsure\">").append(n).append(" segments were not read: ").append(Sanitizer.html(reason))
         .append("</p>"));
   }
 
@@ -137,28 +138,28 @@
       case NO_EFFECT_TWICE -> "2 no effect twice";
       case NOTHING_TO_DRAINED -> "3 nothing new to a drained server after 2 s";
       case COLD_NOT_PUSHED_OVER -> "4 no server overloaded during slow start";
-      case SUMS -> "sums: taken = ended + open, sends = outcomes + out";
+      case SUMS -> "sums: taken = ended + open, sends = outcomes + in flight";
     };
   }
 
   private void rules() {
-    h.append("<h2>The four rules, from the records alone</h2><table><tr><th>rule</th><th>checked</th><th>broken</th><th>unsettled"
+    page.append("<h2>The four rules, from the records alone</h2><table><tr><th>rule</th><th>checked</th><th>broken</th><th>unsettled"
         + "</th></tr>");
-    List<Audit.Finding> findings = s.audit.findings();
-    s.audit.checkCounts().forEach((check, n) -> {
+    List<Audit.Finding> findings = analysis.audit.findings();
+    analysis.audit.checkCounts().forEach((check, n) -> {
       long broken = findings.stream().filter(f -> f.check() == check && f.certain()).count();
       long uncertain = findings.stream().filter(f -> f.check() == check && !f.certain()).count();
-      h.append("<tr><td>").append(label(check)).append("</td><td>").append(n == 0 ? "never put to the test" : n).append("</td><td")
+      page.append("<tr><td>").append(label(check)).append("</td><td>").append(n == 0 ? "never put to the test" : n).append("</td><td")
           .append(broken > 0 ? " class=\"bad\"" : "").append(">").append(broken).append("</td><td")
           .append(uncertain > 0 ? " class=\"unsure\"" : "").append(">").append(uncertain).append("</td></tr>");
     });
-    h.append("</table>");
+    page.append("</table>");
     if (!findings.isEmpty()) {
-      h.append("<details><summary>").append(findings.size()).append(" findings</summary><table>");
-      findings.stream().limit(MAX_ROWS).forEach(f -> h.append("<tr><td>").append(f.at() == 0 ? "" : time(f.at())).append("</td><td>")
+      page.append("<details><summary>").append(findings.size()).append(" findings</summary><table>");
+      findings.stream().limit(MAX_ROWS).forEach(f -> page.append("<tr><td>").append(f.at() == 0 ? "" : time(f.at())).append("</td><td>")
           .append(Sanitizer.html(f.origin().instance())).append("</td><td><code>").append(Sanitizer.html(f.request())).append("</code></td><td>")
           .append(Sanitizer.html(f.description())).append(f.certain() ? "" : " (missing records could explain it)").append("</td></tr>"));
-      h.append("</table></details>");
+      page.append("</table></details>");
     }
   }
 
@@ -169,12 +170,12 @@
   }
 
   private void svg(int height) {
-    h.append(formatted("<svg width=\"%d\" height=\"%d\" viewBox=\"0 0 %d %d\" role=\"img\">", WIDTH, height, WIDTH, height));
+    page.append(formatted("<svg width=\"%d\" height=\"%d\" viewBox=\"0 0 %d %d\" role=\"img\">", WIDTH, height, WIDTH, height));
   }
 
   private void shadeGaps(int height) {
     for (Timeline.Gap g : gaps) {
-      h.append(formatted("<rect x=\"%.1f\" y=\"0\" width=\"%.1f\" height=\"%d\" fill=\"#f3d9a4\" opacity=\".45\"><title>not known: %s, %s"
+      page.append(formatted("<rect x=\"%.1f\" y=\"0\" width=\"%.1f\" height=\"%d\" fill=\"#f3d9a4\" opacity=\".45\"><title>not known: %s, %s"
           + "</title></rect>", x(g.from()), Math.max(1, x(g.to()) - x(g.from())), height, Sanitizer.html(g.instance()), Sanitizer.html(g.reason())));
     }
   }
@@ -182,159 +183,160 @@
   private void axis(int y) {
     for (int i = 0; i <= 6; i++) {
       long at = from + (to - from) * i / 6;
-      h.append(formatted("<text x=\"%.0f\" y=\"%d\" text-anchor=\"%s\">%s</text>", x(at), y, i == 6 ? "end" : "middle",
+      page.append(formatted("<text x=\"%.0f\" y=\"%d\" text-anchor=\"%s\">%s</text>", x(at), y, i == 6 ? "end" : "middle",
           time(at).substring(11, 19)));
     }
   }
 
   private void requests() {
-    h.append("<h2>Requests by answer, in intervals of ").append(c.interval() / 1_000_000.0).append(" s</h2>");
+    page.append("<h2>Requests by answer, in intervals of ").append(timeline.interval() / 1_000_000.0).append(" s</h2>");
     Map<Long, long[]> bars = new TreeMap<>();
-    c.answerCounts().forEach((cell, n) -> bars.computeIfAbsent(cell.interval(), k -> new long[4])[Math.min(3, cell.answer())] += n);
+    timeline.answerCounts().forEach((cell, n) -> bars.computeIfAbsent(cell.interval(), k -> new long[4])[Math.min(3, cell.answer())] += n);
     long max = Math.max(1, bars.values().stream().mapToLong(b -> b[0] + b[1] + b[2] + b[3]).max().orElse(1));
     svg(CHART_HEIGHT + 30);
     shadeGaps(CHART_HEIGHT);
-    h.append(formatted("<text x=\"5\" y=\"14\">%d per interval</text>", max));
+    page.append(formatted("<text x=\"5\" y=\"14\">%d per interval</text>", max));
     bars.forEach((interval, counts) -> {
       double x0 = x(interval);
-      double w = Math.max(0.5, x(interval + c.interval()) - x0 - 0.5);
+      double w = Math.max(0.5, x(interval + timeline.interval()) - x0 - 0.5);
       double y = CHART_HEIGHT;
       for (int i = 0; i < 4; i++) {
         double height = counts[i] * (CHART_HEIGHT - 10.0) / max;
         y -= height;
         if (counts[i] > 0) {
-          h.append(formatted("<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"%.1f\" fill=\"%s\"><title>%s: %d %s</title></rect>", x0, y, w,
+          page.append(formatted("<rect x=\"%.1f\" y=\"%.1f\" width=\"%.1f\" height=\"%.1f\" fill=\"%s\"><title>%s: %d %s</title></rect>", x0, y, w,
               height, COLOURS[i], time(interval), counts[i], Entry.answerName(i)));
         }
       }
     });
     axis(CHART_HEIGHT + 16);
-    h.append("</svg><p>");
+    page.append("</svg><p>");
     for (int i = 0; i < 4; i++) {
-      h.append("<span style=\"color:").append(COLOURS[i]).append("\">&#9632;</span> ").append(Entry.answerName(i)).append("&ensp;");
+      page.append("<span style=\"color:").append(COLOURS[i]).append("\">&#9632;</span> ").append(Entry.answerName(i)).append("&ensp;");
     }
-    h.append("<span style=\"color:#e9c27a\">&#9632;</span> not known</p><details><summary>values</summary><table><tr><th>interval</th>");
+    page.append("<span style=\"color:#e9c27a\">&#9632;</span> not known</p><details><summary>values</summary><table><tr><th>interval</th>");
     for (int i = 0; i < 4; i++) {
-      h.append("<th>").append(Entry.answerName(i)).append("</th>");
+      page.append("<th>").append(Entry.answerName(i)).append("</th>");
     }
-    h.append("</tr>");
+    page.append("</tr>");
     int rows = 0;
     for (Map.Entry<Long, long[]> b : bars.entrySet()) {
       if (rows++ >= MAX_ROWS) {
-        h.append("<tr><td>").append(bars.size() - MAX_ROWS).append(" more intervals</td></tr>");
+        page.append("<tr><td>").append(bars.size() - MAX_ROWS).append(" more intervals</td></tr>");
         break;
       }
-      h.append("<tr><td>").append(time(b.getKey())).append("</td>");
+      page.append("<tr><td>").append(time(b.getKey())).append("</td>");
       for (long n : b.getValue()) {
-        h.append("<td>").append(n).append("</td>");
+        page.append("<td>").append(n).append("</td>");
       }
-      h.append("</tr>");
+      page.append("</tr>");
     }
-    h.append("</table></details>");
+    page.append("</table></details>");
     query("kind=answered and at>=" + time(from) + " and at<" + time(to));
   }
 
   private void latency() {
-    h.append("<h2>Latency</h2>");
+    page.append("<h2>Latency</h2>");
     double max = 1;
     double[] percentiles = {50, 90, 99};
     for (long interval : intervals) {
-      max = Math.max(max, c.latencyPercentile(interval, 99));
+      max = Math.max(max, timeline.latencyPercentile(interval, 99));
     }
     svg(CHART_HEIGHT + 30);
     shadeGaps(CHART_HEIGHT);
-    h.append(formatted("<text x=\"5\" y=\"14\">%.1f ms</text>", max / 1000));
+    page.append(formatted("<text x=\"5\" y=\"14\">%.1f ms</text>", max / 1000));
     for (int i = 0; i < percentiles.length; i++) {
       StringBuilder points = new StringBuilder();
       for (long interval : intervals) {
-        points.append(formatted("%.1f,%.1f ", x(interval + c.interval() / 2),
-            CHART_HEIGHT - (CHART_HEIGHT - 10) * Math.sqrt(c.latencyPercentile(interval, percentiles[i]) / max)));
+        points.append(formatted("%.1f,%.1f ", x(interval + timeline.interval() / 2),
+            CHART_HEIGHT - (CHART_HEIGHT - 10) * Math.sqrt(timeline.latencyPercentile(interval, percentiles[i]) / max)));
       }
-      h.append("<polyline fill=\"none\" stroke-width=\"1.5\" stroke=\"").append(COLOURS[i]).append("\" points=\"").append(points)
+      page.append("<polyline fill=\"none\" stroke-width=\"1.5\" stroke=\"").append(COLOURS[i]).append("\" points=\"").append(points)
           .append("\"/>");
     }
     axis(CHART_HEIGHT + 16);
-    h.append("</svg><p>p50 green, p90 yellow, p99 red; square-root scale.</p>");
+    page.append("</svg><p>p50 green, p90 yellow, p99 red; square-root scale.</p>");
   }
 
   // ---- Tables ------------------------------------------------------------------------------------------
 
   private void table(String title, List<String> names, boolean classes) {
-    h.append("<h2>").append(title).append("</h2><table><tr><th></th><th>answered</th><th>served</th><th>refused</th><th>failed</th>"
+    page.append("<h2>").append(title).append("</h2><table><tr><th></th><th>answered</th><th>served</th><th>refused</th><th>failed</th>"
         + "<th>gone</th><th>served ratio</th>").append(classes ? "" : "<th>share of all served</th><th>configured share</th>").append("</tr>");
-    long allServed = c.count(null, null, null, Entry.SERVED);
+    long allServed = timeline.count(null, null, null, Entry.SERVED);
     int rows = 0;
     for (String name : names) {
       if (rows++ >= MAX_ROWS) {
-        h.append("<tr><td>").append(names.size() - MAX_ROWS).append(" more</td></tr>");
+        page.append("<tr><td>").append(names.size() - MAX_ROWS).append(" more</td></tr>");
         break;
       }
       long[] n = new long[4];
       long all = 0;
       for (int i = 0; i < 4; i++) {
-        n[i] = classes ? c.count(null, name, null, i) : c.count(null, null, name, i);
+        n[i] = classes ? timeline.count(null, name, null, i) : timeline.count(null, null, name, i);
         all += n[i];
       }
-      h.append("<tr><td>").append(name.isEmpty() ? "(none)" : Sanitizer.html(name)).append("</td><td>").append(all).append("</td>");
+      page.append("<tr><td>").append(name.isEmpty() ? "(none)" : Sanitizer.html(name)).append("</td><td>").append(all).append("</td>");
       for (long count : n) {
-        h.append("<td>").append(count).append("</td>");
+        page.append("<td>").append(count).append("</td>");
       }
-      h.append(formatted("<td>%.2f%%</td>", all - n[3] == 0 ? 0 : 100.0 * n[0] / (all - n[3])));
+      page.append(formatted("<td>%.2f%%</td>", all - n[3] == 0 ? 0 : 100.0 * n[0] / (all - n[3])));
       if (!classes) {
-        Long configured = c.shares().get(name);
-        h.append(formatted("<td>%.1f%%</td><td>%s</td>", allServed == 0 ? 0 : 100.0 * n[0] / allServed, configured == null ? "-"
+        Long configured = timeline.shares().get(name);
+        page.append(formatted("<td>%.1f%%</td><td>%s</td>", allServed == 0 ? 0 : 100.0 * n[0] / allServed, configured == null ? "-"
             : formatted("%.1f%%", configured / 1e4)));
       }
-      h.append("</tr>");
+      page.append("</tr>");
     }
-    h.append("</table>");
+    page.append("</table>");
   }
 
   private void reasons() {
-    Map<String, Long> by = new TreeMap<>();
-    c.answerCounts().forEach((cell, n) -> {
+    Map<String, Long> counts = new TreeMap<>();
+    timeline.answerCounts().forEach((cell, n) -> {
       if (cell.answer() != Entry.SERVED) {
-        by.merge(Entry.answerName(cell.answer()) + " " + cell.word(), n, Long::sum);
+        counts.merge(Entry.answerName(cell.answer()) + " " + cell.word(), n, Long::sum);
       }
     });
-    h.append("<h2>Why requests were not served</h2>");
-    if (by.isEmpty()) {
-      h.append("<p>All were served.</p>");
+    page.append("<h2>Why requests were not served</h2>");
+    if (counts.isEmpty()) {
+      page.append("<p>All were served.</p>");
       return;
     }
-    h.append("<table>");
-    by.forEach((word, n) -> h.append("<tr><td>").append(Sanitizer.html(word)).append("</td><td>").append(n).append("</td></tr>"));
-    h.append("</table>");
+    page.append("<table>");
+    counts.forEach((word, n) -> page.append("<tr><td>").append(Sanitizer.html(word)).append("</td><td>").append(n).append("</td></tr>"));
+    page.append("</table>");
     query("kind=answered and answer!=served");
   }
 
   private void retries() {
-    h.append("<h2>Retries by class</h2>");
-    Map<String, Long> by = new TreeMap<>();
-    for (Map.Entry<CounterKey, Long> e : c.retryOutcomes().entrySet()) {
-      by.merge(e.getKey().className() + " ended " + e.getKey().word(), e.getValue(), Long::sum);
+    page.append("<h2>Retries by class</h2>");
+    Map<String, Long> counts = new TreeMap<>();
+    for (Map.Entry<CounterKey, Long> e : timeline.retryOutcomes().entrySet()) {
+      counts.merge(e.getKey().className() + " ended " + e.getKey().word(), e.getValue(), Long::sum);
     }
-    if (by.isEmpty()) {
-      h.append("<p>None.</p>");
+    if (counts.isEmpty()) {
+      page.append("<p>None.</p>");
       return;
     }
-    h.append("<table>");
-    by.forEach((what, n) -> h.append("<tr><td>").append(Sanitizer.html(what)).append("</td><td>").append(n).append("</td></tr>"));
-    h.append("</table>");
+    page.append("<table>");
+    counts.forEach((description, n) -> page.append("<tr><td>").append(Sanitizer.html(description)).append("</td><td>").append(n)
+        .append("</td></tr>"));
+    page.append("</table>");
     query("kind=outcome and attempt>0");
   }
 
   // ---- The fleet ---------------------------------------------------------------------------------------
 
   private void lanes() {
-    h.append("<h2>The fleet, as seen by each instance</h2>");
-    List<Swimlanes.Lane> all = Swimlanes.of(c, to, s.options.limits().warmUpTime());
+    page.append("<h2>The fleet, as seen by each instance</h2>");
+    List<Swimlanes.Lane> all = Swimlanes.of(timeline, to, analysis.options.limits().warmUpTime());
     Map<String, List<Swimlanes.Lane>> byServer = all.stream().collect(Collectors.groupingBy(Swimlanes.Lane::server, TreeMap::new,
         Collectors.toList()));
     // Instances that received the same states share one lane.
     List<Swimlanes.Lane> shown = new ArrayList<>();
     byServer.forEach((server, lanes) -> {
-      if (lanes.size() > 1 && !Swimlanes.differ(lanes, s.options.limits().drainGrace())) {
+      if (lanes.size() > 1 && !Swimlanes.differ(lanes, analysis.options.limits().drainGrace())) {
         shown.add(new Swimlanes.Lane(server, "all " + lanes.size(), lanes.get(0).intervals()));
       } else {
         shown.addAll(lanes);
@@ -345,20 +347,20 @@
     for (int i = 0; i < rows; i++) {
       Swimlanes.Lane lane = shown.get(i);
       int y = i * LANE_HEIGHT;
-      h.append(formatted("<text x=\"0\" y=\"%d\">%s</text>", y + 12, Sanitizer.html(clip(lane.server()) + ", " + clip(lane.instance()))));
+      page.append(formatted("<text x=\"0\" y=\"%d\">%s</text>", y + 12, Sanitizer.html(clip(lane.server()) + ", " + clip(lane.instance()))));
       for (Swimlanes.StateInterval p : lane.intervals()) {
         if (p.to() >= from && p.from() <= to) {
-          h.append(formatted("<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"%s\"><title>%s %s to %s</title></rect>", x(p.from()),
+          page.append(formatted("<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"%s\"><title>%s %s to %s</title></rect>", x(p.from()),
               y + 2, Math.max(0.5, x(p.to()) - x(p.from())), LANE_HEIGHT - 4, STATE_COLOURS.getOrDefault(p.state(), "#999"),
               Sanitizer.html(p.state()), time(p.from()), time(p.to())));
         }
       }
     }
     axis(rows * LANE_HEIGHT + 16);
-    h.append("</svg><p>");
-    STATE_COLOURS.forEach((state, colour) -> h.append("<span style=\"color:").append(colour).append("\">&#9632;</span> ").append(state)
+    page.append("</svg><p>");
+    STATE_COLOURS.forEach((state, colour) -> page.append("<span style=\"color:").append(colour).append("\">&#9632;</span> ").append(state)
         .append("&ensp;"));
-    h.append(shown.size() > rows ? (shown.size() - rows) + " more lanes are not drawn." : "").append("</p>");
+    page.append(shown.size() > rows ? (shown.size() - rows) + " more lanes are not drawn." : "").append("</p>");
     query("kind=server");
   }
 
@@ -369,55 +371,55 @@
   // ---- Change points and clocks ------------------------------------------------------------------------
 
   private void causes() {
-    h.append("<h2>What came before the rises of bad answers</h2>");
-    List<ChangePointAnalysis.Rise> rises = s.changePoints.rises();
+    page.append("<h2>What came before the rises of unserved answers</h2>");
+    List<ChangePointAnalysis.Rise> rises = analysis.changePoints.rises();
     if (rises.isEmpty()) {
-      h.append("<p>No rise.</p>");
+      page.append("<p>No rise.</p>");
       return;
     }
-    List<ChangePointAnalysis.CandidateCause> causes = s.changePoints.candidateCauses();
+    List<ChangePointAnalysis.CandidateCause> causes = analysis.changePoints.candidateCauses();
     for (ChangePointAnalysis.Rise r : rises) {
-      h.append(formatted("<p>%s: from %.2f%% to %.2f%% of %d answers (p = %.2g).</p>", time(r.at()), 100 * r.ratioBefore(),
+      page.append(formatted("<p>%s: from %.2f%% to %.2f%% of %d answers (p = %.2g).</p>", time(r.at()), 100 * r.ratioBefore(),
           100 * r.ratioAfter(), r.answers(), r.pValue()));
       List<ChangePointAnalysis.CandidateCause> preceding = causes.stream().filter(x -> x.rise().equals(r)).limit(8).toList();
       if (preceding.isEmpty()) {
-        h.append("<p class=\"unsure\">No recorded change came before it.</p>");
+        page.append("<p class=\"unsure\">No recorded change came before it.</p>");
         continue;
       }
-      h.append("<table><tr><th>change</th><th>instance</th><th>time before the rise</th><th>p-value</th></tr>");
+      page.append("<table><tr><th>change</th><th>instance</th><th>time before the rise</th><th>p-value</th></tr>");
       for (ChangePointAnalysis.CandidateCause x : preceding) {
-        h.append("<tr><td>").append(Sanitizer.html(x.description())).append("</td><td>").append(Sanitizer.html(x.instance())).append("</td><td>")
+        page.append("<tr><td>").append(Sanitizer.html(x.description())).append("</td><td>").append(Sanitizer.html(x.instance())).append("</td><td>")
             .append(seconds(r.at() - x.at())).append(formatted("</td><td>%.2g</td></tr>", x.pValue()));
       }
-      h.append("</table>");
+      page.append("</table>");
     }
   }
 
   private void clocks() {
-    h.append("<h2>Clocks, against that of ").append(Sanitizer.html(s.clocks.reference())).append("</h2><table><tr><th>instance</th>"
+    page.append("<h2>Clocks, against that of ").append(Sanitizer.html(analysis.clocks.reference())).append("</h2><table><tr><th>instance</th>"
         + "<th>offset at the start</th><th>at the end</th><th>uncertainty</th></tr>");
-    for (String instance : s.clocks.instances()) {
-      Timeline.Incarnation first = c.incarnations().stream().filter(l -> l.origin.instance().equals(instance)).findFirst().orElse(null);
+    for (String instance : analysis.clocks.instances()) {
+      Timeline.Incarnation first = timeline.incarnations().stream().filter(l -> l.origin.instance().equals(instance)).findFirst().orElse(null);
       if (first == null) {
         continue;
       }
-      Clocks.Offset a = s.clocks.offset(instance, first.first);
-      Clocks.Offset b = s.clocks.offset(instance, first.last);
-      h.append("<tr><td>").append(Sanitizer.html(instance)).append("</td>");
+      Clocks.Offset a = analysis.clocks.offset(instance, first.first);
+      Clocks.Offset b = analysis.clocks.offset(instance, first.last);
+      page.append("<tr><td>").append(Sanitizer.html(instance)).append("</td>");
       if (a.isKnown()) {
-        h.append(formatted("<td>%s</td><td>%s</td><td>&plusmn; %s</td></tr>", seconds(a.midpoint()), seconds(b.midpoint()),
+        page.append(formatted("<td>%s</td><td>%s</td><td>&plusmn; %s</td></tr>", seconds(a.midpoint()), seconds(b.midpoint()),
             seconds(Math.max(a.width(), b.width()) / 2)));
       } else {
-        h.append("<td colspan=\"3\" class=\"unsure\">offset unknown: shown in its own time, its order relative to others is unknown</td></tr>");
+        page.append("<td colspan=\"3\" class=\"unsure\">offset unknown: shown in its own time, its order relative to others is unknown</td></tr>");
       }
     }
-    h.append("</table>");
-    for (Clocks.Step step : s.clocks.steps()) {
-      h.append(formatted("<p class=\"unsure\">%s stepped between %s and %s by its own clock: from %s to %s.</p>", Sanitizer.html(step.instance()),
-          time(step.from()), time(step.to()), seconds(step.before().midpoint()), seconds(step.after().midpoint())));
+    page.append("</table>");
+    for (Clocks.Step step : analysis.clocks.steps()) {
+      page.append(formatted("<p class=\"unsure\">The clock of %s stepped between %s and %s of its own time: offset from %s to %s.</p>",
+          Sanitizer.html(step.instance()), time(step.from()), time(step.to()), seconds(step.before().midpoint()), seconds(step.after().midpoint())));
     }
-    if (!s.clocks.rejected().isEmpty()) {
-      h.append("<p class=\"unsure\">").append(s.clocks.rejected().size())
+    if (!analysis.clocks.rejected().isEmpty()) {
+      page.append("<p class=\"unsure\">").append(analysis.clocks.rejected().size())
           .append(" contradictory correlations without a clock step as the explanation were ignored.</p>");
     }
   }
--- a/incident/src/main/java/cloverpulley/incident/tool/IncidentAnalysis.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/IncidentAnalysis.java
@@ -18,7 +18,7 @@
 
 /**
  * The analysis of an incident from an archive: first aligns the clocks by events that several instances recorded, then builds the timeline,
- * the audit and the change points in reference time, between two times of it.
+ * audits the rules and finds the change points, for a period of reference time.
  */
 public final class IncidentAnalysis {
 
@@ -47,7 +47,7 @@
   public final Archive archive;
   public final Options options;
 
-  public IncidentAnalysis(Archive archive, Options options, LongConsumer progress) throws IOException {
+  public IncidentAnalysis(Archive archive, Options options, LongConsumer bytesDone) throws IOException {
     this.archive = archive;
     this.options = options;
     clocks = clocks(archive, options.reference);
@@ -55,13 +55,13 @@
     timeline = new Timeline(options.intervalMicros, complete);
     audit = new Audit(options.limits, complete);
     if (complete) {
-      read = archive.all(this::addRecord, progress);
+      read = archive.all(this::addRecord, bytesDone);
     } else {
-      // State still in effect may have been recorded before the requested period: those older records are read by the index.
+      // State still in effect may have been recorded before the requested period: those older records are looked up by the index.
       for (String kind : STATE_KINDS) {
         archive.read(Query.of("kind=" + kind), this::addState, n -> { });
       }
-      read = archive.between(options.from, options.to, this::startOffset, this::addRecord, progress);
+      read = archive.between(options.from, options.to, this::startOffset, this::addRecord, bytesDone);
     }
   }
 
--- a/incident/src/main/java/cloverpulley/incident/tool/RequestExplainer.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/RequestExplainer.java
@@ -78,14 +78,14 @@
   }
 
   private void explainIncarnation(Origin o, List<Entry> ownRecords, Consumer<String> line) throws IOException {
-    InstanceState k = new InstanceState();
+    InstanceState state = new InstanceState();
     long first = ownRecords.get(0).at();
     long last = ownRecords.get(ownRecords.size() - 1).at();
     int[] next = {0};
-    Query state = Query.of("kind=server and at<" + seconds(first - LOOKBACK));
-    archive.read(state, e -> {
+    Query stateQuery = Query.of("kind=server and at<" + seconds(first - LOOKBACK));
+    archive.read(stateQuery, e -> {
       if (e.origin().equals(o)) {
-        update(k, e);
+        update(state, e);
       }
     }, n -> { });
     archive.read(Query.of("at>=" + seconds(first - LOOKBACK) + " and at<=" + seconds(last + 1)), e -> {
@@ -93,10 +93,10 @@
         return;
       }
       if (next[0] < ownRecords.size() && e.seq() == ownRecords.get(next[0]).seq()) {
-        line.accept("  " + HtmlReport.time(e.at()).substring(11) + "  " + describe(e, k, first));
+        line.accept("  " + HtmlReport.time(e.at()).substring(11) + "  " + describe(e, state, first));
         next[0]++;
       }
-      update(k, e);
+      update(state, e);
     }, n -> { });
     if (ownRecords.get(ownRecords.size() - 1).kind() == Kind.SENT || ownRecords.get(ownRecords.size() - 1).kind() == Kind.TAKEN) {
       line.accept("  its end is not recorded");
@@ -107,50 +107,50 @@
     return String.format(Locale.ROOT, "%d.%06d", Math.max(0, micros) / 1_000_000, Math.max(0, micros) % 1_000_000);
   }
 
-  private static void update(InstanceState k, Entry e) {
+  private static void update(InstanceState state, Entry e) {
     switch (e.kind()) {
-      case SERVER -> k.servers.put(e.upstream(), e);
+      case SERVER -> state.servers.put(e.upstream(), e);
       case SENT -> {
-        k.inFlight.merge(e.upstream(), 1, Integer::sum);
-        k.totalInFlight++;
+        state.inFlight.merge(e.upstream(), 1, Integer::sum);
+        state.totalInFlight++;
       }
       case OUTCOME -> {
-        if (k.inFlight.getOrDefault(e.upstream(), 0) > 0) { // An attempt sent before the lookback period was not counted.
-          k.inFlight.merge(e.upstream(), -1, Integer::sum);
-          k.totalInFlight--;
+        if (state.inFlight.getOrDefault(e.upstream(), 0) > 0) { // An attempt sent before the lookback period was not counted.
+          state.inFlight.merge(e.upstream(), -1, Integer::sum);
+          state.totalInFlight--;
         }
       }
       case ANSWERED -> {
         if ("caller".equals(e.word())) {
           return;
         }
-        k.recentAnswers++;
-        k.recentRejections += e.other() == Entry.REFUSED ? 1 : 0;
+        state.recentAnswers++;
+        state.recentRejections += e.other() == Entry.REFUSED ? 1 : 0;
       }
       default -> { }
     }
   }
 
-  private static String describe(Entry e, InstanceState k, long first) {
-    long ready = k.servers.values().stream().filter(s -> s.word().equals("ready")).count();
+  private static String describe(Entry e, InstanceState state, long first) {
+    long ready = state.servers.values().stream().filter(s -> s.word().equals("ready")).count();
     String after = String.format(Locale.ROOT, "+%.1f ms: ", (e.at() - first) / 1000.0);
     return after + switch (e.kind()) {
       case TAKEN -> "taken as " + Sanitizer.printable(e.className()) + (e.tenant() == null ? "" : " of " + Sanitizer.printable(e.tenant()))
-          + ", deadline after " + e.value() / 1000 + " ms; " + ready + " servers ready, " + k.totalInFlight + " attempts in flight";
-      case SENT -> "attempt " + e.attempt() + " to " + server(e, k) + "; " + k.inFlight.getOrDefault(e.upstream(), 0) + " in flight there, "
-          + k.totalInFlight + " in total, " + ready + " ready";
-      case OUTCOME -> "attempt " + e.attempt() + " at " + server(e, k) + " ended " + Sanitizer.printable(e.word()) + " after " + e.value() / 1000.0
-          + " ms";
+          + ", deadline after " + e.value() / 1000 + " ms; " + ready + " servers ready, " + state.totalInFlight + " attempts in flight";
+      case SENT -> "attempt " + e.attempt() + " to " + server(e, state) + "; " + state.inFlight.getOrDefault(e.upstream(), 0) + " in flight there, "
+          + state.totalInFlight + " in total, " + ready + " ready";
+      case OUTCOME -> "attempt " + e.attempt() + " at " + server(e, state) + " ended " + Sanitizer.printable(e.word()) + " after "
+          + e.value() / 1000.0 + " ms";
       case ENDED -> "ended by the module: " + Entry.answerName(e.other()) + ", " + Sanitizer.printable(e.word());
       case ANSWERED -> "caller".equals(e.word()) ? "recorded by the caller: " + Entry.answerName(e.other()) + " after " + e.value() / 1000.0 + " ms"
-          : "answered: " + Entry.answerName(e.other()) + ", " + Sanitizer.printable(e.word()) + "; of " + k.recentAnswers
-          + " answers in the minute before " + k.recentRejections + " were refused";
+          : "answered: " + Entry.answerName(e.other()) + ", " + Sanitizer.printable(e.word()) + "; of " + state.recentAnswers
+          + " answers in the minute before " + state.recentRejections + " were refused";
       default -> e.kind().name().toLowerCase(Locale.ROOT);
     };
   }
 
-  private static String server(Entry e, InstanceState k) {
-    Entry s = k.servers.get(e.upstream());
+  private static String server(Entry e, InstanceState state) {
+    Entry s = state.servers.get(e.upstream());
     String name = Sanitizer.printable(e.name() == null ? Long.toHexString(e.upstream()) : e.name());
     if (s == null) {
       return name + " (no state received)";
--- a/incident/src/test/java/cloverpulley/incident/tool/ScriptedIncidentTest.java
+++ b/incident/src/test/java/cloverpulley/incident/tool/ScriptedIncidentTest.java
@@ -299,7 +299,7 @@
   private void check() throws Exception {
     IncidentAnalysis analysis = new IncidentAnalysis(new Archive(List.of(folder)),
         new IncidentAnalysis.Options(Long.MIN_VALUE, Long.MAX_VALUE, INTERVAL_S * S, "caller", Audit.Limits.DEFAULT), n -> { });
-    // Clocks: the true offset lies within the bounds.
+    // Clocks: the true offset lies within the bounds, give or take 20 ms.
     Clocks clocks = analysis.clocks;
     for (Timeline.Incarnation l : analysis.timeline.incarnations()) {
       long off = Map.of("p1", 40 * S, "n1", -3 * S).getOrDefault(l.origin.instance(), 0L);
@@ -325,11 +325,11 @@
     List<Timeline.Gap> gaps = analysis.timeline.gaps(clocks);
     assertEquals(1, gaps.size(), gaps.toString());
     assertTrue(gaps.get(0).instance().equals("p2") && gaps.get(0).reason().contains("between a stop"), gaps.toString());
-    page(analysis);
-    why(analysis);
+    checkPage(analysis);
+    checkExplanation(analysis);
   }
 
-  private void page(IncidentAnalysis analysis) throws Exception {
+  private void checkPage(IncidentAnalysis analysis) throws Exception {
     String html = new HtmlReport(analysis).html();
     Files.writeString(folder.resolve("incident.html"), html);
     for (String part : List.of("agro-tehnika", "between a stop and the next start", "1 one final answer each", "d5", "cold", "no_upstream",
@@ -339,7 +339,7 @@
     assertFalse(html.contains("<script"));
   }
 
-  private void why(IncidentAnalysis analysis) throws Exception {
+  private void checkExplanation(IncidentAnalysis analysis) throws Exception {
     String[] one = new String[1];
     analysis.archive.read(cloverpulley.incident.Query.of("kind=answered and class=quote-issue and instance=p1"), e -> one[0] = e.id(),
         n -> { });
