--- a/decision/src/main/java/cloverpulley/incident/Query.java
+++ b/decision/src/main/java/cloverpulley/incident/Query.java
@@ -40,7 +40,7 @@
   private static final class ConstraintBuilder {
     long from = Long.MIN_VALUE;
     long to = Long.MAX_VALUE;
-    final Map<IndexedField, String> equal = new HashMap<>();
+    final Map<IndexedField, String> equalities = new HashMap<>();
   }
 
   private final String text;
@@ -79,7 +79,7 @@
   public Constraints constraints() {
     ConstraintBuilder b = new ConstraintBuilder();
     root.addConstraints(b);
-    return new Constraints(b.from, b.to, Map.copyOf(b.equal));
+    return new Constraints(b.from, b.to, Map.copyOf(b.equalities));
   }
 
   private IllegalArgumentException error(String message) {
@@ -272,7 +272,7 @@
     if (!operator.equals("=")) {
       return operator.equals("~") ? e -> field(field, e) != null && field(field, e).contains(value) : e -> !value.equals(field(field, e));
     }
-    IndexedField term = switch (field) {
+    IndexedField indexedField = switch (field) {
       case "instance", "answer" -> null;
       default -> IndexedField.valueOf(field.toUpperCase(Locale.ROOT));
     };
@@ -284,8 +284,8 @@
 
       @Override
       public void addConstraints(ConstraintBuilder b) {
-        if (term != null) {
-          b.equal.putIfAbsent(term, value);
+        if (indexedField != null) {
+          b.equalities.putIfAbsent(indexedField, value);
         }
       }
     };
