--- a/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
@@ -12,10 +12,10 @@
 import cloverpulley.engine.Attempt;
 import cloverpulley.engine.Both;
 import cloverpulley.engine.Engine;
+import cloverpulley.engine.EngineListener;
 import cloverpulley.engine.Exchange;
 import cloverpulley.engine.Fleet;
 import cloverpulley.engine.ServerList;
-import cloverpulley.engine.Witness;
 import cloverpulley.fleet.FleetSource;
 import cloverpulley.fleet.HeldList;
 import cloverpulley.fleet.WrittenList;
@@ -62,7 +62,7 @@
   private Path config;
 
   /** What the ledger's follower and the leader's roll hear of the engine; on its loop. */
-  private static final class Ears implements Witness {
+  private static final class Ears implements EngineListener {
     private final AgreeConfig agree;
     private final Map<Long, String> names = new ConcurrentHashMap<>();
     private final Map<String, MembershipReconciler.Registration> listed = new HashMap<>();
@@ -134,7 +134,7 @@
     Ears ears = agree == null ? null : new Ears(agree, voter);
     Recorder recorder = Recorder.open(operators.records(), "balance", operators.settings());
     HeldList held = new HeldList(operators.fleet().stateFile());
-    Witness witness = ears == null ? recorder : new Both(recorder, ears);
+    EngineListener witness = ears == null ? recorder : new Both(recorder, ears);
     BalanceConfig b = operators.balance();
     FleetSource fleet = operators.fleet();
     Balance.Lists lists = (loop, f, news) -> open(fleet, held, loop, f, news);
--- a/dns/src/main/java/cloverpulley/dns/DnsServer.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsServer.java
@@ -11,10 +11,10 @@
 import cloverpulley.dns.wire.Names;
 import cloverpulley.engine.Clock;
 import cloverpulley.engine.Engine;
+import cloverpulley.engine.EngineListener;
 import cloverpulley.engine.Fleet;
 import cloverpulley.engine.ServerList;
 import cloverpulley.engine.Transport;
-import cloverpulley.engine.Witness;
 import cloverpulley.fleet.FleetSource;
 import cloverpulley.fleet.HeldList;
 import cloverpulley.fleet.WrittenList;
@@ -166,7 +166,7 @@
         : open(source, first, fleet, this::news);
     client = new DnsClient(loop, clock, config.upstream());
     engine = new Engine(loop, clock, config.settings(), modules, fleet, lists, (to, data) -> { },
-        recorder.isOn() ? recorder : Witness.NONE);
+        recorder.isOn() ? recorder : EngineListener.NONE);
     engine.attach(new Transport() {
       @Override
       public void withdraw(LongPredicate from) {
--- a/engine/src/main/java/cloverpulley/engine/Engine.java
+++ b/engine/src/main/java/cloverpulley/engine/Engine.java
@@ -69,7 +69,7 @@
   private final Fleet fleet;
   private final ListSource lists;
   private final PeerSender peers;
-  private final Witness witness;
+  private final EngineListener witness;
   private final List<Transport> transports = new ArrayList<>(1);
   private final Map<String, Exchange> exchanges = new HashMap<>();
   /** What has happened and the module has not been told; an entry is worded when its turn comes. */
@@ -99,12 +99,12 @@
    */
   public Engine(ScheduledExecutorService loop, Clock clock, Settings settings, LongFunction<Balancer> modules, Fleet fleet,
       ListSource lists, PeerSender peers) {
-    this(loop, clock, settings, modules, fleet, lists, peers, Witness.NONE);
+    this(loop, clock, settings, modules, fleet, lists, peers, EngineListener.NONE);
   }
 
   /** The same, with somebody who is told of all that happens. */
   public Engine(ScheduledExecutorService loop, Clock clock, Settings settings, LongFunction<Balancer> modules, Fleet fleet,
-      ListSource lists, PeerSender peers, Witness witness) {
+      ListSource lists, PeerSender peers, EngineListener witness) {
     this.witness = witness;
     this.loop = loop;
     this.clock = clock;
@@ -140,7 +140,7 @@
   /** The client has gone, or has been answered by its front without the module. */
   public void clientGone(Exchange x) {
     if (x.id != null) {
-      finish(x, Witness.End.GONE, null);
+      finish(x, EngineListener.End.GONE, null);
     }
     x.end();
     enqueue(() -> known(x) ? new ClientGone(x.id) : null);
@@ -148,7 +148,7 @@
 
   private void overdue(Exchange x) {
     if (!x.isEnded()) {
-      finish(x, Witness.End.FAILED, Reason.DEADLINE);
+      finish(x, EngineListener.End.FAILED, Reason.DEADLINE);
       x.end();
       x.answer(Verdict.failed(Reason.DEADLINE));
       clientGone(x);
@@ -163,10 +163,10 @@
       return;
     }
     EndpointUpdate news = fleet.take(kind, list);
-    if (witness != Witness.NONE) {
-      List<Witness.Numbered> told = new ArrayList<>(news.endpoints().size());
+    if (witness != EngineListener.NONE) {
+      List<EngineListener.Numbered> told = new ArrayList<>(news.endpoints().size());
       for (int i = 0; i < news.endpoints().size(); i++) {
-        told.add(new Witness.Numbered(news.endpoints().get(i).upstream(), list.members().get(i)));
+        told.add(new EngineListener.Numbered(news.endpoints().get(i).upstream(), list.members().get(i)));
       }
       witness.listed(kind, list, told);
     }
@@ -247,7 +247,7 @@
   public void failAll() {
     for (Exchange x : List.copyOf(exchanges.values())) {
       if (!x.isEnded()) {
-        finish(x, Witness.End.FAILED, Reason.STOPPING);
+        finish(x, EngineListener.End.FAILED, Reason.STOPPING);
         x.end();
         x.answer(Verdict.failed(Reason.STOPPING));
         clientGone(x);
@@ -276,7 +276,7 @@
       if (x.isEnded()) {
         // By its front, in this turn or before it: an end that was told already stays.
         boolean broke = x.passing == attempt && status != Status.SERVED;
-        finish(x, broke ? Witness.End.FAILED : Witness.End.SERVED, broke ? Reason.MAY_HAVE_RUN : null);
+        finish(x, broke ? EngineListener.End.FAILED : EngineListener.End.SERVED, broke ? Reason.MAY_HAVE_RUN : null);
       }
       return known(x) ? new Outcome(x.id, attempt.number(), attempt.upstream(), status, latency, x.isEnded(), load) : null;
     });
@@ -399,7 +399,7 @@
   }
 
   /** Tells of a request's end, the first time. */
-  private void finish(Exchange x, Witness.End end, Reason reason) {
+  private void finish(Exchange x, EngineListener.End end, Reason reason) {
     if (!x.told) {
       x.told = true;
       witness.ended(x, end, reason);
@@ -469,7 +469,7 @@
   private void end(String id, Verdict verdict) {
     Exchange x = exchanges.get(id);
     if (x != null && !x.isEnded()) {
-      finish(x, verdict.refused() ? Witness.End.REFUSED : Witness.End.FAILED, verdict.reason());
+      finish(x, verdict.refused() ? EngineListener.End.REFUSED : EngineListener.End.FAILED, verdict.reason());
       x.end();
       x.answer(verdict);
     }
--- a/engine/src/main/java/cloverpulley/engine/Witness.java
+++ b/engine/src/main/java/cloverpulley/engine/EngineListener.java
@@ -9,10 +9,10 @@
  * Told of what the engine does, each thing once, at the one place where it happens, on the engine's loop. It must not block: the loop
  * waits for it.
  */
-public interface Witness {
+public interface EngineListener {
 
   /** Sees nothing. */
-  Witness NONE = new Witness() {
+  EngineListener NONE = new EngineListener() {
     @Override
     public void taken(Exchange x) {}
 
--- a/http/src/main/java/cloverpulley/serve/Balance.java
+++ b/http/src/main/java/cloverpulley/serve/Balance.java
@@ -2,11 +2,11 @@
 
 import cloverpulley.Balancer.ListKind;
 import cloverpulley.Balancer.Settings;
+import cloverpulley.Logic;
 import cloverpulley.engine.Engine;
+import cloverpulley.engine.EngineListener;
 import cloverpulley.engine.Fleet;
 import cloverpulley.engine.ServerList;
-import cloverpulley.engine.Witness;
-import cloverpulley.Logic;
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
@@ -37,7 +37,7 @@
    * @param wired run once there is an engine, before clients are heard
    */
   public record Given(String name, InetSocketAddress listen, InetSocketAddress management, Path shared, int sockets, long memoryBytes,
-      ServerList known, Settings settings, long idleNanos, long seed, Lists lists, Witness witness, Consumer<Acts> wired) {}
+      ServerList known, Settings settings, long idleNanos, long seed, Lists lists, EngineListener witness, Consumer<Acts> wired) {}
 
   /** What the fleet's agreement does to it. */
   public interface Acts {
--- a/http/src/main/java/cloverpulley/serve/Counts.java
+++ b/http/src/main/java/cloverpulley/serve/Counts.java
@@ -5,11 +5,11 @@
 import cloverpulley.Reason;
 import cloverpulley.engine.Attempt;
 import cloverpulley.engine.Engine;
+import cloverpulley.engine.EngineListener;
 import cloverpulley.engine.Exchange;
 import cloverpulley.engine.Fleet;
 import cloverpulley.engine.Periodic;
 import cloverpulley.engine.ServerList;
-import cloverpulley.engine.Witness;
 import io.netty.channel.EventLoop;
 import java.util.HashMap;
 import java.util.List;
@@ -22,7 +22,7 @@
  * What this balancer did in a second, in one line of its log: what is harmless in one and harmful in all can be added up across
  * a fleet. Counts alone, the words of {@link Reason}, nothing where nothing happened. All of it runs on the engine's loop.
  */
-final class Counts implements Witness {
+final class Counts implements EngineListener {
 
   private static final Logger LOG = Logger.getLogger(Counts.class.getName());
 
--- a/http/src/main/java/cloverpulley/serve/Server.java
+++ b/http/src/main/java/cloverpulley/serve/Server.java
@@ -9,10 +9,10 @@
 import cloverpulley.engine.Both;
 import cloverpulley.engine.Clock;
 import cloverpulley.engine.Engine;
+import cloverpulley.engine.EngineListener;
 import cloverpulley.engine.Fleet;
 import cloverpulley.engine.ServerList;
 import cloverpulley.engine.Sockets;
-import cloverpulley.engine.Witness;
 import cloverpulley.handover.HandoverSnapshot;
 import cloverpulley.state.BalancerSnapshot.UpstreamSnapshot;
 import io.netty.bootstrap.Bootstrap;
@@ -101,7 +101,7 @@
   private Discovery discovery;
   /** Where lists come from in place of discovery; null for discovery. */
   private Balance.Lists lists;
-  private Witness witness = Witness.NONE;
+  private EngineListener witness = EngineListener.NONE;
   /** Upstreams that are out by agreement of the fleet: the management endpoint's word alone does not bring them back. */
   private final Set<String> agreed = ConcurrentHashMap.newKeySet();
   private Peers peers;
@@ -133,14 +133,14 @@
 
   /** The same around other decisions; {@code modules} makes the n-th module of this process. */
   static Server start(Config config, LongFunction<Balancer> modules) {
-    return start(config, modules, null, Witness.NONE, s -> { });
+    return start(config, modules, null, EngineListener.NONE, s -> { });
   }
 
   /**
    * The same with lists from elsewhere than the platform's discovery, where {@code lists} is not null; {@code wired} is run before clients
    * are heard.
    */
-  static Server start(Config config, LongFunction<Balancer> modules, Balance.Lists lists, Witness witness, Consumer<Server> wired) {
+  static Server start(Config config, LongFunction<Balancer> modules, Balance.Lists lists, EngineListener witness, Consumer<Server> wired) {
     Server server = new Server();
     server.lists = lists;
     server.witness = witness;
@@ -228,7 +228,7 @@
       source = lists.open(loop, fleet, this::news);
     }
     engine = new Engine(loop, clock, config.settings(), modules, fleet, counts.counted(source), peers,
-        witness == Witness.NONE ? counts : new Both(counts, witness));
+        witness == EngineListener.NONE ? counts : new Both(counts, witness));
     engine.attach(pool);
     frontend = new Frontend(new HttpExchange.Front(engine, pool, config.loadReports()), clock, sockets, config.settings(),
         new RequestReader.Budgets(new BufferBudget(config.memoryBytes() / KEPT_PART), new BufferBudget(config.memoryBytes() / UPLOADS_PART)), counts);
--- a/processor/src/main/java/cloverpulley/processor/ProcessorServer.java
+++ b/processor/src/main/java/cloverpulley/processor/ProcessorServer.java
@@ -7,9 +7,9 @@
 import cloverpulley.discovery.Discovery;
 import cloverpulley.engine.Clock;
 import cloverpulley.engine.Engine;
+import cloverpulley.engine.EngineListener;
 import cloverpulley.engine.Fleet;
 import cloverpulley.engine.ServerList;
-import cloverpulley.engine.Witness;
 import cloverpulley.extproc.Encoded;
 import cloverpulley.extproc.ExtProc.ProcessingRequest;
 import cloverpulley.extproc.ExternalProcessor;
@@ -153,7 +153,7 @@
           this::news);
     }
     engine = new Engine(engineLoop, clock, settings, modules, fleet, lists, (to, data) -> { },
-        recorder.isOn() ? recorder : Witness.NONE);
+        recorder.isOn() ? recorder : EngineListener.NONE);
     engine.news(ListKind.CACHED, first);
   }
 
--- a/records/src/main/java/cloverpulley/records/Recorder.java
+++ b/records/src/main/java/cloverpulley/records/Recorder.java
@@ -9,9 +9,9 @@
 import cloverpulley.Reason;
 import cloverpulley.engine.Attempt;
 import cloverpulley.engine.Clock;
+import cloverpulley.engine.EngineListener;
 import cloverpulley.engine.Exchange;
 import cloverpulley.engine.ServerList;
-import cloverpulley.engine.Witness;
 import cloverpulley.incident.Entry;
 import cloverpulley.incident.Kind;
 import cloverpulley.incident.Origin;
@@ -36,7 +36,7 @@
  * producers) and goes on: no lock, no wait. A thread of its own writes. Where the queue is getting full, records of little worth are
  * dropped first and verdicts last; each one dropped is counted by kind, and the counts are recorded as soon as there is room.
  */
-public final class Recorder implements Witness, AutoCloseable {
+public final class Recorder implements EngineListener, AutoCloseable {
 
   private static final Logger LOG = Logger.getLogger(Recorder.class.getName());
 
