--- a/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
@@ -75,13 +75,13 @@
     }
 
     @Override
-    public void taken(Exchange x) {}
+    public void requestAccepted(Exchange x) {}
 
     @Override
-    public void sent(Attempt attempt) {}
+    public void attemptSent(Attempt attempt) {}
 
     @Override
-    public void outcome(Attempt attempt, Status status, long latencyNanos) {
+    public void attemptEnded(Attempt attempt, Status status, long latencyNanos) {
       String name = names.get(attempt.upstream());
       if (name == null || follower == null || status == Status.CANCELLED || status == Status.NOT_SENT) {
         return;
@@ -91,14 +91,14 @@
     }
 
     @Override
-    public void ended(Exchange x, End end, Reason reason) {
+    public void requestEnded(Exchange x, End end, Reason reason) {
       if (follower != null && end != End.GONE) {
         follower.recordRequest(end == End.REFUSED && reason != Reason.QUOTA); // A share of one's own used up says nothing of the fleet.
       }
     }
 
     @Override
-    public void listed(ListKind kind, ServerList list, List<Numbered> servers) {
+    public void serverListUpdated(ListKind kind, ServerList list, List<Numbered> servers) {
       if (kind == ListKind.FULL || kind == ListKind.CACHED) {
         listed.clear();
       }
@@ -117,7 +117,7 @@
     }
 
     @Override
-    public void replaced(String event) {}
+    public void moduleReplaced(String event) {}
   }
 
   @Override
--- a/engine/src/main/java/cloverpulley/engine/Both.java
+++ b/engine/src/main/java/cloverpulley/engine/Both.java
@@ -9,38 +9,38 @@
 public record Both(EngineListener first, EngineListener second) implements EngineListener {
 
   @Override
-  public void taken(Exchange x) {
-    first.taken(x);
-    second.taken(x);
+  public void requestAccepted(Exchange x) {
+    first.requestAccepted(x);
+    second.requestAccepted(x);
   }
 
   @Override
-  public void sent(Attempt attempt) {
-    first.sent(attempt);
-    second.sent(attempt);
+  public void attemptSent(Attempt attempt) {
+    first.attemptSent(attempt);
+    second.attemptSent(attempt);
   }
 
   @Override
-  public void outcome(Attempt attempt, Status status, long latencyNanos) {
-    first.outcome(attempt, status, latencyNanos);
-    second.outcome(attempt, status, latencyNanos);
+  public void attemptEnded(Attempt attempt, Status status, long latencyNanos) {
+    first.attemptEnded(attempt, status, latencyNanos);
+    second.attemptEnded(attempt, status, latencyNanos);
   }
 
   @Override
-  public void ended(Exchange x, End end, Reason reason) {
-    first.ended(x, end, reason);
-    second.ended(x, end, reason);
+  public void requestEnded(Exchange x, End end, Reason reason) {
+    first.requestEnded(x, end, reason);
+    second.requestEnded(x, end, reason);
   }
 
   @Override
-  public void listed(ListKind kind, ServerList list, List<Numbered> servers) {
-    first.listed(kind, list, servers);
-    second.listed(kind, list, servers);
+  public void serverListUpdated(ListKind kind, ServerList list, List<Numbered> servers) {
+    first.serverListUpdated(kind, list, servers);
+    second.serverListUpdated(kind, list, servers);
   }
 
   @Override
-  public void replaced(String event) {
-    first.replaced(event);
-    second.replaced(event);
+  public void moduleReplaced(String event) {
+    first.moduleReplaced(event);
+    second.moduleReplaced(event);
   }
 }
--- a/engine/src/main/java/cloverpulley/engine/Engine.java
+++ b/engine/src/main/java/cloverpulley/engine/Engine.java
@@ -129,7 +129,7 @@
     x.number = ++taken;
     x.maxAttempts = settings.limits().maxAttempts();
     exchanges.put(x.id, x);
-    witness.taken(x);
+    witness.requestAccepted(x);
     Exchange.Facts f = x.facts();
     long due = f.answerBy() > 0 ? Math.min(f.answerBy(), f.deadline()) : f.deadline();
     guard(x, due);
@@ -158,7 +158,7 @@
   /** A source of the list has said something; with FAILED it has not, and the list is unused. */
   public void news(ListKind kind, ServerList list) {
     if (kind == ListKind.FAILED) {
-      witness.listed(kind, ServerList.NONE, List.of());
+      witness.serverListUpdated(kind, ServerList.NONE, List.of());
       enqueue(() -> new EndpointUpdate(kind, List.of()));
       return;
     }
@@ -168,7 +168,7 @@
       for (int i = 0; i < news.endpoints().size(); i++) {
         told.add(new EngineListener.Numbered(news.endpoints().get(i).upstream(), list.members().get(i)));
       }
-      witness.listed(kind, list, told);
+      witness.serverListUpdated(kind, list, told);
     }
     enqueue(() -> news);
     // After the news, so that the module knows why what was still connecting comes back unsent.
@@ -269,7 +269,7 @@
     attempt.ended = true;
     Exchange x = attempt.exchange();
     long latency = attempt.begunAfter >= 0 ? attempt.begunAfter : latency(attempt);
-    witness.outcome(attempt, status, latency);
+    witness.attemptEnded(attempt, status, latency);
     enqueue(() -> {
       x.outstanding--;
       inTurn.run();
@@ -376,7 +376,7 @@
       loop.execute(() -> Runtime.getRuntime().halt(1));
       return;
     }
-    witness.replaced(cause.getClass().getSimpleName());
+    witness.moduleReplaced(cause.getClass().getSimpleName());
     List<Exchange> all = List.copyOf(exchanges.values());
     for (Exchange x : all) {
       x.attempts.forEach(Engine::cancel);
@@ -402,7 +402,7 @@
   private void finish(Exchange x, EngineListener.End end, Reason reason) {
     if (!x.told) {
       x.told = true;
-      witness.ended(x, end, reason);
+      witness.requestEnded(x, end, reason);
     }
   }
 
@@ -482,7 +482,7 @@
     Attempt attempt = new Attempt(x, number, send.upstream(), now, send.sendByNanos());
     x.attempts.add(attempt);
     x.outstanding++;
-    witness.sent(attempt);
+    witness.attemptSent(attempt);
     if (x.facts().answerBy() > 0) {
       x.guard.cancel(false); // The sending is the answer; its own time-out bounds it from here on.
     }
--- a/engine/src/main/java/cloverpulley/engine/EngineListener.java
+++ b/engine/src/main/java/cloverpulley/engine/EngineListener.java
@@ -14,22 +14,22 @@
   /** Sees nothing. */
   EngineListener NONE = new EngineListener() {
     @Override
-    public void taken(Exchange x) {}
+    public void requestAccepted(Exchange x) {}
 
     @Override
-    public void sent(Attempt attempt) {}
+    public void attemptSent(Attempt attempt) {}
 
     @Override
-    public void outcome(Attempt attempt, Status status, long latencyNanos) {}
+    public void attemptEnded(Attempt attempt, Status status, long latencyNanos) {}
 
     @Override
-    public void ended(Exchange x, End end, Reason reason) {}
+    public void requestEnded(Exchange x, End end, Reason reason) {}
 
     @Override
-    public void listed(ListKind kind, ServerList list, List<Numbered> servers) {}
+    public void serverListUpdated(ListKind kind, ServerList list, List<Numbered> servers) {}
 
     @Override
-    public void replaced(String event) {}
+    public void moduleReplaced(String event) {}
   };
 
   /** How a request ended: by an upstream's answer, by a refusal, by a failure, or its client left. */
@@ -39,20 +39,20 @@
   record Numbered(long upstream, ServerList.Server server) {}
 
   /** A request has come in. */
-  void taken(Exchange x);
+  void requestAccepted(Exchange x);
 
   /** An attempt has gone to a front to be sent. */
-  void sent(Attempt attempt);
+  void attemptSent(Attempt attempt);
 
   /** It has ended; told for each one that was told as sent. */
-  void outcome(Attempt attempt, Status status, long latencyNanos);
+  void attemptEnded(Attempt attempt, Status status, long latencyNanos);
 
   /** A request has its one end; {@code reason} is null for SERVED and GONE. */
-  void ended(Exchange x, End end, Reason reason);
+  void requestEnded(Exchange x, End end, Reason reason);
 
   /** A source has spoken; the servers are those of which this was news, none where it was not believed or failed. */
-  void listed(ListKind kind, ServerList list, List<Numbered> servers);
+  void serverListUpdated(ListKind kind, ServerList list, List<Numbered> servers);
 
   /** The module failed at an event and was replaced. */
-  void replaced(String event);
+  void moduleReplaced(String event);
 }
--- a/http/src/main/java/cloverpulley/serve/Counts.java
+++ b/http/src/main/java/cloverpulley/serve/Counts.java
@@ -114,12 +114,12 @@
   }
 
   @Override
-  public void taken(Exchange x) {
+  public void requestAccepted(Exchange x) {
     taken++;
   }
 
   @Override
-  public void sent(Attempt attempt) {
+  public void attemptSent(Attempt attempt) {
     sent++;
     again += attempt.number() > 0 ? 1 : 0;
     long ago = fleet.startedAgo(attempt.upstream());
@@ -129,12 +129,12 @@
   }
 
   @Override
-  public void outcome(Attempt attempt, Status status, long latencyNanos) {
+  public void attemptEnded(Attempt attempt, Status status, long latencyNanos) {
     statuses[status.ordinal()]++;
   }
 
   @Override
-  public void ended(Exchange x, End end, Reason reason) {
+  public void requestEnded(Exchange x, End end, Reason reason) {
     switch (end) {
       case SERVED -> served++;
       case GONE -> gone++;
@@ -144,7 +144,7 @@
   }
 
   @Override
-  public void listed(ListKind kind, ServerList list, List<Numbered> servers) {
+  public void serverListUpdated(ListKind kind, ServerList list, List<Numbered> servers) {
     if (kind == ListKind.FAILED) {
       unanswered++;
     } else if (kind != ListKind.CACHED) {
@@ -155,7 +155,7 @@
   }
 
   @Override
-  public void replaced(String event) {}
+  public void moduleReplaced(String event) {}
 
   /** What was counted since the last line; empty for nothing. */
   String line() {
--- a/records/src/main/java/cloverpulley/records/Recorder.java
+++ b/records/src/main/java/cloverpulley/records/Recorder.java
@@ -176,7 +176,7 @@
   }
 
   @Override
-  public void taken(Exchange x) {
+  public void requestAccepted(Exchange x) {
     if (queue != null) {
       Exchange.Facts f = x.facts();
       long left = f.deadline() <= 0 ? 0 : f.type().deadlineNanos() / 1000;
@@ -186,7 +186,7 @@
   }
 
   @Override
-  public void sent(Attempt a) {
+  public void attemptSent(Attempt a) {
     if (queue != null) {
       Exchange x = a.exchange();
       put(new Entry(origin, 0, micros.getAsLong(), Kind.SENT, x.number(), x.name(), x.facts().type().name(), x.facts().tenant(), 0,
@@ -195,7 +195,7 @@
   }
 
   @Override
-  public void outcome(Attempt a, Status status, long latencyNanos) {
+  public void attemptEnded(Attempt a, Status status, long latencyNanos) {
     if (queue != null) {
       Exchange x = a.exchange();
       put(new Entry(origin, 0, micros.getAsLong(), Kind.OUTCOME, x.number(), x.name(), x.facts().type().name(), x.facts().tenant(),
@@ -204,7 +204,7 @@
   }
 
   @Override
-  public void ended(Exchange x, End end, Reason reason) {
+  public void requestEnded(Exchange x, End end, Reason reason) {
     if (queue != null) {
       put(new Entry(origin, 0, micros.getAsLong(), Kind.ENDED, x.number(), x.name(), x.facts().type().name(), x.facts().tenant(), 0,
           0, 0, null, reason == null ? end == End.SERVED ? "served" : "gone" : reason.code(), 0, end.ordinal()));
@@ -248,7 +248,7 @@
   }
 
   @Override
-  public void listed(ListKind kind, ServerList list, List<Numbered> servers) {
+  public void serverListUpdated(ListKind kind, ServerList list, List<Numbered> servers) {
     if (queue == null) {
       return;
     }
@@ -303,7 +303,7 @@
   }
 
   @Override
-  public void replaced(String event) {
+  public void moduleReplaced(String event) {
     if (queue != null) {
       put(entry(Kind.REPLACED).withDetails(event, 0, 0));
     }
