--- a/discovery/src/main/java/cloverpulley/discovery/Discovery.java
+++ b/discovery/src/main/java/cloverpulley/discovery/Discovery.java
@@ -177,7 +177,7 @@
           LOG.warning("discovery fails: " + why);
           failing = true;
         }
-        news.accept(ListKind.FAILED, ServerList.NONE);
+        news.accept(ListKind.FAILED, ServerList.EMPTY);
       }
     }
 
--- a/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
@@ -91,18 +91,18 @@
     }
 
     @Override
-    public void requestEnded(Exchange x, End end, Reason reason) {
-      if (follower != null && end != End.GONE) {
-        follower.recordRequest(end == End.REFUSED && reason != Reason.QUOTA); // A share of one's own used up says nothing of the fleet.
+    public void requestEnded(Exchange x, Completion end, Reason reason) {
+      if (follower != null && end != Completion.GONE) {
+        follower.recordRequest(end == Completion.REJECTED && reason != Reason.QUOTA); // A share of one's own used up says nothing of the fleet.
       }
     }
 
     @Override
-    public void serverListUpdated(ListKind kind, ServerList list, List<Numbered> servers) {
+    public void serverListUpdated(ListKind kind, ServerList list, List<NumberedServer> servers) {
       if (kind == ListKind.FULL || kind == ListKind.CACHED) {
         listed.clear();
       }
-      for (Numbered n : servers) {
+      for (NumberedServer n : servers) {
         ServerList.Server s = n.server();
         names.put(n.upstream(), s.id());
         if (s.state() == cloverpulley.Balancer.State.GONE) {
--- a/dns/src/main/java/cloverpulley/dns/DnsServer.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsServer.java
@@ -161,12 +161,12 @@
 
   private void wire(LongFunction<Balancer> modules, List<OwnZone> zones, FleetSource shownSource) {
     FleetSource source = config.fleet();
-    ServerList first = source == null ? ServerList.NONE : source.first();
+    ServerList first = source == null ? ServerList.EMPTY : source.first();
     Engine.ListSource lists = source == null || source.isWritten() ? new WrittenList(fleet, (kind, list) -> engine.news(kind, list))
         : open(source, first, fleet, this::news);
     client = new DnsClient(loop, clock, config.upstream());
     engine = new Engine(loop, clock, config.settings(), modules, fleet, lists, (to, data) -> { },
-        recorder.isOn() ? recorder : EngineListener.NONE);
+        recorder.isOn() ? recorder : EngineListener.NO_OP);
     engine.attach(new Transport() {
       @Override
       public void withdraw(LongPredicate from) {
--- a/dnssd/src/main/java/cloverpulley/dnssd/DnsSdSource.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/DnsSdSource.java
@@ -198,7 +198,7 @@
     if (ready) {
       tellAll();
     } else {
-      news.accept(ListKind.FAILED, ServerList.NONE);
+      news.accept(ListKind.FAILED, ServerList.EMPTY);
     }
   }
 
--- a/dnssd/src/test/java/cloverpulley/dnssd/PushAndPublishTest.java
+++ b/dnssd/src/test/java/cloverpulley/dnssd/PushAndPublishTest.java
@@ -41,7 +41,7 @@
   private void startPushed(StandInZone z) throws Exception {
     String section = Rig.section("", "", z).replace("poll_ms = 50", "poll_ms = 3600000").replace("[fleet.dnssd.trust]",
         "push = \"tcp\"\n[fleet.dnssd.trust]");
-    rig.start(section, ServerList.NONE);
+    rig.start(section, ServerList.EMPTY);
   }
 
   @Test
@@ -86,7 +86,7 @@
     StandInZone z = rig.zone();
     z.server("s0", "h0.example.", 8000, "127.0.0.1", "started=b0");
     z.server("s1", "h1.example.", 8001, "127.0.0.1", "started=b1");
-    rig.start(Rig.section("", "", z).replace("[fleet.dnssd.trust]", "push = \"tcp\"\n[fleet.dnssd.trust]"), ServerList.NONE);
+    rig.start(Rig.section("", "", z).replace("[fleet.dnssd.trust]", "push = \"tcp\"\n[fleet.dnssd.trust]"), ServerList.EMPTY);
     Rig.await("both", () -> rig.ready() == 2);
     z.withdraw("s1");
     Rig.await("the withdrawal", () -> rig.state("s1") == null);
--- a/dnssd/src/test/java/cloverpulley/dnssd/ReaderTest.java
+++ b/dnssd/src/test/java/cloverpulley/dnssd/ReaderTest.java
@@ -161,7 +161,7 @@
       other.at(owner).forEach(r -> both.put(r.replaceAll("\\s+", " ").replace(" IN ", " ")));
     }
     both.authoritative(false);
-    rig.start(Rig.section("", "", both).replace("[\"example\"]", "[\"example\", \"test\"]"), ServerList.NONE);
+    rig.start(Rig.section("", "", both).replace("[\"example\"]", "[\"example\", \"test\"]"), ServerList.EMPTY);
     Rig.await("two servers", () -> rig.ready() == 2);
     assertEquals(2, rig.list.size());
   }
@@ -240,7 +240,7 @@
     }
     String section = Rig.section("", "", a, b, liar);
     int at = section.indexOf("[fleet.dnssd.trust]");
-    rig.start(section.substring(0, at) + "weight = 0.25\n" + section.substring(at), ServerList.NONE);
+    rig.start(section.substring(0, at) + "weight = 0.25\n" + section.substring(at), ServerList.EMPTY);
     Rig.await("the true nine", () -> java.util.stream.IntStream.range(0, 9).allMatch(i -> rig.state("s" + i) == State.READY));
     Rig.awaitAsked(liar, Rig.ORIGIN, 20);
     long forged = rig.list.values().stream().filter(s -> ((InetSocketAddress) s.address()).getPort() == 6666).count();
@@ -272,7 +272,7 @@
     z.ttl(1);
     fill(z, 4);
     z.serial(500);
-    rig.start(Rig.section("", "longest_ttl_ms = 1000\n", z), ServerList.NONE);
+    rig.start(Rig.section("", "longest_ttl_ms = 1000\n", z), ServerList.EMPTY);
     Rig.await("four servers", () -> rig.ready() == 4);
     z.server("s9", "h9.example.", 8009, "127.0.0.1", "started=b9");
     z.serial(3);
@@ -327,7 +327,7 @@
     java.net.ServerSocket listening = new java.net.ServerSocket(0, 50, java.net.InetAddress.getLoopbackAddress());
     int port = listening.getLocalPort();
     z.server("s0", "h0.example.", port, "127.0.0.1");
-    rig.start(Rig.section("contact_ms = 20", "", z), ServerList.NONE);
+    rig.start(Rig.section("contact_ms = 20", "", z), ServerList.EMPTY);
     Rig.await("the server", () -> rig.ready() == 1);
     listening.accept().close();
     listening.close();
@@ -356,7 +356,7 @@
   void aNotifyIsFollowedAtOnce() throws Exception {
     StandInZone z = rig.zone();
     fill(z, 4);
-    rig.start(Rig.section("notify = \"127.0.0.1:0\"", "", z).replace("poll_ms = 50", "poll_ms = 3600000"), ServerList.NONE);
+    rig.start(Rig.section("notify = \"127.0.0.1:0\"", "", z).replace("poll_ms = 50", "poll_ms = 3600000"), ServerList.EMPTY);
     Rig.await("four servers", () -> rig.ready() == 4);
     InetSocketAddress at = rig.group.next().submit(rig.source::notifyAddress).get();
     z.withdraw("s1");
@@ -410,7 +410,7 @@
     StandInZone z = rig.zone();
     fill(z, 3);
     Path file = dir.resolve("changes.jsonl");
-    rig.start(Rig.section("records_file = \"" + file + "\"", "", z), ServerList.NONE);
+    rig.start(Rig.section("records_file = \"" + file + "\"", "", z), ServerList.EMPTY);
     Rig.await("three servers", () -> rig.ready() == 3);
     z.server("s1", "h1.example.", 8001, "127.0.0.1", "started=b1", "phase=draining");
     Rig.await("the drain", () -> rig.state("s1") == State.DRAINING);
--- a/dnssd/src/test/java/cloverpulley/dnssd/Rig.java
+++ b/dnssd/src/test/java/cloverpulley/dnssd/Rig.java
@@ -55,7 +55,7 @@
   }
 
   DnsSdSource start(StandInZone... zones) throws Exception {
-    return start(section("", "", zones), ServerList.NONE);
+    return start(section("", "", zones), ServerList.EMPTY);
   }
 
   DnsSdSource start(String text, ServerList held) throws Exception {
--- a/engine/src/main/java/cloverpulley/engine/Both.java
+++ b/engine/src/main/java/cloverpulley/engine/Both.java
@@ -27,13 +27,13 @@
   }
 
   @Override
-  public void requestEnded(Exchange x, End end, Reason reason) {
+  public void requestEnded(Exchange x, Completion end, Reason reason) {
     first.requestEnded(x, end, reason);
     second.requestEnded(x, end, reason);
   }
 
   @Override
-  public void serverListUpdated(ListKind kind, ServerList list, List<Numbered> servers) {
+  public void serverListUpdated(ListKind kind, ServerList list, List<NumberedServer> servers) {
     first.serverListUpdated(kind, list, servers);
     second.serverListUpdated(kind, list, servers);
   }
--- a/engine/src/main/java/cloverpulley/engine/Engine.java
+++ b/engine/src/main/java/cloverpulley/engine/Engine.java
@@ -99,7 +99,7 @@
    */
   public Engine(ScheduledExecutorService loop, Clock clock, Settings settings, LongFunction<Balancer> modules, Fleet fleet,
       ListSource lists, PeerSender peers) {
-    this(loop, clock, settings, modules, fleet, lists, peers, EngineListener.NONE);
+    this(loop, clock, settings, modules, fleet, lists, peers, EngineListener.NO_OP);
   }
 
   /** The same, with somebody who is told of all that happens. */
@@ -140,7 +140,7 @@
   /** The client has gone, or has been answered by its front without the module. */
   public void clientGone(Exchange x) {
     if (x.id != null) {
-      finish(x, EngineListener.End.GONE, null);
+      finish(x, EngineListener.Completion.GONE, null);
     }
     x.end();
     enqueue(() -> known(x) ? new ClientGone(x.id) : null);
@@ -148,7 +148,7 @@
 
   private void overdue(Exchange x) {
     if (!x.isEnded()) {
-      finish(x, EngineListener.End.FAILED, Reason.DEADLINE);
+      finish(x, EngineListener.Completion.FAILED, Reason.DEADLINE);
       x.end();
       x.answer(Verdict.failed(Reason.DEADLINE));
       clientGone(x);
@@ -158,15 +158,15 @@
   /** A source of the list has said something; with FAILED it has not, and the list is unused. */
   public void news(ListKind kind, ServerList list) {
     if (kind == ListKind.FAILED) {
-      witness.serverListUpdated(kind, ServerList.NONE, List.of());
+      witness.serverListUpdated(kind, ServerList.EMPTY, List.of());
       enqueue(() -> new EndpointUpdate(kind, List.of()));
       return;
     }
     EndpointUpdate news = fleet.take(kind, list);
-    if (witness != EngineListener.NONE) {
-      List<EngineListener.Numbered> told = new ArrayList<>(news.endpoints().size());
+    if (witness != EngineListener.NO_OP) {
+      List<EngineListener.NumberedServer> told = new ArrayList<>(news.endpoints().size());
       for (int i = 0; i < news.endpoints().size(); i++) {
-        told.add(new EngineListener.Numbered(news.endpoints().get(i).upstream(), list.members().get(i)));
+        told.add(new EngineListener.NumberedServer(news.endpoints().get(i).upstream(), list.members().get(i)));
       }
       witness.serverListUpdated(kind, list, told);
     }
@@ -247,7 +247,7 @@
   public void failAll() {
     for (Exchange x : List.copyOf(exchanges.values())) {
       if (!x.isEnded()) {
-        finish(x, EngineListener.End.FAILED, Reason.STOPPING);
+        finish(x, EngineListener.Completion.FAILED, Reason.STOPPING);
         x.end();
         x.answer(Verdict.failed(Reason.STOPPING));
         clientGone(x);
@@ -276,7 +276,7 @@
       if (x.isEnded()) {
         // By its front, in this turn or before it: an end that was told already stays.
         boolean broke = x.passing == attempt && status != Status.SERVED;
-        finish(x, broke ? EngineListener.End.FAILED : EngineListener.End.SERVED, broke ? Reason.MAY_HAVE_RUN : null);
+        finish(x, broke ? EngineListener.Completion.FAILED : EngineListener.Completion.SERVED, broke ? Reason.MAY_HAVE_RUN : null);
       }
       return known(x) ? new Outcome(x.id, attempt.number(), attempt.upstream(), status, latency, x.isEnded(), load) : null;
     });
@@ -399,7 +399,7 @@
   }
 
   /** Tells of a request's end, the first time. */
-  private void finish(Exchange x, EngineListener.End end, Reason reason) {
+  private void finish(Exchange x, EngineListener.Completion end, Reason reason) {
     if (!x.told) {
       x.told = true;
       witness.requestEnded(x, end, reason);
@@ -469,7 +469,7 @@
   private void end(String id, Verdict verdict) {
     Exchange x = exchanges.get(id);
     if (x != null && !x.isEnded()) {
-      finish(x, verdict.refused() ? EngineListener.End.REFUSED : EngineListener.End.FAILED, verdict.reason());
+      finish(x, verdict.refused() ? EngineListener.Completion.REJECTED : EngineListener.Completion.FAILED, verdict.reason());
       x.end();
       x.answer(verdict);
     }
--- a/engine/src/main/java/cloverpulley/engine/EngineListener.java
+++ b/engine/src/main/java/cloverpulley/engine/EngineListener.java
@@ -12,7 +12,7 @@
 public interface EngineListener {
 
   /** Sees nothing. */
-  EngineListener NONE = new EngineListener() {
+  EngineListener NO_OP = new EngineListener() {
     @Override
     public void requestAccepted(Exchange x) {}
 
@@ -23,20 +23,20 @@
     public void attemptEnded(Attempt attempt, Status status, long latencyNanos) {}
 
     @Override
-    public void requestEnded(Exchange x, End end, Reason reason) {}
+    public void requestEnded(Exchange x, Completion end, Reason reason) {}
 
     @Override
-    public void serverListUpdated(ListKind kind, ServerList list, List<Numbered> servers) {}
+    public void serverListUpdated(ListKind kind, ServerList list, List<NumberedServer> servers) {}
 
     @Override
     public void moduleReplaced(String event) {}
   };
 
   /** How a request ended: by an upstream's answer, by a refusal, by a failure, or its client left. */
-  enum End { SERVED, REFUSED, FAILED, GONE }
+  enum Completion { SERVED, REJECTED, FAILED, GONE }
 
   /** A server of a list, with the module's number of it. */
-  record Numbered(long upstream, ServerList.Server server) {}
+  record NumberedServer(long upstream, ServerList.Server server) {}
 
   /** A request has come in. */
   void requestAccepted(Exchange x);
@@ -48,10 +48,10 @@
   void attemptEnded(Attempt attempt, Status status, long latencyNanos);
 
   /** A request has its one end; {@code reason} is null for SERVED and GONE. */
-  void requestEnded(Exchange x, End end, Reason reason);
+  void requestEnded(Exchange x, Completion end, Reason reason);
 
   /** A source has spoken; the servers are those of which this was news, none where it was not believed or failed. */
-  void serverListUpdated(ListKind kind, ServerList list, List<Numbered> servers);
+  void serverListUpdated(ListKind kind, ServerList list, List<NumberedServer> servers);
 
   /** The module failed at an event and was replaced. */
   void moduleReplaced(String event);
--- a/engine/src/main/java/cloverpulley/engine/ServerList.java
+++ b/engine/src/main/java/cloverpulley/engine/ServerList.java
@@ -12,7 +12,7 @@
  */
 public record ServerList(long revision, boolean complete, List<Server> members) {
 
-  public static final ServerList NONE = new ServerList(0, true, List.of());
+  public static final ServerList EMPTY = new ServerList(0, true, List.of());
 
   /**
    * One upstream.
--- a/fleet/src/main/java/cloverpulley/fleet/HeldList.java
+++ b/fleet/src/main/java/cloverpulley/fleet/HeldList.java
@@ -53,13 +53,13 @@
   /** The list in the file; none where there is none, or it can't be read: that is said and no reason not to start. */
   public static ServerList read(Path file) {
     if (file == null || !Files.exists(file)) {
-      return ServerList.NONE;
+      return ServerList.EMPTY;
     }
     try {
       return ListDecoder.list(Fields.parse(new JsonFactory(), "list", checked(Files.readString(file))));
     } catch (IOException | WireException e) {
       LOG.warning("the list held in " + file + " can't be read, starting without: " + e.getMessage());
-      return ServerList.NONE;
+      return ServerList.EMPTY;
     }
   }
 
--- a/handover/src/test/java/cloverpulley/handover/HandoverSnapshotTest.java
+++ b/handover/src/test/java/cloverpulley/handover/HandoverSnapshotTest.java
@@ -109,7 +109,7 @@
   @Test
   void itsLengthIsBounded() throws Unusable {
     List<String> names = Collections.nCopies(15_000, "n".repeat(100));
-    HandoverSnapshot left = new HandoverSnapshot(ServerList.NONE, names, null);
+    HandoverSnapshot left = new HandoverSnapshot(ServerList.EMPTY, names, null);
     assertTrue(left.bytes(AT).length <= HandoverSnapshot.MAX_BYTES);
     assertTrue(HandoverSnapshot.read(left.bytes(AT), AT).names().size() > 5000);
   }
--- a/http/src/main/java/cloverpulley/serve/Config.java
+++ b/http/src/main/java/cloverpulley/serve/Config.java
@@ -77,7 +77,7 @@
         f.nested("limits").integer("memory_mb", MEMORY_MB) << 20,
         f.has("peer_listen") ? ListDecoder.address("peer_listen", f.text("peer_listen")) : null, peers,
         f.has("peers_all") ? ListDecoder.address("peers_all", f.text("peers_all")) : null,
-        f.has("known") ? ListDecoder.list(f.nested("known")) : ServerList.NONE,
+        f.has("known") ? ListDecoder.list(f.nested("known")) : ServerList.EMPTY,
         SettingsDecoder.settings(settings), settings.nested("limits").integer("conn-idle-ns", IDLE_NANOS),
         !settings.nested("report").text("how", "none").equals("none"), management(f, environment),
         environment.containsKey("TMPDIR") ? Path.of(environment.get("TMPDIR"), "ashdeck") : null, f);
--- a/http/src/main/java/cloverpulley/serve/Counts.java
+++ b/http/src/main/java/cloverpulley/serve/Counts.java
@@ -134,17 +134,17 @@
   }
 
   @Override
-  public void requestEnded(Exchange x, End end, Reason reason) {
+  public void requestEnded(Exchange x, Completion end, Reason reason) {
     switch (end) {
       case SERVED -> served++;
       case GONE -> gone++;
-      case REFUSED -> refused[reason.ordinal()]++;
+      case REJECTED -> refused[reason.ordinal()]++;
       case FAILED -> failed[reason.ordinal()]++;
     }
   }
 
   @Override
-  public void serverListUpdated(ListKind kind, ServerList list, List<Numbered> servers) {
+  public void serverListUpdated(ListKind kind, ServerList list, List<NumberedServer> servers) {
     if (kind == ListKind.FAILED) {
       unanswered++;
     } else if (kind != ListKind.CACHED) {
--- a/http/src/main/java/cloverpulley/serve/Main.java
+++ b/http/src/main/java/cloverpulley/serve/Main.java
@@ -43,7 +43,7 @@
     Signals.handle("HUP", () -> started.thenAccept(s -> s.reload(() -> Config.read(environment))), complaint);
     try {
       Config config = Config.read(environment);
-      started.complete(Server.start(config, n -> new Logic(config.settings(), config.seed() + n), null, EngineListener.NONE,
+      started.complete(Server.start(config, n -> new Logic(config.settings(), config.seed() + n), null, EngineListener.NO_OP,
           s -> phase.compareAndSet(Phase.STARTING, Phase.LISTENING)));
     } catch (IOException | RuntimeException | Error e) {
       err.println("can't start: " + Config.complaint(e));
--- a/http/src/main/java/cloverpulley/serve/Server.java
+++ b/http/src/main/java/cloverpulley/serve/Server.java
@@ -101,7 +101,7 @@
   private Discovery discovery;
   /** Where lists come from in place of discovery; null for discovery. */
   private Balance.Lists lists;
-  private EngineListener witness = EngineListener.NONE;
+  private EngineListener witness = EngineListener.NO_OP;
   /** Upstreams that are out by agreement of the fleet: the management endpoint's word alone does not bring them back. */
   private final Set<String> agreed = ConcurrentHashMap.newKeySet();
   private Peers peers;
@@ -133,7 +133,7 @@
 
   /** The same around other decisions; {@code modules} makes the n-th module of this process. */
   static Server start(Config config, LongFunction<Balancer> modules) {
-    return start(config, modules, null, EngineListener.NONE, s -> { });
+    return start(config, modules, null, EngineListener.NO_OP, s -> { });
   }
 
   /**
@@ -228,7 +228,7 @@
       source = lists.open(loop, fleet, this::news);
     }
     engine = new Engine(loop, clock, config.settings(), modules, fleet, counts.counted(source), peers,
-        witness == EngineListener.NONE ? counts : new Both(counts, witness));
+        witness == EngineListener.NO_OP ? counts : new Both(counts, witness));
     engine.attach(pool);
     frontend = new Frontend(new HttpExchange.Front(engine, pool, config.loadReports()), clock, sockets, config.settings(),
         new RequestReader.Budgets(new BufferBudget(config.memoryBytes() / KEPT_PART), new BufferBudget(config.memoryBytes() / UPLOADS_PART)), counts);
--- a/http/src/test/java/cloverpulley/serve/StartStopTest.java
+++ b/http/src/test/java/cloverpulley/serve/StartStopTest.java
@@ -186,7 +186,7 @@
       Rig.Script module = new Rig.Script(0);
       List<String> before = new ArrayList<>();
       Server server = Server.start(Rig.config(agent.address(), Rig.list(1, true, Rig.member("s-1", "127.0.0.1:1", "ready")), "pushed", 200, 1024, ""),
-          n -> module, null, EngineListener.NONE, s -> s.tell(engine -> before.add("serves " + engine.canServe())).join());
+          n -> module, null, EngineListener.NO_OP, s -> s.tell(engine -> before.add("serves " + engine.canServe())).join());
       try {
         assertEquals(List.of("serves false"), before, "the only one drains, and that is known before clients are heard");
       } finally {
--- a/processor/src/main/java/cloverpulley/processor/ProcessorServer.java
+++ b/processor/src/main/java/cloverpulley/processor/ProcessorServer.java
@@ -153,7 +153,7 @@
           this::news);
     }
     engine = new Engine(engineLoop, clock, settings, modules, fleet, lists, (to, data) -> { },
-        recorder.isOn() ? recorder : EngineListener.NONE);
+        recorder.isOn() ? recorder : EngineListener.NO_OP);
     engine.news(ListKind.CACHED, first);
   }
 
--- a/records/src/main/java/cloverpulley/records/Recorder.java
+++ b/records/src/main/java/cloverpulley/records/Recorder.java
@@ -204,10 +204,10 @@
   }
 
   @Override
-  public void requestEnded(Exchange x, End end, Reason reason) {
+  public void requestEnded(Exchange x, Completion end, Reason reason) {
     if (queue != null) {
       put(new Entry(origin, 0, micros.getAsLong(), Kind.ENDED, x.number(), x.name(), x.facts().type().name(), x.facts().tenant(), 0,
-          0, 0, null, reason == null ? end == End.SERVED ? "served" : "gone" : reason.code(), 0, end.ordinal()));
+          0, 0, null, reason == null ? end == Completion.SERVED ? "served" : "gone" : reason.code(), 0, end.ordinal()));
     }
   }
 
@@ -248,7 +248,7 @@
   }
 
   @Override
-  public void serverListUpdated(ListKind kind, ServerList list, List<Numbered> servers) {
+  public void serverListUpdated(ListKind kind, ServerList list, List<NumberedServer> servers) {
     if (queue == null) {
       return;
     }
@@ -258,7 +258,7 @@
       return;
     }
     Set<Long> here = new HashSet<>();
-    for (Numbered n : servers) {
+    for (NumberedServer n : servers) {
       here.add(n.upstream());
       ServerList.Server before = known.get(n.upstream());
       ServerList.Server s = n.server();
