--- a/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
@@ -10,7 +10,7 @@
 import cloverpulley.config.BadFileException;
 import cloverpulley.discovery.Discovery;
 import cloverpulley.engine.Attempt;
-import cloverpulley.engine.Both;
+import cloverpulley.engine.CompositeEngineListener;
 import cloverpulley.engine.Engine;
 import cloverpulley.engine.EngineListener;
 import cloverpulley.engine.Exchange;
@@ -134,7 +134,7 @@
     Ears ears = agree == null ? null : new Ears(agree, voter);
     Recorder recorder = Recorder.open(operators.records(), "balance", operators.settings());
     HeldList held = new HeldList(operators.fleet().stateFile());
-    EngineListener witness = ears == null ? recorder : new Both(recorder, ears);
+    EngineListener witness = ears == null ? recorder : new CompositeEngineListener(recorder, ears);
     BalanceConfig b = operators.balance();
     FleetSource fleet = operators.fleet();
     Balance.Lists lists = (loop, f, news) -> open(fleet, held, loop, f, news);
--- a/engine/src/main/java/cloverpulley/engine/Both.java
+++ b/engine/src/main/java/cloverpulley/engine/CompositeEngineListener.java
@@ -6,7 +6,7 @@
 import java.util.List;
 
 /** Two witnesses of one engine, told in turn. */
-public record Both(EngineListener first, EngineListener second) implements EngineListener {
+public record CompositeEngineListener(EngineListener first, EngineListener second) implements EngineListener {
 
   @Override
   public void requestAccepted(Exchange x) {
--- a/http/src/main/java/cloverpulley/serve/Server.java
+++ b/http/src/main/java/cloverpulley/serve/Server.java
@@ -6,8 +6,8 @@
 import cloverpulley.Balancer.Settings;
 import cloverpulley.Logic;
 import cloverpulley.discovery.Discovery;
-import cloverpulley.engine.Both;
 import cloverpulley.engine.Clock;
+import cloverpulley.engine.CompositeEngineListener;
 import cloverpulley.engine.Engine;
 import cloverpulley.engine.EngineListener;
 import cloverpulley.engine.Fleet;
@@ -228,7 +228,7 @@
       source = lists.open(loop, fleet, this::news);
     }
     engine = new Engine(loop, clock, config.settings(), modules, fleet, counts.counted(source), peers,
-        witness == EngineListener.NO_OP ? counts : new Both(counts, witness));
+        witness == EngineListener.NO_OP ? counts : new CompositeEngineListener(counts, witness));
     engine.attach(pool);
     frontend = new Frontend(new HttpExchange.Front(engine, pool, config.loadReports()), clock, sockets, config.settings(),
         new RequestReader.Budgets(new BufferBudget(config.memoryBytes() / KEPT_PART), new BufferBudget(config.memoryBytes() / UPLOADS_PART)), counts);
