--- a/bench/src/main/java/cloverpulley/bench/DnsSdBench.java
+++ b/bench/src/main/java/cloverpulley/bench/DnsSdBench.java
@@ -15,8 +15,8 @@
 import cloverpulley.engine.Engine;
 import cloverpulley.engine.Exchange;
 import cloverpulley.engine.Fleet;
+import cloverpulley.engine.LocalReply;
 import cloverpulley.engine.ServerList;
-import cloverpulley.engine.Verdict;
 import cloverpulley.standins.StandInDns;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -280,7 +280,7 @@
         }
 
         @Override
-        protected void answer(Verdict verdict) {
+        protected void answer(LocalReply verdict) {
           // A refusal is no send.
         }
       });
--- a/dns/src/main/java/cloverpulley/dns/Flight.java
+++ b/dns/src/main/java/cloverpulley/dns/Flight.java
@@ -2,7 +2,7 @@
 
 import cloverpulley.dns.client.Ask;
 import cloverpulley.dns.wire.Message;
-import cloverpulley.engine.Verdict;
+import cloverpulley.engine.LocalReply;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -57,7 +57,7 @@
   }
 
   @Override
-  protected void answer(Verdict verdict) {
+  protected void answer(LocalReply verdict) {
     resolver.landed(this);
     long now = resolver.clock.now();
     boolean timeUp = now >= facts().deadline() - resolver.config.marginNanos();
--- a/dns/src/main/java/cloverpulley/dns/Passing.java
+++ b/dns/src/main/java/cloverpulley/dns/Passing.java
@@ -2,7 +2,7 @@
 
 import cloverpulley.dns.client.Ask;
 import cloverpulley.dns.wire.Message;
-import cloverpulley.engine.Verdict;
+import cloverpulley.engine.LocalReply;
 
 /** An UPDATE, a NOTIFY or a signed question on its way: passed on untouched, and its answer as well. */
 final class Passing extends DnsExchange {
@@ -27,7 +27,7 @@
   }
 
   @Override
-  protected void answer(Verdict verdict) {
+  protected void answer(LocalReply verdict) {
     reply(resolver.failure(query, verdict));
   }
 
--- a/dns/src/main/java/cloverpulley/dns/Resolver.java
+++ b/dns/src/main/java/cloverpulley/dns/Resolver.java
@@ -14,7 +14,7 @@
 import cloverpulley.engine.Clock;
 import cloverpulley.engine.Engine;
 import cloverpulley.engine.Exchange;
-import cloverpulley.engine.Verdict;
+import cloverpulley.engine.LocalReply;
 import cloverpulley.incident.Entry;
 import cloverpulley.names.GracefulShutdown;
 import cloverpulley.names.ResponseRateLimiter;
@@ -217,7 +217,7 @@
     }
     long grant = quotas.tryAcquire(q.tenant, 1, q.message.bytes().length, 0, false);
     if (Quotas.isRejected(grant)) {
-      fail(q, new Verdict(true, Reason.QUOTA, quotas.retryAfterNanos()));
+      fail(q, new LocalReply(true, Reason.QUOTA, quotas.retryAfterNanos()));
       return false;
     }
     return true;
@@ -305,8 +305,8 @@
   }
 
   /** Nothing of it has run: asked again once we have gone, it comes to the successor. */
-  private Verdict stopping(Query q) {
-    return new Verdict(true, Reason.STOPPING, leaving.remaining(q.arrivedAt));
+  private LocalReply stopping(Query q) {
+    return new LocalReply(true, Reason.STOPPING, leaving.remaining(q.arrivedAt));
   }
 
   /** The front goes: from here on {@link GracefulShutdown} says what is taken. */
@@ -407,7 +407,7 @@
       fail(q, stopping(q)); // Only here: of a repeat the first may have run, or be under way.
       return;
     } else if (key != null && !repeated.taken(key, q.arrivedAt)) {
-      fail(q, new Verdict(true, Reason.RECORD_FULL, NANOS));
+      fail(q, new LocalReply(true, Reason.RECORD_FULL, NANOS));
       return;
     }
     boolean tcp = !safe && config.unsafeOverTcp() || q.message.bytes().length > config.udpSize();
@@ -456,7 +456,7 @@
     reply(q, q.filled(replies, e.body, 0, config.caching().staleTtl(), false, STALE, "no server answers"));
   }
 
-  void fail(Query q, Verdict verdict) {
+  void fail(Query q, LocalReply verdict) {
     reply(q, failure(q, verdict));
   }
 
@@ -464,7 +464,7 @@
    * REFUSED where there is too much to do, SERVFAIL where the servers do not answer; both tell why, and when to come back where the
    * module says so.
    */
-  byte[] failure(Query q, Verdict verdict) {
+  byte[] failure(Query q, LocalReply verdict) {
     counts.end(verdict.reason());
     String word = verdict.reason().code();
     q.reason = word;
--- a/engine/src/main/java/cloverpulley/engine/Engine.java
+++ b/engine/src/main/java/cloverpulley/engine/Engine.java
@@ -150,7 +150,7 @@
     if (!x.isEnded()) {
       finish(x, EngineListener.Completion.FAILED, Reason.DEADLINE);
       x.end();
-      x.answer(Verdict.failed(Reason.DEADLINE));
+      x.answer(LocalReply.failed(Reason.DEADLINE));
       clientGone(x);
     }
   }
@@ -249,7 +249,7 @@
       if (!x.isEnded()) {
         finish(x, EngineListener.Completion.FAILED, Reason.STOPPING);
         x.end();
-        x.answer(Verdict.failed(Reason.STOPPING));
+        x.answer(LocalReply.failed(Reason.STOPPING));
         clientGone(x);
       }
     }
@@ -428,9 +428,9 @@
         cancel(x.attempts.get(a.attempt() - x.facts().earlier().size()));
       }
     } else if (action instanceof Reject a) {
-      end(a.id(), new Verdict(true, a.reason(), a.retryAfterNanos()));
+      end(a.id(), new LocalReply(true, a.reason(), a.retryAfterNanos()));
     } else if (action instanceof Fail a) {
-      end(a.id(), Verdict.failed(a.reason()));
+      end(a.id(), LocalReply.failed(a.reason()));
     } else if (action instanceof SetTimer a) {
       long made = generation;
       loop.schedule(() -> enqueue(() -> made == generation ? new TimerFired(a.token()) : null),
@@ -466,10 +466,10 @@
     return x;
   }
 
-  private void end(String id, Verdict verdict) {
+  private void end(String id, LocalReply verdict) {
     Exchange x = exchanges.get(id);
     if (x != null && !x.isEnded()) {
-      finish(x, verdict.refused() ? EngineListener.Completion.REJECTED : EngineListener.Completion.FAILED, verdict.reason());
+      finish(x, verdict.rejected() ? EngineListener.Completion.REJECTED : EngineListener.Completion.FAILED, verdict.reason());
       x.end();
       x.answer(verdict);
     }
--- a/engine/src/main/java/cloverpulley/engine/Exchange.java
+++ b/engine/src/main/java/cloverpulley/engine/Exchange.java
@@ -97,7 +97,7 @@
   protected abstract Attempt.Sending start(Attempt attempt, SocketAddress address, long timeoutNanos);
 
   /** Gives the final answer to the client; called once, and never after {@link #end}. */
-  protected abstract void answer(Verdict verdict);
+  protected abstract void answer(LocalReply verdict);
 
   /** It has ended: nothing will be sent for it any more. */
   protected void released() {}
--- a/engine/src/main/java/cloverpulley/engine/Verdict.java
+++ b/engine/src/main/java/cloverpulley/engine/LocalReply.java
@@ -7,10 +7,10 @@
  *
  * @param retryAfterNanos when to come back; 0 for no advice
  */
-public record Verdict(boolean refused, Reason reason, long retryAfterNanos) {
+public record LocalReply(boolean rejected, Reason reason, long retryAfterNanos) {
 
   /** A failure. */
-  public static Verdict failed(Reason reason) {
-    return new Verdict(false, reason, 0);
+  public static LocalReply failed(Reason reason) {
+    return new LocalReply(false, reason, 0);
   }
 }
--- a/http/src/main/java/cloverpulley/serve/HttpExchange.java
+++ b/http/src/main/java/cloverpulley/serve/HttpExchange.java
@@ -1,11 +1,11 @@
 package cloverpulley.serve;
 
+import cloverpulley.Balancer.Status;
 import cloverpulley.engine.Attempt;
 import cloverpulley.engine.Engine;
 import cloverpulley.engine.Exchange;
 import cloverpulley.engine.LoadReport;
-import cloverpulley.engine.Verdict;
-import cloverpulley.Balancer.Status;
+import cloverpulley.engine.LocalReply;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
@@ -179,12 +179,12 @@
   }
 
   @Override
-  protected void answer(Verdict verdict) {
+  protected void answer(LocalReply verdict) {
     if (passing != null) {
       passing.abort(); // An answer has begun, and there is no other.
       return;
     }
-    HttpResponseStatus status = verdict.refused() ? HttpResponseStatus.TOO_MANY_REQUESTS : switch (verdict.reason()) {
+    HttpResponseStatus status = verdict.rejected() ? HttpResponseStatus.TOO_MANY_REQUESTS : switch (verdict.reason()) {
       case DEADLINE -> HttpResponseStatus.GATEWAY_TIMEOUT;
       case STOPPING -> HttpResponseStatus.INTERNAL_SERVER_ERROR;
       default -> HttpResponseStatus.BAD_GATEWAY;
--- a/processor/src/main/java/cloverpulley/processor/CallExchange.java
+++ b/processor/src/main/java/cloverpulley/processor/CallExchange.java
@@ -2,7 +2,7 @@
 
 import cloverpulley.engine.Attempt;
 import cloverpulley.engine.Exchange;
-import cloverpulley.engine.Verdict;
+import cloverpulley.engine.LocalReply;
 import java.net.SocketAddress;
 import java.util.concurrent.Future;
 
@@ -32,7 +32,7 @@
     void send(CallExchange x, SocketAddress address);
 
     /** The module has ended the call. */
-    void end(Verdict verdict);
+    void end(LocalReply verdict);
 
     /** The call can't be taken: the status to answer, what is wrong and the word for it. */
     void bad(int status, String what, String reason);
@@ -71,7 +71,7 @@
   }
 
   @Override
-  protected void answer(Verdict verdict) {
+  protected void answer(LocalReply verdict) {
     calls.answered(this, verdict);
     caller.end(verdict);
   }
--- a/processor/src/main/java/cloverpulley/processor/Calls.java
+++ b/processor/src/main/java/cloverpulley/processor/Calls.java
@@ -8,8 +8,8 @@
 import cloverpulley.engine.Engine;
 import cloverpulley.engine.Exchange;
 import cloverpulley.engine.Fleet;
+import cloverpulley.engine.LocalReply;
 import cloverpulley.engine.ServerList.Server;
-import cloverpulley.engine.Verdict;
 import cloverpulley.quota.Quotas;
 import cloverpulley.quota.service.QuotaKeeper;
 import cloverpulley.repeats.AttemptTracker;
@@ -78,11 +78,11 @@
       earlier = joined.priorAttempts();
       counts.joined.increment();
     } else if (finding instanceof AttemptTracker.UnknownHistory) {
-      end(caller, Verdict.failed(Reason.UNKNOWN_EARLIER));
+      end(caller, LocalReply.failed(Reason.UNKNOWN_EARLIER));
       return null;
     } else if (finding instanceof AttemptTracker.TableFull) {
       // Nothing of it has run: trying again, elsewhere or later, is harmless.
-      end(caller, new Verdict(true, Reason.RECORD_FULL, TimeUnit.SECONDS.toNanos(1)));
+      end(caller, new LocalReply(true, Reason.RECORD_FULL, TimeUnit.SECONDS.toNanos(1)));
       return null;
     } else if (finding instanceof AttemptTracker.InProgress) {
       counts.count(Reason.IN_HAND);
@@ -99,7 +99,7 @@
         if (call.id() != null) {
           repeats.onNotSent(clock.now(), call.id());
         }
-        end(caller, new Verdict(true, Reason.QUOTA, quotas.retryAfterNanos()));
+        end(caller, new LocalReply(true, Reason.QUOTA, quotas.retryAfterNanos()));
         return null;
       }
     }
@@ -122,7 +122,7 @@
     }
   }
 
-  private void end(CallExchange.Caller caller, Verdict verdict) {
+  private void end(CallExchange.Caller caller, LocalReply verdict) {
     counts.count(verdict.reason());
     caller.end(verdict);
   }
@@ -140,7 +140,7 @@
   }
 
   /** The module has ended a call without an attempt. */
-  void answered(CallExchange x, Verdict verdict) {
+  void answered(CallExchange x, LocalReply verdict) {
     counts.count(verdict.reason());
     record(x, verdict.reason().code(), false);
     over(x);
--- a/processor/src/main/java/cloverpulley/processor/ProcessorStream.java
+++ b/processor/src/main/java/cloverpulley/processor/ProcessorStream.java
@@ -3,7 +3,7 @@
 import cloverpulley.Balancer.Status;
 import cloverpulley.Reason;
 import cloverpulley.engine.Clock;
-import cloverpulley.engine.Verdict;
+import cloverpulley.engine.LocalReply;
 import cloverpulley.extproc.Encoded;
 import cloverpulley.extproc.ExtProc.HttpBody;
 import cloverpulley.extproc.ExtProc.HttpHeaders;
@@ -169,7 +169,7 @@
   void overdue() {
     shared.counts.guarded.increment();
     answered(Reason.DEADLINE.code(), Entry.FAILED);
-    finish(shared.replies.end(Verdict.failed(Reason.DEADLINE), grpc));
+    finish(shared.replies.end(LocalReply.failed(Reason.DEADLINE), grpc));
     hangUp();
   }
 
@@ -280,8 +280,8 @@
   }
 
   @Override
-  public void end(Verdict verdict) {
-    loop.execute(() -> endedBy(shared.replies.end(verdict, grpc), verdict.reason().code(), verdict.refused() ? Entry.REFUSED
+  public void end(LocalReply verdict) {
+    loop.execute(() -> endedBy(shared.replies.end(verdict, grpc), verdict.reason().code(), verdict.rejected() ? Entry.REFUSED
         : Entry.FAILED));
   }
 
@@ -402,7 +402,7 @@
   void stop() {
     if (!closed && (state == State.ASKED || state == State.RECHECKING)) {
       answered(Reason.STOPPING.code(), Entry.FAILED);
-      finish(shared.replies.end(Verdict.failed(Reason.STOPPING), grpc));
+      finish(shared.replies.end(LocalReply.failed(Reason.STOPPING), grpc));
     } else {
       close(io.grpc.Status.OK);
     }
--- a/processor/src/main/java/cloverpulley/processor/Replies.java
+++ b/processor/src/main/java/cloverpulley/processor/Replies.java
@@ -1,6 +1,6 @@
 package cloverpulley.processor;
 
-import cloverpulley.engine.Verdict;
+import cloverpulley.engine.LocalReply;
 import cloverpulley.extproc.Encoded;
 import cloverpulley.extproc.ExtProc.BodyMutation;
 import cloverpulley.extproc.ExtProc.BodyResponse;
@@ -91,15 +91,15 @@
   }
 
   /** A refusal (429) or a failure (502: unlike 503 it does not tell the caller that trying again is harmless). */
-  Encoded end(Verdict verdict, boolean grpc) {
+  Encoded end(LocalReply verdict, boolean grpc) {
     HeaderMutation.Builder headers =
         HeaderMutation.newBuilder().addSetHeaders(set(REASON, ByteString.copyFromUtf8(verdict.reason().code())));
     if (verdict.retryAfterNanos() > 0) {
       String seconds = BigDecimal.valueOf((long) Math.ceil(verdict.retryAfterNanos() / 1e6), 3).toPlainString();
       headers.addSetHeaders(set("retry-after", ByteString.copyFromUtf8(seconds)));
     }
-    return immediate(verdict.refused() ? TOO_MANY_REQUESTS : BAD_GATEWAY, headers, verdict.reason().code(),
-        verdict.reason().code(), grpc, verdict.refused() ? GRPC_EXHAUSTED : GRPC_UNKNOWN);
+    return immediate(verdict.rejected() ? TOO_MANY_REQUESTS : BAD_GATEWAY, headers, verdict.reason().code(),
+        verdict.reason().code(), grpc, verdict.rejected() ? GRPC_EXHAUSTED : GRPC_UNKNOWN);
   }
 
   /** What can't be read is answered at once. */
