--- a/bench/src/main/java/cloverpulley/bench/DnsSdBench.java
+++ b/bench/src/main/java/cloverpulley/bench/DnsSdBench.java
@@ -265,7 +265,7 @@
 
     private void take() {
       long now = clock.now();
-      engine.take(new Exchange(new Exchange.Facts(settings.classes().get(0), null, null, 0, false, now + TimeUnit.SECONDS.toNanos(2), 0,
+      engine.take(new Exchange(new Exchange.RequestInfo(settings.classes().get(0), null, null, 0, false, now + TimeUnit.SECONDS.toNanos(2), 0,
           List.of())) {
         @Override
         protected Attempt.Sending start(Attempt attempt, SocketAddress address, long timeoutNanos) {
--- a/dns/src/main/java/cloverpulley/dns/DnsExchange.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsExchange.java
@@ -18,8 +18,8 @@
   final Resolver resolver;
   private final Ask.Asked asked;
 
-  DnsExchange(Facts facts, Resolver resolver, Ask.Asked asked) {
-    super(facts);
+  DnsExchange(RequestInfo info, Resolver resolver, Ask.Asked asked) {
+    super(info);
     this.resolver = resolver;
     this.asked = asked;
   }
@@ -27,7 +27,7 @@
   @Override
   protected Attempt.Sending start(Attempt attempt, SocketAddress address, long timeoutNanos) {
     // What may go to another server does not wait for one that is silent; what may not waits as long as it is of use.
-    long wait = facts().type().effect() == Effect.UNSAFE ? timeoutNanos
+    long wait = info().requestClass().effect() == Effect.UNSAFE ? timeoutNanos
         : Math.min(timeoutNanos, resolver.config.attemptNanos());
     return resolver.client.ask(attempt.upstream(), (InetSocketAddress) address, asked, wait,
         (status, answer, why) -> ended(attempt, status, answer))::cancel;
@@ -37,7 +37,7 @@
     Status word = status;
     Body body = null;
     if (answer != null) {
-      word = RcodeMapping.toStatus(facts().type().effect(), answer.rcode(), resolver.config.refusedIsFull());
+      word = RcodeMapping.toStatus(info().requestClass().effect(), answer.rcode(), resolver.config.refusedIsFull());
       if (word == Status.SERVED && asked.raw() == null) {
         body = body(answer);
         word = body == null ? Status.ERROR : word;
--- a/dns/src/main/java/cloverpulley/dns/Flight.java
+++ b/dns/src/main/java/cloverpulley/dns/Flight.java
@@ -16,8 +16,8 @@
   private final Cache.Entry stale;
   private boolean staleGiven;
 
-  Flight(Facts facts, Resolver resolver, Ask.Asked asked, Cache.Key key, Cache.Entry stale, boolean prefetch) {
-    super(facts, resolver, asked);
+  Flight(RequestInfo info, Resolver resolver, Ask.Asked asked, Cache.Key key, Cache.Entry stale, boolean prefetch) {
+    super(info, resolver, asked);
     this.key = key;
     this.stale = stale;
     this.prefetch = prefetch;
@@ -60,12 +60,12 @@
   protected void answer(LocalReply verdict) {
     resolver.landed(this);
     long now = resolver.clock.now();
-    boolean timeUp = now >= facts().deadline() - resolver.config.marginNanos();
+    boolean timeUp = now >= info().deadline() - resolver.config.marginNanos();
     List<Query> left = new ArrayList<>();
     for (Query q : take()) {
       if (stale != null) {
         resolver.stale(q, stale);
-      } else if (timeUp && resolver.deadline(q, facts().type()) > now + resolver.config.marginNanos()) {
+      } else if (timeUp && resolver.deadline(q, info().requestClass()) > now + resolver.config.marginNanos()) {
         left.add(q); // It joined later than the first, whose time is up: it has more.
       } else {
         resolver.fail(q, verdict);
--- a/dns/src/main/java/cloverpulley/dns/Passing.java
+++ b/dns/src/main/java/cloverpulley/dns/Passing.java
@@ -12,8 +12,8 @@
    * may. */
   private final Repeated.Key key;
 
-  Passing(Facts facts, Resolver resolver, Ask.Asked asked, Query query, Repeated.Key key) {
-    super(facts, resolver, asked);
+  Passing(RequestInfo info, Resolver resolver, Ask.Asked asked, Query query, Repeated.Key key) {
+    super(info, resolver, asked);
     this.query = query;
     this.key = key;
   }
--- a/dns/src/main/java/cloverpulley/dns/Resolver.java
+++ b/dns/src/main/java/cloverpulley/dns/Resolver.java
@@ -341,7 +341,7 @@
     int flags = q.message.flags() & (Message.RD | Message.CD) | Message.AD;
     Ask.Asked asked = new Ask.Asked(null, q.question(), flags, q.wantsDnssec(), false);
     long deadline = prefetch ? clock.now() + type.deadlineNanos() : deadline(q, type);
-    Flight flight = new Flight(new Exchange.Facts(type, q.tenant, name(q.question()), 0, false, deadline, 0, List.of()), this,
+    Flight flight = new Flight(new Exchange.RequestInfo(type, q.tenant, name(q.question()), 0, false, deadline, 0, List.of()), this,
         asked, key, stale, prefetch);
     flights.put(key, flight);
     counts.flights++;
@@ -412,7 +412,7 @@
     }
     boolean tcp = !safe && config.unsafeOverTcp() || q.message.bytes().length > config.udpSize();
     Ask.Asked asked = new Ask.Asked(q.message.bytes(), q.question(), 0, false, tcp);
-    Passing passing = new Passing(new Exchange.Facts(type, q.tenant, name(q.question()), 0, false, deadline(q, type), 0, List.of()),
+    Passing passing = new Passing(new Exchange.RequestInfo(type, q.tenant, name(q.question()), 0, false, deadline(q, type), 0, List.of()),
         this, asked, q, key);
     q.client.waits(q, passing);
     engine.take(passing);
--- a/engine/src/main/java/cloverpulley/engine/Engine.java
+++ b/engine/src/main/java/cloverpulley/engine/Engine.java
@@ -130,11 +130,11 @@
     x.maxAttempts = settings.limits().maxAttempts();
     exchanges.put(x.id, x);
     witness.requestAccepted(x);
-    Exchange.Facts f = x.facts();
+    Exchange.RequestInfo f = x.info();
     long due = f.answerBy() > 0 ? Math.min(f.answerBy(), f.deadline()) : f.deadline();
     guard(x, due);
-    enqueue(() -> x.isEnded() ? null : new Request(x.id, f.type().name(), f.tenant(), f.key(), f.deadline(), f.hintNanos(),
-        f.retry(), f.answerBy(), f.earlier()));
+    enqueue(() -> x.isEnded() ? null : new Request(x.id, f.requestClass().name(), f.tenant(), f.key(), f.deadline(), f.hintNanos(),
+        f.retry(), f.answerBy(), f.priorAttempts()));
   }
 
   /** The client has gone, or has been answered by its front without the module. */
@@ -425,7 +425,7 @@
     } else if (action instanceof Cancel a) {
       Exchange x = exchanges.get(a.id());
       if (x != null) {
-        cancel(x.attempts.get(a.attempt() - x.facts().earlier().size()));
+        cancel(x.attempts.get(a.attempt() - x.info().priorAttempts().size()));
       }
     } else if (action instanceof Reject a) {
       end(a.id(), new LocalReply(true, a.reason(), a.retryAfterNanos()));
@@ -478,12 +478,12 @@
 
   private void send(Exchange x, Send send) {
     long now = clock.now();
-    int number = x.facts().earlier().size() + x.attempts.size();
+    int number = x.info().priorAttempts().size() + x.attempts.size();
     Attempt attempt = new Attempt(x, number, send.upstream(), now, send.sendByNanos());
     x.attempts.add(attempt);
     x.outstanding++;
     witness.attemptSent(attempt);
-    if (x.facts().answerBy() > 0) {
+    if (x.info().answerBy() > 0) {
       x.guard.cancel(false); // The sending is the answer; its own time-out bounds it from here on.
     }
     long left = x.deadline - now;
--- a/engine/src/main/java/cloverpulley/engine/Exchange.java
+++ b/engine/src/main/java/cloverpulley/engine/Exchange.java
@@ -22,12 +22,12 @@
    * @param retry whether the client says that it asked before
    * @param deadline clock reading at which an answer is of no more use
    * @param answerBy clock reading by which the module has to have sent it on or ended it; 0 for the deadline alone
-   * @param earlier attempts of earlier calls for the same request, the oldest first
+   * @param priorAttempts attempts of earlier calls for the same request, the oldest first
    */
-  public record Facts(RequestClass type, String tenant, String key, long hintNanos, boolean retry, long deadline,
-      long answerBy, List<PriorAttempt> earlier) {}
+  public record RequestInfo(RequestClass requestClass, String tenant, String key, long hintNanos, boolean retry, long deadline,
+      long answerBy, List<PriorAttempt> priorAttempts) {}
 
-  private final Facts facts;
+  private final RequestInfo info;
   final List<Attempt> attempts = new ArrayList<>(1);
   String id;
   long number;
@@ -37,15 +37,15 @@
   int outstanding;
   /** As the settings had it when it was taken. */
   int maxAttempts;
-  /** Clock reading at which an answer is of no more use; that of the facts until the body has come whole. */
+  /** Clock reading at which an answer is of no more use; that of the request info until the body has come whole. */
   long deadline;
   /** The attempt whose answer is passed on while it comes; null for none. */
   Attempt passing;
   private boolean ended;
 
-  protected Exchange(Facts facts) {
-    this.facts = facts;
-    deadline = facts.deadline();
+  protected Exchange(RequestInfo info) {
+    this.info = info;
+    deadline = info.deadline();
   }
 
   /** Whether an answer is passed on while it comes: there will be no other. */
@@ -53,8 +53,8 @@
     return passing != null;
   }
 
-  public final Facts facts() {
-    return facts;
+  public final RequestInfo info() {
+    return info;
   }
 
   /** The engine's name for it, in records; null before it is taken. */
--- a/http/src/main/java/cloverpulley/serve/Frontend.java
+++ b/http/src/main/java/cloverpulley/serve/Frontend.java
@@ -452,9 +452,9 @@
         long hint = Math.max(0, wholeNumber(headers.get(HINT, "0")));
         // Of a body that is still coming the end is not known; its client's time counts from there.
         long until = clock.now() + wait - WAY_NANOS + (rest == null ? 0 : MOST_UPLOAD_NANOS);
-        Exchange.Facts facts = new Exchange.Facts(type, tenant, SessionKey.of(headers, MOST_NAME), TimeUnit.MICROSECONDS.toNanos(hint),
+        Exchange.RequestInfo info = new Exchange.RequestInfo(type, tenant, SessionKey.of(headers, MOST_NAME), TimeUnit.MICROSECONDS.toNanos(hint),
             "1".equals(headers.get(RETRY)), until, 0, List.of());
-        exchange = new HttpExchange(facts, exchanges, request.retain(), wait, this, () -> open.remove(id));
+        exchange = new HttpExchange(info, exchanges, request.retain(), wait, this, () -> open.remove(id));
         open.add(id);
         engine.take(exchange);
         if (rest != null) {
--- a/http/src/main/java/cloverpulley/serve/HttpExchange.java
+++ b/http/src/main/java/cloverpulley/serve/HttpExchange.java
@@ -78,8 +78,8 @@
   private Stream passing;
 
   /** Takes over the request; {@code waitNanos} is how long its client waits, {@code forgotten} is run when nothing is left of it. */
-  HttpExchange(Facts facts, Front front, FullHttpRequest request, long waitNanos, Reply reply, Runnable forgotten) {
-    super(facts);
+  HttpExchange(RequestInfo info, Front front, FullHttpRequest request, long waitNanos, Reply reply, Runnable forgotten) {
+    super(info);
     rest = request instanceof StreamedRequest s ? s.rest : null;
     this.waitNanos = waitNanos;
     this.front = front;
--- a/processor/src/main/java/cloverpulley/processor/CallExchange.java
+++ b/processor/src/main/java/cloverpulley/processor/CallExchange.java
@@ -38,8 +38,8 @@
     void bad(int status, String what, String reason);
   }
 
-  CallExchange(Facts facts, Mapping.Call call, Caller caller, Calls calls) {
-    super(facts);
+  CallExchange(RequestInfo info, Mapping.Call call, Caller caller, Calls calls) {
+    super(info);
     this.call = call;
     this.caller = caller;
     this.calls = calls;
--- a/processor/src/main/java/cloverpulley/processor/Calls.java
+++ b/processor/src/main/java/cloverpulley/processor/Calls.java
@@ -68,7 +68,7 @@
    */
   CallExchange takeAgain(CallExchange x, long answerBy) {
     ended(x, Status.NOT_SENT, Map.of());
-    return take(x.call, x.facts().deadline() - x.call.waitNanos(), answerBy, x.caller,
+    return take(x.call, x.info().deadline() - x.call.waitNanos(), answerBy, x.caller,
         x.call.id() == null ? new AttemptTracker.FirstCall() : repeats.onReselect(clock.now(), x.call.id()));
   }
 
@@ -103,7 +103,7 @@
         return null;
       }
     }
-    CallExchange x = new CallExchange(new Exchange.Facts(call.type(), call.tenant(), call.key(), call.hintNanos(),
+    CallExchange x = new CallExchange(new Exchange.RequestInfo(call.type(), call.tenant(), call.key(), call.hintNanos(),
         call.retry(), receivedAt + call.waitNanos(), answerBy, earlier), call, caller, this);
     x.granted = quotas != null && finding instanceof AttemptTracker.FirstCall;
     x.grant = grant;
@@ -148,7 +148,7 @@
 
   private void record(CallExchange x, String word, boolean sent) {
     if (records.isKept()) {
-      long took = (clock.now() - (x.facts().deadline() - x.call.waitNanos())) / 1000;
+      long took = (clock.now() - (x.info().deadline() - x.call.waitNanos())) / 1000;
       records.add(new RecordsFile.Call(RecordsFile.nowMicros() - took, x.call.type().name(), x.call.tenant(),
           RecordsFile.hash(x.call.key()), x.call.hintNanos() / 1000, word, sent, sent ? x.attempt.upstream() : 0, took));
     }
