--- a/dns/src/main/java/cloverpulley/dns/Flight.java
+++ b/dns/src/main/java/cloverpulley/dns/Flight.java
@@ -57,7 +57,7 @@
   }
 
   @Override
-  protected void answer(LocalReply verdict) {
+  protected void respond(LocalReply verdict) {
     resolver.landed(this);
     long now = resolver.clock.now();
     boolean timeUp = now >= info().deadline() - resolver.config.marginNanos();
--- a/dns/src/main/java/cloverpulley/dns/Passing.java
+++ b/dns/src/main/java/cloverpulley/dns/Passing.java
@@ -27,7 +27,7 @@
   }
 
   @Override
-  protected void answer(LocalReply verdict) {
+  protected void respond(LocalReply verdict) {
     reply(resolver.failure(query, verdict));
   }
 
--- a/engine/src/main/java/cloverpulley/engine/Engine.java
+++ b/engine/src/main/java/cloverpulley/engine/Engine.java
@@ -150,7 +150,7 @@
     if (!x.isEnded()) {
       finish(x, EngineListener.Completion.FAILED, Reason.DEADLINE);
       x.end();
-      x.answer(LocalReply.failed(Reason.DEADLINE));
+      x.respond(LocalReply.failed(Reason.DEADLINE));
       clientGone(x);
     }
   }
@@ -249,7 +249,7 @@
       if (!x.isEnded()) {
         finish(x, EngineListener.Completion.FAILED, Reason.STOPPING);
         x.end();
-        x.answer(LocalReply.failed(Reason.STOPPING));
+        x.respond(LocalReply.failed(Reason.STOPPING));
         clientGone(x);
       }
     }
@@ -383,7 +383,7 @@
     }
     failAll();
     exchanges.clear();
-    all.forEach(Exchange::forgotten);
+    all.forEach(Exchange::onRemoved);
     queue.clear();
     module = modules.apply(++generation);
     if (retuned) {
@@ -413,7 +413,7 @@
   private void forget(Exchange x) {
     if (x != null && x.isEnded() && x.outstanding == 0) {
       exchanges.remove(x.id);
-      x.forgotten();
+      x.onRemoved();
     }
   }
 
@@ -471,7 +471,7 @@
     if (x != null && !x.isEnded()) {
       finish(x, verdict.rejected() ? EngineListener.Completion.REJECTED : EngineListener.Completion.FAILED, verdict.reason());
       x.end();
-      x.answer(verdict);
+      x.respond(verdict);
     }
     forget(x);
   }
@@ -494,7 +494,7 @@
     } else if (address == null) {
       attemptEnded(attempt, Status.CONNECT_FAILED, Map.of(), () -> { });
     } else {
-      attempt.sending = x.start(attempt, address, timeout);
+      attempt.sending = x.startAttempt(attempt, address, timeout);
     }
   }
 
--- a/engine/src/main/java/cloverpulley/engine/Exchange.java
+++ b/engine/src/main/java/cloverpulley/engine/Exchange.java
@@ -49,7 +49,7 @@
   }
 
   /** Whether an answer is passed on while it comes: there will be no other. */
-  public final boolean isPassing() {
+  public final boolean isStreaming() {
     return passing != null;
   }
 
@@ -68,7 +68,7 @@
   }
 
   /** What its caller calls it; null where it names none. */
-  public String name() {
+  public String clientRequestId() {
     return null;
   }
 
@@ -84,7 +84,7 @@
       if (guard != null) {
         guard.cancel(false);
       }
-      released();
+      onEnded();
     }
   }
 
@@ -94,14 +94,14 @@
    *
    * @param timeoutNanos how long to wait for its end, connecting included
    */
-  protected abstract Attempt.Sending start(Attempt attempt, SocketAddress address, long timeoutNanos);
+  protected abstract Attempt.Sending startAttempt(Attempt attempt, SocketAddress address, long timeoutNanos);
 
   /** Gives the final answer to the client; called once, and never after {@link #end}. */
-  protected abstract void answer(LocalReply verdict);
+  protected abstract void respond(LocalReply verdict);
 
   /** It has ended: nothing will be sent for it any more. */
-  protected void released() {}
+  protected void onEnded() {}
 
   /** Nothing is left of it in the engine: its last attempt has ended as well. */
-  protected void forgotten() {}
+  protected void onRemoved() {}
 }
--- a/http/src/main/java/cloverpulley/serve/HttpExchange.java
+++ b/http/src/main/java/cloverpulley/serve/HttpExchange.java
@@ -89,7 +89,7 @@
   }
 
   @Override
-  protected Attempt.Sending start(Attempt attempt, SocketAddress address, long timeoutNanos) {
+  protected Attempt.Sending startAttempt(Attempt attempt, SocketAddress address, long timeoutNanos) {
     if (!isAwaited()) {
       front.engine.attemptEnded(attempt, Status.NOT_SENT, Map.of(), () -> { });
       return () -> { };
@@ -168,7 +168,7 @@
       FullHttpResponse served = status == Status.SERVED ? answer.retain() : null;
       front.engine.attemptEnded(attempt, status, front.load(answer), () -> {
         if (served != null) {
-          if (!isEnded() && !isPassing()) {
+          if (!isEnded() && !isStreaming()) {
             end();
             reply.answer(HttpResponseStatus.OK, 0, served.headers().get(HttpHeaderNames.CONTENT_TYPE), served.content());
           }
@@ -179,7 +179,7 @@
   }
 
   @Override
-  protected void answer(LocalReply verdict) {
+  protected void respond(LocalReply verdict) {
     if (passing != null) {
       passing.abort(); // An answer has begun, and there is no other.
       return;
@@ -193,7 +193,7 @@
   }
 
   @Override
-  protected void released() {
+  protected void onEnded() {
     request.release();
     if (rest != null) {
       rest.drop();
@@ -201,7 +201,7 @@
   }
 
   @Override
-  protected void forgotten() {
+  protected void onRemoved() {
     forgotten.run();
   }
 
--- a/processor/src/main/java/cloverpulley/processor/CallExchange.java
+++ b/processor/src/main/java/cloverpulley/processor/CallExchange.java
@@ -55,23 +55,23 @@
   }
 
   @Override
-  public String name() {
+  public String clientRequestId() {
     return call.id();
   }
 
   @Override
-  protected Attempt.Sending start(Attempt started, SocketAddress address, long timeoutNanos) {
+  protected Attempt.Sending startAttempt(Attempt started, SocketAddress address, long timeoutNanos) {
     attempt = started;
     return calls.started(this, address, timeoutNanos);
   }
 
   @Override
-  protected void forgotten() {
+  protected void onRemoved() {
     calls.forgotten(this);
   }
 
   @Override
-  protected void answer(LocalReply verdict) {
+  protected void respond(LocalReply verdict) {
     calls.answered(this, verdict);
     caller.end(verdict);
   }
--- a/records/src/main/java/cloverpulley/records/Recorder.java
+++ b/records/src/main/java/cloverpulley/records/Recorder.java
@@ -180,7 +180,7 @@
     if (queue != null) {
       Exchange.RequestInfo f = x.info();
       long left = f.deadline() <= 0 ? 0 : f.requestClass().deadlineNanos() / 1000;
-      put(new Entry(origin, 0, micros.getAsLong(), Kind.TAKEN, x.number(), x.name(), f.requestClass().name(), f.tenant(), hash(f.key()),
+      put(new Entry(origin, 0, micros.getAsLong(), Kind.TAKEN, x.number(), x.clientRequestId(), f.requestClass().name(), f.tenant(), hash(f.key()),
           0, 0, null, null, left, f.hintNanos() / 1000));
     }
   }
@@ -189,7 +189,7 @@
   public void attemptSent(Attempt a) {
     if (queue != null) {
       Exchange x = a.exchange();
-      put(new Entry(origin, 0, micros.getAsLong(), Kind.SENT, x.number(), x.name(), x.info().requestClass().name(), x.info().tenant(), 0,
+      put(new Entry(origin, 0, micros.getAsLong(), Kind.SENT, x.number(), x.clientRequestId(), x.info().requestClass().name(), x.info().tenant(), 0,
           a.number(), a.upstream(), name(a.upstream()), null, 0, 0));
     }
   }
@@ -198,7 +198,7 @@
   public void attemptEnded(Attempt a, Status status, long latencyNanos) {
     if (queue != null) {
       Exchange x = a.exchange();
-      put(new Entry(origin, 0, micros.getAsLong(), Kind.OUTCOME, x.number(), x.name(), x.info().requestClass().name(), x.info().tenant(),
+      put(new Entry(origin, 0, micros.getAsLong(), Kind.OUTCOME, x.number(), x.clientRequestId(), x.info().requestClass().name(), x.info().tenant(),
           0, a.number(), a.upstream(), name(a.upstream()), STATUS[status.ordinal()], latencyNanos / 1000, 0));
     }
   }
@@ -206,7 +206,7 @@
   @Override
   public void requestEnded(Exchange x, Completion end, Reason reason) {
     if (queue != null) {
-      put(new Entry(origin, 0, micros.getAsLong(), Kind.ENDED, x.number(), x.name(), x.info().requestClass().name(), x.info().tenant(), 0,
+      put(new Entry(origin, 0, micros.getAsLong(), Kind.ENDED, x.number(), x.clientRequestId(), x.info().requestClass().name(), x.info().tenant(), 0,
           0, 0, null, reason == null ? end == Completion.SERVED ? "served" : "gone" : reason.code(), 0, end.ordinal()));
     }
   }
