--- a/bench/src/main/java/cloverpulley/bench/DnsSdBench.java
+++ b/bench/src/main/java/cloverpulley/bench/DnsSdBench.java
@@ -268,7 +268,7 @@
       engine.take(new Exchange(new Exchange.RequestInfo(settings.classes().get(0), null, null, 0, false, now + TimeUnit.SECONDS.toNanos(2), 0,
           List.of())) {
         @Override
-        protected Attempt.Sending startAttempt(Attempt attempt, SocketAddress address, long timeoutNanos) {
+        protected Attempt.CancelHandle startAttempt(Attempt attempt, SocketAddress address, long timeoutNanos) {
           lastSend.put(((InetSocketAddress) address).getHostString(), System.nanoTime());
           sent.incrementAndGet();
           loop.schedule(() -> engine.attemptEnded(attempt, Status.SERVED, new HashMap<>(), this::served), 5, TimeUnit.MILLISECONDS);
--- a/dns/src/main/java/cloverpulley/dns/DnsExchange.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsExchange.java
@@ -25,7 +25,7 @@
   }
 
   @Override
-  protected Attempt.Sending startAttempt(Attempt attempt, SocketAddress address, long timeoutNanos) {
+  protected Attempt.CancelHandle startAttempt(Attempt attempt, SocketAddress address, long timeoutNanos) {
     // What may go to another server does not wait for one that is silent; what may not waits as long as it is of use.
     long wait = info().requestClass().effect() == Effect.UNSAFE ? timeoutNanos
         : Math.min(timeoutNanos, resolver.config.attemptNanos());
--- a/engine/src/main/java/cloverpulley/engine/Attempt.java
+++ b/engine/src/main/java/cloverpulley/engine/Attempt.java
@@ -7,21 +7,21 @@
   private final int number;
   private final long upstream;
   private final long sentAt;
-  private final long leavesBy;
+  private final long sendBy;
   /** When the request had come whole, where that was after its sending began; else 0. */
   long wholeAt;
   /** How long its answer took to begin, where it is passed on while it comes; else -1. */
   long begunAfter = -1;
-  Sending sending;
+  CancelHandle sending;
   boolean ended;
 
   /** What a front does to stop waiting for an attempt; it still ends it, as called off or as never sent. */
-  public interface Sending {
+  public interface CancelHandle {
     void cancel();
   }
 
-  Attempt(Exchange exchange, int number, long upstream, long sentAt, long leavesBy) {
-    this.leavesBy = leavesBy;
+  Attempt(Exchange exchange, int number, long upstream, long sentAt, long sendBy) {
+    this.sendBy = sendBy;
     this.exchange = exchange;
     this.number = number;
     this.upstream = upstream;
@@ -43,8 +43,8 @@
   }
 
   /** Clock reading by which its last byte has to have left, or it is not to be sent; 0 for whenever it can. */
-  public long leavesBy() {
-    return leavesBy;
+  public long sendBy() {
+    return sendBy;
   }
 
   /** Clock reading, in nanoseconds, at which the module had it sent. */
--- a/engine/src/main/java/cloverpulley/engine/Exchange.java
+++ b/engine/src/main/java/cloverpulley/engine/Exchange.java
@@ -94,7 +94,7 @@
    *
    * @param timeoutNanos how long to wait for its end, connecting included
    */
-  protected abstract Attempt.Sending startAttempt(Attempt attempt, SocketAddress address, long timeoutNanos);
+  protected abstract Attempt.CancelHandle startAttempt(Attempt attempt, SocketAddress address, long timeoutNanos);
 
   /** Gives the final answer to the client; called once, and never after {@link #end}. */
   protected abstract void respond(LocalReply verdict);
--- a/http/src/main/java/cloverpulley/serve/HttpExchange.java
+++ b/http/src/main/java/cloverpulley/serve/HttpExchange.java
@@ -89,7 +89,7 @@
   }
 
   @Override
-  protected Attempt.Sending startAttempt(Attempt attempt, SocketAddress address, long timeoutNanos) {
+  protected Attempt.CancelHandle startAttempt(Attempt attempt, SocketAddress address, long timeoutNanos) {
     if (!isAwaited()) {
       front.engine.attemptEnded(attempt, Status.NOT_SENT, Map.of(), () -> { });
       return () -> { };
@@ -100,7 +100,7 @@
       return () -> { };
     }
     Answer answer = new Answer(attempt);
-    long leaves = attempt.leavesBy() > 0 ? attempt.leavesBy() - attempt.sentAt() : 0;
+    long leaves = attempt.sendBy() > 0 ? attempt.sendBy() - attempt.sentAt() : 0;
     Call call = new Call(attempt.upstream(), answer::ended, answer, rest, waitNanos, leaves);
     answer.call = call;
     sending = call;
--- a/processor/src/main/java/cloverpulley/processor/CallExchange.java
+++ b/processor/src/main/java/cloverpulley/processor/CallExchange.java
@@ -60,7 +60,7 @@
   }
 
   @Override
-  protected Attempt.Sending startAttempt(Attempt started, SocketAddress address, long timeoutNanos) {
+  protected Attempt.CancelHandle startAttempt(Attempt started, SocketAddress address, long timeoutNanos) {
     attempt = started;
     return calls.started(this, address, timeoutNanos);
   }
--- a/processor/src/main/java/cloverpulley/processor/Calls.java
+++ b/processor/src/main/java/cloverpulley/processor/Calls.java
@@ -128,7 +128,7 @@
   }
 
   /** The module has a call sent: the caller is told, and its time starts. */
-  Attempt.Sending started(CallExchange x, SocketAddress address, long timeoutNanos) {
+  Attempt.CancelHandle started(CallExchange x, SocketAddress address, long timeoutNanos) {
     counts.sent.increment();
     Server server = fleet.server(x.attempt.upstream());
     if (x.call.id() != null) {
