--- a/bench/src/main/java/cloverpulley/bench/DnsSdBench.java
+++ b/bench/src/main/java/cloverpulley/bench/DnsSdBench.java
@@ -245,10 +245,10 @@
       this.loop = loop;
       settings = told.settings;
       Engine[] made = new Engine[1];
-      source = new DnsSdSource(loop, told.dnssd, ServerList.EMPTY, fleet::revision, (kind, list) -> made[0].news(kind, list), 7);
+      source = new DnsSdSource(loop, told.dnssd, ServerList.EMPTY, fleet::revision, (kind, list) -> made[0].serverListUpdated(kind, list), 7);
       engine = new Engine(loop, clock, settings, n -> new Logic(settings, 7 + n), fleet, source, (to, data) -> { });
       made[0] = engine;
-      engine.news(ListKind.CACHED, ServerList.EMPTY);
+      engine.serverListUpdated(ListKind.CACHED, ServerList.EMPTY);
     }
 
     /** Requests at an even rate, a hundredth of a second's at a time. */
@@ -265,7 +265,7 @@
 
     private void take() {
       long now = clock.now();
-      engine.take(new Exchange(new Exchange.RequestInfo(settings.classes().get(0), null, null, 0, false, now + TimeUnit.SECONDS.toNanos(2), 0,
+      engine.accept(new Exchange(new Exchange.RequestInfo(settings.classes().get(0), null, null, 0, false, now + TimeUnit.SECONDS.toNanos(2), 0,
           List.of())) {
         @Override
         protected Attempt.CancelHandle startAttempt(Attempt attempt, SocketAddress address, long timeoutNanos) {
--- a/dns/src/main/java/cloverpulley/dns/DnsServer.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsServer.java
@@ -162,19 +162,19 @@
   private void wire(LongFunction<Balancer> modules, List<OwnZone> zones, FleetSource shownSource) {
     FleetSource source = config.fleet();
     ServerList first = source == null ? ServerList.EMPTY : source.first();
-    Engine.ListSource lists = source == null || source.isWritten() ? new WrittenList(fleet, (kind, list) -> engine.news(kind, list))
+    Engine.ListSource lists = source == null || source.isWritten() ? new WrittenList(fleet, (kind, list) -> engine.serverListUpdated(kind, list))
         : open(source, first, fleet, this::news);
     client = new DnsClient(loop, clock, config.upstream());
     engine = new Engine(loop, clock, config.settings(), modules, fleet, lists, (to, data) -> { },
         recorder.isOn() ? recorder : EngineListener.NO_OP);
-    engine.attach(new Transport() {
+    engine.addTransport(new Transport() {
       @Override
       public void withdraw(LongPredicate from) {
         client.withdraw(from);
       }
     });
     resolver = new Resolver(loop, clock, config, engine, client, counts, recorder, quotas);
-    engine.news(ListKind.CACHED, first);
+    engine.serverListUpdated(ListKind.CACHED, first);
     zones.forEach(resolver::add);
     if (config.fleetNames() != null && shownSource != null) {
       show(shownSource);
@@ -192,7 +192,7 @@
   }
 
   private void news(ListKind kind, ServerList list) {
-    engine.news(kind, list);
+    engine.serverListUpdated(kind, list);
     if (kind != ListKind.FAILED) {
       held.write(fleet.list());
     }
@@ -244,7 +244,7 @@
   public void listed(ServerList servers, ServerList fleetShown) {
     loop.execute(() -> {
       if (servers != null) {
-        engine.news(ListKind.FULL, servers);
+        engine.serverListUpdated(ListKind.FULL, servers);
       }
       if (fleetShown != null && shown != null) {
         shown.take(ListKind.FULL, fleetShown);
@@ -352,7 +352,7 @@
   }
 
   int inHand() {
-    return onLoop(engine::inHand);
+    return onLoop(engine::pendingRequests);
   }
 
   int connections() {
@@ -416,7 +416,7 @@
    * the successor's.
    */
   private boolean wentQuietly() {
-    boolean quiet = engine.inHand() + tcp.connections() == 0;
+    boolean quiet = engine.pendingRequests() + tcp.connections() == 0;
     boolean goes = quiet && wasQuiet;
     wasQuiet = quiet;
     if (goes) {
--- a/dns/src/main/java/cloverpulley/dns/Resolver.java
+++ b/dns/src/main/java/cloverpulley/dns/Resolver.java
@@ -345,7 +345,7 @@
         asked, key, stale, prefetch);
     flights.put(key, flight);
     counts.flights++;
-    engine.take(flight);
+    engine.accept(flight);
     if (stale != null) {
       loop.schedule(flight::waitedLong, config.caching().staleWaitNanos(), TimeUnit.NANOSECONDS);
     }
@@ -415,7 +415,7 @@
     Passing passing = new Passing(new Exchange.RequestInfo(type, q.tenant, name(q.question()), 0, false, deadline(q, type), 0, List.of()),
         this, asked, q, key);
     q.client.waits(q, passing);
-    engine.take(passing);
+    engine.accept(passing);
   }
 
   // ---- Answers -------------------------------------------------------------------------------------------
--- a/engine/src/main/java/cloverpulley/engine/Engine.java
+++ b/engine/src/main/java/cloverpulley/engine/Engine.java
@@ -117,14 +117,14 @@
   }
 
   /** A front's way to the upstreams joins; the first that can probe does. */
-  public void attach(Transport transport) {
+  public void addTransport(Transport transport) {
     transports.add(transport);
   }
 
   // ---- What happens --------------------------------------------------------------------------------------
 
   /** A client's request has come in whole. */
-  public void take(Exchange x) {
+  public void accept(Exchange x) {
     x.id = "r" + taken;
     x.number = ++taken;
     x.maxAttempts = settings.limits().maxAttempts();
@@ -156,7 +156,7 @@
   }
 
   /** A source of the list has said something; with FAILED it has not, and the list is unused. */
-  public void news(ListKind kind, ServerList list) {
+  public void serverListUpdated(ListKind kind, ServerList list) {
     if (kind == ListKind.FAILED) {
       witness.serverListUpdated(kind, ServerList.EMPTY, List.of());
       enqueue(() -> new EndpointUpdate(kind, List.of()));
@@ -180,7 +180,7 @@
    *
    * @param forNanos how long it has been out already, where that was told elsewhere
    */
-  public void takeOut(String id, long forNanos) {
+  public void setOffline(String id, long forNanos) {
     if (!fleet.out().contains(id)) {
       long upstream = fleet.takeOut(id);
       enqueue(() -> new UpstreamSetOffline(upstream, forNanos));
@@ -189,7 +189,7 @@
   }
 
   /** An operator calls an upstream back; nothing where it was not out. */
-  public void callBack(String id) {
+  public void setOnline(String id) {
     Long upstream = fleet.callBack(id);
     if (upstream != null) {
       enqueue(() -> new UpstreamSetOnline(upstream));
@@ -197,25 +197,25 @@
   }
 
   /** Asks the module what it knows, for a successor; told in the module's turn. */
-  public void knowledge(Consumer<BalancerSnapshot> to) {
+  public void requestSnapshot(Consumer<BalancerSnapshot> to) {
     knowledgeTo = to;
     enqueue(SnapshotRequested::new);
   }
 
   /** What a predecessor's module knew; after the first list. */
-  public void inherit(BalancerSnapshot knowledge) {
+  public void restoreSnapshot(BalancerSnapshot knowledge) {
     enqueue(() -> new SnapshotRestored(knowledge));
   }
 
   /** Other settings hold for requests that are taken from here on; those in hand keep theirs. */
-  public void retune(Settings to) {
+  public void updateSettings(Settings to) {
     settings = to;
     retuned = true;
     enqueue(() -> new SettingsChanged(to));
   }
 
   /** So many processes serve as this balancer, this one among them. */
-  public void beside(int processes) {
+  public void setProcessCount(int processes) {
     enqueue(() -> new ProcessCountChanged(processes));
   }
 
@@ -230,12 +230,12 @@
   }
 
   /** Requests in hand: those owed an answer, and those with an attempt still out. */
-  public int inHand() {
+  public int pendingRequests() {
     return exchanges.size();
   }
 
   /** Attempts that have not ended. */
-  public int inFlight() {
+  public int inFlightAttempts() {
     int attempts = 0;
     for (Exchange x : exchanges.values()) {
       attempts += x.outstanding;
@@ -290,7 +290,7 @@
    * An attempt's answer has begun and is to be passed on while it comes: from here on the request is this attempt's, without a
    * deadline, and ends with it. False where the request has its end or another attempt's answer: then nothing may be passed on.
    */
-  public boolean answerBegins(Attempt attempt) {
+  public boolean answerStarted(Attempt attempt) {
     Exchange x = attempt.exchange();
     if (attempt.ended || x.isEnded() || x.passing != null || !known(x)) {
       return false;
@@ -317,7 +317,7 @@
   }
 
   /** The beginning of a request's body is not kept any more. */
-  public void unrepeatable(Exchange x) {
+  public void bodyDiscarded(Exchange x) {
     enqueue(() -> known(x) ? new BodyDiscarded(x.id) : null);
   }
 
--- a/http/src/main/java/cloverpulley/serve/Balance.java
+++ b/http/src/main/java/cloverpulley/serve/Balance.java
@@ -86,13 +86,13 @@
 
   /** A list that was written in a file has changed. */
   public CompletableFuture<Void> listed(ServerList list) {
-    return server.tell(engine -> engine.news(ListKind.FULL, list));
+    return server.tell(engine -> engine.serverListUpdated(ListKind.FULL, list));
   }
 
   /** Attempts under way now, by the engine's own count. */
   public CompletableFuture<Integer> inFlight() {
     CompletableFuture<Integer> count = new CompletableFuture<>();
-    server.tell(engine -> count.complete(engine.inFlight()));
+    server.tell(engine -> count.complete(engine.inFlightAttempts()));
     return count;
   }
 
--- a/http/src/main/java/cloverpulley/serve/Frontend.java
+++ b/http/src/main/java/cloverpulley/serve/Frontend.java
@@ -456,10 +456,10 @@
             "1".equals(headers.get(RETRY)), until, 0, List.of());
         exchange = new HttpExchange(info, exchanges, request.retain(), wait, this, () -> open.remove(id));
         open.add(id);
-        engine.take(exchange);
+        engine.accept(exchange);
         if (rest != null) {
           HttpExchange uploading = exchange;
-          rest.listen(() -> engine.unrepeatable(uploading), () -> uploaded(uploading, wait - WAY_NANOS));
+          rest.listen(() -> engine.bodyDiscarded(uploading), () -> uploaded(uploading, wait - WAY_NANOS));
         }
       }
     }
--- a/http/src/main/java/cloverpulley/serve/HttpExchange.java
+++ b/http/src/main/java/cloverpulley/serve/HttpExchange.java
@@ -141,7 +141,7 @@
 
     @Override
     public boolean begins(HttpResponse head) {
-      if (!front.engine.answerBegins(attempt)) {
+      if (!front.engine.answerStarted(attempt)) {
         return false;
       }
       begun = true;
--- a/http/src/main/java/cloverpulley/serve/Operations.java
+++ b/http/src/main/java/cloverpulley/serve/Operations.java
@@ -255,7 +255,7 @@
     p.loop().execute(() -> {
       divide(p, seen);
       if (fromPeer != null && fromPeer.list().revision() > p.fleet().revision()) {
-        p.engine().news(ListKind.FULL, fromPeer.list());
+        p.engine().serverListUpdated(ListKind.FULL, fromPeer.list());
       }
     });
     if (!seen.isEmpty()) {
@@ -324,8 +324,8 @@
 
   private void takeUp(Parts p, Map<String, Long> nowOffline) {
     offlineIds = nowOffline.keySet();
-    nowOffline.forEach(p.engine()::takeOut);
-    p.fleet().out().stream().filter(id -> !nowOffline.containsKey(id) && !p.agreed().contains(id)).forEach(p.engine()::callBack);
+    nowOffline.forEach(p.engine()::setOffline);
+    p.fleet().out().stream().filter(id -> !nowOffline.containsKey(id) && !p.agreed().contains(id)).forEach(p.engine()::setOnline);
     ready = !leaving && p.frontend().isReady();
   }
 
@@ -334,7 +334,7 @@
     int serve = 1 + (int) seen.stream().filter(o -> o.lifecycle() != Lifecycle.STARTING).count();
     if (serve != processes) {
       processes = serve;
-      p.engine().beside(serve);
+      p.engine().setProcessCount(serve);
     }
     p.sockets().heldElsewhere(seen.stream().mapToInt(PeerProcess::descriptors).sum());
     boolean later = seen.stream().anyMatch(PeerProcess::startedLater);
@@ -347,7 +347,7 @@
   private void collect(Parts p, boolean starting, long published) {
     if (starting) {
       List<String> names = p.fleet().namesEverListed();
-      p.engine().knowledge(k -> {
+      p.engine().requestSnapshot(k -> {
         HandoverSnapshot snapshot = new HandoverSnapshot(p.fleet().list(), names, k);
         own.execute(() -> publish(snapshot));
       });
--- a/http/src/main/java/cloverpulley/serve/Server.java
+++ b/http/src/main/java/cloverpulley/serve/Server.java
@@ -229,7 +229,7 @@
     }
     engine = new Engine(loop, clock, config.settings(), modules, fleet, counts.counted(source), peers,
         witness == EngineListener.NO_OP ? counts : new CompositeEngineListener(counts, witness));
-    engine.attach(pool);
+    engine.addTransport(pool);
     frontend = new Frontend(new HttpExchange.Front(engine, pool, config.loadReports()), clock, sockets, config.settings(),
         new RequestReader.Budgets(new BufferBudget(config.memoryBytes() / KEPT_PART), new BufferBudget(config.memoryBytes() / UPLOADS_PART)), counts);
     parts = new Operations.Parts(loop, engine, fleet, sockets, pool, frontend, agreed);
@@ -237,10 +237,10 @@
     if (newer) {
       takeOverStarts(fleet, inherited);
     }
-    engine.news(ListKind.CACHED, newer ? inherited.list() : config.known());
+    engine.serverListUpdated(ListKind.CACHED, newer ? inherited.list() : config.known());
     if (inherited != null) {
       fleet.wereListed(inherited.names());
-      engine.inherit(inherited.knowledge());
+      engine.restoreSnapshot(inherited.knowledge());
       LOG.info(() -> "took over from a predecessor: " + inherited.list().members().size() + " upstreams, list "
           + inherited.list().revision());
     }
@@ -277,7 +277,7 @@
 
   private void news(ListKind kind, ServerList list) {
     if (kind != ListKind.FAILED || !pushed) {
-      engine.news(kind, list);
+      engine.serverListUpdated(kind, list);
       listed.countDown();
     } else {
       loop.schedule(this::watch, retryNanos(System.nanoTime() - watchedAt), TimeUnit.NANOSECONDS);
@@ -359,7 +359,7 @@
     stopMillis = stopMillis(to.settings());
     parts.pool().retune(to.settings().limits().connectTimeoutNanos(), to.idleNanos());
     frontend.retune(to.settings());
-    engine.retune(to.settings());
+    engine.updateSettings(to.settings());
   }
 
   /** What an operator looks for first: classes that came, went or are others now, and the number of attempts. */
@@ -396,7 +396,7 @@
   /** The fleet has agreed that this upstream is out. */
   CompletableFuture<Void> agreedOut(String id, long forNanos) {
     agreed.add(id);
-    return tell(engine -> engine.takeOut(id, forNanos));
+    return tell(engine -> engine.setOffline(id, forNanos));
   }
 
   /** The fleet has agreed that it is back; out it stays where this one's management endpoint says so. */
@@ -404,7 +404,7 @@
     agreed.remove(id);
     return tell(engine -> {
       if (operations == null || !operations.isOffline(id)) {
-        engine.callBack(id);
+        engine.setOnline(id);
       }
     });
   }
--- a/http/src/main/java/cloverpulley/serve/Warmup.java
+++ b/http/src/main/java/cloverpulley/serve/Warmup.java
@@ -1,9 +1,9 @@
 package cloverpulley.serve;
 
 import cloverpulley.Balancer.ListKind;
+import cloverpulley.Balancer.RequestClass;
 import cloverpulley.Balancer.Settings;
 import cloverpulley.Balancer.State;
-import cloverpulley.Balancer.RequestClass;
 import cloverpulley.Logic;
 import cloverpulley.engine.Clock;
 import cloverpulley.engine.Engine;
@@ -112,10 +112,10 @@
         new BufferBudget(Long.MAX_VALUE), counts);
     Engine engine = new Engine(group.next(), clock, settings, n -> new Logic(settings, n), fleet, new NoList(),
         (to, data) -> { }, counts);
-    engine.attach(pool);
+    engine.addTransport(pool);
     Frontend frontend = new Frontend(new HttpExchange.Front(engine, pool, false), clock, sockets, settings,
         new RequestReader.Budgets(new BufferBudget(Long.MAX_VALUE), new BufferBudget(Long.MAX_VALUE)), counts);
-    engine.news(ListKind.CACHED, new ServerList(0, true,
+    engine.serverListUpdated(ListKind.CACHED, new ServerList(0, true,
         IntStream.range(0, UPSTREAMS).mapToObj(i -> new Server("warm-up-" + i, upstream, settings.zone(), 0, State.READY, 1, 0))
             .toList()));
     ServerBootstrap listeners = new ServerBootstrap().group(group).channel(LocalServerChannel.class);
--- a/processor/src/main/java/cloverpulley/processor/Calls.java
+++ b/processor/src/main/java/cloverpulley/processor/Calls.java
@@ -109,7 +109,7 @@
     x.grant = grant;
     x.grantedAt = clock.now();
     x.expectedOctets = octets;
-    engine.take(x);
+    engine.accept(x);
     return x;
   }
 
--- a/processor/src/main/java/cloverpulley/processor/ProcessorServer.java
+++ b/processor/src/main/java/cloverpulley/processor/ProcessorServer.java
@@ -144,7 +144,7 @@
     Engine.ListSource lists;
     ServerList first = source.first();
     if (source.isWritten()) {
-      lists = new WrittenList(fleet, (kind, list) -> engine.news(kind, list));
+      lists = new WrittenList(fleet, (kind, list) -> engine.serverListUpdated(kind, list));
     } else if (source.opener() != null) {
       lists = source.opener().open(engineLoop, first, fleet::revision, this::news);
     } else {
@@ -154,11 +154,11 @@
     }
     engine = new Engine(engineLoop, clock, settings, modules, fleet, lists, (to, data) -> { },
         recorder.isOn() ? recorder : EngineListener.NO_OP);
-    engine.news(ListKind.CACHED, first);
+    engine.serverListUpdated(ListKind.CACHED, first);
   }
 
   private void news(ListKind kind, ServerList list) {
-    engine.news(kind, list);
+    engine.serverListUpdated(kind, list);
     if (kind != ListKind.FAILED) {
       held.write(fleet.list());
     }
@@ -181,7 +181,7 @@
 
   /** The operators' list has changed; one that comes from discovery is not touched. */
   public void listed(ServerList list) {
-    engineLoop.execute(() -> engine.news(ListKind.FULL, list));
+    engineLoop.execute(() -> engine.serverListUpdated(ListKind.FULL, list));
   }
 
   private void listen(Settings settings) throws IOException {
@@ -262,12 +262,12 @@
 
   /** Calls in hand: without a verdict, or with an attempt whose end is not known. */
   public int inHand() {
-    return onEngine(engine::inHand);
+    return onEngine(engine::pendingRequests);
   }
 
   /** Attempts of which no end is known. */
   public int inFlight() {
-    return onEngine(engine::inFlight);
+    return onEngine(engine::inFlightAttempts);
   }
 
   /** Whether a call that came now could be sent somewhere; asked on the engine's loop. */
