--- a/dns/src/main/java/cloverpulley/dns/DnsServer.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsServer.java
@@ -203,7 +203,7 @@
   private void show(FleetSource source) {
     shown = new Fleet(clock);
     ServerList first = source.first();
-    shown.take(ListKind.CACHED, first);
+    shown.update(ListKind.CACHED, first);
     fleetZone = new FleetZone(config.fleetNames());
     shownZone = new OwnZone(Names.of(config.fleetNames().origin()), fleetZone.zone(shown.list(), System.currentTimeMillis()));
     resolver.add(shownZone);
@@ -218,7 +218,7 @@
     if (kind == ListKind.FAILED) {
       loop.schedule(() -> shownDiscovery.watch(true), ASK_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
     } else {
-      shown.take(kind, list);
+      shown.update(kind, list);
       renew();
     }
   }
@@ -247,7 +247,7 @@
         engine.serverListUpdated(ListKind.FULL, servers);
       }
       if (fleetShown != null && shown != null) {
-        shown.take(ListKind.FULL, fleetShown);
+        shown.update(ListKind.FULL, fleetShown);
         renew();
       }
     });
--- a/engine/src/main/java/cloverpulley/engine/Engine.java
+++ b/engine/src/main/java/cloverpulley/engine/Engine.java
@@ -162,7 +162,7 @@
       enqueue(() -> new EndpointUpdate(kind, List.of()));
       return;
     }
-    EndpointUpdate news = fleet.take(kind, list);
+    EndpointUpdate news = fleet.update(kind, list);
     if (witness != EngineListener.NO_OP) {
       List<EngineListener.NumberedServer> told = new ArrayList<>(news.endpoints().size());
       for (int i = 0; i < news.endpoints().size(); i++) {
@@ -181,8 +181,8 @@
    * @param forNanos how long it has been out already, where that was told elsewhere
    */
   public void setOffline(String id, long forNanos) {
-    if (!fleet.out().contains(id)) {
-      long upstream = fleet.takeOut(id);
+    if (!fleet.offline().contains(id)) {
+      long upstream = fleet.setOffline(id);
       enqueue(() -> new UpstreamSetOffline(upstream, forNanos));
       transports.forEach(t -> t.withdraw(u -> !fleet.isReady(u)));
     }
@@ -190,7 +190,7 @@
 
   /** An operator calls an upstream back; nothing where it was not out. */
   public void setOnline(String id) {
-    Long upstream = fleet.callBack(id);
+    Long upstream = fleet.setOnline(id);
     if (upstream != null) {
       enqueue(() -> new UpstreamSetOnline(upstream));
     }
@@ -390,10 +390,10 @@
       Settings now = settings;
       enqueue(() -> new SettingsChanged(now)); // Before the list: it was made with those of the start.
     }
-    EndpointUpdate held = fleet.held();
+    EndpointUpdate held = fleet.cachedUpdate();
     enqueue(() -> held);
-    fleet.out().forEach(id -> {
-      long upstream = fleet.takeOut(id);
+    fleet.offline().forEach(id -> {
+      long upstream = fleet.setOffline(id);
       enqueue(() -> new UpstreamSetOffline(upstream, 0));
     });
   }
--- a/engine/src/main/java/cloverpulley/engine/Fleet.java
+++ b/engine/src/main/java/cloverpulley/engine/Fleet.java
@@ -19,7 +19,7 @@
 public final class Fleet {
 
   /** Names that are remembered after they left the list. Guards the memory where names are ever new. */
-  public static final int MOST_NAMES = 20_000;
+  public static final int MAX_NAMES = 20_000;
 
   /** How long after its start a server may be listed: a start that is said to lie further back than this when it is heard did not. */
   private static final long MAX_LISTED_LATE_NANOS = TimeUnit.SECONDS.toNanos(2);
@@ -78,18 +78,18 @@
     return everListed.containsKey(id);
   }
 
-  /** Names that were ever listed, the one listed first in front; {@link #MOST_NAMES} at most. */
+  /** Names that were ever listed, the one listed first in front; {@link #MAX_NAMES} at most. */
   public List<String> namesEverListed() {
     return List.copyOf(everListed.keySet());
   }
 
   /** These were listed at a predecessor. */
-  public void wereListed(Collection<String> names) {
+  public void addPreviouslyListed(Collection<String> names) {
     names.stream().filter(name -> !everListed.containsKey(name)).forEach(name -> remember(name, new Start(0, 0)));
   }
 
   /** A predecessor knew that this server, as it lists it, started so many nanoseconds ago; a negative age is long ago. */
-  public void started(Server server, long agoNanos) {
+  public void recordStart(Server server, long agoNanos) {
     remember(server.id(), new Start(server.upSinceMillis(), agoNanos < 0 ? 0 : clock.now() - agoNanos));
   }
 
@@ -99,29 +99,29 @@
   }
 
   /** How many nanoseconds ago an upstream started; negative for long ago, or one that is not listed. */
-  public long startedAgo(long upstream) {
+  public long ageNanos(long upstream) {
     Server server = servers.get(upstream);
     Start start = server == null ? null : everListed.get(server.id());
     return start == null || start.atNanos == 0 ? -1 : clock.now() - start.atNanos;
   }
 
   /** What operators took out. */
-  public Set<String> out() {
+  public Set<String> offline() {
     return Set.copyOf(out.keySet());
   }
 
   /** An operator takes an upstream out; its number. */
-  long takeOut(String id) {
+  long setOffline(String id) {
     return out.computeIfAbsent(id, i -> numbers.computeIfAbsent(i, this::number));
   }
 
   /** An operator calls an upstream back; its number, or null where it was not out. */
-  Long callBack(String id) {
+  Long setOnline(String id) {
     return out.remove(id);
   }
 
   private void remember(String id, Start start) {
-    if (everListed.remove(id) == null && everListed.size() >= MOST_NAMES) {
+    if (everListed.remove(id) == null && everListed.size() >= MAX_NAMES) {
       everListed.remove(everListed.keySet().iterator().next());
     }
     everListed.put(id, start);
@@ -145,7 +145,7 @@
   }
 
   /** Takes in a list, or changes to it, and words it for the module: as no change where it is not to be believed. */
-  public EndpointUpdate take(ListKind kind, ServerList list) {
+  public EndpointUpdate update(ListKind kind, ServerList list) {
     if (!isNews(kind, list)) {
       return new EndpointUpdate(ListKind.DELTA, List.of());
     }
@@ -181,7 +181,7 @@
   }
 
   /** The list as it is held, for a module that starts anew. */
-  public EndpointUpdate held() {
+  public EndpointUpdate cachedUpdate() {
     List<Endpoint> entries = new ArrayList<>();
     servers.forEach((number, server) -> entries.add(listed(number, server)));
     return new EndpointUpdate(ListKind.CACHED, entries);
--- a/http/src/main/java/cloverpulley/serve/Counts.java
+++ b/http/src/main/java/cloverpulley/serve/Counts.java
@@ -122,7 +122,7 @@
   public void attemptSent(Attempt attempt) {
     sent++;
     again += attempt.number() > 0 ? 1 : 0;
-    long ago = fleet.startedAgo(attempt.upstream());
+    long ago = fleet.ageNanos(attempt.upstream());
     if (ago >= 0 && ago < warmNanos) {
       cold.merge(attempt.upstream(), 1, Integer::sum);
     }
--- a/http/src/main/java/cloverpulley/serve/Operations.java
+++ b/http/src/main/java/cloverpulley/serve/Operations.java
@@ -325,7 +325,7 @@
   private void takeUp(Parts p, Map<String, Long> nowOffline) {
     offlineIds = nowOffline.keySet();
     nowOffline.forEach(p.engine()::setOffline);
-    p.fleet().out().stream().filter(id -> !nowOffline.containsKey(id) && !p.agreed().contains(id)).forEach(p.engine()::setOnline);
+    p.fleet().offline().stream().filter(id -> !nowOffline.containsKey(id) && !p.agreed().contains(id)).forEach(p.engine()::setOnline);
     ready = !leaving && p.frontend().isReady();
   }
 
--- a/http/src/main/java/cloverpulley/serve/Server.java
+++ b/http/src/main/java/cloverpulley/serve/Server.java
@@ -239,7 +239,7 @@
     }
     engine.serverListUpdated(ListKind.CACHED, newer ? inherited.list() : config.known());
     if (inherited != null) {
-      fleet.wereListed(inherited.names());
+      fleet.addPreviouslyListed(inherited.names());
       engine.restoreSnapshot(inherited.knowledge());
       LOG.info(() -> "took over from a predecessor: " + inherited.list().members().size() + " upstreams, list "
           + inherited.list().revision());
@@ -256,7 +256,7 @@
     for (ServerList.Server server : inherited.list().members()) {
       UpstreamSnapshot k = known.get(fleet.numberOf(server.id()));
       if (k != null) {
-        fleet.started(server, k.ageNanos());
+        fleet.recordStart(server, k.ageNanos());
       }
     }
   }
--- a/http/src/test/java/cloverpulley/serve/Discoveries.java
+++ b/http/src/test/java/cloverpulley/serve/Discoveries.java
@@ -22,7 +22,7 @@
   /** The module's number of an upstream. */
   static long number(String id) {
     ServerList.Server server = new ServerList.Server(id, null, "a", 0, cloverpulley.Balancer.State.READY, 1, 0);
-    return new Fleet(new Clock()).take(cloverpulley.Balancer.ListKind.FULL, new ServerList(1, true, List.of(server)))
+    return new Fleet(new Clock()).update(cloverpulley.Balancer.ListKind.FULL, new ServerList(1, true, List.of(server)))
         .endpoints().get(0).upstream();
   }
 }
--- a/http/src/test/java/cloverpulley/serve/ReloadTest.java
+++ b/http/src/test/java/cloverpulley/serve/ReloadTest.java
@@ -94,8 +94,8 @@
   private static List<Integer> sizes(ServerList... lists) {
     Fleet fleet = new Fleet(new Clock());
     return Arrays.stream(lists).map(l -> {
-      fleet.take(l.complete() ? ListKind.FULL : ListKind.DELTA, l);
-      return fleet.held().endpoints().size();
+      fleet.update(l.complete() ? ListKind.FULL : ListKind.DELTA, l);
+      return fleet.cachedUpdate().endpoints().size();
     }).toList();
   }
 
--- a/http/src/test/java/cloverpulley/serve/WallClockTest.java
+++ b/http/src/test/java/cloverpulley/serve/WallClockTest.java
@@ -30,7 +30,7 @@
   private long started(ListKind kind, int revision, long upSinceMillis) {
     ServerList list = new ServerList(revision, kind != ListKind.DELTA,
         List.of(new ServerList.Server("s-1", new InetSocketAddress("127.0.0.1", 1), "a", 0, State.READY, 1, upSinceMillis)));
-    return fleet.take(kind, list).endpoints().get(0).startedNanos();
+    return fleet.update(kind, list).endpoints().get(0).startedNanos();
   }
 
   @ParameterizedTest
@@ -43,7 +43,7 @@
     assertTrue(start <= clock.now() && start >= clock.now() - LATE, "it started " + (clock.now() - start) + " ns ago");
     nanos.addAndGet(TimeUnit.SECONDS.toNanos(5));
     assertEquals(start, started(ListKind.FULL, 4, UNIX + 60_000 + step), "told again it has not started again");
-    assertEquals(clock.now() - start, fleet.startedAgo(fleet.numberOf("s-1")));
+    assertEquals(clock.now() - start, fleet.ageNanos(fleet.numberOf("s-1")));
   }
 
   @Test
@@ -54,7 +54,7 @@
   @Test
   void whatAPredecessorKnowsOfAStartStandsAgainstTheWallClock() {
     nanos.addAndGet(TimeUnit.HOURS.toNanos(2));
-    fleet.started(new ServerList.Server("s-1", new InetSocketAddress("127.0.0.1", 1), "a", 0, State.READY, 1, UNIX), TimeUnit.SECONDS.toNanos(3));
+    fleet.recordStart(new ServerList.Server("s-1", new InetSocketAddress("127.0.0.1", 1), "a", 0, State.READY, 1, UNIX), TimeUnit.SECONDS.toNanos(3));
     assertEquals(clock.now() - TimeUnit.SECONDS.toNanos(3), started(ListKind.CACHED, 1, UNIX));
   }
 }
