--- a/engine/src/main/java/cloverpulley/engine/Sockets.java
+++ b/engine/src/main/java/cloverpulley/engine/SocketBudget.java
@@ -1,7 +1,7 @@
 package cloverpulley.engine;
 
 /** Counts the open sockets against what the process may hold. */
-public final class Sockets {
+public final class SocketBudget {
 
   /** Descriptors of the process itself: jar, standard streams, selector, listeners, discovery before and after a move. */
   private static final int OWN = 24;
@@ -18,19 +18,19 @@
   private int most;
   private volatile int open;
 
-  public Sockets(int limit) {
+  public SocketBudget(int limit) {
     all = limit;
-    heldElsewhere(0);
+    setUsedElsewhere(0);
   }
 
   /** Another process that shares the limit holds so many; 0 for none. */
-  public void heldElsewhere(int descriptors) {
+  public void setUsedElsewhere(int descriptors) {
     limit = all - descriptors;
     most = limit - OWN - SPARE;
   }
 
   /** What this process holds, its own beside sockets included. May be asked from any thread. */
-  public int held() {
+  public int used() {
     return open + OWN;
   }
 
@@ -40,8 +40,8 @@
   }
 
   /** Whether it holds more than so much of all. */
-  public boolean isOver(double part) {
-    return held() > all * part;
+  public boolean isAbove(double part) {
+    return used() > all * part;
   }
 
   /** One more is open; each is to be told closed once. */
@@ -54,17 +54,17 @@
   }
 
   /** Whether one more may be opened. */
-  public boolean hasRoom() {
+  public boolean hasCapacity() {
     return open < most;
   }
 
   /** Whether the spare ones are nearly gone as well. */
-  public boolean isFull() {
+  public boolean isNearlyExhausted() {
     return open > limit - OWN - SPARE / 2;
   }
 
   /** How many connections of clients may be kept. */
-  public int forClients() {
+  public int maxClientConnections() {
     return (int) ((all - OWN - SPARE) * CLIENT_PART); // Also beside another process: who comes here could not be moved there.
   }
 }
--- a/http/src/main/java/cloverpulley/serve/Frontend.java
+++ b/http/src/main/java/cloverpulley/serve/Frontend.java
@@ -8,7 +8,7 @@
 import cloverpulley.engine.Engine;
 import cloverpulley.engine.Exchange;
 import cloverpulley.engine.Periodic;
-import cloverpulley.engine.Sockets;
+import cloverpulley.engine.SocketBudget;
 import cloverpulley.serve.Clients.State;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -91,7 +91,7 @@
   private final Engine engine;
   private final HttpExchange.Front exchanges;
   private final Clock clock;
-  private final Sockets sockets;
+  private final SocketBudget sockets;
   private final UpstreamPool pool;
   private Map<String, RequestClass> classes;
   private Set<String> tenants;
@@ -109,7 +109,7 @@
   private boolean over;
 
   /** {@code bodies} is where clients' bodies find room. */
-  Frontend(HttpExchange.Front exchanges, Clock clock, Sockets sockets, Settings settings, RequestReader.Budgets bodies, Counts counts) {
+  Frontend(HttpExchange.Front exchanges, Clock clock, SocketBudget sockets, Settings settings, RequestReader.Budgets bodies, Counts counts) {
     this.counts = counts;
     this.engine = exchanges.engine();
     this.exchanges = exchanges;
@@ -200,12 +200,12 @@
    * open, and before connections to upstreams that stand idle.
    */
   private void accepted(Channel channel) {
-    boolean few = clients.count() < sockets.forClients();
+    boolean few = clients.count() < sockets.maxClientConnections();
     // Beside another process the room is short for a moment only: connections to upstreams are given up before clients are.
-    boolean room = few && (sockets.hasRoom() || sockets.isShared() && pool.closeOldest()) || shed() || pool.closeOldest();
+    boolean room = few && (sockets.hasCapacity() || sockets.isShared() && pool.closeOldest()) || shed() || pool.closeOldest();
     sockets.opened();
     channel.closeFuture().addListener(f -> sockets.closed());
-    if (!room && sockets.isFull()) {
+    if (!room && sockets.isNearlyExhausted()) {
       channel.close();
     }
   }
--- a/http/src/main/java/cloverpulley/serve/Operations.java
+++ b/http/src/main/java/cloverpulley/serve/Operations.java
@@ -4,7 +4,7 @@
 import cloverpulley.engine.Engine;
 import cloverpulley.engine.Fleet;
 import cloverpulley.engine.Periodic;
-import cloverpulley.engine.Sockets;
+import cloverpulley.engine.SocketBudget;
 import cloverpulley.handover.HandoverSnapshot;
 import cloverpulley.handover.OfflineUpstreams;
 import cloverpulley.handover.ProcessRegistry;
@@ -77,7 +77,7 @@
   private int processes = 1;
 
   /** What there is of a balancer once it is wired. */
-  record Parts(EventLoop loop, Engine engine, Fleet fleet, Sockets sockets, UpstreamPool pool, Frontend frontend,
+  record Parts(EventLoop loop, Engine engine, Fleet fleet, SocketBudget sockets, UpstreamPool pool, Frontend frontend,
       Set<String> agreed) {}
 
   /** Opens the management endpoint, which says that nothing is ready yet, and joins the other processes. */
@@ -245,7 +245,7 @@
       return;
     }
     Lifecycle lifecycle = leaving ? Lifecycle.LEAVING : serving ? Lifecycle.SERVING : Lifecycle.STARTING;
-    peers = registry.refresh(lifecycle, p == null ? 0 : p.sockets().held());
+    peers = registry.refresh(lifecycle, p == null ? 0 : p.sockets().used());
     logChanges(peers);
     if (p == null) {
       return;
@@ -336,9 +336,9 @@
       processes = serve;
       p.engine().setProcessCount(serve);
     }
-    p.sockets().heldElsewhere(seen.stream().mapToInt(PeerProcess::descriptors).sum());
+    p.sockets().setUsedElsewhere(seen.stream().mapToInt(PeerProcess::descriptors).sum());
     boolean later = seen.stream().anyMatch(PeerProcess::startedLater);
-    while (later && p.sockets().isOver(leaving ? PART_LEAVING : PART_SUCCEEDED) && p.pool().closeOldest()) {
+    while (later && p.sockets().isAbove(leaving ? PART_LEAVING : PART_SUCCEEDED) && p.pool().closeOldest()) {
       // One at a time: gives back early what a successor needs.
     }
   }
--- a/http/src/main/java/cloverpulley/serve/Server.java
+++ b/http/src/main/java/cloverpulley/serve/Server.java
@@ -12,7 +12,7 @@
 import cloverpulley.engine.EngineListener;
 import cloverpulley.engine.Fleet;
 import cloverpulley.engine.ServerList;
-import cloverpulley.engine.Sockets;
+import cloverpulley.engine.SocketBudget;
 import cloverpulley.handover.HandoverSnapshot;
 import cloverpulley.state.BalancerSnapshot.UpstreamSnapshot;
 import io.netty.bootstrap.Bootstrap;
@@ -208,7 +208,7 @@
     stopMillis = stopMillis(config.settings());
     Clock clock = new Clock();
     Fleet fleet = new Fleet(clock);
-    Sockets sockets = new Sockets(config.sockets() - (config.management() == null ? 0 : ManagementServer.MOST_CALLERS));
+    SocketBudget sockets = new SocketBudget(config.sockets() - (config.management() == null ? 0 : ManagementServer.MOST_CALLERS));
     Counts counts = new Counts(fleet, config.settings().contract().slowStartNanos());
     counts.writeOn(loop);
     Bootstrap connections = new Bootstrap().group(group).channelFactory(UpstreamSocket::new)
--- a/http/src/main/java/cloverpulley/serve/UpstreamPool.java
+++ b/http/src/main/java/cloverpulley/serve/UpstreamPool.java
@@ -3,7 +3,7 @@
 import cloverpulley.Balancer.Status;
 import cloverpulley.engine.LoadReport;
 import cloverpulley.engine.Periodic;
-import cloverpulley.engine.Sockets;
+import cloverpulley.engine.SocketBudget;
 import cloverpulley.engine.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
@@ -69,7 +69,7 @@
   private static final int SHORT_ANSWER = 8 * 1024;
   private static final int ANSWER_OCTETS = Frontend.MOST_BODY;
   private final Bootstrap bootstrap;
-  private final Sockets sockets;
+  private final SocketBudget sockets;
   private long idleNanos;
   private final LongPredicate ready;
   private final boolean loadReports;
@@ -84,7 +84,7 @@
    * {@code ready} tells of an upstream whether anything new may go to it, {@code loadReports} whether answers carry their load; {@code answers}
    * is where long answers find room; {@code counts} is told of connections that are opened and what becomes of them.
    */
-  UpstreamPool(Bootstrap bootstrap, Sockets sockets, long connectTimeoutNanos, long upstreamIdleNanos,
+  UpstreamPool(Bootstrap bootstrap, SocketBudget sockets, long connectTimeoutNanos, long upstreamIdleNanos,
       LongPredicate ready, boolean loadReports, BufferBudget answers, Counts counts) {
     this.counts = counts;
     this.answers = answers;
@@ -120,7 +120,7 @@
       reused.write(call, request);
       return;
     }
-    if (!sockets.hasRoom() && !closeOldest()) {
+    if (!sockets.hasCapacity() && !closeOldest()) {
       request.release();
       call.end(Status.CONNECT_FAILED, null);
       return;
--- a/http/src/main/java/cloverpulley/serve/Warmup.java
+++ b/http/src/main/java/cloverpulley/serve/Warmup.java
@@ -10,7 +10,7 @@
 import cloverpulley.engine.Fleet;
 import cloverpulley.engine.ServerList;
 import cloverpulley.engine.ServerList.Server;
-import cloverpulley.engine.Sockets;
+import cloverpulley.engine.SocketBudget;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -105,7 +105,7 @@
     LocalAddress balancer = new LocalAddress(Frontend.class);
     Clock clock = new Clock();
     Fleet fleet = new Fleet(clock);
-    Sockets sockets = new Sockets(Integer.MAX_VALUE);
+    SocketBudget sockets = new SocketBudget(Integer.MAX_VALUE);
     Counts counts = new Counts(fleet, 0);
     UpstreamPool pool = new UpstreamPool(new Bootstrap().group(group).channel(LocalChannel.class), sockets,
         settings.limits().connectTimeoutNanos(), TimeUnit.SECONDS.toNanos(1), fleet::isReady, false,
