--- a/dns/src/main/java/cloverpulley/dns/DnsServer.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsServer.java
@@ -169,7 +169,7 @@
         recorder.isOn() ? recorder : EngineListener.NO_OP);
     engine.addTransport(new Transport() {
       @Override
-      public void withdraw(LongPredicate from) {
+      public void drainUpstreams(LongPredicate from) {
         client.withdraw(from);
       }
     });
--- a/engine/src/main/java/cloverpulley/engine/Engine.java
+++ b/engine/src/main/java/cloverpulley/engine/Engine.java
@@ -172,7 +172,7 @@
     }
     enqueue(() -> news);
     // After the news, so that the module knows why what was still connecting comes back unsent.
-    transports.forEach(t -> t.withdraw(upstream -> !fleet.isReady(upstream)));
+    transports.forEach(t -> t.drainUpstreams(upstream -> !fleet.isReady(upstream)));
   }
 
   /**
@@ -184,7 +184,7 @@
     if (!fleet.offline().contains(id)) {
       long upstream = fleet.setOffline(id);
       enqueue(() -> new UpstreamSetOffline(upstream, forNanos));
-      transports.forEach(t -> t.withdraw(u -> !fleet.isReady(u)));
+      transports.forEach(t -> t.drainUpstreams(u -> !fleet.isReady(u)));
     }
   }
 
@@ -501,14 +501,14 @@
   private void probe(long upstream) {
     long sentAt = clock.now();
     SocketAddress address = fleet.address(upstream);
-    Transport.Probed done = (status, load) -> {
+    Transport.ProbeCallback done = (status, load) -> {
       long latency = clock.now() - sentAt;
       enqueue(() -> new ProbeResult(upstream, status, latency, load));
     };
     if (address == null) {
-      done.ended(Status.CONNECT_FAILED, Map.of());
+      done.probeEnded(Status.CONNECT_FAILED, Map.of());
     } else if (transports.stream().noneMatch(t -> t.probe(upstream, address, done))) {
-      done.ended(Status.NOT_SENT, Map.of());
+      done.probeEnded(Status.NOT_SENT, Map.of());
     }
   }
 }
--- a/engine/src/main/java/cloverpulley/engine/Transport.java
+++ b/engine/src/main/java/cloverpulley/engine/Transport.java
@@ -9,18 +9,18 @@
 public interface Transport {
 
   /** Told how a probe ended, once. */
-  interface Probed {
-    void ended(Status status, Map<String, Double> load);
+  interface ProbeCallback {
+    void probeEnded(Status status, Map<String, Double> load);
   }
 
   /** These upstreams drain or are gone: nothing idle is used again, and attempts not yet sent end as never sent. */
-  void withdraw(LongPredicate from);
+  void drainUpstreams(LongPredicate from);
 
   /** Closes idle connections to an upstream. */
   default void closeIdle(long upstream) {}
 
   /** Starts a probe; false where this front can't. */
-  default boolean probe(long upstream, SocketAddress address, Probed done) {
+  default boolean probe(long upstream, SocketAddress address, ProbeCallback done) {
     return false;
   }
 }
--- a/http/src/main/java/cloverpulley/serve/UpstreamPool.java
+++ b/http/src/main/java/cloverpulley/serve/UpstreamPool.java
@@ -172,7 +172,7 @@
 
   /** Upstreams drain or are gone: no connection to them is used again, and what has not been sent stays unsent. */
   @Override
-  public void withdraw(LongPredicate from) {
+  public void drainUpstreams(LongPredicate from) {
     idle.close(from);
     List.copyOf(connecting).stream().filter(call -> from.test(call.upstream)).forEach(this::cancel);
   }
@@ -183,8 +183,8 @@
   }
 
   @Override
-  public boolean probe(long upstream, SocketAddress address, Probed done) {
-    Call call = new Call(upstream, (status, answer) -> done.ended(status, loadReports && answer != null
+  public boolean probe(long upstream, SocketAddress address, ProbeCallback done) {
+    Call call = new Call(upstream, (status, answer) -> done.probeEnded(status, loadReports && answer != null
         ? LoadReport.of(answer.headers().get(LoadReport.HEADER)) : Map.of()), null, null, 0, 0);
     FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, Frontend.HEALTH);
     request.headers().set(HttpHeaderNames.HOST, "upstream");
