--- a/discovery/src/main/java/cloverpulley/discovery/Discovery.java
+++ b/discovery/src/main/java/cloverpulley/discovery/Discovery.java
@@ -82,7 +82,7 @@
   }
 
   /** Discovery has another address: what is watched is watched there from now on, and the old connection ends. */
-  public void move(InetSocketAddress to) {
+  public void setAddress(InetSocketAddress to) {
     if (!to.equals(address)) {
       address = to;
       watch(watching);
--- a/engine/src/main/java/cloverpulley/engine/LoadReport.java
+++ b/engine/src/main/java/cloverpulley/engine/LoadReport.java
@@ -12,7 +12,7 @@
   private LoadReport() {}
 
   /** The figures by name of the header's value; empty where none came (null), and anything that is not a figure is skipped. */
-  public static Map<String, Double> of(String text) {
+  public static Map<String, Double> parse(String text) {
     if (text == null || !text.startsWith(TEXT_FORM)) {
       return Map.of();
     }
--- a/http/src/main/java/cloverpulley/serve/HttpExchange.java
+++ b/http/src/main/java/cloverpulley/serve/HttpExchange.java
@@ -63,7 +63,7 @@
 
     /** The load report of an answer. */
     Map<String, Double> load(FullHttpResponse answer) {
-      return loadReports && answer != null ? LoadReport.of(answer.headers().get(LoadReport.HEADER)) : Map.of();
+      return loadReports && answer != null ? LoadReport.parse(answer.headers().get(LoadReport.HEADER)) : Map.of();
     }
   }
 
--- a/http/src/main/java/cloverpulley/serve/Server.java
+++ b/http/src/main/java/cloverpulley/serve/Server.java
@@ -328,7 +328,7 @@
     String told = others ? ", settings: " + difference(config.settings(), read.settings()) : "";
     config = read;
     loop.execute(() -> {
-      discovery.move(read.discovery());
+      discovery.setAddress(read.discovery());
       if (others) {
         retune(read);
       }
--- a/http/src/main/java/cloverpulley/serve/UpstreamPool.java
+++ b/http/src/main/java/cloverpulley/serve/UpstreamPool.java
@@ -185,7 +185,7 @@
   @Override
   public boolean probe(long upstream, SocketAddress address, ProbeCallback done) {
     Call call = new Call(upstream, (status, answer) -> done.probeEnded(status, loadReports && answer != null
-        ? LoadReport.of(answer.headers().get(LoadReport.HEADER)) : Map.of()), null, null, 0, 0);
+        ? LoadReport.parse(answer.headers().get(LoadReport.HEADER)) : Map.of()), null, null, 0, 0);
     FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, Frontend.HEALTH);
     request.headers().set(HttpHeaderNames.HOST, "upstream");
     start(call, address, request, PROBE_NANOS);
--- a/processor/src/main/java/cloverpulley/processor/Outcomes.java
+++ b/processor/src/main/java/cloverpulley/processor/Outcomes.java
@@ -61,6 +61,6 @@
   }
 
   static Map<String, Double> load(Headers h) {
-    return LoadReport.of(h.get(LoadReport.HEADER.toLowerCase(Locale.ROOT)));
+    return LoadReport.parse(h.get(LoadReport.HEADER.toLowerCase(Locale.ROOT)));
   }
 }
