--- a/balancer/src/main/java/cloverpulley/drill/Decoder.java
+++ b/balancer/src/main/java/cloverpulley/drill/Decoder.java
@@ -42,10 +42,10 @@
       case "First" -> new AnswerStarted(f.text("rid"), (int) f.integer("go"), f.integer("upstream"),
           f.integer("wait-time-ns"));
       case "Resolved" -> new Outcome(f.text("rid"), (int) f.integer("go"), f.integer("upstream"),
-          f.word("rc", STATUS), f.integer("wait-time-ns"), f.bool("done-flag"), f.load("usage"));
+          f.oneOf("rc", STATUS), f.integer("wait-time-ns"), f.bool("done-flag"), f.load("usage"));
       case "Aborted" -> new ClientGone(f.text("rid"));
       case "Fired" -> new TimerFired(f.text("handle"));
-      case "HealthResult" -> new ProbeResult(f.integer("upstream"), f.word("rc", STATUS), f.integer("wait-time-ns"),
+      case "HealthResult" -> new ProbeResult(f.integer("upstream"), f.oneOf("rc", STATUS), f.integer("wait-time-ns"),
           f.load("usage"));
       case "Datagram" -> new PeerMessage((int) f.integer("neighbour"), bytes(f));
       default -> throw new WireException("field " + f.path() + ": unknown event");
@@ -66,12 +66,12 @@
   }
 
   private static EndpointUpdate topology(Fields f) {
-    ListKind kind = f.word("kind", LIST_KIND);
+    ListKind kind = f.oneOf("kind", LIST_KIND);
     List<Endpoint> entries = new ArrayList<>();
     if (kind != ListKind.FAILED || f.has("entries")) {
       for (Fields e : f.objects("entries")) {
         entries.add(new Endpoint(e.integer("upstream"), e.text("region-part", ""), (int) e.integer("pack", 0),
-            e.word("stage-state", STATE), e.integer("launched-ns", 0), e.number("capacity-hint", 1)));
+            e.oneOf("stage-state", STATE), e.integer("launched-ns", 0), e.number("capacity-hint", 1)));
       }
     }
     return new EndpointUpdate(kind, entries);
--- a/discovery/src/main/java/cloverpulley/discovery/ListDecoder.java
+++ b/discovery/src/main/java/cloverpulley/discovery/ListDecoder.java
@@ -25,7 +25,7 @@
     List<Server> members = new ArrayList<>();
     for (Fields m : f.objects("members")) {
       members.add(new Server(m.text("id"), address("host_port", m.text("host_port")), m.text("locality", ""),
-          (int) m.integer("cell", 0), m.word("phase", PHASE), m.number("size", 1), m.integer("up_since_ms", 0)));
+          (int) m.integer("cell", 0), m.oneOf("phase", PHASE), m.number("size", 1), m.integer("up_since_ms", 0)));
     }
     return new ServerList(f.integer("revision", 0), f.bool("complete", false), members);
   }
--- a/http/src/main/java/cloverpulley/serve/Config.java
+++ b/http/src/main/java/cloverpulley/serve/Config.java
@@ -4,8 +4,8 @@
 import cloverpulley.discovery.ListDecoder;
 import cloverpulley.engine.ServerList;
 import cloverpulley.wire.Fields;
+import cloverpulley.wire.SchemaValidator;
 import cloverpulley.wire.SettingsDecoder;
-import cloverpulley.wire.Shape;
 import cloverpulley.wire.WireException;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -73,7 +73,7 @@
         text(f, "name", environment.get("ROUTER_NAME")),
         ListDecoder.address("listen", text(f, "listen", environment.get("ROUTER_LISTEN"))),
         ListDecoder.address("discovery", text(f, "discovery", environment.get("ROUTER_DISCOVERY"))),
-        seed(f.text("seed")), f.nested("limits").small("sockets", SOCKETS),
+        seed(f.text("seed")), f.nested("limits").int32("sockets", SOCKETS),
         f.nested("limits").integer("memory_mb", MEMORY_MB) << 20,
         f.has("peer_listen") ? ListDecoder.address("peer_listen", f.text("peer_listen")) : null, peers,
         f.has("peers_all") ? ListDecoder.address("peers_all", f.text("peers_all")) : null,
@@ -85,7 +85,7 @@
 
   /** Checks that this one may take another's place: all that was told there is told here. Throws a {@link WireException} where not. */
   void checkReplaces(Config before) {
-    Shape.check(before.source, source, FREE);
+    SchemaValidator.check(before.source, source, FREE);
   }
 
   private static InetSocketAddress management(Fields f, Map<String, String> environment) {
--- a/wire/src/main/java/cloverpulley/wire/Fields.java
+++ b/wire/src/main/java/cloverpulley/wire/Fields.java
@@ -117,7 +117,7 @@
   }
 
   /** A whole number that fits 32 bits. */
-  public int small(String name, int absent) {
+  public int int32(String name, int absent) {
     long number = integer(name, absent);
     if (number != (int) number) {
       throw bad(name, "a whole number of at most 32 bits");
@@ -190,7 +190,7 @@
   }
 
   /** One of the words; the table maps the wire's words to the module's. */
-  public <T> T word(String name, Map<String, T> words) {
+  public <T> T oneOf(String name, Map<String, T> words) {
     T word = words.get(text(name));
     if (word == null) {
       throw bad(name, "one of " + new java.util.TreeSet<>(words.keySet()));
@@ -198,8 +198,8 @@
     return word;
   }
 
-  public <T> T word(String name, Map<String, T> words, T absent) {
-    return has(name) ? word(name, words) : absent;
+  public <T> T oneOf(String name, Map<String, T> words, T absent) {
+    return has(name) ? oneOf(name, words) : absent;
   }
 
   /** A load report: its numbers by name, anything else skipped; empty where none came. */
--- a/wire/src/main/java/cloverpulley/wire/Shape.java
+++ b/wire/src/main/java/cloverpulley/wire/SchemaValidator.java
@@ -8,9 +8,9 @@
  * Compares an object that is to replace another with that: it may hold other values and further keys, but none may be missing or of
  * another kind. Guards against a file that was cut and mended, or written by hand, whose missing keys would silently mean their defaults.
  */
-public final class Shape {
+public final class SchemaValidator {
 
-  private Shape() {}
+  private SchemaValidator() {}
 
   /** Throws a {@link WireException} that names the first key that is missing or of another kind; {@code free} keys are not looked at. */
   public static void check(Fields before, Fields after, Set<String> free) {
--- a/wire/src/main/java/cloverpulley/wire/SettingsDecoder.java
+++ b/wire/src/main/java/cloverpulley/wire/SettingsDecoder.java
@@ -31,8 +31,8 @@
     List<RequestClass> classes = new ArrayList<>();
     for (Fields c : f.objects("categories")) {
       long aim = c.integer("aim-ns");
-      classes.add(new RequestClass(c.text("name"), c.word("effect", EFFECT, Effect.UNSAFE),
-          c.word("dedup-scope", SCOPE, DedupScope.CELL), c.integer("window-ns", 0), aim, c.number("aim-stretch", 0),
+      classes.add(new RequestClass(c.text("name"), c.oneOf("effect", EFFECT, Effect.UNSAFE),
+          c.oneOf("dedup-scope", SCOPE, DedupScope.CELL), c.integer("window-ns", 0), aim, c.number("aim-stretch", 0),
           c.integer("deadline-ns", aim), c.number("gain", 1), c.number("late-worth", 0), c.bool("stream", false)));
     }
     List<Tenant> tenants = new ArrayList<>();
@@ -44,9 +44,9 @@
     Fields l = f.nested("limits");
     Limits limits = new Limits(l.bool("cancel", false), l.bool("probing", false), l.bool("peers", false),
         l.bool("second-copies", false), l.bool("retry-after", false), l.integer("max-retry-after-ns", 0),
-        l.small("max-attempts", 1), l.small("most-held", Integer.MAX_VALUE),
-        l.small("multiplex", 1), l.integer("connect-timeout-ns", 250_000_000L));
-    boolean onRequest = f.word("registry-mode", LIST_MODE, false);
+        l.int32("max-attempts", 1), l.int32("most-held", Integer.MAX_VALUE),
+        l.int32("multiplex", 1), l.integer("connect-timeout-ns", 250_000_000L));
+    boolean onRequest = f.oneOf("registry-mode", LIST_MODE, false);
     Fields c = f.nested("contract");
     Contract contract = new Contract(c.integer("answer-slack-ns", 0),
         c.integer("ask-within-ns", onRequest ? 10_000_000_000L : 0), c.integer("drain-grace-ns", 0),
@@ -54,8 +54,8 @@
         c.integer("overload-for-ns", 1_000_000_000L));
     Fields p = f.nested("prices");
     Penalties prices = new Penalties(p.number("cross-zone", 0), p.number("waste", 0), p.number("late-fail", 0));
-    return new Settings(f.small("me", 0), f.small("group-size", 1), f.text("zone", ""), classes,
-        tenants, limits, contract, prices, onRequest, f.word("weight-kind", WEIGHTS, WeightKind.NONE),
+    return new Settings(f.int32("me", 0), f.int32("group-size", 1), f.text("zone", ""), classes,
+        tenants, limits, contract, prices, onRequest, f.oneOf("weight-kind", WEIGHTS, WeightKind.NONE),
         f.number("over-share-worth", 1), f.nested("domain").bool("warm-keys", false),
         f.integer("resolution-ns", 1_000_000L));
   }
