--- a/handover/src/main/java/cloverpulley/handover/HandoverSnapshot.java
+++ b/handover/src/main/java/cloverpulley/handover/HandoverSnapshot.java
@@ -28,9 +28,9 @@
  *
  * @param list the list as held
  * @param names that were ever listed, the one listed last at the end
- * @param knowledge null where it is left out
+ * @param balancerSnapshot null where it is left out
  */
-public record HandoverSnapshot(ServerList list, List<String> names, BalancerSnapshot knowledge) {
+public record HandoverSnapshot(ServerList list, List<String> names, BalancerSnapshot balancerSnapshot) {
 
   private static final int MAGIC = 0x41534844;
   private static final int VERSION = 2;
@@ -46,16 +46,16 @@
   private static final int TEXT_OVERHEAD_BYTES = 2;
 
   /** Why an encoding can't be used. */
-  public static final class Unusable extends IOException {
+  public static final class UnusableSnapshotException extends IOException {
     private static final long serialVersionUID = 1;
 
-    Unusable(String why) {
+    UnusableSnapshotException(String why) {
       super(why);
     }
   }
 
   /** Its encoding; names are left out, those listed first, where it would be too long. */
-  public byte[] bytes(long monotonicMillis) {
+  public byte[] encode(long monotonicMillis) {
     ByteArrayOutputStream body = new ByteArrayOutputStream();
     try (DataOutputStream out = new DataOutputStream(body)) {
       out.writeLong(list.revision());
@@ -72,9 +72,9 @@
         out.writeDouble(s.size());
         out.writeLong(s.upSinceMillis());
       }
-      out.writeBoolean(knowledge != null);
-      if (knowledge != null) {
-        write(out, knowledge);
+      out.writeBoolean(balancerSnapshot != null);
+      if (balancerSnapshot != null) {
+        write(out, balancerSnapshot);
       }
       List<String> kept = lastThatFit(MAX_BYTES / 2);
       out.writeInt(kept.size());
@@ -134,18 +134,18 @@
     }
   }
 
-  /** Reads an encoding; throws {@link Unusable} for one that is cut, corrupt, too old, of the future or of an unknown version. */
-  public static HandoverSnapshot read(byte[] bytes, long monotonicMillis) throws Unusable {
+  /** Reads an encoding; throws {@link UnusableSnapshotException} for one that is cut, corrupt, too old, of the future or of an unknown version. */
+  public static HandoverSnapshot decode(byte[] bytes, long monotonicMillis) throws UnusableSnapshotException {
     if (bytes.length < HEADER_BYTES) {
-      throw new Unusable("cut in its header");
+      throw new UnusableSnapshotException("cut in its header");
     }
     ByteBuffer head = ByteBuffer.wrap(bytes);
     if (head.getInt() != MAGIC) {
-      throw new Unusable("not what this program writes");
+      throw new UnusableSnapshotException("not what this program writes");
     }
     int version = head.getInt();
     if (version != VERSION && version != WALL_CLOCK_VERSION) {
-      throw new Unusable("of version " + version);
+      throw new UnusableSnapshotException("of version " + version);
     }
     long age = monotonicMillis - head.getLong();
     int length = head.getInt();
@@ -153,25 +153,25 @@
     CRC32C sum = new CRC32C();
     sum.update(bytes, HEADER_BYTES, bytes.length - HEADER_BYTES);
     if (length != bytes.length - HEADER_BYTES || told != (int) sum.getValue()) {
-      throw new Unusable("cut or spoilt");
+      throw new UnusableSnapshotException("cut or spoilt");
     }
     if (version == VERSION && Math.abs(age) > MAX_AGE_MILLIS) {
-      throw new Unusable(age + " ms old");
+      throw new UnusableSnapshotException(age + " ms old");
     }
     try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes, HEADER_BYTES, length))) {
-      HandoverSnapshot snapshot = read(in);
+      HandoverSnapshot snapshot = decode(in);
       if (in.read() >= 0) {
-        throw new Unusable("longer than it says");
+        throw new UnusableSnapshotException("longer than it says");
       }
       return snapshot;
-    } catch (Unusable e) {
+    } catch (UnusableSnapshotException e) {
       throw e;
     } catch (IOException | RuntimeException e) {
-      throw new Unusable("not understood: " + e);
+      throw new UnusableSnapshotException("not understood: " + e);
     }
   }
 
-  private static HandoverSnapshot read(DataInputStream in) throws IOException {
+  private static HandoverSnapshot decode(DataInputStream in) throws IOException {
     long revision = in.readLong();
     int count = count(in, MAX_SERVERS);
     List<Server> members = new ArrayList<>(count);
@@ -181,16 +181,16 @@
       InetSocketAddress address = new InetSocketAddress(InetAddress.getByAddress(host), in.readInt());
       members.add(new Server(id, address, in.readUTF(), in.readInt(), State.values()[in.readByte()], in.readDouble(), in.readLong()));
     }
-    BalancerSnapshot knowledge = in.readBoolean() ? knowledge(in) : null;
+    BalancerSnapshot balancerSnapshot = in.readBoolean() ? balancerSnapshot(in) : null;
     count = count(in, MAX_NAMES);
     List<String> names = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
       names.add(in.readUTF());
     }
-    return new HandoverSnapshot(new ServerList(revision, true, members), names, knowledge);
+    return new HandoverSnapshot(new ServerList(revision, true, members), names, balancerSnapshot);
   }
 
-  private static BalancerSnapshot knowledge(DataInputStream in) throws IOException {
+  private static BalancerSnapshot balancerSnapshot(DataInputStream in) throws IOException {
     int count = count(in, MAX_SERVERS);
     List<UpstreamSnapshot> upstreams = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
--- a/handover/src/main/java/cloverpulley/handover/OfflineUpstreams.java
+++ b/handover/src/main/java/cloverpulley/handover/OfflineUpstreams.java
@@ -20,7 +20,7 @@
  * The upstreams that operators took offline, held in memory and shared with the other processes of the balancer through a folder.
  *
  * <p>Each change is an empty file whose name says what it is, of which upstream and when: the later change wins, whichever process it came to. Memory
- * is the truth of this process. A file that is missing says nothing, and is written again at the next {@link #exchange}: only a later change to
+ * is the truth of this process. A file that is missing says nothing, and is written again at the next {@link #synchronize}: only a later change to
  * online ends what was promised. Times are readings of the machine's monotonic clock. Not thread-safe: one thread at a time.
  */
 public final class OfflineUpstreams {
@@ -61,7 +61,7 @@
   }
 
   /** Whether a name can be kept. */
-  public static boolean fits(String id) {
+  public static boolean isValidName(String id) {
     byte[] bytes = id.getBytes(StandardCharsets.UTF_8);
     return bytes.length > 0 && bytes.length <= MAX_NAME_BYTES;
   }
@@ -119,7 +119,7 @@
    * Takes in the changes of other processes and publishes those that the folder lacks. Throws where the folder can't be used; what was taken in
    * until then stays, and the rest is made good by the next call.
    */
-  public void exchange() throws IOException {
+  public void synchronize() throws IOException {
     if (folder == null) {
       return;
     }
@@ -188,7 +188,7 @@
     try {
       byte[] bytes = HexFormat.of().parseHex(parts[1]);
       String id = StandardCharsets.UTF_8.newDecoder().decode(ByteBuffer.wrap(bytes)).toString();
-      return fits(id) ? id : null;
+      return isValidName(id) ? id : null;
     } catch (IllegalArgumentException | CharacterCodingException e) {
       return null;
     }
--- a/handover/src/test/java/cloverpulley/handover/HandoverSnapshotTest.java
+++ b/handover/src/test/java/cloverpulley/handover/HandoverSnapshotTest.java
@@ -9,7 +9,7 @@
 import cloverpulley.Balancer.State;
 import cloverpulley.engine.ServerList;
 import cloverpulley.engine.ServerList.Server;
-import cloverpulley.handover.HandoverSnapshot.Unusable;
+import cloverpulley.handover.HandoverSnapshot.UnusableSnapshotException;
 import cloverpulley.handover.ProcessRegistry.Lifecycle;
 import cloverpulley.handover.ProcessRegistry.PeerProcess;
 import cloverpulley.state.BalancerSnapshot;
@@ -40,58 +40,58 @@
   }
 
   @Test
-  void whatIsLeftIsReadAsItWas() throws Unusable {
+  void whatIsLeftIsReadAsItWas() throws UnusableSnapshotException {
     HandoverSnapshot left = snapshot(6);
-    HandoverSnapshot read = HandoverSnapshot.read(left.bytes(AT), AT + 500);
+    HandoverSnapshot read = HandoverSnapshot.decode(left.encode(AT), AT + 500);
     assertEquals(left.list(), read.list());
     assertEquals(left.names(), read.names());
-    assertArrayEquals(left.bytes(AT), read.bytes(AT));
-    assertNull(HandoverSnapshot.read(new HandoverSnapshot(left.list(), List.of(), null).bytes(AT), AT).knowledge());
+    assertArrayEquals(left.encode(AT), read.encode(AT));
+    assertNull(HandoverSnapshot.decode(new HandoverSnapshot(left.list(), List.of(), null).encode(AT), AT).balancerSnapshot());
   }
 
   @Test
   void cutAtAnyOctetItIsNotUsed() {
-    byte[] whole = snapshot(6).bytes(AT);
+    byte[] whole = snapshot(6).encode(AT);
     for (int i = 0; i < whole.length; i++) {
       byte[] cut = Arrays.copyOf(whole, i);
-      assertThrows(Unusable.class, () -> HandoverSnapshot.read(cut, AT));
+      assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(cut, AT));
     }
-    assertThrows(Unusable.class, () -> HandoverSnapshot.read(Arrays.copyOf(whole, whole.length + 1), AT));
+    assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(Arrays.copyOf(whole, whole.length + 1), AT));
   }
 
   /** But for the time it was written, which is judged by itself, a spoilt octet anywhere is seen. */
   @Test
   void spoiltInAnyOctetItIsNotUsed() {
-    byte[] whole = snapshot(6).bytes(AT);
+    byte[] whole = snapshot(6).encode(AT);
     for (int i = 0; i < whole.length; i++) {
       byte[] spoilt = whole.clone();
       spoilt[i] ^= 0x40;
       if (i < 8 || i > 15) {
-        assertThrows(Unusable.class, () -> HandoverSnapshot.read(spoilt, AT), "octet " + i);
+        assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(spoilt, AT), "octet " + i);
       }
     }
   }
 
   @Test
-  void theReleasedVersionIsReadWhateverItsWallClockSays() throws Unusable {
-    byte[] whole = snapshot(6).bytes(AT);
+  void theReleasedVersionIsReadWhateverItsWallClockSays() throws UnusableSnapshotException {
+    byte[] whole = snapshot(6).encode(AT);
     ByteBuffer.wrap(whole).putInt(4, 1);
-    assertEquals(snapshot(6).list(), HandoverSnapshot.read(whole, 5).list());
+    assertEquals(snapshot(6).list(), HandoverSnapshot.decode(whole, 5).list());
   }
 
   @Test
   void anotherDaysIsNotUsedNorAFutureVersions() {
-    byte[] whole = snapshot(6).bytes(AT);
-    assertThrows(Unusable.class, () -> HandoverSnapshot.read(whole, AT + 3L * 86_400_000));
-    assertThrows(Unusable.class, () -> HandoverSnapshot.read(whole, AT - 60_000));
+    byte[] whole = snapshot(6).encode(AT);
+    assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(whole, AT + 3L * 86_400_000));
+    assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(whole, AT - 60_000));
     ByteBuffer.wrap(whole).putInt(4, 3);
-    assertEquals("of version 3", assertThrows(Unusable.class, () -> HandoverSnapshot.read(whole, AT)).getMessage());
+    assertEquals("of version 3", assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(whole, AT)).getMessage());
   }
 
   /** A checksum proves that it came whole, not that it makes sense. */
   @Test
   void aFigureThatIsNoneIsNotUsed() {
-    assertThrows(Unusable.class, () -> HandoverSnapshot.read(snapshot(Double.NaN).bytes(AT), AT));
+    assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(snapshot(Double.NaN).encode(AT), AT));
   }
 
   @Test
@@ -101,17 +101,17 @@
     for (int i = 0; i < 2000; i++) {
       byte[] any = new byte[random.nextInt(200)];
       random.nextBytes(any);
-      assertThrows(Unusable.class, () -> HandoverSnapshot.read(any, AT), "seed " + seed);
+      assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(any, AT), "seed " + seed);
     }
   }
 
   /** Of names without end those listed last are left. */
   @Test
-  void itsLengthIsBounded() throws Unusable {
+  void itsLengthIsBounded() throws UnusableSnapshotException {
     List<String> names = Collections.nCopies(15_000, "n".repeat(100));
     HandoverSnapshot left = new HandoverSnapshot(ServerList.EMPTY, names, null);
-    assertTrue(left.bytes(AT).length <= HandoverSnapshot.MAX_BYTES);
-    assertTrue(HandoverSnapshot.read(left.bytes(AT), AT).names().size() > 5000);
+    assertTrue(left.encode(AT).length <= HandoverSnapshot.MAX_BYTES);
+    assertTrue(HandoverSnapshot.decode(left.encode(AT), AT).names().size() > 5000);
   }
 
   @Test
--- a/handover/src/test/java/cloverpulley/handover/OfflineUpstreamsTest.java
+++ b/handover/src/test/java/cloverpulley/handover/OfflineUpstreamsTest.java
@@ -36,9 +36,9 @@
   }
 
   private void exchange() throws IOException {
-    here.exchange();
-    there.exchange();
-    here.exchange();
+    here.synchronize();
+    there.synchronize();
+    here.synchronize();
   }
 
   @Test
@@ -62,11 +62,11 @@
   void anEmptiedFolderPutsNothingOnline() throws IOException {
     two();
     here.setOffline("s-1");
-    here.exchange();
+    here.synchronize();
     empty();
-    here.exchange();
+    here.synchronize();
     assertEquals(Set.of("s-1"), here.offline().keySet());
-    there.exchange();
+    there.synchronize();
     assertEquals(Set.of("s-1"), there.offline().keySet(), "the promise was not published again");
     Files.delete(Files.list(folder).findFirst().get());
     Files.delete(folder);
@@ -80,9 +80,9 @@
     here.setOffline("s-1");
     exchange();
     there.setOnline("s-1");
-    there.exchange();
+    there.synchronize();
     empty();
-    here.exchange();
+    here.synchronize();
     exchange();
     assertEquals(Set.of(), here.offline().keySet());
     assertEquals(Set.of(), there.offline().keySet());
@@ -94,12 +94,12 @@
     Path file = Files.createFile(folder.resolve("file"));
     OfflineUpstreams failing = new OfflineUpstreams(file, clock::incrementAndGet);
     failing.setOffline("s-1");
-    assertThrows(IOException.class, failing::exchange);
+    assertThrows(IOException.class, failing::synchronize);
     assertEquals(Set.of("s-1"), failing.offline().keySet());
     Files.delete(file);
-    failing.exchange();
+    failing.synchronize();
     OfflineUpstreams successor = new OfflineUpstreams(file, clock::incrementAndGet);
-    successor.exchange();
+    successor.synchronize();
     assertEquals(Set.of("s-1"), successor.offline().keySet());
   }
 
@@ -118,7 +118,7 @@
   void theReleaseBeforeNamedItsFilesOtherwise() throws IOException {
     two();
     Files.createFile(folder.resolve("out-732d31"));
-    here.exchange();
+    here.synchronize();
     assertEquals(Set.of("s-1"), here.offline().keySet());
     here.setOnline("s-1");
     exchange();
@@ -135,10 +135,10 @@
     exchange();
     assertEquals(Set.of("s-2"), there.offline().keySet());
     assertTrue(Files.exists(folder.resolve("other")));
-    assertTrue(OfflineUpstreams.fits("a".repeat(OfflineUpstreams.MAX_NAME_BYTES)));
+    assertTrue(OfflineUpstreams.isValidName("a".repeat(OfflineUpstreams.MAX_NAME_BYTES)));
     here.setOffline("a".repeat(OfflineUpstreams.MAX_NAME_BYTES));
     exchange();
     assertEquals(2, there.offline().size());
-    assertFalse(OfflineUpstreams.fits("ü".repeat(OfflineUpstreams.MAX_NAME_BYTES)) || OfflineUpstreams.fits(""));
+    assertFalse(OfflineUpstreams.isValidName("ü".repeat(OfflineUpstreams.MAX_NAME_BYTES)) || OfflineUpstreams.isValidName(""));
   }
 }
--- a/http/src/main/java/cloverpulley/serve/Operations.java
+++ b/http/src/main/java/cloverpulley/serve/Operations.java
@@ -229,7 +229,7 @@
 
   /** Exchanges what is offline and has the loop take it up; done once the module has been notified. */
   private CompletableFuture<Void> exchangeOffline() {
-    guarded(offline::exchange);
+    guarded(offline::synchronize);
     Parts p = parts;
     if (p == null) {
       return CompletableFuture.completedFuture(null);
@@ -282,8 +282,8 @@
       if (snapshot != null && snapshot != read) {
         read = snapshot;
         try {
-          return HandoverSnapshot.read(snapshot.bytes(), monotonicMillis());
-        } catch (HandoverSnapshot.Unusable e) {
+          return HandoverSnapshot.decode(snapshot.bytes(), monotonicMillis());
+        } catch (HandoverSnapshot.UnusableSnapshotException e) {
           LOG.warning("the snapshot of " + peer.name() + " can't be used: " + e.getMessage());
         }
       }
@@ -299,8 +299,8 @@
       peers = registry == null ? List.of() : registry.refresh(Lifecycle.STARTING, 0);
       for (PeerProcess peer : peers) {
         ProcessRegistry.Snapshot snapshot = peer.startedLater() ? null : registry.snapshot(peer, null, HandoverSnapshot.MAX_BYTES);
-        HandoverSnapshot whole = snapshot == null ? null : HandoverSnapshot.read(snapshot.bytes(), monotonicMillis());
-        found[0] = whole != null && whole.knowledge() != null ? whole : found[0];
+        HandoverSnapshot whole = snapshot == null ? null : HandoverSnapshot.decode(snapshot.bytes(), monotonicMillis());
+        found[0] = whole != null && whole.balancerSnapshot() != null ? whole : found[0];
       }
     });
     return found[0];
@@ -315,7 +315,7 @@
       return;
     }
     guarded(() -> {
-      registry.publishSnapshot(snapshot.bytes(monotonicMillis()));
+      registry.publishSnapshot(snapshot.encode(monotonicMillis()));
       publishedRevision = snapshot.list().revision();
     });
   }
@@ -380,7 +380,7 @@
     if (p == null) {
       return CompletableFuture.completedFuture(new Answer(503, "not ready"));
     }
-    if (!OfflineUpstreams.fits(upstream)) {
+    if (!OfflineUpstreams.isValidName(upstream)) {
       return CompletableFuture.completedFuture(new Answer(404, "no upstream of this name was ever listed"));
     }
     return CompletableFuture.supplyAsync(() -> p.fleet().wasListed(upstream), p.loop())
--- a/http/src/main/java/cloverpulley/serve/Server.java
+++ b/http/src/main/java/cloverpulley/serve/Server.java
@@ -240,7 +240,7 @@
     engine.serverListUpdated(ListKind.CACHED, newer ? inherited.list() : config.known());
     if (inherited != null) {
       fleet.addPreviouslyListed(inherited.names());
-      engine.restoreSnapshot(inherited.knowledge());
+      engine.restoreSnapshot(inherited.balancerSnapshot());
       LOG.info(() -> "took over from a predecessor: " + inherited.list().members().size() + " upstreams, list "
           + inherited.list().revision());
     }
@@ -251,7 +251,7 @@
 
   /** A predecessor knows when servers started, whatever the wall clocks of the two say. */
   private static void takeOverStarts(Fleet fleet, HandoverSnapshot inherited) {
-    Map<Long, UpstreamSnapshot> known = inherited.knowledge().upstreams().stream()
+    Map<Long, UpstreamSnapshot> known = inherited.balancerSnapshot().upstreams().stream()
         .collect(Collectors.toMap(UpstreamSnapshot::upstream, k -> k, (a, b) -> a));
     for (ServerList.Server server : inherited.list().members()) {
       UpstreamSnapshot k = known.get(fleet.numberOf(server.id()));
