--- a/dnssd/src/main/java/cloverpulley/dnssd/DnsSdView.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/DnsSdView.java
@@ -29,7 +29,8 @@
   /** Begins to look. */
   public DnsSdView(DnsSdConfig config) {
     this.config = config.aside();
-    source = on(() -> new DnsSdSource(loop, this.config, ServerList.EMPTY, () -> 0, (kind, list) -> { }, new java.security.SecureRandom().nextLong()));
+    source = on(() -> new DnsSdSource(loop, this.config, ServerList.EMPTY, () -> 0, (kind, list) -> { },
+        new java.security.SecureRandom().nextLong()));
   }
 
   /** Runs on the source's loop. */
