--- a/dns/src/main/java/cloverpulley/dns/DnsServer.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsServer.java
@@ -11,10 +11,10 @@
 import cloverpulley.dns.wire.Names;
 import cloverpulley.engine.Clock;
 import cloverpulley.engine.Engine;
+import cloverpulley.engine.EngineListener;
 import cloverpulley.engine.Fleet;
 import cloverpulley.engine.ServerList;
 import cloverpulley.engine.Transport;
-import cloverpulley.engine.Witness;
 import cloverpulley.fleet.FleetSource;
 import cloverpulley.fleet.HeldList;
 import cloverpulley.fleet.WrittenList;
@@ -161,20 +161,20 @@
 
   private void wire(LongFunction<Balancer> modules, List<OwnZone> zones, FleetSource shownSource) {
     FleetSource source = config.fleet();
-    ServerList first = source == null ? ServerList.NONE : source.first();
-    Engine.ListSource lists = source == null || source.isWritten() ? new WrittenList(fleet, (kind, list) -> engine.news(kind, list))
+    ServerList first = source == null ? ServerList.EMPTY : source.first();
+    Engine.ListSource lists = source == null || source.isWritten() ? new WrittenList(fleet, (kind, list) -> engine.serverListUpdated(kind, list))
         : open(source, first, fleet, this::news);
     client = new DnsClient(loop, clock, config.upstream());
     engine = new Engine(loop, clock, config.settings(), modules, fleet, lists, (to, data) -> { },
-        recorder.isOn() ? recorder : Witness.NONE);
-    engine.attach(new Transport() {
+        recorder.isOn() ? recorder : EngineListener.NO_OP);
+    engine.addTransport(new Transport() {
       @Override
-      public void withdraw(LongPredicate from) {
+      public void drainUpstreams(LongPredicate from) {
         client.withdraw(from);
       }
     });
     resolver = new Resolver(loop, clock, config, engine, client, counts, recorder, quotas);
-    engine.news(ListKind.CACHED, first);
+    engine.serverListUpdated(ListKind.CACHED, first);
     zones.forEach(resolver::add);
     if (config.fleetNames() != null && shownSource != null) {
       show(shownSource);
@@ -192,7 +192,7 @@
   }
 
   private void news(ListKind kind, ServerList list) {
-    engine.news(kind, list);
+    engine.serverListUpdated(kind, list);
     if (kind != ListKind.FAILED) {
       held.write(fleet.list());
     }
@@ -203,7 +203,7 @@
   private void show(FleetSource source) {
     shown = new Fleet(clock);
     ServerList first = source.first();
-    shown.take(ListKind.CACHED, first);
+    shown.update(ListKind.CACHED, first);
     fleetZone = new FleetZone(config.fleetNames());
     shownZone = new OwnZone(Names.of(config.fleetNames().origin()), fleetZone.zone(shown.list(), System.currentTimeMillis()));
     resolver.add(shownZone);
@@ -218,7 +218,7 @@
     if (kind == ListKind.FAILED) {
       loop.schedule(() -> shownDiscovery.watch(true), ASK_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
     } else {
-      shown.take(kind, list);
+      shown.update(kind, list);
       renew();
     }
   }
@@ -244,10 +244,10 @@
   public void listed(ServerList servers, ServerList fleetShown) {
     loop.execute(() -> {
       if (servers != null) {
-        engine.news(ListKind.FULL, servers);
+        engine.serverListUpdated(ListKind.FULL, servers);
       }
       if (fleetShown != null && shown != null) {
-        shown.take(ListKind.FULL, fleetShown);
+        shown.update(ListKind.FULL, fleetShown);
         renew();
       }
     });
@@ -352,7 +352,7 @@
   }
 
   int inHand() {
-    return onLoop(engine::inHand);
+    return onLoop(engine::pendingRequests);
   }
 
   int connections() {
@@ -416,7 +416,7 @@
    * the successor's.
    */
   private boolean wentQuietly() {
-    boolean quiet = engine.inHand() + tcp.connections() == 0;
+    boolean quiet = engine.pendingRequests() + tcp.connections() == 0;
     boolean goes = quiet && wasQuiet;
     wasQuiet = quiet;
     if (goes) {
--- a/dns/src/main/java/cloverpulley/dns/Passing.java
+++ b/dns/src/main/java/cloverpulley/dns/Passing.java
@@ -2,7 +2,7 @@
 
 import cloverpulley.dns.client.Ask;
 import cloverpulley.dns.wire.Message;
-import cloverpulley.engine.Verdict;
+import cloverpulley.engine.LocalReply;
 
 /** An UPDATE, a NOTIFY or a signed question on its way: passed on untouched, and its answer as well. */
 final class Passing extends DnsExchange {
@@ -12,8 +12,8 @@
    * may. */
   private final Repeated.Key key;
 
-  Passing(Facts facts, Resolver resolver, Ask.Asked asked, Query query, Repeated.Key key) {
-    super(facts, resolver, asked);
+  Passing(RequestInfo info, Resolver resolver, Ask.Asked asked, Query query, Repeated.Key key) {
+    super(info, resolver, asked);
     this.query = query;
     this.key = key;
   }
@@ -27,7 +27,7 @@
   }
 
   @Override
-  protected void answer(Verdict verdict) {
+  protected void respond(LocalReply verdict) {
     reply(resolver.failure(query, verdict));
   }
 
--- a/engine/src/main/java/cloverpulley/engine/Exchange.java
+++ b/engine/src/main/java/cloverpulley/engine/Exchange.java
@@ -22,12 +22,12 @@
    * @param retry whether the client says that it asked before
    * @param deadline clock reading at which an answer is of no more use
    * @param answerBy clock reading by which the module has to have sent it on or ended it; 0 for the deadline alone
-   * @param earlier attempts of earlier calls for the same request, the oldest first
+   * @param priorAttempts attempts of earlier calls for the same request, the oldest first
    */
-  public record Facts(RequestClass type, String tenant, String key, long hintNanos, boolean retry, long deadline,
-      long answerBy, List<PriorAttempt> earlier) {}
+  public record RequestInfo(RequestClass requestClass, String tenant, String key, long hintNanos, boolean retry, long deadline,
+      long answerBy, List<PriorAttempt> priorAttempts) {}
 
-  private final Facts facts;
+  private final RequestInfo info;
   final List<Attempt> attempts = new ArrayList<>(1);
   String id;
   long number;
@@ -37,24 +37,24 @@
   int outstanding;
   /** As the settings had it when it was taken. */
   int maxAttempts;
-  /** Clock reading at which an answer is of no more use; that of the facts until the body has come whole. */
+  /** Clock reading at which an answer is of no more use; that of the request info until the body has come whole. */
   long deadline;
   /** The attempt whose answer is passed on while it comes; null for none. */
   Attempt passing;
   private boolean ended;
 
-  protected Exchange(Facts facts) {
-    this.facts = facts;
-    deadline = facts.deadline();
+  protected Exchange(RequestInfo info) {
+    this.info = info;
+    deadline = info.deadline();
   }
 
   /** Whether an answer is passed on while it comes: there will be no other. */
-  public final boolean isPassing() {
+  public final boolean isStreaming() {
     return passing != null;
   }
 
-  public final Facts facts() {
-    return facts;
+  public final RequestInfo info() {
+    return info;
   }
 
   /** The engine's name for it, in records; null before it is taken. */
@@ -68,7 +68,7 @@
   }
 
   /** What its caller calls it; null where it names none. */
-  public String name() {
+  public String clientRequestId() {
     return null;
   }
 
@@ -84,7 +84,7 @@
       if (guard != null) {
         guard.cancel(false);
       }
-      released();
+      onEnded();
     }
   }
 
@@ -94,14 +94,14 @@
    *
    * @param timeoutNanos how long to wait for its end, connecting included
    */
-  protected abstract Attempt.Sending start(Attempt attempt, SocketAddress address, long timeoutNanos);
+  protected abstract Attempt.CancelHandle startAttempt(Attempt attempt, SocketAddress address, long timeoutNanos);
 
   /** Gives the final answer to the client; called once, and never after {@link #end}. */
-  protected abstract void answer(Verdict verdict);
+  protected abstract void respond(LocalReply verdict);
 
   /** It has ended: nothing will be sent for it any more. */
-  protected void released() {}
+  protected void onEnded() {}
 
   /** Nothing is left of it in the engine: its last attempt has ended as well. */
-  protected void forgotten() {}
+  protected void onRemoved() {}
 }
--- a/http/src/main/java/cloverpulley/serve/Operations.java
+++ b/http/src/main/java/cloverpulley/serve/Operations.java
@@ -4,7 +4,7 @@
 import cloverpulley.engine.Engine;
 import cloverpulley.engine.Fleet;
 import cloverpulley.engine.Periodic;
-import cloverpulley.engine.Sockets;
+import cloverpulley.engine.SocketBudget;
 import cloverpulley.handover.HandoverSnapshot;
 import cloverpulley.handover.OfflineUpstreams;
 import cloverpulley.handover.ProcessRegistry;
@@ -77,7 +77,7 @@
   private int processes = 1;
 
   /** What there is of a balancer once it is wired. */
-  record Parts(EventLoop loop, Engine engine, Fleet fleet, Sockets sockets, UpstreamPool pool, Frontend frontend,
+  record Parts(EventLoop loop, Engine engine, Fleet fleet, SocketBudget sockets, UpstreamPool pool, Frontend frontend,
       Set<String> agreed) {}
 
   /** Opens the management endpoint, which says that nothing is ready yet, and joins the other processes. */
@@ -229,7 +229,7 @@
 
   /** Exchanges what is offline and has the loop take it up; done once the module has been notified. */
   private CompletableFuture<Void> exchangeOffline() {
-    guarded(offline::exchange);
+    guarded(offline::synchronize);
     Parts p = parts;
     if (p == null) {
       return CompletableFuture.completedFuture(null);
@@ -245,7 +245,7 @@
       return;
     }
     Lifecycle lifecycle = leaving ? Lifecycle.LEAVING : serving ? Lifecycle.SERVING : Lifecycle.STARTING;
-    peers = registry.refresh(lifecycle, p == null ? 0 : p.sockets().held());
+    peers = registry.refresh(lifecycle, p == null ? 0 : p.sockets().used());
     logChanges(peers);
     if (p == null) {
       return;
@@ -255,7 +255,7 @@
     p.loop().execute(() -> {
       divide(p, seen);
       if (fromPeer != null && fromPeer.list().revision() > p.fleet().revision()) {
-        p.engine().news(ListKind.FULL, fromPeer.list());
+        p.engine().serverListUpdated(ListKind.FULL, fromPeer.list());
       }
     });
     if (!seen.isEmpty()) {
@@ -282,8 +282,8 @@
       if (snapshot != null && snapshot != read) {
         read = snapshot;
         try {
-          return HandoverSnapshot.read(snapshot.bytes(), monotonicMillis());
-        } catch (HandoverSnapshot.Unusable e) {
+          return HandoverSnapshot.decode(snapshot.bytes(), monotonicMillis());
+        } catch (HandoverSnapshot.UnusableSnapshotException e) {
           LOG.warning("the snapshot of " + peer.name() + " can't be used: " + e.getMessage());
         }
       }
@@ -299,8 +299,8 @@
       peers = registry == null ? List.of() : registry.refresh(Lifecycle.STARTING, 0);
       for (PeerProcess peer : peers) {
         ProcessRegistry.Snapshot snapshot = peer.startedLater() ? null : registry.snapshot(peer, null, HandoverSnapshot.MAX_BYTES);
-        HandoverSnapshot whole = snapshot == null ? null : HandoverSnapshot.read(snapshot.bytes(), monotonicMillis());
-        found[0] = whole != null && whole.knowledge() != null ? whole : found[0];
+        HandoverSnapshot whole = snapshot == null ? null : HandoverSnapshot.decode(snapshot.bytes(), monotonicMillis());
+        found[0] = whole != null && whole.balancerSnapshot() != null ? whole : found[0];
       }
     });
     return found[0];
@@ -315,7 +315,7 @@
       return;
     }
     guarded(() -> {
-      registry.publishSnapshot(snapshot.bytes(monotonicMillis()));
+      registry.publishSnapshot(snapshot.encode(monotonicMillis()));
       publishedRevision = snapshot.list().revision();
     });
   }
@@ -324,8 +324,8 @@
 
   private void takeUp(Parts p, Map<String, Long> nowOffline) {
     offlineIds = nowOffline.keySet();
-    nowOffline.forEach(p.engine()::takeOut);
-    p.fleet().out().stream().filter(id -> !nowOffline.containsKey(id) && !p.agreed().contains(id)).forEach(p.engine()::callBack);
+    nowOffline.forEach(p.engine()::setOffline);
+    p.fleet().offline().stream().filter(id -> !nowOffline.containsKey(id) && !p.agreed().contains(id)).forEach(p.engine()::setOnline);
     ready = !leaving && p.frontend().isReady();
   }
 
@@ -334,11 +334,11 @@
     int serve = 1 + (int) seen.stream().filter(o -> o.lifecycle() != Lifecycle.STARTING).count();
     if (serve != processes) {
       processes = serve;
-      p.engine().beside(serve);
+      p.engine().setProcessCount(serve);
     }
-    p.sockets().heldElsewhere(seen.stream().mapToInt(PeerProcess::descriptors).sum());
+    p.sockets().setUsedElsewhere(seen.stream().mapToInt(PeerProcess::descriptors).sum());
     boolean later = seen.stream().anyMatch(PeerProcess::startedLater);
-    while (later && p.sockets().isOver(leaving ? PART_LEAVING : PART_SUCCEEDED) && p.pool().closeOldest()) {
+    while (later && p.sockets().isAbove(leaving ? PART_LEAVING : PART_SUCCEEDED) && p.pool().closeOldest()) {
       // One at a time: gives back early what a successor needs.
     }
   }
@@ -347,7 +347,7 @@
   private void collect(Parts p, boolean starting, long published) {
     if (starting) {
       List<String> names = p.fleet().namesEverListed();
-      p.engine().knowledge(k -> {
+      p.engine().requestSnapshot(k -> {
         HandoverSnapshot snapshot = new HandoverSnapshot(p.fleet().list(), names, k);
         own.execute(() -> publish(snapshot));
       });
@@ -380,7 +380,7 @@
     if (p == null) {
       return CompletableFuture.completedFuture(new Answer(503, "not ready"));
     }
-    if (!OfflineUpstreams.fits(upstream)) {
+    if (!OfflineUpstreams.isValidName(upstream)) {
       return CompletableFuture.completedFuture(new Answer(404, "no upstream of this name was ever listed"));
     }
     return CompletableFuture.supplyAsync(() -> p.fleet().wasListed(upstream), p.loop())
--- a/processor/src/main/java/cloverpulley/processor/CallExchange.java
+++ b/processor/src/main/java/cloverpulley/processor/CallExchange.java
@@ -2,7 +2,7 @@
 
 import cloverpulley.engine.Attempt;
 import cloverpulley.engine.Exchange;
-import cloverpulley.engine.Verdict;
+import cloverpulley.engine.LocalReply;
 import java.net.SocketAddress;
 import java.util.concurrent.Future;
 
@@ -32,14 +32,14 @@
     void send(CallExchange x, SocketAddress address);
 
     /** The module has ended the call. */
-    void end(Verdict verdict);
+    void end(LocalReply verdict);
 
     /** The call can't be taken: the status to answer, what is wrong and the word for it. */
     void bad(int status, String what, String reason);
   }
 
-  CallExchange(Facts facts, Mapping.Call call, Caller caller, Calls calls) {
-    super(facts);
+  CallExchange(RequestInfo info, Mapping.Call call, Caller caller, Calls calls) {
+    super(info);
     this.call = call;
     this.caller = caller;
     this.calls = calls;
@@ -55,23 +55,23 @@
   }
 
   @Override
-  public String name() {
+  public String clientRequestId() {
     return call.id();
   }
 
   @Override
-  protected Attempt.Sending start(Attempt started, SocketAddress address, long timeoutNanos) {
+  protected Attempt.CancelHandle startAttempt(Attempt started, SocketAddress address, long timeoutNanos) {
     attempt = started;
     return calls.started(this, address, timeoutNanos);
   }
 
   @Override
-  protected void forgotten() {
+  protected void onRemoved() {
     calls.forgotten(this);
   }
 
   @Override
-  protected void answer(Verdict verdict) {
+  protected void respond(LocalReply verdict) {
     calls.answered(this, verdict);
     caller.end(verdict);
   }
--- a/records/src/main/java/cloverpulley/records/Recorder.java
+++ b/records/src/main/java/cloverpulley/records/Recorder.java
@@ -9,9 +9,9 @@
 import cloverpulley.Reason;
 import cloverpulley.engine.Attempt;
 import cloverpulley.engine.Clock;
+import cloverpulley.engine.EngineListener;
 import cloverpulley.engine.Exchange;
 import cloverpulley.engine.ServerList;
-import cloverpulley.engine.Witness;
 import cloverpulley.incident.Entry;
 import cloverpulley.incident.Kind;
 import cloverpulley.incident.Origin;
@@ -36,7 +36,7 @@
  * producers) and goes on: no lock, no wait. A thread of its own writes. Where the queue is getting full, records of little worth are
  * dropped first and verdicts last; each one dropped is counted by kind, and the counts are recorded as soon as there is room.
  */
-public final class Recorder implements Witness, AutoCloseable {
+public final class Recorder implements EngineListener, AutoCloseable {
 
   private static final Logger LOG = Logger.getLogger(Recorder.class.getName());
 
@@ -176,38 +176,38 @@
   }
 
   @Override
-  public void taken(Exchange x) {
+  public void requestAccepted(Exchange x) {
     if (queue != null) {
-      Exchange.Facts f = x.facts();
-      long left = f.deadline() <= 0 ? 0 : f.type().deadlineNanos() / 1000;
-      put(new Entry(origin, 0, micros.getAsLong(), Kind.TAKEN, x.number(), x.name(), f.type().name(), f.tenant(), hash(f.key()),
+      Exchange.RequestInfo f = x.info();
+      long left = f.deadline() <= 0 ? 0 : f.requestClass().deadlineNanos() / 1000;
+      put(new Entry(origin, 0, micros.getAsLong(), Kind.TAKEN, x.number(), x.clientRequestId(), f.requestClass().name(), f.tenant(), hash(f.key()),
           0, 0, null, null, left, f.hintNanos() / 1000));
     }
   }
 
   @Override
-  public void sent(Attempt a) {
+  public void attemptSent(Attempt a) {
     if (queue != null) {
       Exchange x = a.exchange();
-      put(new Entry(origin, 0, micros.getAsLong(), Kind.SENT, x.number(), x.name(), x.facts().type().name(), x.facts().tenant(), 0,
+      put(new Entry(origin, 0, micros.getAsLong(), Kind.SENT, x.number(), x.clientRequestId(), x.info().requestClass().name(), x.info().tenant(), 0,
           a.number(), a.upstream(), name(a.upstream()), null, 0, 0));
     }
   }
 
   @Override
-  public void outcome(Attempt a, Status status, long latencyNanos) {
+  public void attemptEnded(Attempt a, Status status, long latencyNanos) {
     if (queue != null) {
       Exchange x = a.exchange();
-      put(new Entry(origin, 0, micros.getAsLong(), Kind.OUTCOME, x.number(), x.name(), x.facts().type().name(), x.facts().tenant(),
+      put(new Entry(origin, 0, micros.getAsLong(), Kind.OUTCOME, x.number(), x.clientRequestId(), x.info().requestClass().name(), x.info().tenant(),
           0, a.number(), a.upstream(), name(a.upstream()), STATUS[status.ordinal()], latencyNanos / 1000, 0));
     }
   }
 
   @Override
-  public void ended(Exchange x, End end, Reason reason) {
+  public void requestEnded(Exchange x, Completion end, Reason reason) {
     if (queue != null) {
-      put(new Entry(origin, 0, micros.getAsLong(), Kind.ENDED, x.number(), x.name(), x.facts().type().name(), x.facts().tenant(), 0,
-          0, 0, null, reason == null ? end == End.SERVED ? "served" : "gone" : reason.code(), 0, end.ordinal()));
+      put(new Entry(origin, 0, micros.getAsLong(), Kind.ENDED, x.number(), x.clientRequestId(), x.info().requestClass().name(), x.info().tenant(), 0,
+          0, 0, null, reason == null ? end == Completion.SERVED ? "served" : "gone" : reason.code(), 0, end.ordinal()));
     }
   }
 
@@ -248,7 +248,7 @@
   }
 
   @Override
-  public void listed(ListKind kind, ServerList list, List<Numbered> servers) {
+  public void serverListUpdated(ListKind kind, ServerList list, List<NumberedServer> servers) {
     if (queue == null) {
       return;
     }
@@ -258,7 +258,7 @@
       return;
     }
     Set<Long> here = new HashSet<>();
-    for (Numbered n : servers) {
+    for (NumberedServer n : servers) {
       here.add(n.upstream());
       ServerList.Server before = known.get(n.upstream());
       ServerList.Server s = n.server();
@@ -303,7 +303,7 @@
   }
 
   @Override
-  public void replaced(String event) {
+  public void moduleReplaced(String event) {
     if (queue != null) {
       put(entry(Kind.REPLACED).withDetails(event, 0, 0));
     }
