--- a/records/src/main/java/cloverpulley/records/SpoiltException.java
+++ b/records/src/main/java/cloverpulley/records/CorruptSegmentException.java
@@ -3,11 +3,11 @@
 import java.io.IOException;
 
 /** Octets that are not what was written. */
-public final class SpoiltException extends IOException {
+public final class CorruptSegmentException extends IOException {
 
   private static final long serialVersionUID = 1;
 
-  public SpoiltException(String what) {
+  public CorruptSegmentException(String what) {
     super(what);
   }
 }
--- a/records/src/main/java/cloverpulley/records/Rows.java
+++ b/records/src/main/java/cloverpulley/records/Rows.java
@@ -37,7 +37,7 @@
   /** Writes rows. */
   static final class Writer {
 
-    final Octets out;
+    final VarintBuffer out;
     private final Map<String, Integer> texts = new HashMap<>();
     private final Map<Long, Integer> numbers = new HashMap<>();
     private long at;
@@ -48,7 +48,7 @@
     long most = Long.MIN_VALUE;
 
     Writer(int capacity) {
-      out = new Octets(capacity);
+      out = new VarintBuffer(capacity);
     }
 
     void clear() {
@@ -128,8 +128,8 @@
   }
 
   /** Reads the rows of a block. */
-  static int read(Origin origin, long firstSeq, int count, byte[] raw, int length, Consumer<Entry> to) throws SpoiltException {
-    Octets in = new Octets(raw, length);
+  static int read(Origin origin, long firstSeq, int count, byte[] raw, int length, Consumer<Entry> to) throws CorruptSegmentException {
+    VarintBuffer in = new VarintBuffer(raw, length);
     List<String> texts = new ArrayList<>();
     List<Long> numbers = new ArrayList<>();
     long at = 0;
@@ -157,18 +157,18 @@
       }
     }
     if (in.hasMore()) {
-      throw new SpoiltException("more in a block than its records");
+      throw new CorruptSegmentException("more in a block than its records");
     }
     return count;
   }
 
-  private static String text(Octets in, int has, List<String> known) throws SpoiltException {
+  private static String text(VarintBuffer in, int has, List<String> known) throws CorruptSegmentException {
     if (has == 0) {
       return null;
     }
     int which = in.number(0, MOST_TABLE);
     if (which > known.size()) {
-      throw new SpoiltException("a text that is not there");
+      throw new CorruptSegmentException("a text that is not there");
     } else if (which > 0) {
       return known.get(which - 1);
     }
@@ -176,13 +176,13 @@
     return known.get(known.size() - 1);
   }
 
-  private static long large(Octets in, int has, List<Long> known) throws SpoiltException {
+  private static long large(VarintBuffer in, int has, List<Long> known) throws CorruptSegmentException {
     if (has == 0) {
       return 0;
     }
     int which = in.number(0, MOST_TABLE);
     if (which > known.size()) {
-      throw new SpoiltException("a number that is not there");
+      throw new CorruptSegmentException("a number that is not there");
     } else if (which > 0) {
       return known.get(which - 1);
     }
--- a/records/src/main/java/cloverpulley/records/SegmentIndex.java
+++ b/records/src/main/java/cloverpulley/records/SegmentIndex.java
@@ -193,13 +193,13 @@
       }
       return index;
     } catch (RuntimeException e) {
-      throw new SpoiltException("an index that can't be read: " + e);
+      throw new CorruptSegmentException("an index that can't be read: " + e);
     }
   }
 
-  private static int bounded(int n, int most) throws SpoiltException {
+  private static int bounded(int n, int most) throws CorruptSegmentException {
     if (n < 0 || n > most) {
-      throw new SpoiltException("an index with a count out of its bounds");
+      throw new CorruptSegmentException("an index with a count out of its bounds");
     }
     return n;
   }
--- a/records/src/main/java/cloverpulley/records/SegmentReader.java
+++ b/records/src/main/java/cloverpulley/records/SegmentReader.java
@@ -39,26 +39,26 @@
   private long lost;
   private long torn;
 
-  /** @throws SpoiltException where it is no segment, or one of a version that is not known */
+  /** @throws CorruptSegmentException where it is no segment, or one of a version that is not known */
   SegmentReader(Path file) throws IOException {
     channel = FileChannel.open(file, StandardOpenOption.READ);
     try {
       length = channel.size();
       byte[] magic = read(0, SegmentWriter.MAGIC.length);
       if (!Arrays.equals(magic, 0, 7, SegmentWriter.MAGIC, 0, 7)) {
-        throw new SpoiltException("no segment of records");
+        throw new CorruptSegmentException("no segment of records");
       } else if (magic[7] != SegmentWriter.MAGIC[7]) {
-        throw new SpoiltException("of version " + magic[7] + ", this program reads version " + SegmentWriter.MAGIC[7]);
+        throw new CorruptSegmentException("of version " + magic[7] + ", this program reads version " + SegmentWriter.MAGIC[7]);
       }
       Frame head = frame(SegmentWriter.MAGIC.length);
       if (head == null || head.type() != Frame.HEADER || head.stored() > 4 * MOST_NAME) {
-        throw new SpoiltException("without a header");
+        throw new CorruptSegmentException("without a header");
       }
       byte[] whole = read(SegmentWriter.MAGIC.length, Frame.SIZE + head.stored());
       if (!head.fits(whole, 0)) {
-        throw new SpoiltException("with a spoilt header");
+        throw new CorruptSegmentException("with a spoilt header");
       }
-      Octets in = new Octets(Arrays.copyOfRange(whole, Frame.SIZE, whole.length), head.stored());
+      VarintBuffer in = new VarintBuffer(Arrays.copyOfRange(whole, Frame.SIZE, whole.length), head.stored());
       String instance = in.text(MOST_NAME);
       origin = new Origin(instance, in.signed());
       front = in.text(MOST_NAME);
@@ -85,12 +85,12 @@
 
   private byte[] read(long at, int count) throws IOException {
     if (at < 0 || at + count > length) {
-      throw new SpoiltException("cut off");
+      throw new CorruptSegmentException("cut off");
     }
     ByteBuffer b = ByteBuffer.allocate(count);
     while (b.hasRemaining()) {
       if (channel.read(b, at + b.position()) < 0) {
-        throw new SpoiltException("cut off");
+        throw new CorruptSegmentException("cut off");
       }
     }
     return b.array();
@@ -121,11 +121,11 @@
     }
   }
 
-  private static byte[] unpack(Frame f, byte[] whole) throws SpoiltException {
+  private static byte[] unpack(Frame f, byte[] whole) throws CorruptSegmentException {
     byte[] raw = new byte[f.raw()];
     long n = Zstd.decompressByteArray(raw, 0, raw.length, whole, Frame.SIZE, f.stored());
     if (Zstd.isError(n) || n != f.raw()) {
-      throw new SpoiltException("a block that can't be decompressed");
+      throw new CorruptSegmentException("a block that can't be decompressed");
     }
     return raw;
   }
@@ -168,7 +168,7 @@
       Rows.read(origin, f.firstSeq(), f.count(), unpack(f, whole), f.raw(), rows::add);
       rows.forEach(to);
       return true;
-    } catch (SpoiltException e) {
+    } catch (CorruptSegmentException e) {
       return false;
     }
   }
--- a/records/src/main/java/cloverpulley/records/SegmentWriter.java
+++ b/records/src/main/java/cloverpulley/records/SegmentWriter.java
@@ -72,7 +72,7 @@
 
   SegmentWriter(Opener opener, Path file, Origin origin, String front) throws IOException {
     out = opener.open(file);
-    Octets head = new Octets(256);
+    VarintBuffer head = new VarintBuffer(256);
     head.text(origin.instance());
     head.signed(origin.start());
     head.text(front);
--- a/records/src/main/java/cloverpulley/records/Octets.java
+++ b/records/src/main/java/cloverpulley/records/VarintBuffer.java
@@ -4,19 +4,19 @@
 import java.util.Arrays;
 
 /** A buffer of whole numbers in as few octets as they need (LEB128; signed ones in zigzag order) and of texts; it grows as it is written. */
-final class Octets {
+final class VarintBuffer {
 
   private byte[] bytes;
   private int at;
   private final int end;
 
-  Octets(int capacity) {
+  VarintBuffer(int capacity) {
     bytes = new byte[capacity];
     end = -1;
   }
 
   /** For reading. */
-  Octets(byte[] from, int length) {
+  VarintBuffer(byte[] from, int length) {
     bytes = from;
     end = length;
   }
@@ -78,13 +78,13 @@
 
   // ---- Reading: whatever comes, an exception and no more than what is there --------------------------------
 
-  private void need(int n) throws SpoiltException {
+  private void need(int n) throws CorruptSegmentException {
     if (n < 0 || at + n > end) {
-      throw new SpoiltException("cut off");
+      throw new CorruptSegmentException("cut off");
     }
   }
 
-  long number() throws SpoiltException {
+  long number() throws CorruptSegmentException {
     long n = 0;
     for (int shift = 0; shift < 64; shift += 7) {
       need(1);
@@ -94,24 +94,24 @@
         return n;
       }
     }
-    throw new SpoiltException("a number without an end");
+    throw new CorruptSegmentException("a number without an end");
   }
 
-  long signed() throws SpoiltException {
+  long signed() throws CorruptSegmentException {
     long n = number();
     return n >>> 1 ^ -(n & 1);
   }
 
   /** A number within bounds, both included. */
-  int number(int least, int most) throws SpoiltException {
+  int number(int least, int most) throws CorruptSegmentException {
     long n = number();
     if (n < least || n > most) {
-      throw new SpoiltException("a number out of its bounds");
+      throw new CorruptSegmentException("a number out of its bounds");
     }
     return (int) n;
   }
 
-  long fixed() throws SpoiltException {
+  long fixed() throws CorruptSegmentException {
     need(8);
     long n = 0;
     for (int i = 0; i < 8; i++) {
@@ -120,7 +120,7 @@
     return n;
   }
 
-  String text(int most) throws SpoiltException {
+  String text(int most) throws CorruptSegmentException {
     int length = number(0, most);
     need(length);
     String s = new String(bytes, at, length, StandardCharsets.UTF_8);
@@ -128,7 +128,7 @@
     return s;
   }
 
-  byte[] octets(int most) throws SpoiltException {
+  byte[] octets(int most) throws CorruptSegmentException {
     int length = number(0, most);
     need(length);
     byte[] b = Arrays.copyOfRange(bytes, at, at + length);
--- a/records/src/test/java/cloverpulley/records/SegmentTest.java
+++ b/records/src/test/java/cloverpulley/records/SegmentTest.java
@@ -121,7 +121,7 @@
       List<Entry> got;
       try {
         got = read(cut, new int[1], new long[1]);
-      } catch (SpoiltException e) {
+      } catch (CorruptSegmentException e) {
         assertTrue(at < 200, "only without its header is it no segment: " + at);
         continue;
       }
@@ -189,7 +189,7 @@
       Files.write(file, b);
       try (SegmentReader s = new SegmentReader(file)) {
         s.read(ALL, 0, true, e -> assertTrue(put.contains(e)));
-      } catch (SpoiltException e) {
+      } catch (CorruptSegmentException e) {
         assertTrue(e.getMessage().length() > 3);
       }
     }
@@ -201,10 +201,10 @@
       }
       try {
         Rows.read(ORIGIN, 1, r.nextInt(20), b, b.length, e -> { });
-      } catch (SpoiltException e) {
+      } catch (CorruptSegmentException e) {
         assertTrue(e.getMessage().length() > 3);
       }
     }
-    assertThrows(SpoiltException.class, () -> new Octets(new byte[] {-1, -1, -1, -1, -1, -1, -1, -1, -1, -1, 1}, 11).number());
+    assertThrows(CorruptSegmentException.class, () -> new VarintBuffer(new byte[] {-1, -1, -1, -1, -1, -1, -1, -1, -1, -1, 1}, 11).number());
   }
 }
