--- a/records/src/main/java/cloverpulley/records/Archive.java
+++ b/records/src/main/java/cloverpulley/records/Archive.java
@@ -53,7 +53,7 @@
     for (Path file : files) {
       long octets = Files.exists(file) ? Files.size(file) : 0;
       try (SegmentReader r = new SegmentReader(file)) {
-        segments.add(new Segment(file, octets, r.origin(), r.front(), r.isWhole(), null));
+        segments.add(new Segment(file, octets, r.origin(), r.frontend(), r.isComplete(), null));
       } catch (IOException e) {
         segments.add(new Segment(file, octets, null, null, false, String.valueOf(e.getMessage())));
       }
@@ -117,9 +117,9 @@
               to.accept(e);
             }
           });
-          spoilt += r.damage().spoiltBlocks();
-          lost += r.damage().lostOctets();
-          torn += r.damage().tornOctets();
+          spoilt += r.damage().corruptBlocks();
+          lost += r.damage().lostBytes();
+          torn += r.damage().truncatedBytes();
         } catch (java.nio.file.NoSuchFileException e) {
           // The oldest may go while the others are read: its going is recorded in a younger one.
           unread.add(new Segment(s.file(), s.octets(), s.origin(), s.front(), s.whole(), "has gone meanwhile"));
--- a/records/src/main/java/cloverpulley/records/Recorder.java
+++ b/records/src/main/java/cloverpulley/records/Recorder.java
@@ -360,13 +360,13 @@
   }
 
   private void keep(List<Entry> batch, int i) throws IOException {
-    long before = store.numbered();
+    long before = store.lastSeq();
     try {
       store.add(batch.get(i));
       written++;
     } catch (IOException failed) {
       // One that had its number is missing, and counted by that; the others are dropped.
-      for (int j = store.numbered() > before ? i + 1 : i; j < batch.size(); j++) {
+      for (int j = store.lastSeq() > before ? i + 1 : i; j < batch.size(); j++) {
         refused.add(batch.get(j));
       }
       throw failed;
--- a/records/src/main/java/cloverpulley/records/RecordsConfig.java
+++ b/records/src/main/java/cloverpulley/records/RecordsConfig.java
@@ -5,42 +5,42 @@
 import java.util.Map;
 
 /**
- * Where records go: {@code [records]} of the operators' file.
+ * Settings of the event records: section {@code [records]} of the operators' file.
  *
- * @param folder made where it is missing; null for no records at all
- * @param instance the name that successors carry on
- * @param segmentBytes a segment is ended at this size
- * @param mostBytes all of this instance's segments together; the oldest goes first
- * @param flushMillis the longest that a record waits before it is in the file
- * @param queue records that wait for the writer; past it they are dropped by kind, and counted
+ * @param folder created if it does not exist; null to disable recording
+ * @param instance name of the instance, which its successor processes keep
+ * @param segmentBytes size at which a segment is finished and the next one started
+ * @param maxBytes maximum total size of this instance's segments; the oldest are deleted first
+ * @param flushMillis longest time until a record is written to the file
+ * @param queue capacity of the queue to the writer; as it fills up, records are dropped by the priority of their kind, and counted
  * @param sync when the file is forced to the disk
  */
-public record RecordsConfig(Path folder, String instance, long segmentBytes, long mostBytes, long flushMillis, int queue, Sync sync) {
+public record RecordsConfig(Path folder, String instance, long segmentBytes, long maxBytes, long flushMillis, int queue, Sync sync) {
 
-  /** Never but at a segment's end; or with each flush as well. */
+  /** SEGMENT: only when a segment is finished; FLUSH: on every flush as well. */
   public enum Sync { SEGMENT, FLUSH }
 
   private static final Map<String, Sync> SYNCS = Map.of("segment", Sync.SEGMENT, "flush", Sync.FLUSH);
   private static final long MB = 1L << 20;
 
-  /** Reads the section; without a folder nothing is kept. */
-  public static RecordsConfig read(Section s) {
-    String folder = s.text("folder", "");
-    String instance = s.text("instance", "ashdeck");
+  /** Reads the section; without a folder, recording is disabled. */
+  public static RecordsConfig read(Section section) {
+    String folder = section.text("folder", "");
+    String instance = section.text("instance", "ashdeck");
     if (!instance.matches("[!-~]{1,64}")) {
-      s.wrong("instance", "expected 1 to 64 printable characters without a blank, got \"" + instance + "\"");
+      section.wrong("instance", "expected 1 to 64 printable characters without spaces, got \"" + instance + "\"");
       instance = "ashdeck";
     }
-    long segment = s.whole("segment_mb", 1, 1024, 16) * MB;
-    long most = s.whole("most_mb", 2, 1_000_000, 512) * MB;
-    if (most < 2 * segment) {
-      s.wrong("most_mb", "expected no less than two segments, " + 2 * segment / MB + ", got " + most / MB);
+    long segmentBytes = section.whole("segment_mb", 1, 1024, 16) * MB;
+    long maxBytes = section.whole("most_mb", 2, 1_000_000, 512) * MB;
+    if (maxBytes < 2 * segmentBytes) {
+      section.wrong("most_mb", "expected at least two segments, " + 2 * segmentBytes / MB + ", got " + maxBytes / MB);
     }
-    return new RecordsConfig(folder.isEmpty() ? null : Path.of(folder), instance, segment, most, s.whole("flush_ms", 10, 60_000, 500),
-        (int) s.whole("queue", 1024, 1 << 22, 1 << 16), s.word("sync", SYNCS, Sync.SEGMENT));
+    return new RecordsConfig(folder.isEmpty() ? null : Path.of(folder), instance, segmentBytes, maxBytes, section.whole("flush_ms", 10, 60_000, 500),
+        (int) section.whole("queue", 1024, 1 << 22, 1 << 16), section.word("sync", SYNCS, Sync.SEGMENT));
   }
 
-  /** With what is usual but the folder and the name. */
+  /** Default settings for a folder and an instance name. */
   public static RecordsConfig of(Path folder, String instance) {
     return new RecordsConfig(folder, instance, 16 * MB, 512 * MB, 500, 1 << 16, Sync.SEGMENT);
   }
--- a/records/src/main/java/cloverpulley/records/Rows.java
+++ b/records/src/main/java/cloverpulley/records/Rows.java
@@ -10,183 +10,186 @@
 import java.util.function.Consumer;
 
 /**
- * The rows of a block: each record as what differs from the one before it, texts and large numbers once a block. A block stands by itself,
- * so that one that is spoilt costs itself alone. A kind of record that is not known (of a newer version) is passed over.
+ * Encodes the records of a block: times and request numbers as differences from the previous record, texts and large numbers once a block,
+ * then by their position in a table. Blocks are independent of each other, so a corrupt one affects no other. Records of an unknown kind
+ * (written by a newer version) are skipped.
  */
 final class Rows {
 
-  /** Longer texts are cut. */
-  static final int MOST_TEXT = 512;
-  private static final int MOST_TABLE = 1 << 20;
+  /** Longer texts are truncated. */
+  static final int MAX_TEXT_LENGTH = 512;
+  private static final int MAX_TABLE_SIZE = 1 << 20;
   private static final Kind[] KINDS = Kind.values();
 
-  private static final int REQUEST = 1;
-  private static final int ID = 2;
-  private static final int CLASS = 4;
-  private static final int TENANT = 8;
-  private static final int KEY = 16;
-  private static final int ATTEMPT = 32;
-  private static final int UPSTREAM = 64;
-  private static final int NAME = 128;
-  private static final int WORD = 256;
-  private static final int VALUE = 512;
-  private static final int OTHER = 1024;
+  // Bits of the mask of fields that a record has.
+  private static final int HAS_REQUEST = 1;
+  private static final int HAS_ID = 2;
+  private static final int HAS_CLASS = 4;
+  private static final int HAS_TENANT = 8;
+  private static final int HAS_KEY = 16;
+  private static final int HAS_ATTEMPT = 32;
+  private static final int HAS_UPSTREAM = 64;
+  private static final int HAS_NAME = 128;
+  private static final int HAS_WORD = 256;
+  private static final int HAS_VALUE = 512;
+  private static final int HAS_OTHER = 1024;
 
   private Rows() {}
 
-  /** Writes rows. */
+  /** Encodes the records of one block after the other. */
   static final class Writer {
 
-    final VarintBuffer out;
-    private final Map<String, Integer> texts = new HashMap<>();
-    private final Map<Long, Integer> numbers = new HashMap<>();
-    private long at;
-    private long request;
+    final VarintBuffer buffer;
+    private final Map<String, Integer> textIds = new HashMap<>();
+    private final Map<Long, Integer> longIds = new HashMap<>();
+    private long previousTime;
+    private long previousRequest;
     int count;
     long firstSeq;
-    long least = Long.MAX_VALUE;
-    long most = Long.MIN_VALUE;
+    long minTime = Long.MAX_VALUE;
+    long maxTime = Long.MIN_VALUE;
 
     Writer(int capacity) {
-      out = new VarintBuffer(capacity);
+      buffer = new VarintBuffer(capacity);
     }
 
     void clear() {
-      out.clear();
-      texts.clear();
-      numbers.clear();
-      at = 0;
-      request = 0;
+      buffer.clear();
+      textIds.clear();
+      longIds.clear();
+      previousTime = 0;
+      previousRequest = 0;
       count = 0;
-      least = Long.MAX_VALUE;
-      most = Long.MIN_VALUE;
+      minTime = Long.MAX_VALUE;
+      maxTime = Long.MIN_VALUE;
     }
 
     void add(Entry e) {
       if (count++ == 0) {
         firstSeq = e.seq();
       }
-      least = Math.min(least, e.at());
-      most = Math.max(most, e.at());
-      int has = (e.request() != 0 ? REQUEST : 0) | (e.id() != null ? ID : 0) | (e.className() != null ? CLASS : 0)
-          | (e.tenant() != null ? TENANT : 0) | (e.key() != 0 ? KEY : 0) | (e.attempt() != 0 ? ATTEMPT : 0)
-          | (e.upstream() != 0 ? UPSTREAM : 0) | (e.name() != null ? NAME : 0) | (e.word() != null ? WORD : 0)
-          | (e.value() != 0 ? VALUE : 0) | (e.other() != 0 ? OTHER : 0);
-      out.number(e.kind().ordinal());
-      out.number(has);
-      out.signed(e.at() - at);
-      at = e.at();
-      if ((has & REQUEST) != 0) {
-        out.signed(e.request() - request);
-        request = e.request();
+      minTime = Math.min(minTime, e.at());
+      maxTime = Math.max(maxTime, e.at());
+      int fields = (e.request() != 0 ? HAS_REQUEST : 0) | (e.id() != null ? HAS_ID : 0) | (e.className() != null ? HAS_CLASS : 0)
+          | (e.tenant() != null ? HAS_TENANT : 0) | (e.key() != 0 ? HAS_KEY : 0) | (e.attempt() != 0 ? HAS_ATTEMPT : 0)
+          | (e.upstream() != 0 ? HAS_UPSTREAM : 0) | (e.name() != null ? HAS_NAME : 0) | (e.word() != null ? HAS_WORD : 0)
+          | (e.value() != 0 ? HAS_VALUE : 0) | (e.other() != 0 ? HAS_OTHER : 0);
+      buffer.writeVarint(e.kind().ordinal());
+      buffer.writeVarint(fields);
+      buffer.writeSignedVarint(e.at() - previousTime);
+      previousTime = e.at();
+      if ((fields & HAS_REQUEST) != 0) {
+        buffer.writeSignedVarint(e.request() - previousRequest);
+        previousRequest = e.request();
       }
-      text(e.id());
-      text(e.className());
-      text(e.tenant());
-      large(e.key());
+      writeText(e.id());
+      writeText(e.className());
+      writeText(e.tenant());
+      writeLong(e.key());
       if (e.attempt() != 0) {
-        out.signed(e.attempt());
+        buffer.writeSignedVarint(e.attempt());
       }
-      large(e.upstream());
-      text(e.name());
-      text(e.word());
+      writeLong(e.upstream());
+      writeText(e.name());
+      writeText(e.word());
       if (e.value() != 0) {
-        out.signed(e.value());
+        buffer.writeSignedVarint(e.value());
       }
       if (e.other() != 0) {
-        out.signed(e.other());
+        buffer.writeSignedVarint(e.other());
       }
     }
 
-    private void text(String s) {
+    /** Writes the text's position in the table, from 1; at its first use in a block, 0 and the text itself. */
+    private void writeText(String s) {
       if (s == null) {
         return;
       }
-      Integer known = texts.get(s);
-      if (known != null) {
-        out.number(known);
+      Integer id = textIds.get(s);
+      if (id != null) {
+        buffer.writeVarint(id);
         return;
       }
-      texts.put(s, texts.size() + 1);
-      out.number(0);
-      out.text(s.length() <= MOST_TEXT ? s : s.substring(0, MOST_TEXT));
+      textIds.put(s, textIds.size() + 1);
+      buffer.writeVarint(0);
+      buffer.writeString(s.length() <= MAX_TEXT_LENGTH ? s : s.substring(0, MAX_TEXT_LENGTH));
     }
 
-    private void large(long n) {
+    private void writeLong(long n) {
       if (n == 0) {
         return;
       }
-      Integer known = numbers.get(n);
-      if (known != null) {
-        out.number(known);
+      Integer id = longIds.get(n);
+      if (id != null) {
+        buffer.writeVarint(id);
         return;
       }
-      numbers.put(n, numbers.size() + 1);
-      out.number(0);
-      out.fixed(n);
+      longIds.put(n, longIds.size() + 1);
+      buffer.writeVarint(0);
+      buffer.writeFixed64(n);
     }
   }
 
-  /** Reads the rows of a block. */
-  static int read(Origin origin, long firstSeq, int count, byte[] raw, int length, Consumer<Entry> to) throws CorruptSegmentException {
+  /** Decodes the records of a block. */
+  static int read(Origin origin, long firstSeq, int count, byte[] raw, int length, Consumer<Entry> consumer) throws CorruptSegmentException {
     VarintBuffer in = new VarintBuffer(raw, length);
-    List<String> texts = new ArrayList<>();
-    List<Long> numbers = new ArrayList<>();
-    long at = 0;
+    List<String> textTable = new ArrayList<>();
+    List<Long> longTable = new ArrayList<>();
+    long time = 0;
     long request = 0;
     for (int i = 0; i < count; i++) {
-      int kind = in.number(0, 1 << 10);
-      int has = in.number(0, 2 * OTHER - 1);
-      at += in.signed();
-      if ((has & REQUEST) != 0) {
-        request += in.signed();
+      int kind = in.readVarint(0, 1 << 10);
+      int fields = in.readVarint(0, 2 * HAS_OTHER - 1);
+      time += in.readSignedVarint();
+      if ((fields & HAS_REQUEST) != 0) {
+        request += in.readSignedVarint();
       }
-      String id = text(in, has & ID, texts);
-      String className = text(in, has & CLASS, texts);
-      String tenant = text(in, has & TENANT, texts);
-      long key = large(in, has & KEY, numbers);
-      int attempt = (has & ATTEMPT) == 0 ? 0 : (int) in.signed();
-      long upstream = large(in, has & UPSTREAM, numbers);
-      String name = text(in, has & NAME, texts);
-      String word = text(in, has & WORD, texts);
-      long value = (has & VALUE) == 0 ? 0 : in.signed();
-      long other = (has & OTHER) == 0 ? 0 : in.signed();
+      String id = readText(in, fields & HAS_ID, textTable);
+      String className = readText(in, fields & HAS_CLASS, textTable);
+      String tenant = readText(in, fields & HAS_TENANT, textTable);
+      long key = readLong(in, fields & HAS_KEY, longTable);
+      int attempt = (fields & HAS_ATTEMPT) == 0 ? 0 : (int) in.readSignedVarint();
+      long upstream = readLong(in, fields & HAS_UPSTREAM, longTable);
+      String name = readText(in, fields & HAS_NAME, textTable);
+      String word = readText(in, fields & HAS_WORD, textTable);
+      long value = (fields & HAS_VALUE) == 0 ? 0 : in.readSignedVarint();
+      long other = (fields & HAS_OTHER) == 0 ? 0 : in.readSignedVarint();
       if (kind < KINDS.length) {
-        to.accept(new Entry(origin, firstSeq + i, at, KINDS[kind], (has & REQUEST) == 0 ? 0 : request, id, className, tenant, key,
+        consumer.accept(new Entry(origin, firstSeq + i, time, KINDS[kind], (fields & HAS_REQUEST) == 0 ? 0 : request, id, className, tenant, key,
             attempt, upstream, name, word, value, other));
       }
     }
-    if (in.hasMore()) {
-      throw new CorruptSegmentException("more in a block than its records");
+    if (in.hasRemaining()) {
+      throw new CorruptSegmentException("block has trailing bytes after its last record");
     }
     return count;
   }
 
-  private static String text(VarintBuffer in, int has, List<String> known) throws CorruptSegmentException {
-    if (has == 0) {
+  private static String readText(VarintBuffer in, int present, List<String> table) throws CorruptSegmentException {
+    if (present == 0) {
       return null;
     }
-    int which = in.number(0, MOST_TABLE);
-    if (which > known.size()) {
-      throw new CorruptSegmentException("a text that is not there");
-    } else if (which > 0) {
-      return known.get(which - 1);
+    int id = in.readVarint(0, MAX_TABLE_SIZE);
+    if (id > table.size()) {
+      throw new CorruptSegmentException("reference to a missing text");
+    } else if (id > 0) {
+      return table.get(id - 1);
     }
-    known.add(in.text(4 * MOST_TEXT));
-    return known.get(known.size() - 1);
+    table.add(in.readString(4 * MAX_TEXT_LENGTH));
+    return table.get(table.size() - 1);
   }
 
-  private static long large(VarintBuffer in, int has, List<Long> known) throws CorruptSegmentException {
-    if (has == 0) {
+  private static long readLong(VarintBuffer in, int present, List<Long> table) throws CorruptSegmentException {
+    if (present == 0) {
       return 0;
     }
-    int which = in.number(0, MOST_TABLE);
-    if (which > known.size()) {
-      throw new CorruptSegmentException("a number that is not there");
-    } else if (which > 0) {
-      return known.get(which - 1);
+    int id = in.readVarint(0, MAX_TABLE_SIZE);
+    if (id > table.size()) {
+      throw new CorruptSegmentException("reference to a missing number");
+    } else if (id > 0) {
+      return table.get(id - 1);
     }
-    known.add(in.fixed());
-    return known.get(known.size() - 1);
+    table.add(in.readFixed64());
+    return table.get(table.size() - 1);
   }
 }
--- a/records/src/main/java/cloverpulley/records/SegmentIndex.java
+++ b/records/src/main/java/cloverpulley/records/SegmentIndex.java
@@ -22,64 +22,65 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * What lies in which block of a segment: of each block its place, its time and a filter of the requests' names; of each kind, word, class,
- * tenant, server the blocks that hold it, as a bitmap (Chambi et al., "Better bitmap performance with Roaring bitmaps"). Few distinct
- * values pay as bitmaps; names of requests are nearly all distinct, and pay as a Bloom filter a block. Both are bounded.
+ * The index of a segment. It has the offset, time range and a Bloom filter of the request IDs of each block, and for each value of a kind,
+ * word, class, tenant, server or upstream a bitmap of the blocks that contain it (Chambi et al., "Better bitmap performance with Roaring
+ * bitmaps"). Bitmaps suit fields with few distinct values; request IDs are nearly all distinct, so a Bloom filter for each block takes less
+ * space. The size of both is bounded.
  */
 final class SegmentIndex {
 
-  /** Distinct values of a field that are indexed; past that the field is not, and its blocks are all read. */
-  private static final int MOST_VALUES = 5000;
-  private static final double WRONGLY_FOUND = 0.01;
-  private static final int MOST_BLOCKS = 1 << 20;
-  private static final int MOST_FILTER = 4 << 20;
+  /** Maximum number of distinct values of an indexed field; a field with more is not indexed, and queries for it read all blocks. */
+  private static final int MAX_VALUES = 5000;
+  private static final double FALSE_POSITIVE_RATE = 0.01;
+  private static final int MAX_BLOCKS = 1 << 20;
+  private static final int MAX_FILTER_BYTES = 4 << 20;
 
-  /** One block. */
-  record Block(long offset, long least, long most, int count, long firstSeq) {}
+  /** Position and contents of a data block. Times are in microseconds of Unix time. */
+  record Block(long offset, long minTime, long maxTime, int count, long firstSeq) {}
 
   private final List<Block> blocks = new ArrayList<>();
-  private final List<BloomFilter<CharSequence>> names = new ArrayList<>();
+  private final List<BloomFilter<CharSequence>> requestFilters = new ArrayList<>();
   private final Map<IndexedField, Map<String, RoaringBitmap>> values = new HashMap<>();
-  private final Set<IndexedField> tooMany = new HashSet<>();
-  private final Set<String> namesNow = new HashSet<>();
+  private final Set<IndexedField> unindexedFields = new HashSet<>();
+  private final Set<String> currentIds = new HashSet<>();
 
   // ---- Building ------------------------------------------------------------------------------------------
 
-  /** A record of the block that is being written. */
+  /** Adds a record of the block that is currently being written. */
   void add(Entry e) {
     int block = blocks.size();
-    put(IndexedField.KIND, e.kind().name().toLowerCase(Locale.ROOT), block);
-    put(IndexedField.WORD, e.word(), block);
-    put(IndexedField.CLASS, e.className(), block);
-    put(IndexedField.TENANT, e.tenant(), block);
-    put(IndexedField.SERVER, e.name(), block);
+    addValue(IndexedField.KIND, e.kind().name().toLowerCase(Locale.ROOT), block);
+    addValue(IndexedField.WORD, e.word(), block);
+    addValue(IndexedField.CLASS, e.className(), block);
+    addValue(IndexedField.TENANT, e.tenant(), block);
+    addValue(IndexedField.SERVER, e.name(), block);
     if (e.upstream() != 0) {
-      put(IndexedField.UPSTREAM, Long.toHexString(e.upstream()), block);
+      addValue(IndexedField.UPSTREAM, Long.toHexString(e.upstream()), block);
     }
     if (e.id() != null) {
-      namesNow.add(e.id());
+      currentIds.add(e.id());
     }
   }
 
-  private void put(IndexedField term, String value, int block) {
-    if (value == null || tooMany.contains(term)) {
+  private void addValue(IndexedField field, String value, int block) {
+    if (value == null || unindexedFields.contains(field)) {
       return;
     }
-    Map<String, RoaringBitmap> of = values.computeIfAbsent(term, t -> new HashMap<>());
-    of.computeIfAbsent(value, v -> new RoaringBitmap()).add(block);
-    if (of.size() > MOST_VALUES) {
-      values.remove(term);
-      tooMany.add(term);
+    Map<String, RoaringBitmap> bitmaps = values.computeIfAbsent(field, f -> new HashMap<>());
+    bitmaps.computeIfAbsent(value, v -> new RoaringBitmap()).add(block);
+    if (bitmaps.size() > MAX_VALUES) {
+      values.remove(field);
+      unindexedFields.add(field);
     }
   }
 
-  /** The block is written. */
-  void close(Block block) {
-    BloomFilter<CharSequence> filter = BloomFilter.create(Funnels.stringFunnel(StandardCharsets.UTF_8), Math.max(1, namesNow.size()),
-        WRONGLY_FOUND);
-    namesNow.forEach(filter::put);
-    namesNow.clear();
-    names.add(filter);
+  /** Completes the current block, after it has been written. */
+  void closeBlock(Block block) {
+    BloomFilter<CharSequence> filter = BloomFilter.create(Funnels.stringFunnel(StandardCharsets.UTF_8), Math.max(1, currentIds.size()),
+        FALSE_POSITIVE_RATE);
+    currentIds.forEach(filter::put);
+    currentIds.clear();
+    requestFilters.add(filter);
     blocks.add(block);
   }
 
@@ -91,42 +92,42 @@
     return blocks.stream().mapToLong(Block::count).sum();
   }
 
-  long least() {
-    return blocks.stream().mapToLong(Block::least).min().orElse(Long.MAX_VALUE);
+  long minTime() {
+    return blocks.stream().mapToLong(Block::minTime).min().orElse(Long.MAX_VALUE);
   }
 
-  long most() {
-    return blocks.stream().mapToLong(Block::most).max().orElse(Long.MIN_VALUE);
+  long maxTime() {
+    return blocks.stream().mapToLong(Block::maxTime).max().orElse(Long.MIN_VALUE);
   }
 
-  // ---- Asking --------------------------------------------------------------------------------------------
+  // ---- Lookup --------------------------------------------------------------------------------------------
 
-  /** The blocks that may hold what fits; {@code shift} is added to the records' times before they are compared. */
-  RoaringBitmap fitting(Constraints needs, long shift) {
-    RoaringBitmap fit = new RoaringBitmap();
+  /** The blocks that may contain matching records; {@code clockOffset} is added to the records' times before they are compared. */
+  RoaringBitmap matchingBlocks(Constraints constraints, long clockOffset) {
+    RoaringBitmap matching = new RoaringBitmap();
     for (int i = 0; i < blocks.size(); i++) {
       Block b = blocks.get(i);
-      if (b.most + shift >= needs.from() && b.least + shift <= needs.to()) {
-        fit.add(i);
+      if (b.maxTime + clockOffset >= constraints.from() && b.minTime + clockOffset <= constraints.to()) {
+        matching.add(i);
       }
     }
-    needs.equalities().forEach((term, value) -> {
-      if (term == IndexedField.REQUEST) {
-        if (value.indexOf('#') < 0) { // Numbers of requests without a name are not in the filters.
-          for (int i : fit.toArray()) {
-            if (!names.get(i).mightContain(value)) {
-              fit.remove(i);
+    constraints.equalities().forEach((field, value) -> {
+      if (field == IndexedField.REQUEST) {
+        if (value.indexOf('#') < 0) { // A value with # identifies a request without an ID: those are not in the filters.
+          for (int i : matching.toArray()) {
+            if (!requestFilters.get(i).mightContain(value)) {
+              matching.remove(i);
             }
           }
         }
-      } else if (!tooMany.contains(term)) {
-        fit.and(values.getOrDefault(term, Map.of()).getOrDefault(value, new RoaringBitmap()));
+      } else if (!unindexedFields.contains(field)) {
+        matching.and(values.getOrDefault(field, Map.of()).getOrDefault(value, new RoaringBitmap()));
       }
     });
-    return fit;
+    return matching;
   }
 
-  // ---- As octets -----------------------------------------------------------------------------------------
+  // ---- Serialization -------------------------------------------------------------------------------------
 
   byte[] write() throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
@@ -135,25 +136,25 @@
     for (int i = 0; i < blocks.size(); i++) {
       Block b = blocks.get(i);
       out.writeLong(b.offset);
-      out.writeLong(b.least);
-      out.writeLong(b.most);
+      out.writeLong(b.minTime);
+      out.writeLong(b.maxTime);
       out.writeInt(b.count);
       out.writeLong(b.firstSeq);
       ByteArrayOutputStream filter = new ByteArrayOutputStream();
-      names.get(i).writeTo(filter);
+      requestFilters.get(i).writeTo(filter);
       out.writeInt(filter.size());
       filter.writeTo(out);
     }
-    out.writeByte(tooMany.size());
-    for (IndexedField t : tooMany) {
-      out.writeUTF(t.name());
+    out.writeByte(unindexedFields.size());
+    for (IndexedField field : unindexedFields) {
+      out.writeUTF(field.name());
     }
     out.writeByte(values.size());
     for (Map.Entry<IndexedField, Map<String, RoaringBitmap>> e : new TreeMap<>(values).entrySet()) {
       out.writeUTF(e.getKey().name());
       out.writeInt(e.getValue().size());
       for (Map.Entry<String, RoaringBitmap> v : new TreeMap<>(e.getValue()).entrySet()) {
-        out.writeUTF(v.getKey().length() <= Rows.MOST_TEXT ? v.getKey() : v.getKey().substring(0, Rows.MOST_TEXT));
+        out.writeUTF(v.getKey().length() <= Rows.MAX_TEXT_LENGTH ? v.getKey() : v.getKey().substring(0, Rows.MAX_TEXT_LENGTH));
         v.getValue().runOptimize();
         out.writeInt(v.getValue().serializedSizeInBytes());
         v.getValue().serialize(out);
@@ -163,43 +164,43 @@
     return bytes.toByteArray();
   }
 
-  /** Reads what {@link #write} wrote; anything else is an exception, and never a wrong answer: the checksum has been seen to fit. */
-  static SegmentIndex read(byte[] octets) throws IOException {
+  /** Parses what {@link #write} returned and throws on anything else. The caller has already verified the checksum. */
+  static SegmentIndex read(byte[] bytes) throws IOException {
     SegmentIndex index = new SegmentIndex();
-    try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(octets))) {
-      int blocks = bounded(in.readInt(), MOST_BLOCKS);
+    try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes))) {
+      int blocks = checkBounds(in.readInt(), MAX_BLOCKS);
       for (int i = 0; i < blocks; i++) {
         index.blocks.add(new Block(in.readLong(), in.readLong(), in.readLong(), in.readInt(), in.readLong()));
-        byte[] filter = new byte[bounded(in.readInt(), Math.min(MOST_FILTER, octets.length))];
+        byte[] filter = new byte[checkBounds(in.readInt(), Math.min(MAX_FILTER_BYTES, bytes.length))];
         in.readFully(filter);
-        index.names.add(BloomFilter.readFrom(new ByteArrayInputStream(filter), Funnels.stringFunnel(StandardCharsets.UTF_8)));
+        index.requestFilters.add(BloomFilter.readFrom(new ByteArrayInputStream(filter), Funnels.stringFunnel(StandardCharsets.UTF_8)));
       }
       for (int i = in.readUnsignedByte(); i > 0; i--) {
-        index.tooMany.add(IndexedField.valueOf(in.readUTF()));
+        index.unindexedFields.add(IndexedField.valueOf(in.readUTF()));
       }
       for (int i = in.readUnsignedByte(); i > 0; i--) {
-        IndexedField term = IndexedField.valueOf(in.readUTF());
-        int count = bounded(in.readInt(), MOST_VALUES);
-        Map<String, RoaringBitmap> of = new HashMap<>();
+        IndexedField field = IndexedField.valueOf(in.readUTF());
+        int count = checkBounds(in.readInt(), MAX_VALUES);
+        Map<String, RoaringBitmap> bitmaps = new HashMap<>();
         for (int j = 0; j < count; j++) {
           String value = in.readUTF();
-          byte[] bitmap = new byte[bounded(in.readInt(), octets.length)];
+          byte[] bitmap = new byte[checkBounds(in.readInt(), bytes.length)];
           in.readFully(bitmap);
-          RoaringBitmap read = new RoaringBitmap();
-          read.deserialize(new DataInputStream(new ByteArrayInputStream(bitmap)));
-          of.put(value, read);
+          RoaringBitmap decoded = new RoaringBitmap();
+          decoded.deserialize(new DataInputStream(new ByteArrayInputStream(bitmap)));
+          bitmaps.put(value, decoded);
         }
-        index.values.put(term, of);
+        index.values.put(field, bitmaps);
       }
       return index;
     } catch (RuntimeException e) {
-      throw new CorruptSegmentException("an index that can't be read: " + e);
+      throw new CorruptSegmentException("unreadable index: " + e);
     }
   }
 
-  private static int bounded(int n, int most) throws CorruptSegmentException {
-    if (n < 0 || n > most) {
-      throw new CorruptSegmentException("an index with a count out of its bounds");
+  private static int checkBounds(int n, int max) throws CorruptSegmentException {
+    if (n < 0 || n > max) {
+      throw new CorruptSegmentException("count in the index out of range");
     }
     return n;
   }
--- a/records/src/main/java/cloverpulley/records/SegmentReader.java
+++ b/records/src/main/java/cloverpulley/records/SegmentReader.java
@@ -17,53 +17,58 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * Reads one segment, as far as it can be read: without an index (its writer was killed, or still writes) by its frames, past a spoilt
- * block to the next one that fits its checksum, up to a tail that was cut off. What it costs is told.
+ * Reads one segment as far as possible. Without an index (its writer was killed or is still writing) it scans the frames. After a corrupt
+ * block it continues with the next one whose checksum matches, and it ignores a truncated end. {@link #damage} reports what was lost.
  */
 final class SegmentReader implements AutoCloseable {
 
-  private static final int MOST_FOOTER = 256 << 20;
-  private static final int STRIDE = 1 << 20;
-  private static final int MOST_NAME = 2048;
+  private static final int MAX_INDEX_SIZE = 256 << 20;
+  private static final int SCAN_CHUNK_BYTES = 1 << 20;
+  private static final int MAX_NAME_BYTES = 2048;
 
-  /** What was not as it was written. */
-  record Damage(int spoiltBlocks, long lostOctets, long tornOctets) {}
+  /**
+   * Damage found while reading.
+   *
+   * @param lostBytes bytes skipped with corrupt blocks
+   * @param truncatedBytes bytes after the last valid frame
+   */
+  record Damage(int corruptBlocks, long lostBytes, long truncatedBytes) {}
 
   private final FileChannel channel;
   private final long length;
   private final Origin origin;
-  private final String front;
-  private final long dataAt;
+  private final String frontend;
+  private final long dataOffset;
   private SegmentIndex index;
-  private int spoilt;
-  private long lost;
-  private long torn;
+  private int corruptBlocks;
+  private long lostBytes;
+  private long truncatedBytes;
 
-  /** @throws CorruptSegmentException where it is no segment, or one of a version that is not known */
+  /** @throws CorruptSegmentException if the file is not a segment, has an unsupported version or a corrupt header */
   SegmentReader(Path file) throws IOException {
     channel = FileChannel.open(file, StandardOpenOption.READ);
     try {
       length = channel.size();
       byte[] magic = read(0, SegmentWriter.MAGIC.length);
       if (!Arrays.equals(magic, 0, 7, SegmentWriter.MAGIC, 0, 7)) {
-        throw new CorruptSegmentException("no segment of records");
+        throw new CorruptSegmentException("not a records segment");
       } else if (magic[7] != SegmentWriter.MAGIC[7]) {
-        throw new CorruptSegmentException("of version " + magic[7] + ", this program reads version " + SegmentWriter.MAGIC[7]);
+        throw new CorruptSegmentException("unsupported version " + magic[7] + ", expected version " + SegmentWriter.MAGIC[7]);
       }
-      Frame head = frame(SegmentWriter.MAGIC.length);
-      if (head == null || head.type() != Frame.HEADER || head.stored() > 4 * MOST_NAME) {
-        throw new CorruptSegmentException("without a header");
+      Frame header = readFrame(SegmentWriter.MAGIC.length);
+      if (header == null || header.type() != Frame.HEADER || header.storedSize() > 4 * MAX_NAME_BYTES) {
+        throw new CorruptSegmentException("missing header");
       }
-      byte[] whole = read(SegmentWriter.MAGIC.length, Frame.SIZE + head.stored());
-      if (!head.fits(whole, 0)) {
-        throw new CorruptSegmentException("with a spoilt header");
+      byte[] frame = read(SegmentWriter.MAGIC.length, Frame.SIZE + header.storedSize());
+      if (!header.checksumMatches(frame, 0)) {
+        throw new CorruptSegmentException("corrupt header");
       }
-      VarintBuffer in = new VarintBuffer(Arrays.copyOfRange(whole, Frame.SIZE, whole.length), head.stored());
-      String instance = in.text(MOST_NAME);
-      origin = new Origin(instance, in.signed());
-      front = in.text(MOST_NAME);
-      dataAt = SegmentWriter.MAGIC.length + Frame.SIZE + head.stored();
-      index = footer();
+      VarintBuffer in = new VarintBuffer(Arrays.copyOfRange(frame, Frame.SIZE, frame.length), header.storedSize());
+      String instance = in.readString(MAX_NAME_BYTES);
+      origin = new Origin(instance, in.readSignedVarint());
+      frontend = in.readString(MAX_NAME_BYTES);
+      dataOffset = SegmentWriter.MAGIC.length + Frame.SIZE + header.storedSize();
+      index = readIndex();
     } catch (IOException e) {
       channel.close();
       throw e;
@@ -74,151 +79,152 @@
     return origin;
   }
 
-  String front() {
-    return front;
+  String frontend() {
+    return frontend;
   }
 
-  /** Whether its writer ended it in order. */
-  boolean isWhole() {
+  /** Whether the segment has a valid index, that is, whether its writer finished it. */
+  boolean isComplete() {
     return index != null;
   }
 
-  private byte[] read(long at, int count) throws IOException {
-    if (at < 0 || at + count > length) {
-      throw new CorruptSegmentException("cut off");
+  private byte[] read(long offset, int count) throws IOException {
+    if (offset < 0 || offset + count > length) {
+      throw new CorruptSegmentException("truncated");
     }
     ByteBuffer b = ByteBuffer.allocate(count);
     while (b.hasRemaining()) {
-      if (channel.read(b, at + b.position()) < 0) {
-        throw new CorruptSegmentException("cut off");
+      if (channel.read(b, offset + b.position()) < 0) {
+        throw new CorruptSegmentException("truncated");
       }
     }
     return b.array();
   }
 
-  private Frame frame(long at) throws IOException {
-    return at + Frame.SIZE > length ? null : Frame.read(ByteBuffer.wrap(read(at, Frame.SIZE)));
+  private Frame readFrame(long offset) throws IOException {
+    return offset + Frame.SIZE > length ? null : Frame.read(ByteBuffer.wrap(read(offset, Frame.SIZE)));
   }
 
-  /** The index at its end; null where there is none that fits its checksum. */
-  private SegmentIndex footer() {
+  /** Reads the index at the end of the file; null if there is none with a matching checksum. */
+  private SegmentIndex readIndex() {
     try {
-      ByteBuffer t = ByteBuffer.wrap(read(length - SegmentWriter.TRAILER, SegmentWriter.TRAILER));
+      ByteBuffer trailer = ByteBuffer.wrap(read(length - SegmentWriter.TRAILER_SIZE, SegmentWriter.TRAILER_SIZE));
       CRC32C crc = new CRC32C();
-      crc.update(t.array(), 0, 12);
-      if (t.getInt(16) != SegmentWriter.TRAILER_MAGIC || t.getInt(12) != (int) crc.getValue()) {
+      crc.update(trailer.array(), 0, 12);
+      if (trailer.getInt(16) != SegmentWriter.TRAILER_MAGIC || trailer.getInt(12) != (int) crc.getValue()) {
         return null;
       }
-      long at = t.getLong(0);
-      Frame f = frame(at);
-      if (f == null || f.type() != Frame.FOOTER || f.raw() > MOST_FOOTER) {
+      long offset = trailer.getLong(0);
+      Frame f = readFrame(offset);
+      if (f == null || f.type() != Frame.FOOTER || f.rawSize() > MAX_INDEX_SIZE) {
         return null;
       }
-      byte[] whole = read(at, Frame.SIZE + f.stored());
-      return f.fits(whole, 0) ? SegmentIndex.read(unpack(f, whole)) : null;
+      byte[] frame = read(offset, Frame.SIZE + f.storedSize());
+      return f.checksumMatches(frame, 0) ? SegmentIndex.read(decompress(f, frame)) : null;
     } catch (IOException e) {
-      return null; // Then it is read by its frames.
+      return null; // The reader then scans the frames.
     }
   }
 
-  private static byte[] unpack(Frame f, byte[] whole) throws CorruptSegmentException {
-    byte[] raw = new byte[f.raw()];
-    long n = Zstd.decompressByteArray(raw, 0, raw.length, whole, Frame.SIZE, f.stored());
-    if (Zstd.isError(n) || n != f.raw()) {
-      throw new CorruptSegmentException("a block that can't be decompressed");
+  private static byte[] decompress(Frame f, byte[] frame) throws CorruptSegmentException {
+    byte[] raw = new byte[f.rawSize()];
+    long n = Zstd.decompressByteArray(raw, 0, raw.length, frame, Frame.SIZE, f.storedSize());
+    if (Zstd.isError(n) || n != f.rawSize()) {
+      throw new CorruptSegmentException("decompression of a block failed");
     }
     return raw;
   }
 
   /**
-   * Gives all records of blocks that may hold what fits, in the order in which they were written; whoever asks has to look at each.
+   * Passes all records of the blocks that may contain matches to the consumer, in the order in which they were written. The caller has to
+   * test each record, as a block also contains others.
    *
-   * @param shift added to the records' times before they are compared
-   * @return blocks read
+   * @param clockOffset added to the records' times before they are compared
+   * @return number of blocks read
    */
-  int read(Constraints needs, long shift, boolean useIndex, Consumer<Entry> to) throws IOException {
+  int read(Constraints constraints, long clockOffset, boolean useIndex, Consumer<Entry> consumer) throws IOException {
     if (index == null || !useIndex) {
-      return scan(needs, shift, to);
+      return scan(constraints, clockOffset, consumer);
     }
-    RoaringBitmap fitting = index.fitting(needs, shift);
+    RoaringBitmap matchingBlocks = index.matchingBlocks(constraints, clockOffset);
     int blocks = 0;
-    for (int i : fitting) {
+    for (int i : matchingBlocks) {
       SegmentIndex.Block b = index.blocks().get(i);
-      Frame f = frame(b.offset());
-      if (f == null || f.type() != Frame.DATA || !block(b.offset(), f, to)) {
-        spoilt++;
-        lost += f == null ? 0 : f.stored() + Frame.SIZE;
+      Frame f = readFrame(b.offset());
+      if (f == null || f.type() != Frame.DATA || !readBlock(b.offset(), f, consumer)) {
+        corruptBlocks++;
+        lostBytes += f == null ? 0 : f.storedSize() + Frame.SIZE;
       }
       blocks++;
     }
     return blocks;
   }
 
-  /** Whether the block there is as it was written; its records are given only then. */
-  private boolean block(long at, Frame f, Consumer<Entry> to) throws IOException {
-    if (at + Frame.SIZE + f.stored() > length) {
+  /** Reads the block at an offset and returns whether it is valid; the records of an invalid one are not passed on. */
+  private boolean readBlock(long offset, Frame f, Consumer<Entry> consumer) throws IOException {
+    if (offset + Frame.SIZE + f.storedSize() > length) {
       return false;
     }
-    byte[] whole = read(at, Frame.SIZE + f.stored());
-    if (!f.fits(whole, 0)) {
+    byte[] frame = read(offset, Frame.SIZE + f.storedSize());
+    if (!f.checksumMatches(frame, 0)) {
       return false;
     }
     try {
       List<Entry> rows = new ArrayList<>(f.count());
-      Rows.read(origin, f.firstSeq(), f.count(), unpack(f, whole), f.raw(), rows::add);
-      rows.forEach(to);
+      Rows.read(origin, f.firstSeq(), f.count(), decompress(f, frame), f.rawSize(), rows::add);
+      rows.forEach(consumer);
       return true;
     } catch (CorruptSegmentException e) {
       return false;
     }
   }
 
-  private int scan(Constraints needs, long shift, Consumer<Entry> to) throws IOException {
+  private int scan(Constraints constraints, long clockOffset, Consumer<Entry> consumer) throws IOException {
     int blocks = 0;
-    long at = dataAt;
-    while (at < length) {
-      Frame f = frame(at);
+    long offset = dataOffset;
+    while (offset < length) {
+      Frame f = readFrame(offset);
       if (f != null && f.type() == Frame.FOOTER) {
         break;
       }
-      boolean inside = f != null && f.type() == Frame.DATA && at + Frame.SIZE + f.stored() <= length;
-      boolean wanted = inside && f.most() + shift >= needs.from() && f.least() + shift <= needs.to();
-      if (inside && !wanted && sound(at, f)) {
-        at += Frame.SIZE + f.stored();
+      boolean complete = f != null && f.type() == Frame.DATA && offset + Frame.SIZE + f.storedSize() <= length;
+      boolean inRange = complete && f.maxTime() + clockOffset >= constraints.from() && f.minTime() + clockOffset <= constraints.to();
+      if (complete && !inRange && hasValidChecksum(offset, f)) {
+        offset += Frame.SIZE + f.storedSize();
         continue;
       }
-      if (inside && wanted && block(at, f, to)) {
+      if (complete && inRange && readBlock(offset, f, consumer)) {
         blocks++;
-        at += Frame.SIZE + f.stored();
+        offset += Frame.SIZE + f.storedSize();
         continue;
       }
-      long next = next(at + 1);
+      long next = findNextFrame(offset + 1);
       if (next < 0) {
-        torn += length - at;
+        truncatedBytes += length - offset;
         break;
       }
-      spoilt++;
-      lost += next - at;
-      at = next;
+      corruptBlocks++;
+      lostBytes += next - offset;
+      offset = next;
     }
     return blocks;
   }
 
-  /** A block that is passed over by what its frame says of its time has to be one. */
-  private boolean sound(long at, Frame f) throws IOException {
-    return f.fits(read(at, Frame.SIZE + f.stored()), 0);
+  /** Also checked for blocks that are skipped by their time range, because the header of a corrupt block cannot be trusted. */
+  private boolean hasValidChecksum(long offset, Frame f) throws IOException {
+    return f.checksumMatches(read(offset, Frame.SIZE + f.storedSize()), 0);
   }
 
-  /** Where the next block begins that fits its checksum, or the index; below 0 where there is none. */
-  private long next(long from) throws IOException {
-    for (long at = from; at < length; at += STRIDE) {
-      int n = (int) Math.min(STRIDE + 3, length - at);
-      ByteBuffer b = ByteBuffer.wrap(read(at, n));
+  /** Offset of the next frame with a matching checksum, data block or index; -1 if there is none. */
+  private long findNextFrame(long from) throws IOException {
+    for (long offset = from; offset < length; offset += SCAN_CHUNK_BYTES) {
+      int n = (int) Math.min(SCAN_CHUNK_BYTES + 3, length - offset);
+      ByteBuffer b = ByteBuffer.wrap(read(offset, n));
       for (int i = 0; i + 4 <= n; i++) {
         if (b.getInt(i) == Frame.MAGIC) {
-          Frame f = frame(at + i);
-          if (f != null && at + i + Frame.SIZE + f.stored() <= length && sound(at + i, f)) {
-            return at + i;
+          Frame f = readFrame(offset + i);
+          if (f != null && offset + i + Frame.SIZE + f.storedSize() <= length && hasValidChecksum(offset + i, f)) {
+            return offset + i;
           }
         }
       }
@@ -226,17 +232,17 @@
     return -1;
   }
 
-  /** What reading it until now has found. */
+  /** Damage found by the reads so far. */
   Damage damage() {
-    return new Damage(spoilt, lost, torn);
+    return new Damage(corruptBlocks, lostBytes, truncatedBytes);
   }
 
   long records() {
     return index == null ? -1 : index.records();
   }
 
-  long most() {
-    return index == null ? Long.MIN_VALUE : index.most();
+  long maxTime() {
+    return index == null ? Long.MIN_VALUE : index.maxTime();
   }
 
   @Override
--- a/records/src/main/java/cloverpulley/records/SegmentWriter.java
+++ b/records/src/main/java/cloverpulley/records/SegmentWriter.java
@@ -11,22 +11,22 @@
 import java.util.zip.CRC32C;
 
 /**
- * Writes one segment: a header, blocks, and at its proper end an index and where that begins. Each block leaves whole or not at all as
- * far as a reader can tell: one that was cut off does not fit its checksum.
+ * Writes one segment: a header, data blocks and, once it is finished, an index and a trailer with the position of the index. To a reader a
+ * block is either complete or absent, because a truncated one fails its checksum.
  */
 final class SegmentWriter implements AutoCloseable {
 
-  /** "ASHREC", and the version of the format. A reader passes over segments of a version it does not know. */
+  /** "ASHREC", a zero byte and the format version. A reader skips segments of an unsupported version. */
   static final byte[] MAGIC = {'A', 'S', 'H', 'R', 'E', 'C', 0, 1};
-  static final int TRAILER = 20;
+  static final int TRAILER_SIZE = 20;
   static final int TRAILER_MAGIC = 0xE9DF007E;
-  /** A block holds so many octets before compression: larger ones compress better, and cost more to look into. */
-  static final int BLOCK = 64 << 10;
-  /** Level 1: what more would save is not worth its time beside the service. */
-  private static final int LEVEL = 1;
+  /** Size of a block before compression: larger blocks compress better, but a query has to decompress more. */
+  static final int BLOCK_SIZE = 64 << 10;
+  /** Level 1: the space that higher levels save is not worth the CPU time they take from the service. */
+  private static final int COMPRESSION_LEVEL = 1;
   static final String SUFFIX = ".rec";
 
-  /** Where octets go; a file, or what a test has in its place. */
+  /** Destination of the segment's bytes: a file, or a replacement in tests. */
   interface Sink extends AutoCloseable {
     void write(ByteBuffer b) throws IOException;
 
@@ -36,12 +36,12 @@
     void close() throws IOException;
   }
 
-  /** Opens a sink for a new file. */
+  /** Creates a file and opens a sink for it. */
   interface Opener {
     Sink open(Path file) throws IOException;
   }
 
-  /** Files, as they are. */
+  /** Opens regular files. */
   static final Opener FILES = file -> {
     FileChannel channel = FileChannel.open(file, StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE);
     return new Sink() {
@@ -64,30 +64,30 @@
     };
   };
 
-  private final Sink out;
+  private final Sink sink;
   private final SegmentIndex index = new SegmentIndex();
-  private final Rows.Writer rows = new Rows.Writer(BLOCK + (BLOCK >> 1));
-  private byte[] packed = new byte[(int) Zstd.compressBound(2 * BLOCK)];
+  private final Rows.Writer rows = new Rows.Writer(BLOCK_SIZE + (BLOCK_SIZE >> 1));
+  private byte[] compressed = new byte[(int) Zstd.compressBound(2 * BLOCK_SIZE)];
   private long size;
 
-  SegmentWriter(Opener opener, Path file, Origin origin, String front) throws IOException {
-    out = opener.open(file);
-    VarintBuffer head = new VarintBuffer(256);
-    head.text(origin.instance());
-    head.signed(origin.start());
-    head.text(front);
-    byte[] frame = Frame.write(Frame.HEADER, head.array(), head.size(), head.size(), 0, origin.start(), origin.start(), 0);
+  SegmentWriter(Opener opener, Path file, Origin origin, String frontend) throws IOException {
+    sink = opener.open(file);
+    VarintBuffer header = new VarintBuffer(256);
+    header.writeString(origin.instance());
+    header.writeSignedVarint(origin.start());
+    header.writeString(frontend);
+    byte[] frame = Frame.write(Frame.HEADER, header.array(), header.size(), header.size(), 0, origin.start(), origin.start(), 0);
     ByteBuffer b = ByteBuffer.allocate(MAGIC.length + frame.length).put(MAGIC).put(frame);
     write(b.flip());
   }
 
   private void write(ByteBuffer b) throws IOException {
     int n = b.remaining();
-    out.write(b);
+    sink.write(b);
     size += n;
   }
 
-  /** Octets written. */
+  /** Bytes written so far. */
   long size() {
     return size;
   }
@@ -95,57 +95,57 @@
   void add(Entry e) throws IOException {
     rows.add(e);
     index.add(e);
-    if (rows.out.size() >= BLOCK) {
+    if (rows.buffer.size() >= BLOCK_SIZE) {
       flush();
     }
   }
 
-  /** Writes the block that is being filled, if anything is in it. */
+  /** Writes the current block, unless it is empty. */
   void flush() throws IOException {
     if (rows.count == 0) {
       return;
     }
-    int raw = rows.out.size();
-    long bound = Zstd.compressBound(raw);
-    packed = packed.length < bound ? new byte[(int) bound] : packed;
-    long stored = Zstd.compressByteArray(packed, 0, packed.length, rows.out.array(), 0, raw, LEVEL);
-    if (Zstd.isError(stored)) {
-      throw new IOException("can't compress: " + Zstd.getErrorName(stored));
+    int rawSize = rows.buffer.size();
+    long bound = Zstd.compressBound(rawSize);
+    compressed = compressed.length < bound ? new byte[(int) bound] : compressed;
+    long storedSize = Zstd.compressByteArray(compressed, 0, compressed.length, rows.buffer.array(), 0, rawSize, COMPRESSION_LEVEL);
+    if (Zstd.isError(storedSize)) {
+      throw new IOException("compression failed: " + Zstd.getErrorName(storedSize));
     }
-    SegmentIndex.Block block = new SegmentIndex.Block(size, rows.least, rows.most, rows.count, rows.firstSeq);
-    write(ByteBuffer.wrap(Frame.write(Frame.DATA, packed, (int) stored, raw, rows.count, rows.least, rows.most, rows.firstSeq)));
-    index.close(block);
+    SegmentIndex.Block block = new SegmentIndex.Block(size, rows.minTime, rows.maxTime, rows.count, rows.firstSeq);
+    write(ByteBuffer.wrap(Frame.write(Frame.DATA, compressed, (int) storedSize, rawSize, rows.count, rows.minTime, rows.maxTime, rows.firstSeq)));
+    index.closeBlock(block);
     rows.clear();
   }
 
   void force() throws IOException {
-    out.force();
+    sink.force();
   }
 
-  /** Ends it in order: the last block, the index, and where that is. */
+  /** Finishes the segment: writes the last block, the index and the trailer, and forces the file to the disk. */
   void finish() throws IOException {
     flush();
-    byte[] footer = index.write();
-    byte[] stored = Zstd.compress(footer, LEVEL);
-    long at = size;
-    write(ByteBuffer.wrap(Frame.write(Frame.FOOTER, stored, stored.length, footer.length, 0, 0, 0, 0)));
-    ByteBuffer trailer = ByteBuffer.allocate(TRAILER).putLong(at).putInt((int) (size - at));
+    byte[] rawIndex = index.write();
+    byte[] storedIndex = Zstd.compress(rawIndex, COMPRESSION_LEVEL);
+    long indexOffset = size;
+    write(ByteBuffer.wrap(Frame.write(Frame.FOOTER, storedIndex, storedIndex.length, rawIndex.length, 0, 0, 0, 0)));
+    ByteBuffer trailer = ByteBuffer.allocate(TRAILER_SIZE).putLong(indexOffset).putInt((int) (size - indexOffset));
     CRC32C crc = new CRC32C();
     crc.update(trailer.array(), 0, 12);
     write(trailer.putInt((int) crc.getValue()).putInt(TRAILER_MAGIC).flip());
-    out.force();
+    sink.force();
   }
 
-  /** Lets go of the file, whatever is in it. */
+  /** Closes the file, whether or not the segment is finished. */
   @Override
   public void close() throws IOException {
-    out.close();
+    sink.close();
   }
 
-  /** The name of a segment: told apart by instance, life and number, and in order by them. */
-  static String name(Origin origin, long number) {
-    String safe = origin.instance().replaceAll("[^A-Za-z0-9_-]", "_");
-    return String.format("%s-%016d-%08d%s", safe.length() <= 64 ? safe : safe.substring(0, 64), origin.start(), number, SUFFIX);
+  /** The file name of a segment: instance, incarnation and number; names sort in this order. */
+  static String fileName(Origin origin, long number) {
+    String sanitized = origin.instance().replaceAll("[^A-Za-z0-9_-]", "_");
+    return String.format("%s-%016d-%08d%s", sanitized.length() <= 64 ? sanitized : sanitized.substring(0, 64), origin.start(), number, SUFFIX);
   }
 
   static boolean isSegment(Path file) {
--- a/records/src/main/java/cloverpulley/records/Store.java
+++ b/records/src/main/java/cloverpulley/records/Store.java
@@ -12,8 +12,9 @@
 import java.util.stream.Stream;
 
 /**
- * One life's segments in a folder: the open one, which is ended at its size, and those before it, of which the oldest go where all are
- * more than the bound. What can't be written is told to whoever gave it; after a fault a new segment is begun. One thread.
+ * Writes the segments of one incarnation. A segment that reaches its maximum size is finished and the next one started, and the oldest segments of
+ * the instance are deleted if all together would exceed their limit. I/O errors are passed to the caller, which then calls {@link #abandon};
+ * the next record starts a new segment. Used by one thread only.
  */
 final class Store implements AutoCloseable {
 
@@ -21,113 +22,113 @@
 
   private final RecordsConfig config;
   private final Origin origin;
-  private final String front;
+  private final String frontend;
   private final SegmentWriter.Opener opener;
-  private SegmentWriter open;
-  private long number;
+  private SegmentWriter current;
+  private long segmentNumber;
   private long seq;
 
-  Store(RecordsConfig config, Origin origin, String front, SegmentWriter.Opener opener) {
+  Store(RecordsConfig config, Origin origin, String frontend, SegmentWriter.Opener opener) {
     this.config = config;
     this.origin = origin;
-    this.front = front;
+    this.frontend = frontend;
     this.opener = opener;
   }
 
-  /** Writes a record under the next number. */
+  /** Writes a record with the next sequence number. */
   void add(Entry e) throws IOException {
-    if (open == null) {
-      begin(e.at());
+    if (current == null) {
+      openSegment(e.at());
     }
     write(e);
-    if (open.size() >= config.segmentBytes()) {
-      end();
-      begin(e.at());
+    if (current.size() >= config.segmentBytes()) {
+      finishSegment();
+      openSegment(e.at());
     }
   }
 
   private void write(Entry e) throws IOException {
-    open.add(new Entry(origin, ++seq, e.at(), e.kind(), e.request(), e.id(), e.className(), e.tenant(), e.key(), e.attempt(),
+    current.add(new Entry(origin, ++seq, e.at(), e.kind(), e.request(), e.id(), e.className(), e.tenant(), e.key(), e.attempt(),
         e.upstream(), e.name(), e.word(), e.value(), e.other()));
   }
 
-  /** How many records have a number. */
-  long numbered() {
+  /** The last sequence number that was assigned. */
+  long lastSeq() {
     return seq;
   }
 
-  private void begin(long now) throws IOException {
+  private void openSegment(long now) throws IOException {
     Files.createDirectories(config.folder());
-    open = new SegmentWriter(opener, config.folder().resolve(SegmentWriter.name(origin, number++)), origin, front);
-    makeRoom(now);
+    current = new SegmentWriter(opener, config.folder().resolve(SegmentWriter.fileName(origin, segmentNumber++)), origin, frontend);
+    enforceSizeLimit(now);
   }
 
-  /** The oldest segments of this instance's lives go; that they went is recorded before anything else is. */
-  private void makeRoom(long now) throws IOException {
-    List<Path> own = new ArrayList<>();
-    String mine = SegmentWriter.name(origin, 0);
-    String prefix = mine.substring(0, mine.length() - SegmentWriter.SUFFIX.length() - 26);
+  /** Deletes the oldest segments of this instance, of all incarnations. The deletions are the first records of the new segment. */
+  private void enforceSizeLimit(long now) throws IOException {
+    List<Path> segments = new ArrayList<>();
+    String ownName = SegmentWriter.fileName(origin, 0);
+    String prefix = ownName.substring(0, ownName.length() - SegmentWriter.SUFFIX.length() - 26);
     try (Stream<Path> all = Files.list(config.folder())) {
-      all.filter(SegmentWriter::isSegment).filter(f -> f.getFileName().toString().startsWith(prefix)
-          && f.getFileName().toString().length() == mine.length()).sorted().forEach(own::add);
+      all.filter(SegmentWriter::isSegment).filter(file -> file.getFileName().toString().startsWith(prefix)
+          && file.getFileName().toString().length() == ownName.length()).sorted().forEach(segments::add);
     }
-    long octets = 0;
-    for (Path f : own) {
-      octets += Files.size(f);
+    long totalBytes = 0;
+    for (Path file : segments) {
+      totalBytes += Files.size(file);
     }
-    // The open one may grow to its size yet.
-    for (int i = 0; i < own.size() - 1 && octets + config.segmentBytes() > config.mostBytes(); i++) {
-      octets -= Files.size(own.get(i));
+    // The current segment may still grow to its maximum size.
+    for (int i = 0; i < segments.size() - 1 && totalBytes + config.segmentBytes() > config.maxBytes(); i++) {
+      totalBytes -= Files.size(segments.get(i));
       long records = -1;
-      long until = 0;
-      try (SegmentReader r = new SegmentReader(own.get(i))) {
+      long maxTime = 0;
+      try (SegmentReader r = new SegmentReader(segments.get(i))) {
         records = r.records();
-        until = r.most();
+        maxTime = r.maxTime();
       } catch (IOException e) {
-        LOG.fine(() -> "an old segment that can't be read goes: " + e);
+        LOG.fine(() -> "deleting an old segment that can't be read: " + e);
       }
-      Files.delete(own.get(i));
+      Files.delete(segments.get(i));
       write(Entry.of(origin, 0, now, Kind.REMOVED)
-          .withDetails(own.get(i).getFileName().toString(), records, Math.max(0, until)));
+          .withDetails(segments.get(i).getFileName().toString(), records, Math.max(0, maxTime)));
     }
   }
 
-  /** Puts what waits into the file. */
+  /** Writes the buffered records to the file. */
   void flush() throws IOException {
-    if (open != null) {
-      open.flush();
+    if (current != null) {
+      current.flush();
       if (config.sync() == RecordsConfig.Sync.FLUSH) {
-        open.force();
+        current.force();
       }
     }
   }
 
-  private void end() throws IOException {
-    SegmentWriter ending = open;
-    open = null;
-    try (ending) {
-      ending.finish();
+  private void finishSegment() throws IOException {
+    SegmentWriter finished = current;
+    current = null;
+    try (finished) {
+      finished.finish();
     }
   }
 
-  /** After a fault: whatever of the open segment is in the file stays there; the numbers of what was not in it yet are missing. */
+  /** Closes the current segment after an I/O error. Its complete blocks stay readable; sequence numbers of records not yet written are missing. */
   void abandon() {
-    if (open == null) {
+    if (current == null) {
       return;
     }
-    SegmentWriter broken = open;
-    open = null;
+    SegmentWriter failed = current;
+    current = null;
     try {
-      broken.close();
+      failed.close();
     } catch (IOException e) {
-      LOG.fine(() -> "a broken segment can't be closed: " + e);
+      LOG.fine(() -> "closing a segment after a write error failed: " + e);
     }
   }
 
   @Override
   public void close() throws IOException {
-    if (open != null) {
-      end();
+    if (current != null) {
+      finishSegment();
     }
   }
 }
--- a/records/src/main/java/cloverpulley/records/VarintBuffer.java
+++ b/records/src/main/java/cloverpulley/records/VarintBuffer.java
@@ -3,26 +3,26 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** A buffer of whole numbers in as few octets as they need (LEB128; signed ones in zigzag order) and of texts; it grows as it is written. */
+/** A buffer of variable-length integers (LEB128, signed ones zigzag-encoded), fixed-size integers and strings; it grows while written. */
 final class VarintBuffer {
 
   private byte[] bytes;
-  private int at;
-  private final int end;
+  private int position;
+  private final int limit;
 
   VarintBuffer(int capacity) {
     bytes = new byte[capacity];
-    end = -1;
+    limit = -1;
   }
 
-  /** For reading. */
-  VarintBuffer(byte[] from, int length) {
-    bytes = from;
-    end = length;
+  /** Wraps the first {@code length} bytes for reading. */
+  VarintBuffer(byte[] source, int length) {
+    bytes = source;
+    limit = length;
   }
 
   int size() {
-    return at;
+    return position;
   }
 
   byte[] array() {
@@ -30,109 +30,111 @@
   }
 
   void clear() {
-    at = 0;
+    position = 0;
   }
 
-  boolean hasMore() {
-    return at < end;
+  boolean hasRemaining() {
+    return position < limit;
   }
 
-  private void room(int more) {
-    if (at + more > bytes.length) {
-      bytes = Arrays.copyOf(bytes, Math.max(at + more, bytes.length * 2));
+  private void ensureCapacity(int additional) {
+    if (position + additional > bytes.length) {
+      bytes = Arrays.copyOf(bytes, Math.max(position + additional, bytes.length * 2));
     }
   }
 
-  void number(long n) {
-    room(10);
-    long left = n;
-    while ((left & ~0x7FL) != 0) {
-      bytes[at++] = (byte) (left & 0x7F | 0x80);
-      left >>>= 7;
+  void writeVarint(long n) {
+    ensureCapacity(10);
+    long remaining = n;
+    while ((remaining & ~0x7FL) != 0) {
+      bytes[position++] = (byte) (remaining & 0x7F | 0x80);
+      remaining >>>= 7;
     }
-    bytes[at++] = (byte) left;
+    bytes[position++] = (byte) remaining;
   }
 
-  void signed(long n) {
-    number(n << 1 ^ n >> 63);
+  void writeSignedVarint(long n) {
+    writeVarint(n << 1 ^ n >> 63);
   }
 
-  void fixed(long n) {
-    room(8);
+  /** Writes 8 bytes in little-endian order. */
+  void writeFixed64(long n) {
+    ensureCapacity(8);
     for (int i = 0; i < 8; i++) {
-      bytes[at++] = (byte) (n >>> 8 * i);
+      bytes[position++] = (byte) (n >>> 8 * i);
     }
   }
 
-  void text(String s) {
-    byte[] b = s.getBytes(StandardCharsets.UTF_8);
-    number(b.length);
-    octets(b, b.length);
+  /** Writes the length in bytes and the string in UTF-8. */
+  void writeString(String s) {
+    byte[] utf8 = s.getBytes(StandardCharsets.UTF_8);
+    writeVarint(utf8.length);
+    writeBytes(utf8, utf8.length);
   }
 
-  void octets(byte[] b, int length) {
-    room(length);
-    System.arraycopy(b, 0, bytes, at, length);
-    at += length;
+  void writeBytes(byte[] source, int length) {
+    ensureCapacity(length);
+    System.arraycopy(source, 0, bytes, position, length);
+    position += length;
   }
 
-  // ---- Reading: whatever comes, an exception and no more than what is there --------------------------------
+  // ---- Reading: invalid input causes a CorruptSegmentException; nothing is read beyond the limit ------------
 
-  private void need(int n) throws CorruptSegmentException {
-    if (n < 0 || at + n > end) {
-      throw new CorruptSegmentException("cut off");
+  private void requireRemaining(int n) throws CorruptSegmentException {
+    if (n < 0 || position + n > limit) {
+      throw new CorruptSegmentException("truncated");
     }
   }
 
-  long number() throws CorruptSegmentException {
+  long readVarint() throws CorruptSegmentException {
     long n = 0;
     for (int shift = 0; shift < 64; shift += 7) {
-      need(1);
-      byte b = bytes[at++];
+      requireRemaining(1);
+      byte b = bytes[position++];
       n |= (long) (b & 0x7F) << shift;
       if (b >= 0) {
         return n;
       }
     }
-    throw new CorruptSegmentException("a number without an end");
+    throw new CorruptSegmentException("varint longer than 10 bytes");
   }
 
-  long signed() throws CorruptSegmentException {
-    long n = number();
+  long readSignedVarint() throws CorruptSegmentException {
+    long n = readVarint();
     return n >>> 1 ^ -(n & 1);
   }
 
-  /** A number within bounds, both included. */
-  int number(int least, int most) throws CorruptSegmentException {
-    long n = number();
-    if (n < least || n > most) {
-      throw new CorruptSegmentException("a number out of its bounds");
+  /** Reads a varint that must be within {@code min} and {@code max}, both inclusive. */
+  int readVarint(int min, int max) throws CorruptSegmentException {
+    long n = readVarint();
+    if (n < min || n > max) {
+      throw new CorruptSegmentException("number out of range");
     }
     return (int) n;
   }
 
-  long fixed() throws CorruptSegmentException {
-    need(8);
+  long readFixed64() throws CorruptSegmentException {
+    requireRemaining(8);
     long n = 0;
     for (int i = 0; i < 8; i++) {
-      n |= (bytes[at++] & 0xFFL) << 8 * i;
+      n |= (bytes[position++] & 0xFFL) << 8 * i;
     }
     return n;
   }
 
-  String text(int most) throws CorruptSegmentException {
-    int length = number(0, most);
-    need(length);
-    String s = new String(bytes, at, length, StandardCharsets.UTF_8);
-    at += length;
+  String readString(int maxBytes) throws CorruptSegmentException {
+    int length = readVarint(0, maxBytes);
+    requireRemaining(length);
+    String s = new String(bytes, position, length, StandardCharsets.UTF_8);
+    position += length;
     return s;
   }
 
-  byte[] octets(int most) throws CorruptSegmentException {
-    int length = number(0, most);
-    need(length);
-    byte[] b = Arrays.copyOfRange(bytes, at, at + length);
-    at += length;
+  byte[] readBytes(int maxBytes) throws CorruptSegmentException {
+    int length = readVarint(0, maxBytes);
+    requireRemaining(length);
+    byte[] b = Arrays.copyOfRange(bytes, position, position + length);
+    position += length;
     return b;
   }
 }
--- a/records/src/main/java/cloverpulley/records/package-info.java
+++ b/records/src/main/java/cloverpulley/records/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Records of the program itself: written once for all fronts into segments of compressed, checked blocks, with an index at the end of
- * each; and read again, whatever became of the files.
+ * The service's own event records: all frontends write them to segments of compressed blocks with checksums and an index at the end. The
+ * reader also handles truncated, corrupt and still growing files.
  */
 package cloverpulley.records;
--- a/records/src/test/java/cloverpulley/records/SegmentTest.java
+++ b/records/src/test/java/cloverpulley/records/SegmentTest.java
@@ -39,7 +39,7 @@
   }
 
   private Path write(int count, boolean finish, List<Entry> into) throws IOException {
-    Path file = folder.resolve(SegmentWriter.name(ORIGIN, into.hashCode() & 0xFFFF));
+    Path file = folder.resolve(SegmentWriter.fileName(ORIGIN, into.hashCode() & 0xFFFF));
     SplittableRandom r = new SplittableRandom(SEED);
     try (SegmentWriter w = new SegmentWriter(SegmentWriter.FILES, file, ORIGIN, "process")) {
       for (int i = 1; i <= count; i++) {
@@ -61,8 +61,8 @@
     try (SegmentReader r = new SegmentReader(file)) {
       assertEquals(ORIGIN, r.origin());
       r.read(ALL, 0, true, got::add);
-      spoilt[0] = r.damage().spoiltBlocks();
-      torn[0] = r.damage().tornOctets();
+      spoilt[0] = r.damage().corruptBlocks();
+      torn[0] = r.damage().truncatedBytes();
     }
     return got;
   }
@@ -144,13 +144,13 @@
         spoilt[at + n] ^= (byte) (1 + r.nextInt(255));
       }
       for (boolean indexed : new boolean[] {true, false}) {
-        Files.write(file, indexed ? spoilt : Arrays.copyOf(spoilt, spoilt.length - SegmentWriter.TRAILER));
+        Files.write(file, indexed ? spoilt : Arrays.copyOf(spoilt, spoilt.length - SegmentWriter.TRAILER_SIZE));
         List<Entry> got = new ArrayList<>();
         try (SegmentReader s = new SegmentReader(file)) {
           s.read(ALL, 0, true, got::add);
           boolean lost = got.size() < put.size();
-          assertTrue(!lost || s.damage().spoiltBlocks() + s.damage().tornOctets() > 0, "seed " + SEED + ", round " + round);
-          assertTrue(s.damage().spoiltBlocks() <= 2, "two at an edge: " + s.damage());
+          assertTrue(!lost || s.damage().corruptBlocks() + s.damage().truncatedBytes() > 0, "seed " + SEED + ", round " + round);
+          assertTrue(s.damage().corruptBlocks() <= 2, "two at an edge: " + s.damage());
         }
         assertTrue(put.containsAll(got.subList(0, Math.min(50, got.size()))), "nothing that was not written");
         assertTrue(got.size() > put.size() / 2, "round " + round + ": " + got.size());
@@ -205,6 +205,6 @@
         assertTrue(e.getMessage().length() > 3);
       }
     }
-    assertThrows(CorruptSegmentException.class, () -> new VarintBuffer(new byte[] {-1, -1, -1, -1, -1, -1, -1, -1, -1, -1, 1}, 11).number());
+    assertThrows(CorruptSegmentException.class, () -> new VarintBuffer(new byte[] {-1, -1, -1, -1, -1, -1, -1, -1, -1, -1, 1}, 11).readVarint());
   }
 }
