--- a/bench/src/main/java/cloverpulley/bench/IncidentBench.java
+++ b/bench/src/main/java/cloverpulley/bench/IncidentBench.java
@@ -173,7 +173,7 @@
     write(folder, records);
     Archive archive = new Archive(List.of(folder));
     figures.put("rate", records / ((System.nanoTime() - start) / 1e9));
-    figures.put("bytes", archive.octets() / (double) records);
+    figures.put("bytes", archive.bytes() / (double) records);
     System.out.printf("written: %.0f records a second, %.1f octets each%n", figures.get("rate"), figures.get("bytes"));
     long from = DAY / 1_000_000 + 43_200;
     Map<String, String> questions = new TreeMap<>(Map.of("ten minutes", "at>=" + from + " and at<" + (from + 600)
@@ -188,12 +188,12 @@
         Archive.Read by = archive.read(Query.of(q.getValue()), e -> { }, n -> { });
         long t1 = System.nanoTime();
         best[0] = Math.min(best[0], (t1 - t0) / 1e9);
-        found[0] = by.fitting();
+        found[0] = by.matching();
         blocks[0] = by.blocks();
         if (i == 0) { // The scan is long and steady: once.
           Archive.Read scan = archive.scan(Query.of(q.getValue()), e -> { });
           best[1] = (System.nanoTime() - t1) / 1e9;
-          found[1] = scan.fitting();
+          found[1] = scan.matching();
           blocks[1] = scan.blocks();
         }
       }
--- a/dist/src/main/java/cloverpulley/cli/IncidentCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/IncidentCommand.java
@@ -80,7 +80,7 @@
       Archive archive = open();
       IncidentAnalysis.Options options = new IncidentAnalysis.Options(from == null ? Long.MIN_VALUE : from, to == null ? Long.MAX_VALUE : to,
           (long) (spanSeconds * 1e6), reference, Audit.Limits.DEFAULT);
-      try (Progress progress = new Progress(archive.octets())) {
+      try (Progress progress = new Progress(archive.bytes())) {
         return new IncidentAnalysis(archive, options, progress);
       }
     }
@@ -184,12 +184,12 @@
         }
       }, n -> { });
       if (count) {
-        System.out.println(read.fitting());
-      } else if (read.fitting() > most) {
-        System.err.println(read.fitting() - most + " more");
+        System.out.println(read.matching());
+      } else if (read.matching() > most) {
+        System.err.println(read.matching() - most + " more");
       }
-      if (read.spoiltBlocks() > 0 || read.tornOctets() > 0) {
-        System.err.println(read.spoiltBlocks() + " spoilt blocks, " + read.tornOctets() + " octets cut off at ends");
+      if (read.corruptBlocks() > 0 || read.truncatedBytes() > 0) {
+        System.err.println(read.corruptBlocks() + " spoilt blocks, " + read.truncatedBytes() + " octets cut off at ends");
       }
       return 0;
     }
@@ -259,8 +259,8 @@
           + f.check().name().toLowerCase(Locale.ROOT) + " " + f.origin().instance() + " " + (f.request() == null ? "" : f.request() + " ")
           + f.description())));
       s.timeline.gaps(s.clocks).forEach(g -> System.out.println(Sanitizer.printable("not known: " + g.instance() + ", " + g.reason())));
-      if (s.read.spoiltBlocks() > 0 || s.read.tornOctets() > 0) {
-        System.out.println("not known: " + s.read.spoiltBlocks() + " spoilt blocks, " + s.read.tornOctets() + " octets cut off at ends");
+      if (s.read.corruptBlocks() > 0 || s.read.truncatedBytes() > 0) {
+        System.out.println("not known: " + s.read.corruptBlocks() + " spoilt blocks, " + s.read.truncatedBytes() + " octets cut off at ends");
       }
       return findings.stream().anyMatch(Audit.Finding::certain) ? BROKEN : 0;
     }
--- a/incident/src/main/java/cloverpulley/incident/tool/HtmlReport.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/HtmlReport.java
@@ -105,7 +105,7 @@
   private void unknown() {
     page.append("<h2>What is not known</h2>");
     Map<String, Long> reasons = new TreeMap<>();
-    if (gaps.isEmpty() && analysis.read.spoiltBlocks() == 0 && analysis.read.tornOctets() == 0 && analysis.read.unread().isEmpty()
+    if (gaps.isEmpty() && analysis.read.corruptBlocks() == 0 && analysis.read.truncatedBytes() == 0 && analysis.read.unread().isEmpty()
         && timeline.callerOnly().isEmpty()) {
       page.append("<p>Nothing: every instance recorded its start and its stop, no record was dropped, none is corrupt.</p>");
       return;
@@ -121,9 +121,9 @@
           .append("</td><td>").append(Sanitizer.html(g.reason())).append("</td></tr>");
     }
     page.append("</table>");
-    if (analysis.read.spoiltBlocks() > 0 || analysis.read.tornOctets() > 0) {
+    if (analysis.read.corruptBlocks() > 0 || analysis.read.truncatedBytes() > 0) {
       page.append(formatted("<p class=\"unsure\">%d blocks (%d bytes) are corrupt, %d bytes at the ends of segments are truncated.</p>",
-          analysis.read.spoiltBlocks(), analysis.read.lostOctets(), analysis.read.tornOctets()));
+          analysis.read.corruptBlocks(), analysis.read.lostBytes(), analysis.read.truncatedBytes()));
     }
     analysis.read.unread().forEach(u -> reasons.merge(String.valueOf(u.problem()), 1L, Long::sum));
     reasons.forEach((reason, n) -> page.append("<p class=\"unsure\">").append(n).append(" segments were not read: ").append(Sanitizer.html(reason))
--- a/incident/src/main/java/cloverpulley/incident/tool/IncidentAnalysis.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/IncidentAnalysis.java
@@ -55,13 +55,13 @@
     timeline = new Timeline(options.intervalMicros, complete);
     audit = new Audit(options.limits, complete);
     if (complete) {
-      read = archive.all(this::addRecord, bytesDone);
+      read = archive.readAll(this::addRecord, bytesDone);
     } else {
       // State still in effect may have been recorded before the requested period: those older records are looked up by the index.
       for (String kind : STATE_KINDS) {
         archive.read(Query.of("kind=" + kind), this::addState, n -> { });
       }
-      read = archive.between(options.from, options.to, this::startOffset, this::addRecord, bytesDone);
+      read = archive.readBetween(options.from, options.to, this::startOffset, this::addRecord, bytesDone);
     }
   }
 
@@ -90,7 +90,7 @@
   static Clocks clocks(Archive archive, String reference) throws IOException {
     Correlations correlations = new Correlations();
     Map<String, long[]> spans = new TreeMap<>();
-    archive.lives().forEach((instance, lives) -> {
+    archive.incarnations().forEach((instance, lives) -> {
       long[] span = spans.computeIfAbsent(instance, i -> new long[] {Long.MAX_VALUE, Long.MIN_VALUE});
       lives.forEach(o -> span[0] = Math.min(span[0], o.start()));
     });
--- a/incident/src/test/java/cloverpulley/incident/tool/SanitizerTest.java
+++ b/incident/src/test/java/cloverpulley/incident/tool/SanitizerTest.java
@@ -43,7 +43,7 @@
     }
     assertEquals(1, html.split("<style>", -1).length - 1, "only the report's own");
     int[] lines = {0};
-    s.archive.all(e -> {
+    s.archive.readAll(e -> {
       String text = EntryFormatter.text(e);
       assertTrue(text.chars().noneMatch(c -> Character.isISOControl(c) || c == 0x202E), text);
       try (JsonParser p = new JsonFactory().createParser(EntryFormatter.json(e))) {
--- a/load/src/main/java/cloverpulley/load/ArchiveTrace.java
+++ b/load/src/main/java/cloverpulley/load/ArchiveTrace.java
@@ -54,7 +54,7 @@
         t.write();
       }
       t.out.close();
-      return new Count(t.requests, t.unmatched, t.dropped, read.spoiltBlocks());
+      return new Count(t.requests, t.unmatched, t.dropped, read.corruptBlocks());
     } catch (UncheckedIOException e) {
       throw e.getCause();
     }
--- a/records/src/main/java/cloverpulley/records/Archive.java
+++ b/records/src/main/java/cloverpulley/records/Archive.java
@@ -16,46 +16,61 @@
 import java.util.function.ToLongFunction;
 import java.util.stream.Stream;
 
-/** The records in some folders: segments of any instances and lives, whole, torn, spoilt or still being written. */
+/** The records in a set of folders: segments of any instances and incarnations, complete, truncated, corrupt or still being written. */
 public final class Archive {
 
-  private static final int MOST_SEGMENTS = 100_000;
+  private static final int MAX_SEGMENTS = 100_000;
   private static final Constraints ALL = new Constraints(Long.MIN_VALUE, Long.MAX_VALUE, Map.of());
 
-  /** One file that could be opened, or why it could not ({@code origin} is null then). */
-  public record Segment(Path file, long octets, Origin origin, String front, boolean whole, String problem) {}
+  /**
+   * A file of the archive.
+   *
+   * @param origin null if the file could not be opened as a segment
+   * @param complete whether its writer finished it
+   * @param problem why the file could not be read; null if it could
+   */
+  public record Segment(Path file, long bytes, Origin origin, String frontend, boolean complete, String problem) {}
 
-  /** What came of a reading. */
-  public record Read(long records, long fitting, int blocks, int spoiltBlocks, long lostOctets, long tornOctets, List<Segment> unread) {}
+  /**
+   * Statistics of one read.
+   *
+   * @param records records that were read
+   * @param matching records that were passed to the consumer
+   * @param blocks blocks that were read
+   * @param lostBytes bytes skipped with corrupt blocks
+   * @param truncatedBytes bytes at the ends of segments after the last valid block
+   * @param unread segments that could not be read
+   */
+  public record Read(long records, long matching, int blocks, int corruptBlocks, long lostBytes, long truncatedBytes, List<Segment> unread) {}
 
   private final List<Segment> segments = new ArrayList<>();
 
   /**
-   * Looks into folders, and takes files as they are.
+   * Opens the segments in the given folders, and the given files.
    *
-   * @throws IOException where a folder can't be listed or there are more than 100,000 segments
+   * @throws IOException if a folder cannot be listed or there are more than 100,000 segments
    */
-  public Archive(List<Path> places) throws IOException {
+  public Archive(List<Path> paths) throws IOException {
     List<Path> files = new ArrayList<>();
-    for (Path place : places) {
-      if (Files.isDirectory(place)) {
-        try (Stream<Path> all = Files.walk(place, 4)) {
-          all.filter(SegmentWriter::isSegment).limit(MOST_SEGMENTS + 1L).forEach(files::add);
+    for (Path path : paths) {
+      if (Files.isDirectory(path)) {
+        try (Stream<Path> all = Files.walk(path, 4)) {
+          all.filter(SegmentWriter::isSegment).limit(MAX_SEGMENTS + 1L).forEach(files::add);
         }
       } else {
-        files.add(place);
+        files.add(path);
       }
     }
-    if (files.size() > MOST_SEGMENTS) {
-      throw new IOException("more than " + MOST_SEGMENTS + " segments");
+    if (files.size() > MAX_SEGMENTS) {
+      throw new IOException("more than " + MAX_SEGMENTS + " segments");
     }
     files.sort((a, b) -> a.getFileName().compareTo(b.getFileName()));
     for (Path file : files) {
-      long octets = Files.exists(file) ? Files.size(file) : 0;
+      long bytes = Files.exists(file) ? Files.size(file) : 0;
       try (SegmentReader r = new SegmentReader(file)) {
-        segments.add(new Segment(file, octets, r.origin(), r.frontend(), r.isComplete(), null));
+        segments.add(new Segment(file, bytes, r.origin(), r.frontend(), r.isComplete(), null));
       } catch (IOException e) {
-        segments.add(new Segment(file, octets, null, null, false, String.valueOf(e.getMessage())));
+        segments.add(new Segment(file, bytes, null, null, false, String.valueOf(e.getMessage())));
       }
     }
   }
@@ -64,84 +79,84 @@
     return segments;
   }
 
-  public long octets() {
-    return segments.stream().mapToLong(Segment::octets).sum();
+  public long bytes() {
+    return segments.stream().mapToLong(Segment::bytes).sum();
   }
 
-  /** Everything, an instance's life after the other, each in its own order. */
-  public Read all(Consumer<Entry> to, LongConsumer octetsDone) throws IOException {
-    return read(ALL, e -> true, o -> 0, true, to, octetsDone);
+  /** Reads all records: one incarnation of an instance after the other, each in the order of its records. */
+  public Read readAll(Consumer<Entry> consumer, LongConsumer bytesDone) throws IOException {
+    return read(ALL, e -> true, origin -> 0, true, consumer, bytesDone);
   }
 
-  /** What fits a question, by the index where there is one. */
-  public Read read(Query query, Consumer<Entry> to, LongConsumer octetsDone) throws IOException {
-    return read(query.constraints(), query::test, o -> 0, true, to, octetsDone);
+  /** Reads the records that match a query, using the indexes that exist. */
+  public Read read(Query query, Consumer<Entry> consumer, LongConsumer bytesDone) throws IOException {
+    return read(query.constraints(), query::test, origin -> 0, true, consumer, bytesDone);
   }
 
-  /** The same without looking into any index: what a plain reader would do. */
-  public Read scan(Query query, Consumer<Entry> to) throws IOException {
-    return read(ALL, query::test, o -> 0, false, to, n -> { });
+  /** Reads the records that match a query without using any index. */
+  public Read scan(Query query, Consumer<Entry> consumer) throws IOException {
+    return read(ALL, query::test, origin -> 0, false, consumer, n -> { });
   }
 
-  /** What lies between two times of a reference clock; {@code shift} says what is to be added to an origin's own times. */
-  public Read between(long from, long to, ToLongFunction<Origin> shift, Consumer<Entry> give, LongConsumer octetsDone)
+  /** Reads the records between two times of a reference clock; {@code clockOffset} is what to add to the times of an origin. */
+  public Read readBetween(long from, long to, ToLongFunction<Origin> clockOffset, Consumer<Entry> consumer, LongConsumer bytesDone)
       throws IOException {
     return read(new Constraints(from, to, Map.of()), e -> {
-      long at = e.at() + shift.applyAsLong(e.origin());
+      long at = e.at() + clockOffset.applyAsLong(e.origin());
       return at >= from && at <= to;
-    }, shift, true, give, octetsDone);
+    }, clockOffset, true, consumer, bytesDone);
   }
 
-  private interface Test {
-    boolean fits(Entry e);
+  private interface Filter {
+    boolean matches(Entry e);
   }
 
-  private Read read(Constraints needs, Test test, ToLongFunction<Origin> shift, boolean useIndex, Consumer<Entry> to, LongConsumer octetsDone)
-      throws IOException {
+  private Read read(Constraints constraints, Filter filter, ToLongFunction<Origin> clockOffset, boolean useIndex,
+      Consumer<Entry> consumer, LongConsumer bytesDone) throws IOException {
     long[] counts = new long[2];
     int blocks = 0;
-    int spoilt = 0;
-    long lost = 0;
-    long torn = 0;
-    long done = 0;
+    int corruptBlocks = 0;
+    long lostBytes = 0;
+    long truncatedBytes = 0;
+    long bytesRead = 0;
     List<Segment> unread = new ArrayList<>();
     for (Segment s : segments) {
       if (s.origin() == null) {
         unread.add(s);
       } else {
         try (SegmentReader r = new SegmentReader(s.file())) {
-          blocks += r.read(needs, shift.applyAsLong(s.origin()), useIndex, e -> {
+          blocks += r.read(constraints, clockOffset.applyAsLong(s.origin()), useIndex, e -> {
             counts[0]++;
-            if (test.fits(e)) {
+            if (filter.matches(e)) {
               counts[1]++;
-              to.accept(e);
+              consumer.accept(e);
             }
           });
-          spoilt += r.damage().corruptBlocks();
-          lost += r.damage().lostBytes();
-          torn += r.damage().truncatedBytes();
+          corruptBlocks += r.damage().corruptBlocks();
+          lostBytes += r.damage().lostBytes();
+          truncatedBytes += r.damage().truncatedBytes();
         } catch (java.nio.file.NoSuchFileException e) {
-          // The oldest may go while the others are read: its going is recorded in a younger one.
-          unread.add(new Segment(s.file(), s.octets(), s.origin(), s.front(), s.whole(), "has gone meanwhile"));
+          // The writer may delete the oldest segment during the read; it records that in a newer segment.
+          unread.add(new Segment(s.file(), s.bytes(), s.origin(), s.frontend(), s.complete(), "deleted during the read"));
         }
       }
-      done += s.octets();
-      octetsDone.accept(done);
+      bytesRead += s.bytes();
+      bytesDone.accept(bytesRead);
     }
-    return new Read(counts[0], counts[1], blocks, spoilt, lost, torn, unread);
+    return new Read(counts[0], counts[1], blocks, corruptBlocks, lostBytes, truncatedBytes, unread);
   }
 
-  /** The lives that have records, by instance. */
-  public Map<String, List<Origin>> lives() {
-    Map<String, List<Origin>> lives = new TreeMap<>();
+  /** The incarnations that have records, by instance. */
+  public Map<String, List<Origin>> incarnations() {
+    Map<String, List<Origin>> incarnations = new TreeMap<>();
     for (Segment s : segments) {
       if (s.origin() != null) {
-        List<Origin> of = lives.computeIfAbsent(s.origin().instance(), i -> new ArrayList<>());
-        if (!of.contains(s.origin())) {
-          of.add(s.origin());
+        List<Origin> origins = incarnations.computeIfAbsent(s.origin().instance(), i -> new ArrayList<>());
+        if (!origins.contains(s.origin())) {
+          origins.add(s.origin());
         }
       }
     }
-    return lives;
+    return incarnations;
   }
 }
--- a/records/src/test/java/cloverpulley/records/RecorderTest.java
+++ b/records/src/test/java/cloverpulley/records/RecorderTest.java
@@ -47,7 +47,7 @@
 
   private List<Entry> all() throws IOException {
     List<Entry> all = new ArrayList<>();
-    new Archive(List.of(folder)).all(all::add, n -> { });
+    new Archive(List.of(folder)).readAll(all::add, n -> { });
     return all;
   }
 
@@ -199,7 +199,7 @@
     }
     r.close();
     Archive archive = new Archive(List.of(folder));
-    assertTrue(archive.octets() <= 3 * MB + (MB >> 1), "octets " + archive.octets());
+    assertTrue(archive.bytes() <= 3 * MB + (MB >> 1), "octets " + archive.bytes());
     List<Entry> all = all();
     List<Entry> removed = all.stream().filter(e -> e.kind() == Kind.REMOVED).toList();
     assertFalse(removed.isEmpty());
@@ -223,7 +223,7 @@
     // The successor under the old name is another life.
     Recorder next = Recorder.open(config(1 << 16, MB, 8 * MB), "process", null);
     next.close();
-    assertEquals(2, new Archive(List.of(folder)).lives().get("p").size());
+    assertEquals(2, new Archive(List.of(folder)).incarnations().get("p").size());
   }
 
   /** A file is read while it grows: whole blocks only, more each time. */
--- a/records/src/test/java/cloverpulley/records/SegmentTest.java
+++ b/records/src/test/java/cloverpulley/records/SegmentTest.java
@@ -168,7 +168,7 @@
     Files.write(folder.resolve("c" + SegmentWriter.SUFFIX), new byte[3]);
     Files.write(folder.resolve("d" + SegmentWriter.SUFFIX), "not a segment at all".getBytes());
     Archive archive = new Archive(List.of(folder));
-    Archive.Read read = archive.all(e -> { }, n -> { });
+    Archive.Read read = archive.readAll(e -> { }, n -> { });
     assertEquals(100, read.records());
     assertEquals(3, read.unread().size());
     assertTrue(read.unread().get(0).problem().contains("version 2"), read.unread().toString());
