--- a/records/src/main/java/cloverpulley/records/Recorder.java
+++ b/records/src/main/java/cloverpulley/records/Recorder.java
@@ -32,42 +32,42 @@
 import org.jctools.queues.MpscArrayQueue;
 
 /**
- * Writes down what the engine and a front do. Whoever tells it something puts a record into a queue (JCTools' bounded one of many
- * producers) and goes on: no lock, no wait. A thread of its own writes. Where the queue is getting full, records of little worth are
- * dropped first and verdicts last; each one dropped is counted by kind, and the counts are recorded as soon as there is room.
+ * Records the events of the engine and of a frontend. Callers put a record into a bounded multi-producer queue (JCTools) without locking or
+ * waiting, and a dedicated thread writes the records to the store. As the queue fills up, records of low priority are dropped first and
+ * final answers last. Dropped records are counted by kind, and the counts are recorded as soon as possible.
  */
 public final class Recorder implements Witness, AutoCloseable {
 
   private static final Logger LOG = Logger.getLogger(Recorder.class.getName());
 
-  private static final int BATCH = 1024;
+  private static final int BATCH_SIZE = 1024;
   private static final long IDLE_NANOS = 2_000_000;
   private static final long RETRY_NANOS = TimeUnit.SECONDS.toNanos(1);
-  private static final long CLOCK_NANOS = TimeUnit.SECONDS.toNanos(10);
-  private static final long CLOSE_MILLIS = 10_000;
+  private static final long CLOCK_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(10);
+  private static final long CLOSE_TIMEOUT_MILLIS = 10_000;
   private static final Kind[] KINDS = Kind.values();
-  private static final String[] STATUS = words(Status.values());
-  private static final String[] STATES = words(State.values());
-  /** The queue's part from which records of a worth are dropped: an eighth more for each point, the best keep it all. */
-  private static final int WORTHS = 9;
+  private static final String[] STATUS_NAMES = lowerCaseNames(Status.values());
+  private static final String[] STATE_NAMES = lowerCaseNames(State.values());
+  /** Records of priority p are dropped once the queue is filled to 1/2 + p/18; those of the highest priority only if it is full. */
+  private static final int MAX_PRIORITY = 9;
 
-  /** Where nothing is kept. */
+  /** Records nothing. */
   public static final Recorder NONE = new Recorder();
 
   private final RecordsConfig config;
   private final Origin origin;
-  private final String front;
-  private final LongSupplier micros;
+  private final String frontend;
+  private final LongSupplier clockMicros;
   private final MpscArrayQueue<Entry> queue;
-  private final int[] room = new int[WORTHS + 1];
+  private final int[] dropThresholds = new int[MAX_PRIORITY + 1];
   private final AtomicLongArray dropped = new AtomicLongArray(KINDS.length);
   private final Store store;
   private final Thread writer;
-  /** The engine's loop alone: what the list last said of each server. */
-  private final Map<Long, ServerList.Server> known = new HashMap<>();
+  /** Last listed state of each server that is not gone, by upstream. Accessed on the engine's event loop only. */
+  private final Map<Long, ServerList.Server> listedServers = new HashMap<>();
   private long revision = -1;
-  /** The writer's: records that the store would not take. */
-  private final List<Entry> refused = new ArrayList<>();
+  /** Records of a batch that were not written because of an I/O error. Accessed by the writer thread only. */
+  private final List<Entry> failedRecords = new ArrayList<>();
   private volatile boolean closed;
   private volatile boolean killed;
   private volatile long written;
@@ -76,84 +76,84 @@
   private Recorder() {
     config = null;
     origin = null;
-    front = null;
-    micros = null;
+    frontend = null;
+    clockMicros = null;
     queue = null;
     store = null;
     writer = null;
   }
 
-  /** For who calls and decides nothing: the load generator. */
+  /** Creates a recorder for a client that balances nothing itself, such as the load generator. */
   public static Recorder caller(Path folder, String instance) {
     return open(RecordsConfig.of(folder, instance), "caller", null);
   }
 
-  /** Starts to record; with no folder configured nothing is. Faults of the disk are told in the log, and never to the service. */
-  public static Recorder open(RecordsConfig config, String front, Settings settings) {
+  /** Starts recording; returns {@link #NONE} if no folder is configured. Disk errors are logged and never affect the service. */
+  public static Recorder open(RecordsConfig config, String frontend, Settings settings) {
     if (config == null || config.folder() == null) {
       return NONE;
     }
     Clock clock = new Clock();
-    return new Recorder(config, front, settings, () -> clock.unixMicros(clock.now()), SegmentWriter.FILES);
+    return new Recorder(config, frontend, settings, () -> clock.unixMicros(clock.now()), SegmentWriter.FILES);
   }
 
-  /** The same by another clock (microseconds of Unix time) and into something else than files. */
-  Recorder(RecordsConfig config, String front, Settings settings, LongSupplier micros, SegmentWriter.Opener opener) {
+  /** Constructor with a clock (microseconds of Unix time) and a destination of the segments, which tests replace. */
+  Recorder(RecordsConfig config, String frontend, Settings settings, LongSupplier clockMicros, SegmentWriter.Opener opener) {
     this.config = config;
-    this.front = front;
-    this.micros = micros;
-    origin = new Origin(config.instance(), micros.getAsLong());
+    this.frontend = frontend;
+    this.clockMicros = clockMicros;
+    origin = new Origin(config.instance(), clockMicros.getAsLong());
     queue = new MpscArrayQueue<>(config.queue());
-    for (int i = 1; i <= WORTHS; i++) {
-      room[i] = i == WORTHS ? Integer.MAX_VALUE : (int) (queue.capacity() * (0.5 + 0.5 * i / WORTHS));
+    for (int i = 1; i <= MAX_PRIORITY; i++) {
+      dropThresholds[i] = i == MAX_PRIORITY ? Integer.MAX_VALUE : (int) (queue.capacity() * (0.5 + 0.5 * i / MAX_PRIORITY));
     }
-    store = new Store(config, origin, front, opener);
+    store = new Store(config, origin, frontend, opener);
     if (settings == null) {
-      put(entry(Kind.START).withDetails(front, 0, 0));
+      enqueue(newEntry(Kind.START).withDetails(frontend, 0, 0));
     } else {
-      start(settings);
+      recordSettings(settings);
     }
     writer = new Thread(this::write, "records");
     writer.setDaemon(true);
     writer.start();
   }
 
-  /** What a reader has to know of this life before anything else. */
-  private void start(Settings settings) {
-    put(entry(Kind.START).withDetails(front, settings.selfId(), settings.groupSize()));
+  /** Records the settings that a reader needs to interpret the records of this incarnation. */
+  private void recordSettings(Settings settings) {
+    enqueue(newEntry(Kind.START).withDetails(frontend, settings.selfId(), settings.groupSize()));
     for (RequestClass c : settings.classes()) {
-      put(new Entry(origin, 0, micros.getAsLong(), Kind.CLASS, 0, null, c.name(), null, 0, 0, 0, null,
-          word(c.effect()) + " " + word(c.dedupScope()), c.dedupWindowNanos() / 1000, c.deadlineNanos() / 1000));
+      enqueue(new Entry(origin, 0, clockMicros.getAsLong(), Kind.CLASS, 0, null, c.name(), null, 0, 0, 0, null,
+          lowerCaseName(c.effect()) + " " + lowerCaseName(c.dedupScope()), c.dedupWindowNanos() / 1000, c.deadlineNanos() / 1000));
     }
     for (Tenant t : settings.tenants()) {
-      put(new Entry(origin, 0, micros.getAsLong(), Kind.TENANT, 0, null, null, t.name(), 0, 0, 0, null, null,
+      enqueue(new Entry(origin, 0, clockMicros.getAsLong(), Kind.TENANT, 0, null, null, t.name(), 0, 0, 0, null, null,
           Math.round(t.share() * 1e6), Math.round(t.quotaPerSecond() * 1e3)));
     }
   }
 
-  /** A recorder whose clock is that many microseconds off, and goes wrong by {@code ppm}: for tests of what clocks do. */
-  public static Recorder skewed(RecordsConfig config, String front, Settings settings, long offMicros, double ppm) {
+  /** A recorder whose clock has an offset in microseconds and a drift in parts per million, for tests of the clock alignment. */
+  public static Recorder skewed(RecordsConfig config, String frontend, Settings settings, long offsetMicros, double driftPpm) {
     Clock clock = new Clock();
     long start = clock.now();
-    return new Recorder(config, front, settings, () -> {
+    return new Recorder(config, frontend, settings, () -> {
       long now = clock.now();
-      return clock.unixMicros(now) + offMicros + (long) ((now - start) / 1000 * ppm / 1e6);
+      return clock.unixMicros(now) + offsetMicros + (long) ((now - start) / 1000 * driftPpm / 1e6);
     }, SegmentWriter.FILES);
   }
 
-  private static String word(Enum<?> e) {
+  private static String lowerCaseName(Enum<?> e) {
     return e.name().toLowerCase(Locale.ROOT);
   }
 
-  private static String[] words(Enum<?>[] all) {
-    String[] words = new String[all.length];
+  private static String[] lowerCaseNames(Enum<?>[] all) {
+    String[] names = new String[all.length];
     for (Enum<?> e : all) {
-      words[e.ordinal()] = word(e);
+      names[e.ordinal()] = lowerCaseName(e);
     }
-    return words;
+    return names;
   }
 
-  /** Whether anything is kept. */
+  /** Whether recording is enabled. */
   public boolean isOn() {
     return queue != null;
   }
@@ -162,15 +162,15 @@
     return origin;
   }
 
-  private Entry entry(Kind kind) {
-    return Entry.of(origin, 0, micros.getAsLong(), kind);
+  private Entry newEntry(Kind kind) {
+    return Entry.of(origin, 0, clockMicros.getAsLong(), kind);
   }
 
-  // ---- What is told, by any thread -----------------------------------------------------------------------
+  // ---- Events, from any thread ---------------------------------------------------------------------------
 
-  private void put(Entry e) {
-    int worth = e.kind().priority();
-    if (queue.size() >= room[Math.min(WORTHS, worth)] || !queue.offer(e)) {
+  private void enqueue(Entry e) {
+    int priority = e.kind().priority();
+    if (queue.size() >= dropThresholds[Math.min(MAX_PRIORITY, priority)] || !queue.offer(e)) {
       dropped.incrementAndGet(e.kind().ordinal());
     }
   }
@@ -180,7 +180,7 @@
     if (queue != null) {
       Exchange.Facts f = x.facts();
       long left = f.deadline() <= 0 ? 0 : f.type().deadlineNanos() / 1000;
-      put(new Entry(origin, 0, micros.getAsLong(), Kind.TAKEN, x.number(), x.name(), f.type().name(), f.tenant(), hash(f.key()),
+      enqueue(new Entry(origin, 0, clockMicros.getAsLong(), Kind.TAKEN, x.number(), x.name(), f.type().name(), f.tenant(), hash(f.key()),
           0, 0, null, null, left, f.hintNanos() / 1000));
     }
   }
@@ -189,8 +189,8 @@
   public void sent(Attempt a) {
     if (queue != null) {
       Exchange x = a.exchange();
-      put(new Entry(origin, 0, micros.getAsLong(), Kind.SENT, x.number(), x.name(), x.facts().type().name(), x.facts().tenant(), 0,
-          a.number(), a.upstream(), name(a.upstream()), null, 0, 0));
+      enqueue(new Entry(origin, 0, clockMicros.getAsLong(), Kind.SENT, x.number(), x.name(), x.facts().type().name(), x.facts().tenant(), 0,
+          a.number(), a.upstream(), serverName(a.upstream()), null, 0, 0));
     }
   }
 
@@ -198,52 +198,52 @@
   public void outcome(Attempt a, Status status, long latencyNanos) {
     if (queue != null) {
       Exchange x = a.exchange();
-      put(new Entry(origin, 0, micros.getAsLong(), Kind.OUTCOME, x.number(), x.name(), x.facts().type().name(), x.facts().tenant(),
-          0, a.number(), a.upstream(), name(a.upstream()), STATUS[status.ordinal()], latencyNanos / 1000, 0));
+      enqueue(new Entry(origin, 0, clockMicros.getAsLong(), Kind.OUTCOME, x.number(), x.name(), x.facts().type().name(), x.facts().tenant(),
+          0, a.number(), a.upstream(), serverName(a.upstream()), STATUS_NAMES[status.ordinal()], latencyNanos / 1000, 0));
     }
   }
 
   @Override
   public void ended(Exchange x, End end, Reason reason) {
     if (queue != null) {
-      put(new Entry(origin, 0, micros.getAsLong(), Kind.ENDED, x.number(), x.name(), x.facts().type().name(), x.facts().tenant(), 0,
+      enqueue(new Entry(origin, 0, clockMicros.getAsLong(), Kind.ENDED, x.number(), x.name(), x.facts().type().name(), x.facts().tenant(), 0,
           0, 0, null, reason == null ? end == End.SERVED ? "served" : "gone" : reason.code(), 0, end.ordinal()));
     }
   }
 
   /**
-   * A front has given a client its final answer.
+   * Records that a frontend gave a client its final answer.
    *
-   * @param request the engine's number; 0 where the engine had no part in it
-   * @param word the reason, or "served"
-   * @param kind one of {@link Entry#SERVED}, {@link Entry#REFUSED}, {@link Entry#FAILED}, {@link Entry#GONE}
+   * @param request the engine's number of the request; 0 if the engine was not involved
+   * @param word the reason code, or "served"
+   * @param result one of {@link Entry#SERVED}, {@link Entry#REFUSED}, {@link Entry#FAILED}, {@link Entry#GONE}
    */
-  public void answered(long request, String id, String className, String tenant, String word, int kind, long latencyNanos) {
+  public void answered(long request, String id, String className, String tenant, String word, int result, long latencyNanos) {
     if (queue != null) {
-      put(new Entry(origin, 0, micros.getAsLong(), Kind.ANSWERED, request, id, className, tenant, 0, 0, 0, null, word,
-          latencyNanos / 1000, kind));
+      enqueue(new Entry(origin, 0, clockMicros.getAsLong(), Kind.ANSWERED, request, id, className, tenant, 0, 0, 0, null, word,
+          latencyNanos / 1000, result));
     }
   }
 
-  /** Anything else that a part of the program wants recorded; its origin and number are set here, its time is kept. */
+  /** Records any other event with the time it has; its origin and sequence number are set when it is written. */
   public void record(Entry e) {
     if (queue != null) {
-      put(e);
+      enqueue(e);
     }
   }
 
-  /** Records that wait for the writer. */
+  /** Number of records in the queue. */
   public int waiting() {
     return queue == null ? 0 : queue.size();
   }
 
-  /** A caller's own word on a call that it made: when it was sent is its end less what it took. */
-  public void called(String id, String className, String tenant, int kind, long latencyNanos) {
-    answered(0, id, className, tenant, "caller", kind, latencyNanos);
+  /** Records a client's own call, once it has ended; the time at which it was sent is the record's time minus the latency. */
+  public void called(String id, String className, String tenant, int result, long latencyNanos) {
+    answered(0, id, className, tenant, "caller", result, latencyNanos);
   }
 
-  private String name(long upstream) {
-    ServerList.Server s = known.get(upstream);
+  private String serverName(long upstream) {
+    ServerList.Server s = listedServers.get(upstream);
     return s == null ? null : s.id();
   }
 
@@ -252,64 +252,64 @@
     if (queue == null) {
       return;
     }
-    long now = micros.getAsLong();
+    long now = clockMicros.getAsLong();
     if (kind == ListKind.FAILED) {
-      put(Entry.of(origin, 0, now, Kind.LIST).withDetails("failed", 0, 0));
+      enqueue(Entry.of(origin, 0, now, Kind.LIST).withDetails("failed", 0, 0));
       return;
     }
-    Set<Long> here = new HashSet<>();
+    Set<Long> listedUpstreams = new HashSet<>();
     for (Numbered n : servers) {
-      here.add(n.upstream());
-      ServerList.Server before = known.get(n.upstream());
+      listedUpstreams.add(n.upstream());
+      ServerList.Server previous = listedServers.get(n.upstream());
       ServerList.Server s = n.server();
-      boolean goes = s.state() == State.GONE;
-      if (before == null ? !goes : before.state() != s.state() || before.upSinceMillis() != s.upSinceMillis()) {
-        server(now, n.upstream(), s, s.state(), list.revision());
+      boolean isGone = s.state() == State.GONE;
+      if (previous == null ? !isGone : previous.state() != s.state() || previous.upSinceMillis() != s.upSinceMillis()) {
+        recordServer(now, n.upstream(), s, s.state(), list.revision());
       }
-      if (goes) {
-        known.remove(n.upstream());
+      if (isGone) {
+        listedServers.remove(n.upstream());
       } else {
-        known.put(n.upstream(), s);
+        listedServers.put(n.upstream(), s);
       }
     }
     if (kind != ListKind.DELTA && !servers.isEmpty()) {
-      // A whole list that does not name a server says that it has gone.
-      List<Long> gone = new ArrayList<>(known.keySet());
-      gone.removeAll(here);
+      // A server missing from a full list is gone.
+      List<Long> gone = new ArrayList<>(listedServers.keySet());
+      gone.removeAll(listedUpstreams);
       for (Long upstream : gone) {
-        server(now, upstream, known.remove(upstream), State.GONE, list.revision());
+        recordServer(now, upstream, listedServers.remove(upstream), State.GONE, list.revision());
       }
     }
     if (list.revision() != revision && !servers.isEmpty()) {
       revision = list.revision();
-      // What the list now is in all goes with it: two instances that hold the same under one revision heard of the same thing.
-      put(new Entry(origin, 0, now, Kind.LIST, 0, null, null, null, fingerprint(), 0, 0, null, word(kind), revision, servers.size()));
+      // The record has a fingerprint of the whole list: two instances with the same one at the same revision received the same update.
+      enqueue(new Entry(origin, 0, now, Kind.LIST, 0, null, null, null, fingerprint(), 0, 0, null, lowerCaseName(kind), revision, servers.size()));
     }
   }
 
-  /** The same for the same servers in the same states, whatever their order. */
+  /** A hash of the listed servers and their states that does not depend on their order. */
   private long fingerprint() {
     long sum = 0;
-    for (ServerList.Server s : known.values()) {
+    for (ServerList.Server s : listedServers.values()) {
       sum += hash(s.id() + ' ' + s.state() + ' ' + s.upSinceMillis());
     }
     return sum;
   }
 
-  private void server(long now, long upstream, ServerList.Server s, State state, long told) {
-    // Where it stands, zone and dedup group, is kept as the class: rule 2 asks for it.
-    put(new Entry(origin, 0, now, Kind.SERVER, 0, null, s.zone() + " " + s.cell(), null, 0, 0, upstream, s.id(),
-        STATES[state.ordinal()], told, s.upSinceMillis()));
+  private void recordServer(long now, long upstream, ServerList.Server s, State state, long listRevision) {
+    // The class field has the server's zone and cell: the audit's second rule (no request takes effect twice) needs its dedup scope.
+    enqueue(new Entry(origin, 0, now, Kind.SERVER, 0, null, s.zone() + " " + s.cell(), null, 0, 0, upstream, s.id(),
+        STATE_NAMES[state.ordinal()], listRevision, s.upSinceMillis()));
   }
 
   @Override
   public void replaced(String event) {
     if (queue != null) {
-      put(entry(Kind.REPLACED).withDetails(event, 0, 0));
+      enqueue(newEntry(Kind.REPLACED).withDetails(event, 0, 0));
     }
   }
 
-  /** FNV-1a, never 0; 0 for none. Keys themselves are not kept. */
+  /** FNV-1a, never 0 except for null. The keys themselves are not stored. */
   private static long hash(String key) {
     if (key == null) {
       return 0;
@@ -321,32 +321,32 @@
     return hash == 0 ? 1 : hash;
   }
 
-  // ---- The writer ----------------------------------------------------------------------------------------
+  // ---- Writer thread -------------------------------------------------------------------------------------
 
   private void write() {
     long flushAt = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(config.flushMillis());
     long clockAt = System.nanoTime();
-    List<Entry> batch = new ArrayList<>(BATCH);
-    while (!killed && (!closed || !queue.isEmpty() || anyDropped())) {
+    List<Entry> batch = new ArrayList<>(BATCH_SIZE);
+    while (!killed && (!closed || !queue.isEmpty() || hasDropped())) {
       batch.clear();
-      queue.drain(batch::add, BATCH);
+      queue.drain(batch::add, BATCH_SIZE);
       long now = System.nanoTime();
       if (now - clockAt >= 0) {
-        clockAt = now + CLOCK_NANOS;
-        batch.add(entry(Kind.CLOCK).withDetails(null, System.currentTimeMillis() * 1000 - micros.getAsLong(), 0));
+        clockAt = now + CLOCK_INTERVAL_NANOS;
+        batch.add(newEntry(Kind.CLOCK).withDetails(null, System.currentTimeMillis() * 1000 - clockMicros.getAsLong(), 0));
       }
       try {
         for (int i = 0; i < batch.size(); i++) {
-          keep(batch, i);
+          append(batch, i);
         }
-        tellDropped();
+        reportDropped();
         if (now - flushAt >= 0) {
           flushAt = now + TimeUnit.MILLISECONDS.toNanos(config.flushMillis());
           store.flush();
         }
         fault = null;
       } catch (IOException e) {
-        failed(e);
+        onWriteError(e);
         if (closed) {
           break;
         }
@@ -356,35 +356,35 @@
         LockSupport.parkNanos(IDLE_NANOS);
       }
     }
-    end();
+    finish();
   }
 
-  private void keep(List<Entry> batch, int i) throws IOException {
-    long before = store.lastSeq();
+  private void append(List<Entry> batch, int i) throws IOException {
+    long seqBefore = store.lastSeq();
     try {
       store.add(batch.get(i));
       written++;
-    } catch (IOException failed) {
-      // One that had its number is missing, and counted by that; the others are dropped.
-      for (int j = store.lastSeq() > before ? i + 1 : i; j < batch.size(); j++) {
-        refused.add(batch.get(j));
+    } catch (IOException e) {
+      // If the failed record already had a sequence number, the gap in the numbers shows the loss; the others count as dropped.
+      for (int j = store.lastSeq() > seqBefore ? i + 1 : i; j < batch.size(); j++) {
+        failedRecords.add(batch.get(j));
       }
-      throw failed;
+      throw e;
     }
   }
 
-  private void end() {
+  private void finish() {
     try {
       if (!killed) {
-        store.add(entry(Kind.STOP));
+        store.add(newEntry(Kind.STOP));
         store.close();
       }
     } catch (IOException e) {
-      LOG.warning("records could not be ended: " + e);
+      LOG.warning("records could not be closed: " + e);
     }
   }
 
-  private boolean anyDropped() {
+  private boolean hasDropped() {
     for (int i = 0; i < KINDS.length; i++) {
       if (dropped.get(i) > 0) {
         return true;
@@ -393,42 +393,45 @@
     return false;
   }
 
-  private void tellDropped() throws IOException {
+  private void reportDropped() throws IOException {
     for (int i = 0; i < KINDS.length; i++) {
       long n = dropped.getAndSet(i, 0);
       if (n > 0) {
         try {
-          store.add(entry(Kind.DROPPED).withDetails(word(KINDS[i]), n, 0));
+          store.add(newEntry(Kind.DROPPED).withDetails(lowerCaseName(KINDS[i]), n, 0));
         } catch (IOException e) {
-          dropped.addAndGet(i, n); // Told once it can be.
+          dropped.addAndGet(i, n); // To be recorded once writing succeeds.
           throw e;
         }
       }
     }
   }
 
-  /** What was lost is counted by kind as dropped; what was in a block that never left the store, by no kind: its numbers are missing. */
-  private void failed(IOException e) {
+  /**
+   * Counts the records that were not added to the store as dropped, by kind. Those of a block that was not written yet are not counted: their
+   * sequence numbers are missing.
+   */
+  private void onWriteError(IOException e) {
     store.abandon();
-    refused.forEach(x -> dropped.incrementAndGet(x.kind().ordinal()));
-    refused.clear();
+    failedRecords.forEach(x -> dropped.incrementAndGet(x.kind().ordinal()));
+    failedRecords.clear();
     if (fault == null) {
-      LOG.warning("records can't be written, tried again each second: " + e);
+      LOG.warning("records can't be written, retrying every second: " + e);
     }
     fault = String.valueOf(e.getMessage());
   }
 
-  /** Why nothing can be written just now; null where it can. */
+  /** The error that currently prevents writing; null if there is none. */
   public String fault() {
     return fault;
   }
 
-  /** Records handed to the store. */
+  /** Number of records passed to the store. */
   public long written() {
     return written;
   }
 
-  /** Records dropped of which no record tells yet. */
+  /** Number of dropped records that no record of kind DROPPED covers yet. */
   public long droppedUntold() {
     long sum = 0;
     for (int i = 0; queue != null && i < KINDS.length; i++) {
@@ -437,14 +440,14 @@
     return sum;
   }
 
-  /** Ends as SIGKILL does, for tests: what is in the file stays, nothing more comes. */
+  /** Stops like a process killed by SIGKILL, for tests: what is in the file stays, and nothing more is written. */
   void kill() throws InterruptedException {
     killed = true;
-    writer.join(CLOSE_MILLIS);
+    writer.join(CLOSE_TIMEOUT_MILLIS);
     store.abandon();
   }
 
-  /** Writes what waits, and that this life has ended in order. */
+  /** Writes the queued records and a final STOP record. */
   @Override
   public void close() {
     if (queue == null || closed) {
@@ -453,7 +456,7 @@
     closed = true;
     LockSupport.unpark(writer);
     try {
-      writer.join(CLOSE_MILLIS);
+      writer.join(CLOSE_TIMEOUT_MILLIS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -461,6 +464,6 @@
 
   @Override
   public String toString() {
-    return front + " " + origin + " written=" + written;
+    return frontend + " " + origin + " written=" + written;
   }
 }
