--- a/bench/src/main/java/cloverpulley/bench/IncidentBench.java
+++ b/bench/src/main/java/cloverpulley/bench/IncidentBench.java
@@ -222,7 +222,7 @@
     Origin o = r.origin();
     long requests = records / 4;
     for (long i = 0; i < requests; i++) {
-      while (r.waiting() > BACKLOG) {
+      while (r.queueSize() > BACKLOG) {
         LockSupport.parkNanos(100_000);
       }
       long at = DAY + i * (DAY_MICROS / requests);
--- a/dist/src/main/java/cloverpulley/cli/LoadCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/LoadCommand.java
@@ -111,13 +111,13 @@
     public Integer call() throws Exception {
       Plan plan = OperatorsFile.read(file, Plan::read);
       LoadRun.warmUp(plan);
-      try (Recorder recorder = records == null ? Recorder.NONE : Recorder.caller(records, instance)) {
+      try (Recorder recorder = records == null ? Recorder.NONE : Recorder.forCaller(records, instance)) {
         return output.finish(LoadRun.play(plan, output.live(plan.seconds()), recording(plan, recorder)), file.toString());
       }
     }
 
     static Runner.EachTry recording(Plan plan, Recorder recorder) {
-      return (planned, id, outcome, took) -> recorder.called(id, plan.types().get(planned.type()).name(),
+      return (planned, id, outcome, took) -> recorder.recordCall(id, plan.types().get(planned.type()).name(),
           plan.tenants().get(planned.tenant()).name(), switch (outcome) {
             case SERVED -> Entry.SERVED;
             case REFUSED -> Entry.REFUSED;
--- a/dist/src/test/java/cloverpulley/cli/IncidentIT.java
+++ b/dist/src/test/java/cloverpulley/cli/IncidentIT.java
@@ -100,12 +100,12 @@
     Plan plan = OperatorsFile.parse("plan", PLAN.replace("ADDRESS", line.substring(line.lastIndexOf(' ') + 1)), Plan::read);
     AtomicLong served = new AtomicLong();
     AtomicBoolean killed = new AtomicBoolean();
-    try (Recorder caller = Recorder.caller(records, "caller")) {
+    try (Recorder caller = Recorder.forCaller(records, "caller")) {
       LoadRun.play(plan, r -> { }, (planned, id, outcome, took) -> {
         if (outcome == Outcome.SERVED && served.incrementAndGet() == 500 && !killed.getAndSet(true)) {
           process.destroyForcibly();
         }
-        caller.called(id, "safe", null, outcome == Outcome.SERVED ? Entry.SERVED : Entry.GONE, took);
+        caller.recordCall(id, "safe", null, outcome == Outcome.SERVED ? Entry.SERVED : Entry.GONE, took);
       });
     }
     assertTrue(killed.get(), "killed in the middle");
--- a/dns/src/main/java/cloverpulley/dns/Resolver.java
+++ b/dns/src/main/java/cloverpulley/dns/Resolver.java
@@ -440,7 +440,7 @@
 
   private void recordAs(Query q, String word, int kind) {
     RequestClass type = q.question() == null ? null : type(q);
-    recorder.answered(0, null, type == null ? null : type.name(), q.tenant, word, kind, clock.now() - q.arrivedAt);
+    recorder.recordAnswer(0, null, type == null ? null : type.name(), q.tenant, word, kind, clock.now() - q.arrivedAt);
   }
 
   /** Its client has left, or it was dropped: no answer is owed. */
--- a/incident/src/test/java/cloverpulley/incident/tool/SanitizerTest.java
+++ b/incident/src/test/java/cloverpulley/incident/tool/SanitizerTest.java
@@ -31,8 +31,8 @@
   void hostileTextIsEscapedInAllOutputs() throws Exception {
     Recorder r = Recorder.open(RecordsConfig.of(folder, "p"), "process", null);
     for (String h : HOSTILE) {
-      r.answered(0, h, h, h, h, Entry.FAILED, 1000);
-      r.called(h + "2", h, h, Entry.SERVED, 2000);
+      r.recordAnswer(0, h, h, h, h, Entry.FAILED, 1000);
+      r.recordCall(h + "2", h, h, Entry.SERVED, 2000);
       r.replaced(h);
     }
     r.close();
--- a/incident/src/test/java/cloverpulley/incident/tool/ScriptedIncidentTest.java
+++ b/incident/src/test/java/cloverpulley/incident/tool/ScriptedIncidentTest.java
@@ -177,7 +177,7 @@
   private ParsedConfig config;
 
   private Recorder recorder(String instance, String front, Settings settings, long offsetMicros, double ppm) {
-    return Recorder.skewed(RecordsConfig.of(folder.resolve(instance), instance), front, settings, offsetMicros, ppm);
+    return Recorder.withClockSkew(RecordsConfig.of(folder.resolve(instance), instance), front, settings, offsetMicros, ppm);
   }
 
   private Plan plan(String protocol, InetSocketAddress address, long seed) throws Exception {
@@ -196,7 +196,7 @@
             : outcome == Outcome.FAILED ? Entry.FAILED : Entry.GONE;
         generatorCounts.computeIfAbsent(interval + " " + type + " " + tenant + " " + answer, k -> new AtomicLong()).incrementAndGet();
         if (plan.target().protocol() == Plan.Protocol.EXT_PROC) {
-          caller.called(id, type, tenant, answer, took);
+          caller.recordCall(id, type, tenant, answer, took);
         }
       });
       assertEquals(results.all.asked, results.all.ended());
@@ -251,7 +251,7 @@
 
   private void incident(StandInDiscovery discovery) throws Exception {
     ExecutorService threads = Executors.newCachedThreadPool();
-    Recorder caller = Recorder.caller(folder.resolve("caller"), "caller");
+    Recorder caller = Recorder.forCaller(folder.resolve("caller"), "caller");
     Recorder r1 = recorder("p1", "process", config.settings(), -40 * S, 200);
     Recorder r2 = recorder("p2", "process", config.settings(), 0, 0);
     Recorder r3 = recorder("n1", "dns", config.dns().settings(), 3 * S, -100);
--- a/load/src/test/java/cloverpulley/load/ArchiveTraceTest.java
+++ b/load/src/test/java/cloverpulley/load/ArchiveTraceTest.java
@@ -44,7 +44,7 @@
             i % 2 == 0 ? 5000 : 100, i % 10 == 0 ? Entry.REFUSED : Entry.SERVED));
       }
       r.record(entry(r, Kind.ANSWERED, T + 200_000 + off, null, 0, "served", 10, Entry.SERVED)); // From a cache.
-      r.called("c" + instance, "quote", "steppe", Entry.SERVED, 1000); // A caller's own: its callee counts it.
+      r.recordCall("c" + instance, "quote", "steppe", Entry.SERVED, 1000); // A caller's own: its callee counts it.
       r.close();
     }
     ByteArrayOutputStream out = new ByteArrayOutputStream();
--- a/processor/src/main/java/cloverpulley/processor/ProcessorStream.java
+++ b/processor/src/main/java/cloverpulley/processor/ProcessorStream.java
@@ -316,7 +316,7 @@
       return;
     }
     verdictRecorded = true;
-    shared.recorder.answered(0, request == null ? null : request.id(), request == null ? null : request.type().name(),
+    shared.recorder.recordAnswer(0, request == null ? null : request.id(), request == null ? null : request.type().name(),
         request == null ? null : request.tenant(), word, kind, request == null ? 0 : shared.clock.now() - receivedAt);
   }
 
--- a/records/src/main/java/cloverpulley/records/Recorder.java
+++ b/records/src/main/java/cloverpulley/records/Recorder.java
@@ -71,7 +71,7 @@
   private volatile boolean closed;
   private volatile boolean killed;
   private volatile long written;
-  private volatile String fault;
+  private volatile String writeError;
 
   private Recorder() {
     config = null;
@@ -84,7 +84,7 @@
   }
 
   /** Creates a recorder for a client that balances nothing itself, such as the load generator. */
-  public static Recorder caller(Path folder, String instance) {
+  public static Recorder forCaller(Path folder, String instance) {
     return open(RecordsConfig.of(folder, instance), "caller", null);
   }
 
@@ -132,7 +132,7 @@
   }
 
   /** A recorder whose clock has an offset in microseconds and a drift in parts per million, for tests of the clock alignment. */
-  public static Recorder skewed(RecordsConfig config, String frontend, Settings settings, long offsetMicros, double driftPpm) {
+  public static Recorder withClockSkew(RecordsConfig config, String frontend, Settings settings, long offsetMicros, double driftPpm) {
     Clock clock = new Clock();
     long start = clock.now();
     return new Recorder(config, frontend, settings, () -> {
@@ -218,7 +218,7 @@
    * @param word the reason code, or "served"
    * @param result one of {@link Entry#SERVED}, {@link Entry#REFUSED}, {@link Entry#FAILED}, {@link Entry#GONE}
    */
-  public void answered(long request, String id, String className, String tenant, String word, int result, long latencyNanos) {
+  public void recordAnswer(long request, String id, String className, String tenant, String word, int result, long latencyNanos) {
     if (queue != null) {
       enqueue(new Entry(origin, 0, clockMicros.getAsLong(), Kind.ANSWERED, request, id, className, tenant, 0, 0, 0, null, word,
           latencyNanos / 1000, result));
@@ -233,13 +233,13 @@
   }
 
   /** Number of records in the queue. */
-  public int waiting() {
+  public int queueSize() {
     return queue == null ? 0 : queue.size();
   }
 
   /** Records a client's own call, once it has ended; the time at which it was sent is the record's time minus the latency. */
-  public void called(String id, String className, String tenant, int result, long latencyNanos) {
-    answered(0, id, className, tenant, "caller", result, latencyNanos);
+  public void recordCall(String id, String className, String tenant, int result, long latencyNanos) {
+    recordAnswer(0, id, className, tenant, "caller", result, latencyNanos);
   }
 
   private String serverName(long upstream) {
@@ -344,7 +344,7 @@
           flushAt = now + TimeUnit.MILLISECONDS.toNanos(config.flushMillis());
           store.flush();
         }
-        fault = null;
+        writeError = null;
       } catch (IOException e) {
         onWriteError(e);
         if (closed) {
@@ -415,15 +415,15 @@
     store.abandon();
     failedRecords.forEach(x -> dropped.incrementAndGet(x.kind().ordinal()));
     failedRecords.clear();
-    if (fault == null) {
+    if (writeError == null) {
       LOG.warning("records can't be written, retrying every second: " + e);
     }
-    fault = String.valueOf(e.getMessage());
+    writeError = String.valueOf(e.getMessage());
   }
 
   /** The error that currently prevents writing; null if there is none. */
-  public String fault() {
-    return fault;
+  public String writeError() {
+    return writeError;
   }
 
   /** Number of records passed to the store. */
@@ -432,7 +432,7 @@
   }
 
   /** Number of dropped records that no record of kind DROPPED covers yet. */
-  public long droppedUntold() {
+  public long unreportedDrops() {
     long sum = 0;
     for (int i = 0; queue != null && i < KINDS.length; i++) {
       sum += dropped.get(i);
--- a/records/src/test/java/cloverpulley/records/RecorderTest.java
+++ b/records/src/test/java/cloverpulley/records/RecorderTest.java
@@ -59,7 +59,7 @@
   void withoutAFolderNothingIsKept() {
     Recorder r = Recorder.open(new RecordsConfig(null, "p", MB, 2 * MB, 10, 1024, RecordsConfig.Sync.SEGMENT), "dns", null);
     assertFalse(r.isOn());
-    r.answered(0, "x", "c", "t", "served", 0, 1);
+    r.recordAnswer(0, "x", "c", "t", "served", 0, 1);
     r.close();
     assertNull(Recorder.NONE.origin());
   }
@@ -98,12 +98,12 @@
     await("the writer stands", stalled::get);
     int told = 50_000;
     for (int i = 0; i < told; i++) { // Would never end if it waited.
-      r.answered(i, "id" + i, "c", "t", "served", Entry.SERVED, 1000);
+      r.recordAnswer(i, "id" + i, "c", "t", "served", Entry.SERVED, 1000);
     }
     for (int i = 0; i < told; i++) {
       r.replaced("x"); // Of the greatest worth: these too are only dropped where there is no room at all.
     }
-    assertTrue(r.droppedUntold() > 0);
+    assertTrue(r.unreportedDrops() > 0);
     stall.countDown();
     r.close();
     List<Entry> all = all();
@@ -145,7 +145,7 @@
       };
     });
     for (int i = 0; i < 1000; i++) {
-      r.answered(i, "a" + i, "c", "t", "served", 0, 1);
+      r.recordAnswer(i, "a" + i, "c", "t", "served", 0, 1);
     }
     await("in the file", () -> {
       try {
@@ -156,12 +156,12 @@
     });
     full.set(true);
     for (int i = 0; i < 3000; i++) {
-      r.answered(i, "b" + i, "c", "t", "served", 0, 1);
+      r.recordAnswer(i, "b" + i, "c", "t", "served", 0, 1);
     }
-    await("the fault is seen", () -> r.fault() != null);
+    await("the fault is seen", () -> r.writeError() != null);
     full.set(false);
-    await("it writes again", () -> r.fault() == null);
-    r.answered(1, "last", "c", "t", "served", 0, 1);
+    await("it writes again", () -> r.writeError() == null);
+    r.recordAnswer(1, "last", "c", "t", "served", 0, 1);
     r.close();
     List<Entry> all = all();
     assertTrue(all.stream().anyMatch(e -> "last".equals(e.id())));
@@ -179,9 +179,9 @@
     Path file = Files.writeString(folder.resolve("taken"), "a file where the folder should be");
     RecordsConfig config = new RecordsConfig(file.resolve("records"), "p", MB, 2 * MB, 10, 1024, RecordsConfig.Sync.SEGMENT);
     Recorder r = Recorder.open(config, "process", null);
-    r.answered(1, "x", "c", "t", "served", 0, 1);
-    await("the fault is told", () -> r.fault() != null);
-    assertTrue(r.droppedUntold() > 0);
+    r.recordAnswer(1, "x", "c", "t", "served", 0, 1);
+    await("the fault is told", () -> r.writeError() != null);
+    assertTrue(r.unreportedDrops() > 0);
     r.close();
   }
 
@@ -195,7 +195,7 @@
       while (r.written() < i - 30_000) {
         TimeUnit.MICROSECONDS.sleep(100);
       }
-      r.answered(i, Long.toHexString(random.nextLong()) + Long.toHexString(random.nextLong()), "c", "t", "served", 0, random.nextInt());
+      r.recordAnswer(i, Long.toHexString(random.nextLong()) + Long.toHexString(random.nextLong()), "c", "t", "served", 0, random.nextInt());
     }
     r.close();
     Archive archive = new Archive(List.of(folder));
@@ -212,7 +212,7 @@
   void aKilledRecorderLeavesWholeBlocksAndNoStop() throws Exception {
     Recorder r = Recorder.open(config(1 << 16, MB, 8 * MB), "process", null);
     for (int i = 0; i < 5000; i++) {
-      r.answered(i, "a" + i, "c", "t", "served", 0, 1);
+      r.recordAnswer(i, "a" + i, "c", "t", "served", 0, 1);
     }
     await("written", () -> r.written() >= 5000);
     r.kill();
@@ -233,7 +233,7 @@
     long before = 0;
     for (int round = 1; round <= 5; round++) {
       for (int i = 0; i < 2000; i++) {
-        r.answered(i, "a" + round + "-" + i, "c", "t", "served", 0, 1);
+        r.recordAnswer(i, "a" + round + "-" + i, "c", "t", "served", 0, 1);
       }
       long want = 2000L * round;
       await("round " + round + " is in the file", () -> {
