--- a/records/src/test/java/cloverpulley/records/RecorderTest.java
+++ b/records/src/test/java/cloverpulley/records/RecorderTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The recorder beside a slow, a full and a missing disk, and killed. */
+/** The recorder with a stalled, a full and an unusable disk, after a kill, and while its file is being read. */
 @Timeout(60)
 class RecorderTest {
 
@@ -33,8 +33,8 @@
   @TempDir
   Path folder;
 
-  private RecordsConfig config(int queue, long segment, long most) {
-    return new RecordsConfig(folder, "p", segment, most, 10, queue, RecordsConfig.Sync.SEGMENT);
+  private RecordsConfig config(int queue, long segmentBytes, long maxBytes) {
+    return new RecordsConfig(folder, "p", segmentBytes, maxBytes, 10, queue, RecordsConfig.Sync.SEGMENT);
   }
 
   private static void await(String what, BooleanSupplier condition) throws InterruptedException {
@@ -45,18 +45,18 @@
     }
   }
 
-  private List<Entry> all() throws IOException {
-    List<Entry> all = new ArrayList<>();
-    new Archive(List.of(folder)).readAll(all::add, n -> { });
-    return all;
+  private List<Entry> readAll() throws IOException {
+    List<Entry> entries = new ArrayList<>();
+    new Archive(List.of(folder)).readAll(entries::add, n -> { });
+    return entries;
   }
 
-  private static long count(List<Entry> all, Kind kind) {
-    return all.stream().filter(e -> e.kind() == kind).count();
+  private static long count(List<Entry> entries, Kind kind) {
+    return entries.stream().filter(e -> e.kind() == kind).count();
   }
 
   @Test
-  void withoutAFolderNothingIsKept() {
+  void recordsNothingWithoutAFolder() {
     Recorder r = Recorder.open(new RecordsConfig(null, "p", MB, 2 * MB, 10, 1024, RecordsConfig.Sync.SEGMENT), "dns", null);
     assertFalse(r.isOn());
     r.recordAnswer(0, "x", "c", "t", "served", 0, 1);
@@ -64,75 +64,78 @@
     assertNull(Recorder.NONE.origin());
   }
 
-  /** 50,000 a second for 10 s are scaled down to as many records in one go: more than the queue holds while the disk stands still. */
+  /**
+   * Guards against callers that wait for a stalled disk and against drops that are not counted. Scaled down from 50,000 records a second for 10 s
+   * to 100,000 records in a burst, which exceeds the queue.
+   */
   @Test
-  void aDiskThatStandsStillHoldsNobodyAndEveryDropIsCounted() throws Exception {
-    CountDownLatch stall = new CountDownLatch(1);
-    AtomicBoolean stalled = new AtomicBoolean();
+  void stalledDiskBlocksNoCallerAndEveryDropIsCounted() throws Exception {
+    CountDownLatch diskResumes = new CountDownLatch(1);
+    AtomicBoolean writerBlocked = new AtomicBoolean();
     AtomicLong now = new AtomicLong(1_764_580_000_000_000L);
     Recorder r = new Recorder(config(4096, MB, 8 * MB), "process", null, now::incrementAndGet, file -> {
-      SegmentWriter.Sink real = SegmentWriter.FILES.open(file);
+      SegmentWriter.Sink fileSink = SegmentWriter.FILES.open(file);
       return new SegmentWriter.Sink() {
         @Override
         public void write(ByteBuffer b) throws IOException {
           try {
-            stalled.set(true);
-            stall.await();
+            writerBlocked.set(true);
+            diskResumes.await();
           } catch (InterruptedException e) {
             throw new IOException(e);
           }
-          real.write(b);
+          fileSink.write(b);
         }
 
         @Override
         public void force() throws IOException {
-          real.force();
+          fileSink.force();
         }
 
         @Override
         public void close() throws IOException {
-          real.close();
+          fileSink.close();
         }
       };
     });
-    await("the writer stands", stalled::get);
-    int told = 50_000;
-    for (int i = 0; i < told; i++) { // Would never end if it waited.
+    await("the writer is blocked", writerBlocked::get);
+    int sent = 50_000;
+    for (int i = 0; i < sent; i++) { // Would never end if the caller waited for the disk.
       r.recordAnswer(i, "id" + i, "c", "t", "served", Entry.SERVED, 1000);
     }
-    for (int i = 0; i < told; i++) {
-      r.replaced("x"); // Of the greatest worth: these too are only dropped where there is no room at all.
+    for (int i = 0; i < sent; i++) {
+      r.replaced("x"); // Highest priority: dropped only if the queue is full.
     }
     assertTrue(r.unreportedDrops() > 0);
-    stall.countDown();
+    diskResumes.countDown();
     r.close();
-    List<Entry> all = all();
+    List<Entry> entries = readAll();
     Map<String, Long> dropped = new java.util.HashMap<>();
-    all.stream().filter(e -> e.kind() == Kind.DROPPED).forEach(e -> dropped.merge(e.word(), e.value(), Long::sum));
-    assertEquals(told, count(all, Kind.ANSWERED) + dropped.getOrDefault("answered", 0L));
-    assertEquals(told, count(all, Kind.REPLACED) + dropped.getOrDefault("replaced", 0L));
+    entries.stream().filter(e -> e.kind() == Kind.DROPPED).forEach(e -> dropped.merge(e.word(), e.value(), Long::sum));
+    assertEquals(sent, count(entries, Kind.ANSWERED) + dropped.getOrDefault("answered", 0L));
+    assertEquals(sent, count(entries, Kind.REPLACED) + dropped.getOrDefault("replaced", 0L));
     assertTrue(dropped.get("answered") > 0 && dropped.get("replaced") > 0, dropped.toString());
-    assertTrue(count(all, Kind.REPLACED) > 0, "room was kept for what is worth more");
-    for (int i = 0; i < all.size(); i++) {
-      assertEquals(i + 1, all.get(i).seq(), "numbers have no gaps");
+    assertTrue(count(entries, Kind.REPLACED) > 0, "records of the highest priority still fit");
+    for (int i = 0; i < entries.size(); i++) {
+      assertEquals(i + 1, entries.get(i).seq(), "sequence numbers have no gaps");
     }
   }
 
   @Test
-  void aFullDiskIsSurvivedAndWhatWasLostIsKnown() throws Exception {
-    AtomicBoolean full = new AtomicBoolean();
+  void recoversFromAFullDiskAndReportsWhatWasLost() throws Exception {
+    AtomicBoolean diskFull = new AtomicBoolean();
     AtomicLong now = new AtomicLong(1_764_580_000_000_000L);
     Recorder r = new Recorder(config(1 << 16, MB, 8 * MB), "process", null, now::incrementAndGet, file -> {
-      SegmentWriter.Sink real = SegmentWriter.FILES.open(file);
+      SegmentWriter.Sink fileSink = SegmentWriter.FILES.open(file);
       return new SegmentWriter.Sink() {
         @Override
         public void write(ByteBuffer b) throws IOException {
-          if (full.get()) {
+          if (diskFull.get()) {
             int half = b.remaining() / 2;
-            real.write(b.slice(b.position(), half)); // As much as there was room for.
+            fileSink.write(b.slice(b.position(), half)); // The part that still fits.
             throw new IOException("no space left on device");
           }
-          real.write(b);
+          fileSink.write(b);
         }
 
         @Override
@@ -140,54 +143,54 @@
 
         @Override
         public void close() throws IOException {
-          real.close();
+          fileSink.close();
         }
       };
     });
     for (int i = 0; i < 1000; i++) {
       r.recordAnswer(i, "a" + i, "c", "t", "served", 0, 1);
     }
-    await("in the file", () -> {
+    await("the records are in the file", () -> {
       try {
-        return count(all(), Kind.ANSWERED) == 1000;
+        return count(readAll(), Kind.ANSWERED) == 1000;
       } catch (IOException e) {
         throw new IllegalStateException(e);
       }
     });
-    full.set(true);
+    diskFull.set(true);
     for (int i = 0; i < 3000; i++) {
       r.recordAnswer(i, "b" + i, "c", "t", "served", 0, 1);
     }
-    await("the fault is seen", () -> r.writeError() != null);
-    full.set(false);
-    await("it writes again", () -> r.writeError() == null);
+    await("the write error is reported", () -> r.writeError() != null);
+    diskFull.set(false);
+    await("writing succeeds again", () -> r.writeError() == null);
     r.recordAnswer(1, "last", "c", "t", "served", 0, 1);
     r.close();
-    List<Entry> all = all();
-    assertTrue(all.stream().anyMatch(e -> "last".equals(e.id())));
-    long dropped = all.stream().filter(e -> e.kind() == Kind.DROPPED).mapToLong(Entry::value).sum();
+    List<Entry> entries = readAll();
+    assertTrue(entries.stream().anyMatch(e -> "last".equals(e.id())));
+    long dropped = entries.stream().filter(e -> e.kind() == Kind.DROPPED).mapToLong(Entry::value).sum();
     long missing = 0;
-    for (int i = 1; i < all.size(); i++) {
-      missing += all.get(i).seq() - all.get(i - 1).seq() - 1;
+    for (int i = 1; i < entries.size(); i++) {
+      missing += entries.get(i).seq() - entries.get(i - 1).seq() - 1;
     }
-    assertEquals(4001, count(all, Kind.ANSWERED) + dropped + missing, "each is there, dropped or missing");
+    assertEquals(4001, count(entries, Kind.ANSWERED) + dropped + missing, "each record is in the file, counted as dropped, or missing");
     assertTrue(missing + dropped > 0);
   }
 
   @Test
-  void aFolderThatCantBeMadeIsToldAndTheServiceGoesOn() throws Exception {
+  void reportsAnErrorIfTheFolderCannotBeCreated() throws Exception {
     Path file = Files.writeString(folder.resolve("taken"), "a file where the folder should be");
     RecordsConfig config = new RecordsConfig(file.resolve("records"), "p", MB, 2 * MB, 10, 1024, RecordsConfig.Sync.SEGMENT);
     Recorder r = Recorder.open(config, "process", null);
     r.recordAnswer(1, "x", "c", "t", "served", 0, 1);
-    await("the fault is told", () -> r.writeError() != null);
+    await("the write error is reported", () -> r.writeError() != null);
     assertTrue(r.unreportedDrops() > 0);
     r.close();
   }
 
-  /** The bound holds, the oldest go, and their going is recorded. */
+  /** The total size stays within the limit: the oldest segments are deleted, and the deletions are recorded. */
   @Test
-  void theOldestSegmentsGo() throws Exception {
+  void deletesTheOldestSegments() throws Exception {
     AtomicLong now = new AtomicLong(1_764_580_000_000_000L);
     Recorder r = new Recorder(config(1 << 16, MB, 3 * MB), "process", null, now::incrementAndGet, SegmentWriter.FILES);
     java.util.SplittableRandom random = new java.util.SplittableRandom(7);
@@ -199,56 +202,56 @@
     }
     r.close();
     Archive archive = new Archive(List.of(folder));
-    assertTrue(archive.bytes() <= 3 * MB + (MB >> 1), "octets " + archive.bytes());
-    List<Entry> all = all();
-    List<Entry> removed = all.stream().filter(e -> e.kind() == Kind.REMOVED).toList();
+    assertTrue(archive.bytes() <= 3 * MB + (MB >> 1), "bytes " + archive.bytes());
+    List<Entry> entries = readAll();
+    List<Entry> removed = entries.stream().filter(e -> e.kind() == Kind.REMOVED).toList();
     assertFalse(removed.isEmpty());
     assertTrue(removed.stream().allMatch(e -> e.value() > 0 && e.word().endsWith(".rec")), removed.toString());
-    assertTrue(all.get(0).seq() > 1, "what went is the oldest");
+    assertTrue(entries.get(0).seq() > 1, "the oldest records were deleted");
   }
 
-  /** A kill leaves what is in the file, and no word of an end. */
+  /** After a kill, the file has complete blocks and no STOP record. */
   @Test
-  void aKilledRecorderLeavesWholeBlocksAndNoStop() throws Exception {
+  void killedRecorderLeavesCompleteBlocksAndNoStopRecord() throws Exception {
     Recorder r = Recorder.open(config(1 << 16, MB, 8 * MB), "process", null);
     for (int i = 0; i < 5000; i++) {
       r.recordAnswer(i, "a" + i, "c", "t", "served", 0, 1);
     }
-    await("written", () -> r.written() >= 5000);
+    await("the records are written", () -> r.written() >= 5000);
     r.kill();
-    List<Entry> all = all();
-    assertEquals(0, count(all, Kind.STOP));
-    assertEquals(1, count(all, Kind.START));
-    assertTrue(count(all, Kind.ANSWERED) > 0);
-    // The successor under the old name is another life.
+    List<Entry> entries = readAll();
+    assertEquals(0, count(entries, Kind.STOP));
+    assertEquals(1, count(entries, Kind.START));
+    assertTrue(count(entries, Kind.ANSWERED) > 0);
+    // A successor with the same instance name is another incarnation.
     Recorder next = Recorder.open(config(1 << 16, MB, 8 * MB), "process", null);
     next.close();
     assertEquals(2, new Archive(List.of(folder)).incarnations().get("p").size());
   }
 
-  /** A file is read while it grows: whole blocks only, more each time. */
+  /** A segment can be read while it is written: the reader returns complete blocks only, more each time. */
   @Test
-  void aFileIsReadWhileItGrows() throws Exception {
+  void readsAFileWhileItGrows() throws Exception {
     Recorder r = Recorder.open(config(1 << 16, 64 * MB, 128 * MB), "process", null);
     long before = 0;
     for (int round = 1; round <= 5; round++) {
       for (int i = 0; i < 2000; i++) {
         r.recordAnswer(i, "a" + round + "-" + i, "c", "t", "served", 0, 1);
       }
-      long want = 2000L * round;
+      long expected = 2000L * round;
       await("round " + round + " is in the file", () -> {
         try {
-          return count(all(), Kind.ANSWERED) == want;
+          return count(readAll(), Kind.ANSWERED) == expected;
         } catch (IOException e) {
           throw new IllegalStateException(e);
         }
       });
-      assertTrue(want > before);
-      before = want;
+      assertTrue(expected > before);
+      before = expected;
     }
     r.close();
     Map<Kind, Long> kinds = new EnumMap<>(Kind.class);
-    all().forEach(e -> kinds.merge(e.kind(), 1L, Long::sum));
+    readAll().forEach(e -> kinds.merge(e.kind(), 1L, Long::sum));
     assertEquals(10_000L, kinds.get(Kind.ANSWERED));
     assertEquals(1L, kinds.get(Kind.STOP));
   }
--- a/records/src/test/java/cloverpulley/records/SegmentTest.java
+++ b/records/src/test/java/cloverpulley/records/SegmentTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Segments: what is written is read again, and whatever becomes of the file costs what it touches and is told. */
+/** Writing and reading of segments. Damage to a file must affect only the blocks that it touches, and must be reported. */
 class SegmentTest {
 
   private static final long SEED = 20261201;
@@ -29,7 +29,7 @@
   @TempDir
   Path folder;
 
-  static Entry random(SplittableRandom r, long seq) {
+  static Entry randomEntry(SplittableRandom r, long seq) {
     Kind kind = Kind.values()[r.nextInt(Kind.values().length)];
     return new Entry(ORIGIN, seq, ORIGIN.start() + seq * 1000 + r.nextInt(500), kind, r.nextInt(3) == 0 ? 0 : seq / 4 + 1,
         r.nextInt(3) == 0 ? null : "req-" + seq / 4, r.nextInt(4) == 0 ? null : "class" + r.nextInt(4),
@@ -43,7 +43,7 @@
     SplittableRandom r = new SplittableRandom(SEED);
     try (SegmentWriter w = new SegmentWriter(SegmentWriter.FILES, file, ORIGIN, "process")) {
       for (int i = 1; i <= count; i++) {
-        Entry e = random(r, i);
+        Entry e = randomEntry(r, i);
         into.add(e);
         w.add(e);
       }
@@ -56,32 +56,32 @@
     return file;
   }
 
-  private static List<Entry> read(Path file, int[] spoilt, long[] torn) throws IOException {
-    List<Entry> got = new ArrayList<>();
+  private static List<Entry> read(Path file, int[] corruptBlocks, long[] truncatedBytes) throws IOException {
+    List<Entry> entries = new ArrayList<>();
     try (SegmentReader r = new SegmentReader(file)) {
       assertEquals(ORIGIN, r.origin());
-      r.read(ALL, 0, true, got::add);
-      spoilt[0] = r.damage().corruptBlocks();
-      torn[0] = r.damage().truncatedBytes();
+      r.read(ALL, 0, true, entries::add);
+      corruptBlocks[0] = r.damage().corruptBlocks();
+      truncatedBytes[0] = r.damage().truncatedBytes();
     }
-    return got;
+    return entries;
   }
 
   @Test
-  void whatIsWrittenIsReadWithAndWithoutAnIndex() throws IOException {
+  void readsWhatWasWrittenWithAndWithoutAnIndex() throws IOException {
     for (boolean finish : new boolean[] {true, false}) {
-      List<Entry> put = new ArrayList<>();
-      Path file = write(20_000, finish, put);
-      assertEquals(put, read(file, new int[1], new long[1]));
+      List<Entry> written = new ArrayList<>();
+      Path file = write(20_000, finish, written);
+      assertEquals(written, read(file, new int[1], new long[1]));
       Files.delete(file);
     }
   }
 
-  /** Questions by index find what a plain scan finds, and read fewer blocks. */
+  /** Queries that use the index find the same records as a scan and read fewer blocks. */
   @Test
-  void theIndexFindsAllThatAScanFinds() throws IOException {
-    List<Entry> put = new ArrayList<>();
-    write(40_000, true, put);
+  void indexFindsAllThatAScanFinds() throws IOException {
+    List<Entry> written = new ArrayList<>();
+    write(40_000, true, written);
     Archive archive = new Archive(List.of(folder));
     for (String q : List.of("request=req-17", "request=none", "tenant=tenant3 and kind=sent", "server=s1", "upstream=2 and word~w",
         "at>=1764580010 and at<1764580012", "kind=dropped and class=class1", "class=missing", "")) {
@@ -90,78 +90,78 @@
       Archive.Read all = archive.scan(Query.of(q), scanned::add);
       Archive.Read some = archive.read(Query.of(q), found::add, n -> { });
       assertEquals(scanned, found, q);
-      assertEquals(put.stream().filter(Query.of(q)::test).toList(), found, q);
+      assertEquals(written.stream().filter(Query.of(q)::test).toList(), found, q);
       assertTrue(some.blocks() <= all.blocks(), q);
     }
     int named = archive.read(Query.of("request=req-17"), e -> { }, n -> { }).blocks();
     int whole = archive.scan(Query.of(""), e -> { }).blocks();
-    assertTrue(named * 5 <= whole, "a name is in one block or two, and in some filters by chance: " + named + " of " + whole);
+    assertTrue(named * 5 <= whole, "a request ID is in one or two blocks, plus false positives of the filters: " + named + " of " + whole);
     assertEquals(0, archive.read(Query.of("class=missing"), e -> { }, n -> { }).blocks());
   }
 
-  /** A write that ended at any octet: what was whole before it is read, and the rest is told as cut off. */
+  /** A file truncated at any byte: the complete blocks before it are read, and nothing of the rest. */
   @Test
-  void aFileCutAtAnyPointGivesItsWholeBlocks() throws IOException {
-    List<Entry> put = new ArrayList<>();
-    Path file = write(9000, true, put);
+  void truncatedFileYieldsItsCompleteBlocks() throws IOException {
+    List<Entry> written = new ArrayList<>();
+    Path file = write(9000, true, written);
     byte[] all = Files.readAllBytes(file);
     SplittableRandom r = new SplittableRandom(SEED);
     int before = -1;
-    List<Integer> cuts = new ArrayList<>();
+    List<Integer> lengths = new ArrayList<>();
     for (int i = 0; i < 150; i++) {
-      cuts.add(r.nextInt(all.length));
+      lengths.add(r.nextInt(all.length));
     }
     for (int i = 0; i < 60; i++) {
-      cuts.add(all.length - 1 - i); // Through the trailer and into the index.
+      lengths.add(all.length - 1 - i); // Through the trailer and into the index.
     }
-    cuts.sort(null);
-    Path cut = folder.resolve("cut" + SegmentWriter.SUFFIX);
-    for (int at : cuts) {
-      Files.write(cut, Arrays.copyOf(all, at));
-      List<Entry> got;
+    lengths.sort(null);
+    Path truncated = folder.resolve("truncated" + SegmentWriter.SUFFIX);
+    for (int at : lengths) {
+      Files.write(truncated, Arrays.copyOf(all, at));
+      List<Entry> entries;
       try {
-        got = read(cut, new int[1], new long[1]);
+        entries = read(truncated, new int[1], new long[1]);
       } catch (CorruptSegmentException e) {
-        assertTrue(at < 200, "only without its header is it no segment: " + at);
+        assertTrue(at < 200, "rejected only without a complete header: " + at);
         continue;
       }
-      assertEquals(put.subList(0, got.size()), got, "cut at " + at);
-      assertTrue(got.size() >= before, "cut at " + at);
-      before = got.size();
+      assertEquals(written.subList(0, entries.size()), entries, "truncated at " + at);
+      assertTrue(entries.size() >= before, "truncated at " + at);
+      before = entries.size();
     }
-    assertEquals(put.size(), before, "all records stand before the index");
+    assertEquals(written.size(), before, "all records precede the index");
   }
 
   @Test
-  void aSpoiltBlockInTheMiddleCostsItselfAlone() throws IOException {
-    List<Entry> put = new ArrayList<>();
-    Path file = write(20_000, true, put);
+  void corruptBlockAffectsNoOtherBlock() throws IOException {
+    List<Entry> written = new ArrayList<>();
+    Path file = write(20_000, true, written);
     byte[] all = Files.readAllBytes(file);
     SplittableRandom r = new SplittableRandom(SEED);
     for (int round = 0; round < 60; round++) {
-      byte[] spoilt = all.clone();
-      for (int n = r.nextInt(8) + 1, at = 200 + r.nextInt(all.length - 300); n > 0 && at + n < spoilt.length; n--) {
-        spoilt[at + n] ^= (byte) (1 + r.nextInt(255));
+      byte[] corrupt = all.clone();
+      for (int n = r.nextInt(8) + 1, at = 200 + r.nextInt(all.length - 300); n > 0 && at + n < corrupt.length; n--) {
+        corrupt[at + n] ^= (byte) (1 + r.nextInt(255));
       }
       for (boolean indexed : new boolean[] {true, false}) {
-        Files.write(file, indexed ? spoilt : Arrays.copyOf(spoilt, spoilt.length - SegmentWriter.TRAILER_SIZE));
-        List<Entry> got = new ArrayList<>();
+        Files.write(file, indexed ? corrupt : Arrays.copyOf(corrupt, corrupt.length - SegmentWriter.TRAILER_SIZE));
+        List<Entry> entries = new ArrayList<>();
         try (SegmentReader s = new SegmentReader(file)) {
-          s.read(ALL, 0, true, got::add);
-          boolean lost = got.size() < put.size();
+          s.read(ALL, 0, true, entries::add);
+          boolean lost = entries.size() < written.size();
           assertTrue(!lost || s.damage().corruptBlocks() + s.damage().truncatedBytes() > 0, "seed " + SEED + ", round " + round);
-          assertTrue(s.damage().corruptBlocks() <= 2, "two at an edge: " + s.damage());
+          assertTrue(s.damage().corruptBlocks() <= 2, "at most two, at a block boundary: " + s.damage());
         }
-        assertTrue(put.containsAll(got.subList(0, Math.min(50, got.size()))), "nothing that was not written");
-        assertTrue(got.size() > put.size() / 2, "round " + round + ": " + got.size());
+        assertTrue(written.containsAll(entries.subList(0, Math.min(50, entries.size()))), "only records that were written");
+        assertTrue(entries.size() > written.size() / 2, "round " + round + ": " + entries.size());
       }
     }
   }
 
   @Test
-  void otherVersionsAndOtherFilesAreNamedAndPassedOver() throws IOException {
-    List<Entry> put = new ArrayList<>();
-    Path file = write(100, true, put);
+  void skipsAndReportsUnsupportedVersionsAndOtherFiles() throws IOException {
+    List<Entry> written = new ArrayList<>();
+    Path file = write(100, true, written);
     byte[] newer = Files.readAllBytes(file);
     newer[7] = 2;
     Files.write(folder.resolve("b" + SegmentWriter.SUFFIX), newer);
@@ -174,12 +174,12 @@
     assertTrue(read.unread().get(0).problem().contains("version 2"), read.unread().toString());
   }
 
-  /** Whatever octets there are: a reader ends, and gives nothing or what was written. */
+  /** For arbitrary bytes the reader terminates and returns nothing but records that were written. */
   @Test
-  void randomOctetsNeverBreakAReader() throws IOException {
+  void readerHandlesRandomBytes() throws IOException {
     SplittableRandom r = new SplittableRandom(SEED);
-    List<Entry> put = new ArrayList<>();
-    byte[] good = Files.readAllBytes(write(300, true, put));
+    List<Entry> written = new ArrayList<>();
+    byte[] good = Files.readAllBytes(write(300, true, written));
     Path file = folder.resolve("x" + SegmentWriter.SUFFIX);
     for (int i = 0; i < 2000; i++) {
       byte[] b = r.nextBoolean() ? good.clone() : new byte[r.nextInt(2000)];
@@ -188,12 +188,12 @@
       }
       Files.write(file, b);
       try (SegmentReader s = new SegmentReader(file)) {
-        s.read(ALL, 0, true, e -> assertTrue(put.contains(e)));
+        s.read(ALL, 0, true, e -> assertTrue(written.contains(e)));
       } catch (CorruptSegmentException e) {
         assertTrue(e.getMessage().length() > 3);
       }
     }
-    // And the rows themselves, past any checksum.
+    // The row decoder alone, which a checksum usually protects.
     for (int i = 0; i < 20_000; i++) {
       byte[] b = new byte[r.nextInt(64)];
       for (int n = 0; n < b.length; n++) {
