--- a/records/src/main/java/cloverpulley/records/SegmentWriter.java
+++ b/records/src/main/java/cloverpulley/records/SegmentWriter.java
@@ -22,7 +22,7 @@
   static final int TRAILER_MAGIC = 0xE9DF007E;
   /** Size of a block before compression: larger blocks compress better, but a query has to decompress more. */
   static final int BLOCK_SIZE = 64 << 10;
-  /** Level 1: the space that higher levels save is not worth the CPU time they take from the service. */
+  /** Level 1: higher levels save little space for the CPU time that they take from the service. */
   private static final int COMPRESSION_LEVEL = 1;
   static final String SUFFIX = ".rec";
 
--- a/records/src/test/java/cloverpulley/records/SegmentTest.java
+++ b/records/src/test/java/cloverpulley/records/SegmentTest.java
@@ -93,9 +93,10 @@
       assertEquals(written.stream().filter(Query.of(q)::test).toList(), found, q);
       assertTrue(some.blocks() <= all.blocks(), q);
     }
-    int named = archive.read(Query.of("request=req-17"), e -> { }, n -> { }).blocks();
-    int whole = archive.scan(Query.of(""), e -> { }).blocks();
-    assertTrue(named * 5 <= whole, "a request ID is in one or two blocks, plus false positives of the filters: " + named + " of " + whole);
+    int indexedBlocks = archive.read(Query.of("request=req-17"), e -> { }, n -> { }).blocks();
+    int scannedBlocks = archive.scan(Query.of(""), e -> { }).blocks();
+    assertTrue(indexedBlocks * 5 <= scannedBlocks,
+        "a request ID is in one or two blocks, plus false positives of the filters: " + indexedBlocks + " of " + scannedBlocks);
     assertEquals(0, archive.read(Query.of("class=missing"), e -> { }, n -> { }).blocks());
   }
 
@@ -116,17 +117,17 @@
     }
     lengths.sort(null);
     Path truncated = folder.resolve("truncated" + SegmentWriter.SUFFIX);
-    for (int at : lengths) {
-      Files.write(truncated, Arrays.copyOf(all, at));
+    for (int length : lengths) {
+      Files.write(truncated, Arrays.copyOf(all, length));
       List<Entry> entries;
       try {
         entries = read(truncated, new int[1], new long[1]);
       } catch (CorruptSegmentException e) {
-        assertTrue(at < 200, "rejected only without a complete header: " + at);
+        assertTrue(length < 200, "rejected only without a complete header: " + length);
         continue;
       }
-      assertEquals(written.subList(0, entries.size()), entries, "truncated at " + at);
-      assertTrue(entries.size() >= before, "truncated at " + at);
+      assertEquals(written.subList(0, entries.size()), entries, "truncated at " + length);
+      assertTrue(entries.size() >= before, "truncated at " + length);
       before = entries.size();
     }
     assertEquals(written.size(), before, "all records precede the index");
@@ -140,8 +141,8 @@
     SplittableRandom r = new SplittableRandom(SEED);
     for (int round = 0; round < 60; round++) {
       byte[] corrupt = all.clone();
-      for (int n = r.nextInt(8) + 1, at = 200 + r.nextInt(all.length - 300); n > 0 && at + n < corrupt.length; n--) {
-        corrupt[at + n] ^= (byte) (1 + r.nextInt(255));
+      for (int n = r.nextInt(8) + 1, offset = 200 + r.nextInt(all.length - 300); n > 0 && offset + n < corrupt.length; n--) {
+        corrupt[offset + n] ^= (byte) (1 + r.nextInt(255));
       }
       for (boolean indexed : new boolean[] {true, false}) {
         Files.write(file, indexed ? corrupt : Arrays.copyOf(corrupt, corrupt.length - SegmentWriter.TRAILER_SIZE));
