--- a/incident/src/test/java/cloverpulley/incident/tool/SanitizerTest.java
+++ b/incident/src/test/java/cloverpulley/incident/tool/SanitizerTest.java
@@ -31,8 +31,8 @@
   void hostileTextIsEscapedInAllOutputs() throws Exception {
     Recorder r = Recorder.open(RecordsConfig.of(folder, "p"), "process", null);
     for (String h : HOSTILE) {
-      r.answered(0, h, h, h, h, Entry.FAILED, 1000);
-      r.called(h + "2", h, h, Entry.SERVED, 2000);
+      r.recordAnswer(0, h, h, h, h, Entry.FAILED, 1000);
+      r.recordCall(h + "2", h, h, Entry.SERVED, 2000);
       r.replaced(h);
     }
     r.close();
@@ -43,7 +43,7 @@
     }
     assertEquals(1, html.split("<style>", -1).length - 1, "only the report's own");
     int[] lines = {0};
-    s.archive.all(e -> {
+    s.archive.readAll(e -> {
       String text = EntryFormatter.text(e);
       assertTrue(text.chars().noneMatch(c -> Character.isISOControl(c) || c == 0x202E), text);
       try (JsonParser p = new JsonFactory().createParser(EntryFormatter.json(e))) {
