--- a/dns/src/main/java/cloverpulley/dns/Cache.java
+++ b/dns/src/main/java/cloverpulley/dns/Cache.java
@@ -21,12 +21,12 @@
 
   /** An answer and since when it is held. */
   static final class Entry {
-    final Body body;
+    final ResponseTemplate body;
     final long at;
     final long ttl;
     int hits;
 
-    Entry(Body body, long at, long ttl) {
+    Entry(ResponseTemplate body, long at, long ttl) {
       this.body = body;
       this.at = at;
       this.ttl = ttl;
@@ -59,7 +59,7 @@
   }
 
   /** Keeps an answer where its TTL allows it. */
-  void put(Key key, Body body, long ttl, boolean negative, long now) {
+  void put(Key key, ResponseTemplate body, long ttl, boolean negative, long now) {
     long kept = freshness.cacheTtl(ttl, negative);
     if (kept > 0) {
       entries.put(key, new Entry(body, now, kept));
--- a/dns/src/main/java/cloverpulley/dns/DnsExchange.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsExchange.java
@@ -2,7 +2,7 @@
 
 import cloverpulley.Balancer.Effect;
 import cloverpulley.Balancer.Status;
-import cloverpulley.dns.client.Ask;
+import cloverpulley.dns.client.UpstreamQuery;
 import cloverpulley.dns.wire.MalformedException;
 import cloverpulley.dns.wire.Message;
 import cloverpulley.engine.Attempt;
@@ -16,9 +16,9 @@
 abstract class DnsExchange extends Exchange {
 
   final Resolver resolver;
-  private final Ask.Asked asked;
+  private final UpstreamQuery.Spec asked;
 
-  DnsExchange(Facts facts, Resolver resolver, Ask.Asked asked) {
+  DnsExchange(Facts facts, Resolver resolver, UpstreamQuery.Spec asked) {
     super(facts);
     this.resolver = resolver;
     this.asked = asked;
@@ -35,7 +35,7 @@
 
   private void ended(Attempt attempt, Status status, Message answer) {
     Status word = status;
-    Body body = null;
+    ResponseTemplate body = null;
     if (answer != null) {
       word = RcodeMapping.toStatus(facts().type().effect(), answer.rcode(), resolver.config.refusedIsFull());
       if (word == Status.SERVED && asked.raw() == null) {
@@ -44,7 +44,7 @@
       }
     }
     boolean served = word == Status.SERVED;
-    Body kept = body;
+    ResponseTemplate kept = body;
     resolver.engine.attemptEnded(attempt, word, Map.of(), () -> {
       if (served && !isEnded()) {
         end();
@@ -55,20 +55,20 @@
   }
 
   /** What can be given to others; null where nobody asked for a part of it. */
-  private Body body(Message answer) {
+  private ResponseTemplate body(Message answer) {
     if (!answer.isInBailiwick()) {
       resolver.counts.poisoned++;
       return null;
     }
     try {
-      return Body.of(answer);
+      return ResponseTemplate.of(answer);
     } catch (MalformedException e) {
       return null;
     }
   }
 
   /** The final answer is a server's. */
-  abstract void served(Message answer, Body body);
+  abstract void served(Message answer, ResponseTemplate body);
 
   /** A client that waited for it has gone. */
   abstract void gone(Query query);
--- a/dns/src/main/java/cloverpulley/dns/DnsServer.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsServer.java
@@ -84,11 +84,11 @@
   private Engine engine;
   private DnsClient client;
   private Resolver resolver;
-  private TcpFront tcp;
+  private TcpFrontend tcp;
   private Channel tcpListener;
   private Channel udp;
   private FleetZone fleetZone;
-  private OwnZone shownZone;
+  private LocalZone shownZone;
   private Fleet shown;
   private Engine.ListSource shownDiscovery;
   private boolean wasQuiet;
@@ -131,7 +131,7 @@
       QuotaConfig quota) throws IOException {
     DnsServer s = new DnsServer(config, recorder);
     try {
-      List<OwnZone> zones = new ArrayList<>();
+      List<LocalZone> zones = new ArrayList<>();
       for (DnsConfig.ZoneFile z : config.zones()) {
         zones.add(zone(z));
       }
@@ -151,15 +151,15 @@
     return s;
   }
 
-  private static OwnZone zone(DnsConfig.ZoneFile z) throws IOException {
+  private static LocalZone zone(DnsConfig.ZoneFile z) throws IOException {
     try {
-      return new OwnZone(Names.of(z.origin()), new Zone(Name.fromString(z.origin()), z.file().toString()));
+      return new LocalZone(Names.of(z.origin()), new Zone(Name.fromString(z.origin()), z.file().toString()));
     } catch (IOException | RuntimeException e) {
       throw new IOException("zone " + z.origin() + " in " + z.file() + " can't be read: " + e.getMessage(), e);
     }
   }
 
-  private void wire(LongFunction<Balancer> modules, List<OwnZone> zones, FleetSource shownSource) {
+  private void wire(LongFunction<Balancer> modules, List<LocalZone> zones, FleetSource shownSource) {
     FleetSource source = config.fleet();
     ServerList first = source == null ? ServerList.NONE : source.first();
     Engine.ListSource lists = source == null || source.isWritten() ? new WrittenList(fleet, (kind, list) -> engine.news(kind, list))
@@ -205,7 +205,7 @@
     ServerList first = source.first();
     shown.take(ListKind.CACHED, first);
     fleetZone = new FleetZone(config.fleetNames());
-    shownZone = new OwnZone(Names.of(config.fleetNames().origin()), fleetZone.zone(shown.list(), System.currentTimeMillis()));
+    shownZone = new LocalZone(Names.of(config.fleetNames().origin()), fleetZone.zone(shown.list(), System.currentTimeMillis()));
     resolver.add(shownZone);
     if (!source.isWritten()) {
       shownDiscovery = open(source, first, shown, this::shownNews);
@@ -257,7 +257,7 @@
 
   private void listen() throws IOException {
     Flusher flusher = new Flusher(loop);
-    tcp = onLoop(() -> new TcpFront(loop, resolver, flusher, config.limits()));
+    tcp = onLoop(() -> new TcpFrontend(loop, resolver, flusher, config.limits()));
     IOException last = null;
     // Both transports on one port: with port 0 the one that TCP gets may be taken over UDP.
     for (int i = 0; i < (config.listen().getPort() == 0 ? PORT_TRIES : 1); i++) {
@@ -295,7 +295,7 @@
         .handler(new io.netty.channel.ChannelInitializer<NioDatagramChannel>() {
           @Override
           protected void initChannel(NioDatagramChannel channel) {
-            channel.pipeline().addLast(new UdpFront(resolver, flusher, channel));
+            channel.pipeline().addLast(new UdpFrontend(resolver, flusher, channel));
           }
         });
     if (config.reusePort()) {
--- a/dns/src/main/java/cloverpulley/dns/Repeated.java
+++ b/dns/src/main/java/cloverpulley/dns/DuplicateRequestCache.java
@@ -10,7 +10,7 @@
  * UPDATEs and NOTIFYs that came over UDP: a client that hears nothing sends the same datagram again, which is not to run again. While
  * the first is in hand the repeat is dropped (the answer will come); after it, the same answer is given once more.
  */
-final class Repeated {
+final class DuplicateRequestCache {
 
   /** Who sent which octets; its hash is the octets' own. */
   static final class Key {
@@ -44,7 +44,7 @@
   private final long keepNanos;
   private final Map<Key, Held> held = new LinkedHashMap<>();
 
-  Repeated(int most, long keepNanos) {
+  DuplicateRequestCache(int most, long keepNanos) {
     this.most = most;
     this.keepNanos = keepNanos;
   }
--- a/dns/src/main/java/cloverpulley/dns/Flight.java
+++ b/dns/src/main/java/cloverpulley/dns/InFlightQuery.java
@@ -1,13 +1,13 @@
 package cloverpulley.dns;
 
-import cloverpulley.dns.client.Ask;
+import cloverpulley.dns.client.UpstreamQuery;
 import cloverpulley.dns.wire.Message;
 import cloverpulley.engine.Verdict;
 import java.util.ArrayList;
 import java.util.List;
 
 /** A question on its way to the servers, once for all that ask it meanwhile; without anybody, to keep the cache fresh. */
-final class Flight extends DnsExchange {
+final class InFlightQuery extends DnsExchange {
 
   final Cache.Key key;
   private final boolean prefetch;
@@ -16,7 +16,7 @@
   private final Cache.Entry stale;
   private boolean staleGiven;
 
-  Flight(Facts facts, Resolver resolver, Ask.Asked asked, Cache.Key key, Cache.Entry stale, boolean prefetch) {
+  InFlightQuery(Facts facts, Resolver resolver, UpstreamQuery.Spec asked, Cache.Key key, Cache.Entry stale, boolean prefetch) {
     super(facts, resolver, asked);
     this.key = key;
     this.stale = stale;
@@ -47,7 +47,7 @@
   }
 
   @Override
-  void served(Message answer, Body body) {
+  void served(Message answer, ResponseTemplate body) {
     long now = resolver.clock.now();
     resolver.landed(this);
     resolver.keep(key, answer, body, now);
--- a/dns/src/main/java/cloverpulley/dns/OwnZone.java
+++ b/dns/src/main/java/cloverpulley/dns/LocalZone.java
@@ -21,7 +21,7 @@
 import org.xbill.DNS.Zone;
 
 /** A zone that is answered from here (RFC 1034, 4.3.2); answers once made are kept until the zone changes. */
-final class OwnZone {
+final class LocalZone {
 
   private static final int MOST_KEPT = 2000;
   private static final int MOST_ALIASES = 8;
@@ -29,13 +29,13 @@
   private static final int MOST_ADDITIONAL = 40;
 
   /** An answer, and whether it is the zone's own word and not a referral. */
-  record Answer(Body body, boolean authoritative) {}
+  record Answer(ResponseTemplate body, boolean authoritative) {}
 
   final byte[] origin;
   private Zone zone;
   private final Map<Question, Answer> kept = new LinkedHashMap<>(64, 0.75f, true);
 
-  OwnZone(byte[] origin, Zone zone) {
+  LocalZone(byte[] origin, Zone zone) {
     this.origin = origin;
     this.zone = zone;
   }
@@ -68,7 +68,7 @@
       m.getHeader().setFlag(Flags.QR);
       m.addRecord(Record.newRecord(name, q.type(), DClass.IN), Section.QUESTION);
       boolean own = fill(m, name, q.type());
-      return new Answer(Body.of(Message.read(m.toWire(Message.MOST))), own);
+      return new Answer(ResponseTemplate.of(Message.read(m.toWire(Message.MOST))), own);
     } catch (IOException | MalformedException e) {
       throw new IllegalStateException("no answer for " + q, e); // Both have been read before.
     }
--- a/dns/src/main/java/cloverpulley/dns/Passing.java
+++ b/dns/src/main/java/cloverpulley/dns/PassThroughExchange.java
@@ -1,25 +1,25 @@
 package cloverpulley.dns;
 
-import cloverpulley.dns.client.Ask;
+import cloverpulley.dns.client.UpstreamQuery;
 import cloverpulley.dns.wire.Message;
 import cloverpulley.engine.Verdict;
 
 /** An UPDATE, a NOTIFY or a signed question on its way: passed on untouched, and its answer as well. */
-final class Passing extends DnsExchange {
+final class PassThroughExchange extends DnsExchange {
 
   private final Query query;
   /** Under which a client's repeat of it is known; null over TCP, where clients don't repeat, and for questions, which
    * may. */
-  private final Repeated.Key key;
+  private final DuplicateRequestCache.Key key;
 
-  Passing(Facts facts, Resolver resolver, Ask.Asked asked, Query query, Repeated.Key key) {
+  PassThroughExchange(Facts facts, Resolver resolver, UpstreamQuery.Spec asked, Query query, DuplicateRequestCache.Key key) {
     super(facts, resolver, asked);
     this.query = query;
     this.key = key;
   }
 
   @Override
-  void served(Message answer, Body body) {
+  void served(Message answer, ResponseTemplate body) {
     byte[] octets = answer.bytes().clone();
     Message.put16(octets, 0, query.message.id());
     // What does not fit is not cut, for its signature covers all of it: the client comes over TCP.
--- a/dns/src/main/java/cloverpulley/dns/Query.java
+++ b/dns/src/main/java/cloverpulley/dns/Query.java
@@ -123,7 +123,7 @@
    * An answer with records, aged and cut to what the client can take: without the additional section where that is enough, which is
    * no truncation (RFC 2181, 9), and else without any and with TC.
    */
-  byte[] filled(Replies replies, Body body, long age, long mostTtl, boolean authoritative, int errorCode, String text) {
+  byte[] filled(Replies replies, ResponseTemplate body, long age, long mostTtl, boolean authoritative, int errorCode, String text) {
     Edns.Writer writer = opt(replies, body.rcode());
     if (writer != null && errorCode >= 0) {
       writer.error(errorCode, text);
--- a/dns/src/main/java/cloverpulley/dns/Resolver.java
+++ b/dns/src/main/java/cloverpulley/dns/Resolver.java
@@ -4,8 +4,8 @@
 import cloverpulley.Balancer.RequestClass;
 import cloverpulley.Reason;
 import cloverpulley.dns.DnsConfig.Match;
-import cloverpulley.dns.client.Ask;
 import cloverpulley.dns.client.DnsClient;
+import cloverpulley.dns.client.UpstreamQuery;
 import cloverpulley.dns.wire.Edns;
 import cloverpulley.dns.wire.MalformedException;
 import cloverpulley.dns.wire.Message;
@@ -69,15 +69,15 @@
   final DnsCounts counts;
   final GracefulShutdown leaving = new GracefulShutdown();
   Query.Replies replies;
-  final Repeated repeated = new Repeated(MOST_REPEATS, REPEATS_KEPT);
+  final DuplicateRequestCache repeated = new DuplicateRequestCache(MOST_REPEATS, REPEATS_KEPT);
   private final Recorder recorder;
   /** Null where there are none. */
   private final QuotaKeeper quotas;
   private final Cache cache;
   private final Cookies cookies;
   private final ResponseRateLimiter limit;
-  private final List<OwnZone> zones = new ArrayList<>();
-  private final Map<Cache.Key, Flight> flights = new HashMap<>();
+  private final List<LocalZone> zones = new ArrayList<>();
+  private final Map<Cache.Key, InFlightQuery> flights = new HashMap<>();
   private final Set<String> tenants = new HashSet<>();
 
   Resolver(EventLoop loop, Clock clock, DnsConfig config, Engine engine, DnsClient client, DnsCounts counts,
@@ -97,7 +97,7 @@
     config.settings().tenants().forEach(t -> tenants.add(t.name()));
   }
 
-  void add(OwnZone zone) {
+  void add(LocalZone zone) {
     zones.add(zone);
   }
 
@@ -212,7 +212,7 @@
 
   /** Whether its tenant's quota allows it; false where it was answered. A repeat of what may have run is not refused. */
   private boolean hasQuota(Query q) {
-    if (quotas == null || q.message.opcode() != Message.QUERY && !q.client.isTcp() && repeated.isKnown(new Repeated.Key(q))) {
+    if (quotas == null || q.message.opcode() != Message.QUERY && !q.client.isTcp() && repeated.isKnown(new DuplicateRequestCache.Key(q))) {
       return true;
     }
     long grant = quotas.tryAcquire(q.tenant, 1, q.message.bytes().length, 0, false);
@@ -245,10 +245,10 @@
     } else if (type == Message.ANY) {
       any(q);
     } else {
-      for (OwnZone zone : zones) {
+      for (LocalZone zone : zones) {
         if (zone.holds(q.question())) {
           counts.own++;
-          OwnZone.Answer a = zone.answer(q.question());
+          LocalZone.Answer a = zone.answer(q.question());
           reply(q, q.filled(replies, a.body(), 0, Integer.MAX_VALUE, a.authoritative(), -1, null));
           return;
         }
@@ -276,7 +276,7 @@
     Message.put32(octets, start + 6, ANY_TTL_S);
     Message.put16(octets, start + 10, ANY_DATA.length);
     System.arraycopy(ANY_DATA, 0, octets, start + 12, ANY_DATA.length);
-    Body body = new Body(octets, new int[0], octets.length, start, Message.NOERROR);
+    ResponseTemplate body = new ResponseTemplate(octets, new int[0], octets.length, start, Message.NOERROR);
     reply(q, q.filled(replies, body, 0, ANY_TTL_S, false, -1, null));
   }
 
@@ -318,7 +318,7 @@
   /** Sends a question on its way, or lets it join one that is under way. */
   void fly(Query q) {
     Cache.Key key = Cache.Key.of(q);
-    Flight flight = flights.get(key);
+    InFlightQuery flight = flights.get(key);
     if (flight == null) {
       Cache.Entry e = cache.get(key, clock.now());
       flight = launch(key, q, e, false);
@@ -331,7 +331,7 @@
     }
   }
 
-  private Flight launch(Cache.Key key, Query q, Cache.Entry stale, boolean prefetch) {
+  private InFlightQuery launch(Cache.Key key, Query q, Cache.Entry stale, boolean prefetch) {
     RequestClass type = type(q);
     if (type == null) {
       reply(q, q.empty(replies, 0, Message.NOTIMP, NOT_SUPPORTED, "no class for it"));
@@ -339,9 +339,9 @@
     }
     // AD says that we know what it means in the answer (RFC 6840, 5.7); each client gets it as he asked.
     int flags = q.message.flags() & (Message.RD | Message.CD) | Message.AD;
-    Ask.Asked asked = new Ask.Asked(null, q.question(), flags, q.wantsDnssec(), false);
+    UpstreamQuery.Spec asked = new UpstreamQuery.Spec(null, q.question(), flags, q.wantsDnssec(), false);
     long deadline = prefetch ? clock.now() + type.deadlineNanos() : deadline(q, type);
-    Flight flight = new Flight(new Exchange.Facts(type, q.tenant, name(q.question()), 0, false, deadline, 0, List.of()), this,
+    InFlightQuery flight = new InFlightQuery(new Exchange.Facts(type, q.tenant, name(q.question()), 0, false, deadline, 0, List.of()), this,
         asked, key, stale, prefetch);
     flights.put(key, flight);
     counts.flights++;
@@ -371,11 +371,11 @@
     return null;
   }
 
-  void landed(Flight flight) {
+  void landed(InFlightQuery flight) {
     flights.remove(flight.key, flight);
   }
 
-  void keep(Cache.Key key, Message answer, Body body, long now) {
+  void keep(Cache.Key key, Message answer, ResponseTemplate body, long now) {
     boolean negative = answer.answers() == 0 || answer.rcode() != Message.NOERROR;
     cache.put(key, body, answer.ttl(), negative, now);
   }
@@ -388,14 +388,14 @@
       reply(q, q.empty(replies, 0, Message.NOTIMP, NOT_SUPPORTED, "no class for it"));
       return;
     }
-    for (OwnZone zone : zones) {
+    for (LocalZone zone : zones) {
       if (zone.holds(q.question())) {
         reply(q, q.empty(replies, 0, Message.REFUSED, NOT_SUPPORTED, "a zone of ours is not changed so"));
         return;
       }
     }
     boolean safe = type.effect() == Effect.SAFE;
-    Repeated.Key key = safe || q.client.isTcp() ? null : new Repeated.Key(q);
+    DuplicateRequestCache.Key key = safe || q.client.isTcp() ? null : new DuplicateRequestCache.Key(q);
     if (key != null && repeated.isKnown(key)) {
       counts.repeated++;
       byte[] answer = repeated.answer(key);
@@ -411,8 +411,8 @@
       return;
     }
     boolean tcp = !safe && config.unsafeOverTcp() || q.message.bytes().length > config.udpSize();
-    Ask.Asked asked = new Ask.Asked(q.message.bytes(), q.question(), 0, false, tcp);
-    Passing passing = new Passing(new Exchange.Facts(type, q.tenant, name(q.question()), 0, false, deadline(q, type), 0, List.of()),
+    UpstreamQuery.Spec asked = new UpstreamQuery.Spec(q.message.bytes(), q.question(), 0, false, tcp);
+    PassThroughExchange passing = new PassThroughExchange(new Exchange.Facts(type, q.tenant, name(q.question()), 0, false, deadline(q, type), 0, List.of()),
         this, asked, q, key);
     q.client.waits(q, passing);
     engine.take(passing);
--- a/dns/src/main/java/cloverpulley/dns/Body.java
+++ b/dns/src/main/java/cloverpulley/dns/ResponseTemplate.java
@@ -15,21 +15,21 @@
  * @param ttls where the TTLs are
  * @param authorityEnd where the authority section ends: what comes after may be left out
  */
-record Body(byte[] octets, int[] ttls, int authorityEnd, int questionEnd, int rcode) {
+record ResponseTemplate(byte[] octets, int[] ttls, int authorityEnd, int questionEnd, int rcode) {
 
   /** What a kept one takes beside its octets: objects, entry, question. */
   private static final int OVERHEAD = 400;
 
   /** Of a message that has been read; its OPT record is left out. */
-  static Body of(Message m) throws MalformedException {
+  static ResponseTemplate of(Message m) throws MalformedException {
     if (m.edns() == null) {
-      return new Body(m.bytes(), m.ttls(), m.end(1), m.questionEnd(), m.rcode());
+      return new ResponseTemplate(m.bytes(), m.ttls(), m.end(1), m.questionEnd(), m.rcode());
     } else if (!m.isOptLast()) {
       return of(rebuilt(m));
     }
     byte[] octets = Arrays.copyOf(m.bytes(), m.edns().at());
     Message.put16(octets, 10, m.additionals() - 1);
-    return new Body(octets, m.ttls(), m.end(1), m.questionEnd(), m.rcode());
+    return new ResponseTemplate(octets, m.ttls(), m.end(1), m.questionEnd(), m.rcode());
   }
 
   /** Records after OPT may point to names behind it: the message is written anew without it. */
--- a/dns/src/main/java/cloverpulley/dns/TcpFront.java
+++ b/dns/src/main/java/cloverpulley/dns/TcpFrontend.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** The clients' connections (RFC 7766): pipelined, answered out of order, bounded in number, in time and in what waits. */
-final class TcpFront extends ChannelInitializer<Channel> {
+final class TcpFrontend extends ChannelInitializer<Channel> {
 
   private static final int SWEEPS = 8;
   private static final long MOST_SWEEP_MILLIS = 250;
@@ -36,7 +36,7 @@
   private final Map<InetAddress, Integer> byClient = new HashMap<>();
   private Future<?> sweep;
 
-  TcpFront(EventLoop loop, Resolver resolver, Flusher flusher, DnsConfig.Limits limits) {
+  TcpFrontend(EventLoop loop, Resolver resolver, Flusher flusher, DnsConfig.Limits limits) {
     this.loop = loop;
     this.resolver = resolver;
     this.flusher = flusher;
--- a/dns/src/main/java/cloverpulley/dns/UdpFront.java
+++ b/dns/src/main/java/cloverpulley/dns/UdpFrontend.java
@@ -10,13 +10,13 @@
 import java.net.InetSocketAddress;
 
 /** The clients' datagrams. */
-final class UdpFront extends ChannelInboundHandlerAdapter {
+final class UdpFrontend extends ChannelInboundHandlerAdapter {
 
   private final Resolver resolver;
   private final Flusher flusher;
   private final NioDatagramChannel channel;
 
-  UdpFront(Resolver resolver, Flusher flusher, NioDatagramChannel channel) {
+  UdpFrontend(Resolver resolver, Flusher flusher, NioDatagramChannel channel) {
     this.resolver = resolver;
     this.flusher = flusher;
     this.channel = channel;
--- a/dns/src/main/java/cloverpulley/dns/client/Randomness.java
+++ b/dns/src/main/java/cloverpulley/dns/client/BufferedSecureRandom.java
@@ -3,7 +3,7 @@
 import java.security.SecureRandom;
 
 /** Numbers that nobody can foresee (RFC 5452, 9.2), drawn from the system's generator in blocks: one call for each would be slow. */
-final class Randomness {
+final class BufferedSecureRandom {
 
   private static final int BLOCK = 4096;
 
--- a/dns/src/main/java/cloverpulley/dns/client/DnsClient.java
+++ b/dns/src/main/java/cloverpulley/dns/client/DnsClient.java
@@ -24,12 +24,12 @@
   final Clock clock;
   final ClientConfig config;
   final ServerCapabilities traits;
-  final Randomness random = new Randomness();
+  final BufferedSecureRandom random = new BufferedSecureRandom();
   final ClientCounts counts = new ClientCounts();
   final Flusher flusher;
-  private final Map<Long, ServerLink> servers = new HashMap<>();
+  private final Map<Long, ServerConnections> servers = new HashMap<>();
   /** Servers that drain, until the last connection to them is closed. */
-  private final Set<ServerLink> leaving = new HashSet<>();
+  private final Set<ServerConnections> leaving = new HashSet<>();
   private final Future<?> sweep;
 
   /** Makes a client; every method is then to be called on {@code loop}. */
@@ -50,17 +50,17 @@
    * @param timeoutNanos for all legs together, connecting included
    * @param done told once, maybe from in here
    */
-  public Ask ask(long number, InetSocketAddress address, Ask.Asked asked, long timeoutNanos, Ask.Done done) {
-    ServerLink server = servers.get(number);
+  public UpstreamQuery ask(long number, InetSocketAddress address, UpstreamQuery.Spec asked, long timeoutNanos, UpstreamQuery.Callback done) {
+    ServerConnections server = servers.get(number);
     if (server != null && !server.address.equals(address)) {
       withdraw(n -> n == number);
       server = null;
     }
     if (server == null) {
-      server = new ServerLink(this, number, address);
+      server = new ServerConnections(this, number, address);
       servers.put(number, server);
     }
-    Ask ask = new Ask(asked, server, done);
+    UpstreamQuery ask = new UpstreamQuery(asked, server, done);
     ask.timer = loop.schedule(ask::timedOut, timeoutNanos, TimeUnit.NANOSECONDS);
     ask.start(clock.now());
     return ask;
@@ -68,7 +68,7 @@
 
   /** These servers drain or are gone: what has not been sent comes back, connections close once they are empty. */
   public void withdraw(LongPredicate from) {
-    for (ServerLink server : List.copyOf(servers.values())) {
+    for (ServerConnections server : List.copyOf(servers.values())) {
       if (from.test(server.number)) {
         servers.remove(server.number);
         leaving.add(server);
@@ -78,7 +78,7 @@
     traits.retainAll(servers.keySet());
   }
 
-  void forget(ServerLink server) {
+  void forget(ServerConnections server) {
     leaving.remove(server);
   }
 
@@ -93,14 +93,14 @@
 
   /** Sockets open towards servers. */
   public int sockets() {
-    return servers.values().stream().mapToInt(ServerLink::sockets).sum()
-        + leaving.stream().mapToInt(ServerLink::sockets).sum();
+    return servers.values().stream().mapToInt(ServerConnections::sockets).sum()
+        + leaving.stream().mapToInt(ServerConnections::sockets).sum();
   }
 
   /** Closes all; what is open ends as {@link Status#RESET}. */
   public void close() {
     sweep.cancel(false);
-    List.copyOf(servers.values()).forEach(ServerLink::close);
-    List.copyOf(leaving).forEach(ServerLink::close);
+    List.copyOf(servers.values()).forEach(ServerConnections::close);
+    List.copyOf(leaving).forEach(ServerConnections::close);
   }
 }
--- a/dns/src/main/java/cloverpulley/dns/client/ServerLink.java
+++ b/dns/src/main/java/cloverpulley/dns/client/ServerConnections.java
@@ -8,38 +8,38 @@
 import java.util.Set;
 
 /** All that leads to one server: source ports and connections, both bounded. */
-final class ServerLink {
+final class ServerConnections {
 
   final DnsClient client;
   final long number;
   final InetSocketAddress address;
-  private final List<UdpPort> ports = new ArrayList<>();
+  private final List<UdpSocket> ports = new ArrayList<>();
   /** Ports that take no more queries and wait for their last answers. */
-  private final Set<UdpPort> retired = new HashSet<>();
-  private final List<TcpLink> links = new ArrayList<>();
+  private final Set<UdpSocket> retired = new HashSet<>();
+  private final List<TcpConnection> links = new ArrayList<>();
   /** It drains or is gone: no leg begins any more. */
   boolean withdrawn;
 
-  ServerLink(DnsClient client, long number, InetSocketAddress address) {
+  ServerConnections(DnsClient client, long number, InetSocketAddress address) {
     this.client = client;
     this.number = number;
     this.address = address;
   }
 
-  void udp(Ask ask, long now) {
-    UdpPort port = null;
+  void udp(UpstreamQuery ask, long now) {
+    UdpSocket port = null;
     if (ports.size() == client.config.portsPerServer()) {
       // Any of those open, drawn: an attacker has to guess the port as well.
       int first = client.random.below(ports.size());
       for (int i = 0; i < ports.size() && port == null; i++) {
-        UdpPort at = ports.get((first + i) % ports.size());
+        UdpSocket at = ports.get((first + i) % ports.size());
         port = at.hasRoom(now) ? at : null;
       }
       ports.removeIf(p -> !p.isOpen());
     }
     if (port == null && ports.size() < client.config.portsPerServer()) {
       try {
-        port = new UdpPort(this);
+        port = new UdpSocket(this);
         ports.add(port);
       } catch (Exception e) {
         if (ports.isEmpty()) {
@@ -56,15 +56,15 @@
     }
   }
 
-  void tcp(Ask ask) {
-    TcpLink least = null;
-    for (TcpLink link : links) {
+  void tcp(UpstreamQuery ask) {
+    TcpConnection least = null;
+    for (TcpConnection link : links) {
       if (link.hasRoom(ask.asked.raw() != null) && (least == null || link.load() < least.load())) {
         least = link;
       }
     }
     if (least == null && links.size() < client.config.connectionsPerServer()) {
-      least = new TcpLink(this);
+      least = new TcpConnection(this);
       if (!least.isClosed()) {
         links.add(least);
       }
@@ -76,18 +76,18 @@
     }
   }
 
-  void closed(TcpLink link) {
+  void closed(TcpConnection link) {
     links.remove(link);
     forgetIfDone();
   }
 
   /** It has been used often enough: the next query gets a port that nobody can know yet. */
-  void retire(UdpPort port) {
+  void retire(UdpSocket port) {
     ports.remove(port);
     retired.add(port);
   }
 
-  void closed(UdpPort port) {
+  void closed(UdpSocket port) {
     ports.remove(port);
     retired.remove(port);
     forgetIfDone();
@@ -101,9 +101,9 @@
 
   void withdraw() {
     withdrawn = true;
-    List.copyOf(links).forEach(TcpLink::drain);
-    List.copyOf(ports).forEach(UdpPort::letGo);
-    List.copyOf(retired).forEach(UdpPort::letGo);
+    List.copyOf(links).forEach(TcpConnection::drain);
+    List.copyOf(ports).forEach(UdpSocket::letGo);
+    List.copyOf(retired).forEach(UdpSocket::letGo);
     forgetIfDone();
   }
 
@@ -118,7 +118,7 @@
 
   void close() {
     List.copyOf(links).forEach(l -> l.over(Status.RESET, "the process ends"));
-    List.copyOf(ports).forEach(UdpPort::close);
-    List.copyOf(retired).forEach(UdpPort::close);
+    List.copyOf(ports).forEach(UdpSocket::close);
+    List.copyOf(retired).forEach(UdpSocket::close);
   }
 }
--- a/dns/src/main/java/cloverpulley/dns/client/TcpLink.java
+++ b/dns/src/main/java/cloverpulley/dns/client/TcpConnection.java
@@ -23,17 +23,17 @@
  * A connection to one server, with queries pipelined (RFC 7766, 6.2.1.1). A query counts as sent only once its last octet has
  * gone to the socket: what had not when the connection broke, the server can't have read.
  */
-final class TcpLink extends ChannelInboundHandlerAdapter {
+final class TcpConnection extends ChannelInboundHandlerAdapter {
 
   /** Past this what is to be sent waits here, where it can still be taken back, and not in the channel. */
   private static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(4096, 16_384);
   /** What was begun to be written before a drain has this long to leave: well within the two seconds of rule 3. */
   private static final long DRAIN_WRITE_MILLIS = 1000;
 
-  private final ServerLink server;
-  private final ArrayDeque<Ask> queue = new ArrayDeque<>();
+  private final ServerConnections server;
+  private final ArrayDeque<UpstreamQuery> queue = new ArrayDeque<>();
   /** By id, also those given up: an id is used again only once its answer has come. */
-  private final IntObjectHashMap<Ask> pending = new IntObjectHashMap<>();
+  private final IntObjectHashMap<UpstreamQuery> pending = new IntObjectHashMap<>();
   private Channel channel;
   private boolean connected;
   private boolean closed;
@@ -43,7 +43,7 @@
   private long usedAt;
   private int unwritten;
 
-  TcpLink(ServerLink server) {
+  TcpConnection(ServerConnections server) {
     this.server = server;
     usedAt = server.client.clock.now();
     new Bootstrap().group(server.client.loop).channel(NioSocketChannel.class)
@@ -53,7 +53,7 @@
           @Override
           protected void initChannel(Channel c) {
             channel = c;
-            c.pipeline().addLast(new LengthFieldBasedFrameDecoder(Message.MOST + 2, 0, 2, 0, 2), TcpLink.this);
+            c.pipeline().addLast(new LengthFieldBasedFrameDecoder(Message.MOST + 2, 0, 2, 0, 2), TcpConnection.this);
           }
         }).connect(server.address).addListener(f -> {
           if (!f.isSuccess()) {
@@ -81,7 +81,7 @@
     return !closed && !draining && load() < server.client.config.pipelined() && (!fresh || lately || isConnecting());
   }
 
-  void send(Ask ask) {
+  void send(UpstreamQuery ask) {
     if (closed) {
       ask.notSent(Status.CONNECT_FAILED, "no connection");
       return;
@@ -96,7 +96,7 @@
 
   private void writeMore() {
     while (connected && !closed && !queue.isEmpty() && channel.isWritable()) {
-      Ask ask = queue.poll();
+      UpstreamQuery ask = queue.poll();
       int id = server.client.random.id();
       while (pending.containsKey(id)) {
         id = id + 1 & 0xFFFF;
@@ -113,7 +113,7 @@
   }
 
   /** Nobody waits for it any more. */
-  void giveUp(Ask ask) {
+  void giveUp(UpstreamQuery ask) {
     if (ask.link == this) {
       ask.link = null;
       open--;
@@ -129,7 +129,7 @@
   /** The server drains: what has not been written comes back, the rest may be answered yet. */
   void drain() {
     draining = true;
-    for (Ask ask : List.copyOf(queue)) {
+    for (UpstreamQuery ask : List.copyOf(queue)) {
       ask.notSent(Status.NOT_SENT, "the server drains");
     }
     if (isConnecting()) {
@@ -169,10 +169,10 @@
       channel.close(); // Fails what was not written whole, so that it is known below.
     }
     server.closed(this);
-    List<Ask> waiting = new ArrayList<>(queue);
+    List<UpstreamQuery> waiting = new ArrayList<>(queue);
     queue.clear();
     pending.values().forEach(waiting::add);
-    for (Ask ask : waiting) {
+    for (UpstreamQuery ask : waiting) {
       if (ask.link == this && !ask.isEnded()) {
         if (ask.isOut()) {
           ask.end(status == Status.CONNECT_FAILED ? Status.RESET : status, null, why);
@@ -209,14 +209,14 @@
     try {
       m = Message.read(octets);
     } catch (MalformedException e) {
-      Ask ask = octets.length < 2 ? null : pending.remove(Message.get16(octets, 0));
+      UpstreamQuery ask = octets.length < 2 ? null : pending.remove(Message.get16(octets, 0));
       if (ask != null && ask.link == this) {
         ask.end(Status.ERROR, null, "an answer that is no message: " + e.getMessage());
       }
       over(Status.RESET, "an answer that is no message");
       return;
     }
-    Ask ask = pending.remove(m.id());
+    UpstreamQuery ask = pending.remove(m.id());
     if (ask == null) {
       server.client.counts.wrong++;
       over(Status.RESET, "an answer that nobody asked for");
--- a/dns/src/main/java/cloverpulley/dns/client/UdpPort.java
+++ b/dns/src/main/java/cloverpulley/dns/client/UdpSocket.java
@@ -19,24 +19,24 @@
  * A source port towards one server, connected: the kernel lets nothing pass but what comes from the address and port asked, and
  * says when nobody listens there.
  */
-final class UdpPort extends ChannelInboundHandlerAdapter {
+final class UdpSocket extends ChannelInboundHandlerAdapter {
 
   private static final int MOST_DATAGRAM = 4096;
   private static final int READS = 64;
 
   /** An id that was given up, and until when it is not used again. */
-  private record Late(Ask ask, long until) {}
+  private record Late(UpstreamQuery ask, long until) {}
 
-  private final ServerLink server;
+  private final ServerConnections server;
   private final NioDatagramChannel channel = new NioDatagramChannel();
-  private final IntObjectHashMap<Ask> pending = new IntObjectHashMap<>();
+  private final IntObjectHashMap<UpstreamQuery> pending = new IntObjectHashMap<>();
   private final ArrayDeque<Late> late = new ArrayDeque<>();
   private int uses;
   private int open;
   private boolean letGo;
 
   /** Opens it, on the loop: datagram sockets connect at once. */
-  UdpPort(ServerLink server) throws Exception {
+  UdpSocket(ServerConnections server) throws Exception {
     this.server = server;
     channel.config().setOption(ChannelOption.RECVBUF_ALLOCATOR,
         new FixedRecvByteBufAllocator(MOST_DATAGRAM).maxMessagesPerRead(READS));
@@ -62,14 +62,14 @@
 
   private void forget(long now) {
     while (!late.isEmpty() && late.peek().until() <= now) {
-      Ask ask = late.poll().ask();
+      UpstreamQuery ask = late.poll().ask();
       if (pending.get(ask.udpId) == ask) {
         pending.remove(ask.udpId);
       }
     }
   }
 
-  void send(Ask ask, long now) {
+  void send(UpstreamQuery ask, long now) {
     int id = server.client.random.id();
     while (pending.containsKey(id)) {
       id = id + 1 & 0xFFFF; // Never the same id twice in flight.
@@ -88,7 +88,7 @@
   }
 
   /** Nothing is waited for any more; where no answer has come, one that comes yet is late. */
-  void giveUp(Ask ask, boolean answered) {
+  void giveUp(UpstreamQuery ask, boolean answered) {
     if (ask.port == this) {
       ask.port = null;
       open--;
@@ -133,7 +133,7 @@
       server.client.counts.wrong++;
       return;
     }
-    Ask ask = pending.get(Message.get16(octets, 0));
+    UpstreamQuery ask = pending.get(Message.get16(octets, 0));
     if (ask == null) {
       server.client.counts.wrong++;
     } else if (ask.port != this || ask.isEnded()) {
@@ -155,8 +155,8 @@
    */
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    List<Ask> waiting = new ArrayList<>(pending.values());
-    for (Ask ask : waiting) {
+    List<UpstreamQuery> waiting = new ArrayList<>(pending.values());
+    for (UpstreamQuery ask : waiting) {
       if (ask.port == this) {
         ask.end(Status.RESET, null, "nobody listens");
       }
--- a/dns/src/main/java/cloverpulley/dns/client/Ask.java
+++ b/dns/src/main/java/cloverpulley/dns/client/UpstreamQuery.java
@@ -11,7 +11,7 @@
  * One query to one server, through all of its legs: over UDP, without EDNS, over TCP. The legs share one time-out and have one
  * end, whatever comes after it.
  */
-public final class Ask {
+public final class UpstreamQuery {
 
   /**
    * What is asked.
@@ -21,16 +21,16 @@
    * @param tcp whether it goes over TCP from the first: for what may not run twice, since only a connection can tell that
    *     nothing was sent
    */
-  public record Asked(byte[] raw, Question question, int flags, boolean dnssecOk, boolean tcp) {}
+  public record Spec(byte[] raw, Question question, int flags, boolean dnssecOk, boolean tcp) {}
 
   /** Told once how it ended: with {@link Status#SERVED} an answer came, whatever its code; without, it is null. */
-  public interface Done {
+  public interface Callback {
     void ended(Status status, Message answer, String why);
   }
 
-  final Asked asked;
-  final ServerLink server;
-  private final Done done;
+  final Spec asked;
+  final ServerConnections server;
+  private final Callback done;
   Future<?> timer;
   /** The question as it was last written. */
   private Question written;
@@ -39,14 +39,14 @@
   private boolean answeredOnce;
   private boolean ended;
   /** Where it waits now: one of them or none. */
-  UdpPort port;
-  TcpLink link;
+  UdpSocket port;
+  TcpConnection link;
   /** The id under which it waits at its port. */
   int udpId;
   /** Its writing to a connection; done well once its last octet has gone to the socket. */
   ChannelFuture writing;
 
-  Ask(Asked asked, ServerLink server, Done done) {
+  UpstreamQuery(Spec asked, ServerConnections server, Callback done) {
     this.asked = asked;
     this.server = server;
     this.done = done;
--- a/dns/src/test/java/cloverpulley/dns/CacheTest.java
+++ b/dns/src/test/java/cloverpulley/dns/CacheTest.java
@@ -216,7 +216,7 @@
       Message m = Rig.question(1, "n" + i + ".example.");
       m.addRecord(StandInDns.record("n" + i + ".example. 600 A 10.0.0.1"), Section.ANSWER);
       cloverpulley.dns.wire.Message read = cloverpulley.dns.wire.Message.read(m.toWire(512));
-      cache.put(new Cache.Key(read.question(), false, false, true), Body.of(read), read.ttl(), false, i);
+      cache.put(new Cache.Key(read.question(), false, false, true), ResponseTemplate.of(read), read.ttl(), false, i);
     }
     assertTrue(cache.weight() <= 100_000 && cache.weight() > 50_000, "octets " + cache.weight());
     assertTrue(cache.size() < 300, "entries " + cache.size());
--- a/dns/src/test/java/cloverpulley/dns/ConfigTest.java
+++ b/dns/src/test/java/cloverpulley/dns/ConfigTest.java
@@ -88,12 +88,12 @@
   /** Repeats are known from their first coming until their time is over, and no more are kept than may be. */
   @Property(seed = "20261201", tries = 200)
   void repeatsAreBoundedAndNeverForgottenInHand(@ForAll @Size(min = 1, max = 60) List<@IntRange(max = 9) Integer> ids) throws Exception {
-    Repeated repeated = new Repeated(5, 100);
+    DuplicateRequestCache repeated = new DuplicateRequestCache(5, 100);
     java.util.Map<Integer, Boolean> inHand = new java.util.HashMap<>();
     long now = 0;
     for (int id : ids) {
       now += 30;
-      Repeated.Key key = new Repeated.Key(new Query(cloverpulley.dns.wire.Message.read(Rig.question(id, "a.test.").toWire(512)),
+      DuplicateRequestCache.Key key = new DuplicateRequestCache.Key(new Query(cloverpulley.dns.wire.Message.read(Rig.question(id, "a.test.").toWire(512)),
           new Nobody(), now));
       if (repeated.isKnown(key)) {
         assertEquals(inHand.get(id), repeated.answer(key) == null);
--- a/dns/src/test/java/cloverpulley/dns/MessageTest.java
+++ b/dns/src/test/java/cloverpulley/dns/MessageTest.java
@@ -67,7 +67,7 @@
     assertEquals(opt, read.edns() != null);
     assertEquals(opt && dnssec, opt && read.edns().dnssecOk());
     assertTrue(read.isInBailiwick());
-    Body body = Body.of(read);
+    ResponseTemplate body = ResponseTemplate.of(read);
     assertEquals(m.getSection(Section.ANSWER), new org.xbill.DNS.Message(body.octets()).getSection(Section.ANSWER));
     assertNull(new org.xbill.DNS.Message(body.octets()).getOPT());
     byte[] aged = body.octets().clone();
@@ -229,7 +229,7 @@
     Message.put16(octets, 10, 3);
     Message read = Message.read(octets);
     assertFalse(read.isOptLast());
-    org.xbill.DNS.Message out = new org.xbill.DNS.Message(Body.of(read).octets());
+    org.xbill.DNS.Message out = new org.xbill.DNS.Message(ResponseTemplate.of(read).octets());
     assertNull(out.getOPT());
     assertEquals("a.other.test.", out.getSection(Section.ADDITIONAL).get(1).getName().toString());
   }
--- a/dnssd/src/main/java/cloverpulley/dnssd/Publisher.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Publisher.java
@@ -1,9 +1,9 @@
 package cloverpulley.dnssd;
 
 import cloverpulley.Balancer.Status;
-import cloverpulley.dns.client.Ask;
 import cloverpulley.dns.client.ClientConfig;
 import cloverpulley.dns.client.DnsClient;
+import cloverpulley.dns.client.UpstreamQuery;
 import cloverpulley.dns.wire.Question;
 import cloverpulley.dnssd.PublishConfig.Registration;
 import cloverpulley.engine.Clock;
@@ -97,7 +97,7 @@
     }
     byte[] raw = update.toWire();
     Question zone = new Question(config.zone().toWire(), Type.SOA, DClass.IN);
-    Ask.Asked asked = new Ask.Asked(raw, zone, 0, false, true);
+    UpstreamQuery.Spec asked = new UpstreamQuery.Spec(raw, zone, 0, false, true);
     client.ask(0, config.primary(), asked, TimeUnit.MILLISECONDS.toNanos(ASK_MILLIS), (status, answer, why) -> {
       String wrong = status == Status.SERVED ? refusal(update, answer.bytes()) : why;
       if (wrong != null) {
--- a/dnssd/src/main/java/cloverpulley/dnssd/Reader.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Reader.java
@@ -1,8 +1,8 @@
 package cloverpulley.dnssd;
 
 import cloverpulley.Balancer.Status;
-import cloverpulley.dns.client.Ask;
 import cloverpulley.dns.client.DnsClient;
+import cloverpulley.dns.client.UpstreamQuery;
 import cloverpulley.dns.wire.Message;
 import cloverpulley.dns.wire.Question;
 import cloverpulley.dnssd.DnsSdConfig.Browse;
@@ -306,7 +306,7 @@
     }
     open++;
     counts.queries++;
-    Ask.Asked asked = new Ask.Asked(null, new Question(name.toWire(), type, Message.IN), Message.RD, false, false);
+    UpstreamQuery.Spec asked = new UpstreamQuery.Spec(null, new Question(name.toWire(), type, Message.IN), Message.RD, false, false);
     client.ask(number, address, asked, TimeUnit.MILLISECONDS.toNanos(config.askMillis()), (status, message, why) -> {
       open--;
       Answer answer = null;
