--- a/bench/src/main/java/cloverpulley/bench/DnsServers.java
+++ b/bench/src/main/java/cloverpulley/bench/DnsServers.java
@@ -79,7 +79,7 @@
             servers.add(new Server(s.id(), s.address(), s.zone(), s.cell(), servers.isEmpty() ? State.DRAINING : s.state(), s.size(),
                 s.upSinceMillis()));
           }
-          server.listed(new ServerList(0, true, servers), null);
+          server.updateEndpoints(new ServerList(0, true, servers), null);
         }
         System.out.println(server.report());
       }
@@ -147,7 +147,7 @@
           .childOption(ChannelOption.TCP_NODELAY, true).childHandler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
-              channel.pipeline().addLast(new LengthFieldBasedFrameDecoder(Message.MOST + 2, 0, 2, 0, 2),
+              channel.pipeline().addLast(new LengthFieldBasedFrameDecoder(Message.MAX_LENGTH + 2, 0, 2, 0, 2),
                   new SimpleChannelInboundHandler<ByteBuf>() {
                     @Override
                     protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
@@ -183,7 +183,7 @@
         Message.put16(to, 2, 0x8000 | m.flags() & Message.RD | Message.RA);
         to[7] = 1;
         to[11] = (byte) (m.edns() == null ? 0 : 1);
-        Message.put16(to, end, 0xC000 | Message.HEADER);
+        Message.put16(to, end, 0xC000 | Message.HEADER_LENGTH);
         Message.put16(to, end + 2, 1);
         Message.put16(to, end + 4, Message.IN);
         Message.put32(to, end + 6, ttl);
--- a/dist/src/main/java/cloverpulley/cli/DnsCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/DnsCommand.java
@@ -56,12 +56,12 @@
     try {
       Operators read = Operators.read(config);
       if (read.quota() != null) {
-        server.quotas(read.quota().plan());
+        server.updateQuotas(read.quota().plan());
       }
       if (read.dns() != null) {
         boolean servers = read.dns().fleet() != null && read.dns().fleet().isWritten();
         boolean shown = read.fleet() != null && read.fleet().isWritten();
-        server.listed(servers ? read.dns().fleet().list() : null, shown ? read.fleet().list() : null);
+        server.updateEndpoints(servers ? read.dns().fleet().list() : null, shown ? read.fleet().list() : null);
         LOG.info("lists of servers read again");
       }
     } catch (BadFileException | IllegalStateException e) {
--- a/dns/src/main/java/cloverpulley/dns/DnsConfig.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsConfig.java
@@ -116,7 +116,7 @@
     return new Limits((int) l.whole("tcp_connections", 1, 1_000_000, 2000), (int) l.whole("tcp_per_client", 1, 1_000_000, 100),
         (int) l.whole("tcp_pipelined", 1, 65_535, 100), l.whole("tcp_idle_ms", 1, DAY_MS, 10_000),
         l.whole("tcp_message_ms", 1, DAY_MS, 3000), l.whole("tcp_stall_ms", 1, DAY_MS, 5000),
-        (int) l.whole("query_bytes", 512, Message.MOST, 4096), (int) l.whole("update_bytes", 512, Message.MOST, Message.MOST),
+        (int) l.whole("query_bytes", 512, Message.MAX_LENGTH, 4096), (int) l.whole("update_bytes", 512, Message.MAX_LENGTH, Message.MAX_LENGTH),
         responses, (int) l.whole("prefix_ipv4", 8, 32, 24), (int) l.whole("prefix_ipv6", 8, 128, 56));
   }
 
--- a/dns/src/main/java/cloverpulley/dns/DnsExchange.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsExchange.java
@@ -29,7 +29,7 @@
     // What may go to another server does not wait for one that is silent; what may not waits as long as it is of use.
     long wait = facts().type().effect() == Effect.UNSAFE ? timeoutNanos
         : Math.min(timeoutNanos, resolver.config.attemptNanos());
-    return resolver.client.ask(attempt.upstream(), (InetSocketAddress) address, asked, wait,
+    return resolver.client.query(attempt.upstream(), (InetSocketAddress) address, asked, wait,
         (status, answer, why) -> ended(attempt, status, answer))::cancel;
   }
 
--- a/dns/src/main/java/cloverpulley/dns/DnsServer.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsServer.java
@@ -231,7 +231,7 @@
   }
 
   /** The operators' quotas have changed: what was used and is owed stays. */
-  public void quotas(QuotaPlan plan) {
+  public void updateQuotas(QuotaPlan plan) {
     if (quotas != null) {
       onLoop(() -> {
         quotas.updatePlan(plan);
@@ -241,7 +241,7 @@
   }
 
   /** The operators' lists have changed: of the servers that are forwarded to, and of the fleet that is shown. */
-  public void listed(ServerList servers, ServerList fleetShown) {
+  public void updateEndpoints(ServerList servers, ServerList fleetShown) {
     loop.execute(() -> {
       if (servers != null) {
         engine.news(ListKind.FULL, servers);
--- a/dns/src/main/java/cloverpulley/dns/LocalZone.java
+++ b/dns/src/main/java/cloverpulley/dns/LocalZone.java
@@ -68,7 +68,7 @@
       m.getHeader().setFlag(Flags.QR);
       m.addRecord(Record.newRecord(name, q.type(), DClass.IN), Section.QUESTION);
       boolean own = fill(m, name, q.type());
-      return new Answer(ResponseTemplate.of(Message.read(m.toWire(Message.MOST))), own);
+      return new Answer(ResponseTemplate.of(Message.read(m.toWire(Message.MAX_LENGTH))), own);
     } catch (IOException | MalformedException e) {
       throw new IllegalStateException("no answer for " + q, e); // Both have been read before.
     }
--- a/dns/src/main/java/cloverpulley/dns/Query.java
+++ b/dns/src/main/java/cloverpulley/dns/Query.java
@@ -82,7 +82,7 @@
 
   /** The most octets that its answer may have. */
   private int most(int udpMost) {
-    return client.isTcp() ? Message.MOST : speaksEdns() ? Math.min(udpMost, message.edns().udpSize()) : LEAST_UDP;
+    return client.isTcp() ? Message.MAX_LENGTH : speaksEdns() ? Math.min(udpMost, message.edns().udpSize()) : LEAST_UDP;
   }
 
   /** Whether an answer of so many octets can be given as it is. */
@@ -140,7 +140,7 @@
     byte[] to = new byte[end + opt.length];
     System.arraycopy(body.octets(), 0, to, 0, end);
     body.writeTtls(to, end, age, mostTtl);
-    question().write(to, Message.HEADER);
+    question().write(to, Message.HEADER_LENGTH);
     Message.put16(to, 0, message.id());
     Message.put16(to, 2, flags | (truncated ? Message.TC : 0));
     if (truncated) {
--- a/dns/src/main/java/cloverpulley/dns/Resolver.java
+++ b/dns/src/main/java/cloverpulley/dns/Resolver.java
@@ -269,8 +269,8 @@
     Message.put16(octets, 2, 0x8000);
     octets[5] = 1;
     octets[7] = 1;
-    q.question().write(octets, Message.HEADER);
-    Message.put16(octets, start, 0xC000 | Message.HEADER);
+    q.question().write(octets, Message.HEADER_LENGTH);
+    Message.put16(octets, start, 0xC000 | Message.HEADER_LENGTH);
     Message.put16(octets, start + 2, HINFO);
     Message.put16(octets, start + 4, Message.IN);
     Message.put32(octets, start + 6, ANY_TTL_S);
--- a/dns/src/main/java/cloverpulley/dns/TcpFrontend.java
+++ b/dns/src/main/java/cloverpulley/dns/TcpFrontend.java
@@ -137,7 +137,7 @@
       }
       int length = in.getUnsignedShort(in.readerIndex());
       int most = Math.max(limits.queryBytes(), limits.updateBytes());
-      if (length < Message.HEADER || length > most) {
+      if (length < Message.HEADER_LENGTH || length > most) {
         resolver.counts.malformed++;
         in.skipBytes(in.readableBytes());
         channel.close(); // Where the next message begins is not known any more.
--- a/dns/src/main/java/cloverpulley/dns/Warmup.java
+++ b/dns/src/main/java/cloverpulley/dns/Warmup.java
@@ -110,7 +110,7 @@
     Message.put16(to, 2, 0x8000 | Message.RD | Message.RA);
     to[7] = 1;
     to[11] = 0;
-    Message.put16(to, end, 0xC000 | Message.HEADER);
+    Message.put16(to, end, 0xC000 | Message.HEADER_LENGTH);
     Message.put16(to, end + 2, ADDRESS);
     Message.put16(to, end + 4, Message.IN);
     Message.put32(to, end + 6, 60);
--- a/dns/src/main/java/cloverpulley/dns/client/DnsClient.java
+++ b/dns/src/main/java/cloverpulley/dns/client/DnsClient.java
@@ -50,7 +50,7 @@
    * @param timeoutNanos for all legs together, connecting included
    * @param done told once, maybe from in here
    */
-  public UpstreamQuery ask(long number, InetSocketAddress address, UpstreamQuery.Spec asked, long timeoutNanos, UpstreamQuery.Callback done) {
+  public UpstreamQuery query(long number, InetSocketAddress address, UpstreamQuery.Spec asked, long timeoutNanos, UpstreamQuery.Callback done) {
     ServerConnections server = servers.get(number);
     if (server != null && !server.address.equals(address)) {
       withdraw(n -> n == number);
--- a/dns/src/main/java/cloverpulley/dns/client/TcpConnection.java
+++ b/dns/src/main/java/cloverpulley/dns/client/TcpConnection.java
@@ -53,7 +53,7 @@
           @Override
           protected void initChannel(Channel c) {
             channel = c;
-            c.pipeline().addLast(new LengthFieldBasedFrameDecoder(Message.MOST + 2, 0, 2, 0, 2), TcpConnection.this);
+            c.pipeline().addLast(new LengthFieldBasedFrameDecoder(Message.MAX_LENGTH + 2, 0, 2, 0, 2), TcpConnection.this);
           }
         }).connect(server.address).addListener(f -> {
           if (!f.isSuccess()) {
--- a/dns/src/main/java/cloverpulley/dns/wire/Message.java
+++ b/dns/src/main/java/cloverpulley/dns/wire/Message.java
@@ -10,8 +10,8 @@
  */
 public final class Message {
 
-  public static final int HEADER = 12;
-  public static final int MOST = 65_535;
+  public static final int HEADER_LENGTH = 12;
+  public static final int MAX_LENGTH = 65_535;
 
   public static final int QUERY = 0;
   public static final int NOTIFY = 4;
@@ -76,7 +76,7 @@
 
   /** Whether the octets begin as a message does, which is enough to tell the sender that the rest is wrong. */
   public static boolean hasHeader(byte[] b) {
-    return b.length >= HEADER;
+    return b.length >= HEADER_LENGTH;
   }
 
   /** The same without an EDNS option of ours. */
@@ -91,7 +91,7 @@
    * @throws MalformedException where counts, lengths or names lie, more than one question is asked, or octets are left over
    */
   public static Message read(byte[] b, int tenantOption) throws MalformedException {
-    if (b.length < HEADER) {
+    if (b.length < HEADER_LENGTH) {
       throw new MalformedException("shorter than a header");
     }
     int questions = get16(b, 4);
@@ -99,11 +99,11 @@
       throw new MalformedException("several questions");
     }
     Question question = null;
-    int at = HEADER;
+    int at = HEADER_LENGTH;
     if (questions == 1) {
       byte[] name = Names.read(b, at);
       at = Names.skip(b, at);
-      if (at != HEADER + name.length) {
+      if (at != HEADER_LENGTH + name.length) {
         throw new MalformedException("a question's name in parts");
       }
       need(b, at, 4);
@@ -349,7 +349,7 @@
   private boolean isPlain() {
     int at = questionEnd;
     for (int left = answers(); left > 0; left--) {
-      if (get16(b, at) != (POINTER | HEADER)) {
+      if (get16(b, at) != (POINTER | HEADER_LENGTH)) {
         return false;
       }
       at += 2 + FIXED + get16(b, at + 2 + 8);
@@ -421,11 +421,11 @@
    * @param opt the OPT record; null to speak no EDNS
    */
   public static byte[] query(int id, int flags, Question question, byte[] opt) {
-    byte[] to = new byte[HEADER + question.length() + (opt == null ? 0 : opt.length)];
+    byte[] to = new byte[HEADER_LENGTH + question.length() + (opt == null ? 0 : opt.length)];
     put16(to, 0, id);
     put16(to, 2, flags);
     to[5] = 1;
-    int at = question.write(to, HEADER);
+    int at = question.write(to, HEADER_LENGTH);
     if (opt != null) {
       to[11] = 1;
       System.arraycopy(opt, 0, to, at, opt.length);
@@ -440,13 +440,13 @@
    * @param opt null for none
    */
   public static byte[] empty(int id, int flags, int rcode, Question question, byte[] opt) {
-    int length = question == null ? HEADER : HEADER + question.length();
+    int length = question == null ? HEADER_LENGTH : HEADER_LENGTH + question.length();
     byte[] to = new byte[length + (opt == null ? 0 : opt.length)];
     put16(to, 0, id);
     put16(to, 2, QR | flags | rcode & 0xF);
     if (question != null) {
       to[5] = 1;
-      question.write(to, HEADER);
+      question.write(to, HEADER_LENGTH);
     }
     if (opt != null) {
       to[11] = 1;
--- a/dns/src/main/java/cloverpulley/dns/wire/Names.java
+++ b/dns/src/main/java/cloverpulley/dns/wire/Names.java
@@ -47,7 +47,7 @@
       throw new MalformedException("a pointer runs over the end");
     }
     int to = (b[i] & ~POINTER & 0xFF) << 8 | b[i + 1] & 0xFF;
-    if (to < Message.HEADER || to >= before) {
+    if (to < Message.HEADER_LENGTH || to >= before) {
       throw new MalformedException("a pointer that does not lead back");
     }
     return to;
--- a/dns/src/test/java/cloverpulley/dns/RulesTest.java
+++ b/dns/src/test/java/cloverpulley/dns/RulesTest.java
@@ -76,7 +76,7 @@
   }
 
   private void list(List<ServerList.Server> members) {
-    rig.server.listed(new ServerList(0, true, members), null);
+    rig.server.updateEndpoints(new ServerList(0, true, members), null);
     // Its turn on the loop comes after the list's: a question sent before could still go by the list before, as it may.
     rig.server.inHand();
   }
--- a/dnssd/src/main/java/cloverpulley/dnssd/Dso.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Dso.java
@@ -21,7 +21,7 @@
   /** A response code: the primary TLV is of a type that the other does not implement. */
   static final int DSOTYPENI = 11;
 
-  private static final int TLV = Message.HEADER;
+  private static final int TLV = Message.HEADER_LENGTH;
   private static final int FIXED = 10;
   private static final long REMOVE_ONE = 0xFFFF_FFFFL;
   private static final long REMOVE_ALL = 0xFFFF_FFFEL;
@@ -96,10 +96,10 @@
    * @throws MalformedException where it is none of a session, counts records, or its TLVs run over its end
    */
   static Read read(byte[] b) throws MalformedException {
-    if (b.length < Message.HEADER || Message.opcode(b) != OPCODE) {
+    if (b.length < Message.HEADER_LENGTH || Message.opcode(b) != OPCODE) {
       throw new MalformedException("no message of a session");
     }
-    for (int at = 4; at < Message.HEADER; at += 2) {
+    for (int at = 4; at < Message.HEADER_LENGTH; at += 2) {
       if (Message.get16(b, at) != 0) {
         throw new MalformedException("a message of a session that counts records"); // RFC 8490, 5.4
       }
--- a/dnssd/src/main/java/cloverpulley/dnssd/NotifyListener.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/NotifyListener.java
@@ -53,7 +53,7 @@
 
   private void read(ChannelHandlerContext context, DatagramPacket packet) {
     ByteBuf content = packet.content();
-    byte[] octets = new byte[Math.min(Message.MOST, content.readableBytes())];
+    byte[] octets = new byte[Math.min(Message.MAX_LENGTH, content.readableBytes())];
     content.readBytes(octets);
     Message m;
     try {
--- a/dnssd/src/main/java/cloverpulley/dnssd/Publisher.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Publisher.java
@@ -98,7 +98,7 @@
     byte[] raw = update.toWire();
     Question zone = new Question(config.zone().toWire(), Type.SOA, DClass.IN);
     UpstreamQuery.Spec asked = new UpstreamQuery.Spec(raw, zone, 0, false, true);
-    client.ask(0, config.primary(), asked, TimeUnit.MILLISECONDS.toNanos(ASK_MILLIS), (status, answer, why) -> {
+    client.query(0, config.primary(), asked, TimeUnit.MILLISECONDS.toNanos(ASK_MILLIS), (status, answer, why) -> {
       String wrong = status == Status.SERVED ? refusal(update, answer.bytes()) : why;
       if (wrong != null) {
         lease.failed(now());
--- a/dnssd/src/main/java/cloverpulley/dnssd/Push.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Push.java
@@ -136,7 +136,7 @@
             if (context != null) {
               c.pipeline().addLast(context.newHandler(c.alloc(), resolver.pushName(), resolver.pushAddress().getPort()));
             }
-            c.pipeline().addLast(new LengthFieldBasedFrameDecoder(Message.MOST + 2, 0, 2, 0, 2), new Incoming());
+            c.pipeline().addLast(new LengthFieldBasedFrameDecoder(Message.MAX_LENGTH + 2, 0, 2, 0, 2), new Incoming());
           }
         }).connect(resolver.pushAddress()).addListener((io.netty.channel.ChannelFuture f) -> {
           connecting = false;
--- a/dnssd/src/main/java/cloverpulley/dnssd/Reader.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Reader.java
@@ -307,7 +307,7 @@
     open++;
     counts.queries++;
     UpstreamQuery.Spec asked = new UpstreamQuery.Spec(null, new Question(name.toWire(), type, Message.IN), Message.RD, false, false);
-    client.ask(number, address, asked, TimeUnit.MILLISECONDS.toNanos(config.askMillis()), (status, message, why) -> {
+    client.query(number, address, asked, TimeUnit.MILLISECONDS.toNanos(config.askMillis()), (status, message, why) -> {
       open--;
       Answer answer = null;
       String told = why;
--- a/load/src/main/java/cloverpulley/load/DnsDriver.java
+++ b/load/src/main/java/cloverpulley/load/DnsDriver.java
@@ -162,7 +162,7 @@
         @Override
         protected void initChannel(Channel c) {
           if (tcp) {
-            c.pipeline().addLast(new LengthFieldBasedFrameDecoder(Message.MOST + 2, 0, 2, 0, 2));
+            c.pipeline().addLast(new LengthFieldBasedFrameDecoder(Message.MAX_LENGTH + 2, 0, 2, 0, 2));
           }
           c.pipeline().addLast(new ChannelInboundHandlerAdapter() {
             @Override
--- a/load/src/main/java/cloverpulley/load/WarmUp.java
+++ b/load/src/main/java/cloverpulley/load/WarmUp.java
@@ -101,7 +101,7 @@
         .childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
-            channel.pipeline().addLast(new LengthFieldBasedFrameDecoder(Message.MOST + 2, 0, 2, 0, 0),
+            channel.pipeline().addLast(new LengthFieldBasedFrameDecoder(Message.MAX_LENGTH + 2, 0, 2, 0, 0),
                 new SimpleChannelInboundHandler<ByteBuf>() {
                   @Override
                   protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
