--- a/dns/src/main/java/cloverpulley/dns/Cache.java
+++ b/dns/src/main/java/cloverpulley/dns/Cache.java
@@ -6,12 +6,12 @@
 import com.github.benmanes.caffeine.cache.Caffeine;
 
 /**
- * Answers that were given, by exactly what was asked: nothing that an answer says of other names is used for them, so there is no
- * other name to poison. Bounded in octets; what is asked for least goes first (W-TinyLFU).
+ * The response cache, keyed by the exact question: records for other names in a response are never used to answer queries for those names,
+ * so that a response can't poison them. Bounded in bytes, with W-TinyLFU eviction.
  */
 final class Cache {
 
-  /** A question, whether DNSSEC records were asked for, whether checks were to be left out, whether recursion was wanted. */
+  /** The question and the flags that affect the answer: DO, CD and RD. */
   record Key(Question question, boolean dnssecOk, boolean checkingDisabled, boolean recursion) {
 
     static Key of(Query q) {
@@ -19,54 +19,54 @@
     }
   }
 
-  /** An answer and since when it is held. */
+  /** A cached answer and the time at which it was stored. */
   static final class Entry {
-    final ResponseTemplate body;
-    final long at;
+    final ResponseTemplate template;
+    final long storedAt;
     final long ttl;
     int hits;
 
-    Entry(ResponseTemplate body, long at, long ttl) {
-      this.body = body;
-      this.at = at;
+    Entry(ResponseTemplate template, long storedAt, long ttl) {
+      this.template = template;
+      this.storedAt = storedAt;
       this.ttl = ttl;
     }
   }
 
   private final com.github.benmanes.caffeine.cache.Cache<Key, Entry> entries;
-  private final TtlPolicy freshness;
+  private final TtlPolicy ttlPolicy;
 
-  /** {@code most} octets all in all; 0 keeps none. */
-  Cache(long most, TtlPolicy freshness) {
-    this.freshness = freshness;
-    // On the thread that uses it: its upkeep is a part of the loop's work, not another thread's.
-    entries = Caffeine.newBuilder().maximumWeight(most).executor(Runnable::run)
-        .weigher((Key k, Entry e) -> e.body.weight() + 2 * k.question().length()).build();
+  /** Caches at most {@code maxBytes}; 0 disables the cache. */
+  Cache(long maxBytes, TtlPolicy ttlPolicy) {
+    this.ttlPolicy = ttlPolicy;
+    // Maintenance runs on the calling thread, so that it is part of the event loop's work.
+    entries = Caffeine.newBuilder().maximumWeight(maxBytes).executor(Runnable::run)
+        .weigher((Key k, Entry e) -> e.template.weight() + 2 * k.question().length()).build();
   }
 
-  /** What is held, whatever its age; null for none, or one too old for any use. */
+  /** The cached answer, which may be stale; null if there is none or it has expired even for stale use. */
   Entry get(Key key, long now) {
     Entry e = entries.getIfPresent(key);
-    if (e != null && freshness.classify(now, e.at, e.ttl, e.hits) == TtlPolicy.Freshness.EXPIRED) {
+    if (e != null && ttlPolicy.classify(now, e.storedAt, e.ttl, e.hits) == TtlPolicy.Freshness.EXPIRED) {
       entries.invalidate(key);
       return null;
     }
     return e;
   }
 
-  TtlPolicy.Freshness use(Entry e, long now) {
-    return freshness.classify(now, e.at, e.ttl, e.hits);
+  TtlPolicy.Freshness freshness(Entry e, long now) {
+    return ttlPolicy.classify(now, e.storedAt, e.ttl, e.hits);
   }
 
-  /** Keeps an answer where its TTL allows it. */
-  void put(Key key, ResponseTemplate body, long ttl, boolean negative, long now) {
-    long kept = freshness.cacheTtl(ttl, negative);
-    if (kept > 0) {
-      entries.put(key, new Entry(body, now, kept));
+  /** Stores an answer if its TTL allows caching. */
+  void put(Key key, ResponseTemplate template, long ttl, boolean negative, long now) {
+    long cacheTtl = ttlPolicy.cacheTtl(ttl, negative);
+    if (cacheTtl > 0) {
+      entries.put(key, new Entry(template, now, cacheTtl));
     }
   }
 
-  /** Octets held, as they are reckoned. */
+  /** The estimated size in bytes. */
   long weight() {
     entries.cleanUp();
     return entries.policy().eviction().orElseThrow().weightedSize().orElse(0);
--- a/dns/src/main/java/cloverpulley/dns/Cookies.java
+++ b/dns/src/main/java/cloverpulley/dns/Cookies.java
@@ -5,48 +5,48 @@
 import java.util.Arrays;
 
 /**
- * DNS cookies (RFC 7873) of the form that servers of one address share (RFC 9018): a client that brings ours back has its
- * address proven.
+ * DNS cookies (RFC 7873) in the interoperable format for servers that share an address (RFC 9018). A client that returns a valid server
+ * cookie has proven its address.
  */
 final class Cookies {
 
-  private static final int CLIENT = 8;
-  private static final int WHOLE = 24;
+  private static final int CLIENT_LENGTH = 8;
+  private static final int COOKIE_LENGTH = 24;
   private static final int VERSION = 1;
-  private static final int HOUR_S = 3600;
-  private static final int AHEAD_S = 300;
+  private static final int MAX_AGE_S = 3600;
+  private static final int MAX_FUTURE_S = 300;
 
   private final long k0;
   private final long k1;
 
-  /** {@code secret} has 16 octets. */
+  /** {@code secret} has 16 bytes. */
   Cookies(byte[] secret) {
     ByteBuffer b = ByteBuffer.wrap(secret).order(ByteOrder.LITTLE_ENDIAN);
     k0 = b.getLong();
     k1 = b.getLong();
   }
 
-  /** The cookie to send: the client's part and a new one of ours. */
-  byte[] make(byte[] given, byte[] address, long unixSeconds) {
-    byte[] cookie = Arrays.copyOf(given, WHOLE);
-    Arrays.fill(cookie, CLIENT, WHOLE, (byte) 0);
-    cookie[CLIENT] = VERSION;
+  /** Creates the cookie to send: the client cookie followed by a new server cookie. */
+  byte[] create(byte[] received, byte[] address, long unixSeconds) {
+    byte[] cookie = Arrays.copyOf(received, COOKIE_LENGTH);
+    Arrays.fill(cookie, CLIENT_LENGTH, COOKIE_LENGTH, (byte) 0);
+    cookie[CLIENT_LENGTH] = VERSION;
     ByteBuffer.wrap(cookie).putInt(12, (int) unixSeconds);
     ByteBuffer.wrap(cookie).order(ByteOrder.LITTLE_ENDIAN).putLong(16, hash(cookie, address));
     return cookie;
   }
 
-  /** Whether a cookie is one that we gave to this address within the last hour (RFC 9018, 4.3). */
-  boolean isOurs(byte[] cookie, byte[] address, long unixSeconds) {
-    if (cookie.length != WHOLE || cookie[CLIENT] != VERSION) {
+  /** Whether a server cookie was issued to this address within the last hour (RFC 9018, 4.3). */
+  boolean isValid(byte[] cookie, byte[] address, long unixSeconds) {
+    if (cookie.length != COOKIE_LENGTH || cookie[CLIENT_LENGTH] != VERSION) {
       return false;
     }
-    int age = (int) unixSeconds - ByteBuffer.wrap(cookie).getInt(12); // Serial arithmetic: right past 2106 as well.
-    return age <= HOUR_S && age >= -AHEAD_S
+    int age = (int) unixSeconds - ByteBuffer.wrap(cookie).getInt(12); // Serial number arithmetic: correct past 2106.
+    return age <= MAX_AGE_S && age >= -MAX_FUTURE_S
         && ByteBuffer.wrap(cookie).order(ByteOrder.LITTLE_ENDIAN).getLong(16) == hash(cookie, address);
   }
 
-  /** Over the client's cookie, version, reserved, time and address. */
+  /** The hash over client cookie, version, reserved bytes, timestamp and address. */
   private long hash(byte[] cookie, byte[] address) {
     byte[] input = Arrays.copyOf(cookie, 16 + address.length);
     System.arraycopy(address, 0, input, 16, address.length);
--- a/dns/src/main/java/cloverpulley/dns/DnsConfig.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsConfig.java
@@ -28,53 +28,53 @@
 import org.xbill.DNS.Type;
 
 /**
- * What the DNS front is told in {@code [dns]} of the operators' file. Times are nanoseconds here unless the name says otherwise.
+ * The DNS frontend's configuration, read from {@code [dns]} of the operators' file. Times are in nanoseconds unless the name says otherwise.
  *
- * @param warmUpQueries asked of a front of its own before it listens
- * @param fleet the DNS servers that queries are passed on to; null for none: then only zones of our own are answered
- * @param tenantOption code of the EDNS option that names a tenant; 0 for none
- * @param marginNanos so long before its deadline a query without an answer gets one of ours
- * @param attemptNanos how long one server may take, all legs together, where the query may go to another
- * @param cookieSecret 16 octets, the same on all that answer under one address
+ * @param warmUpQueries the number of queries sent to a temporary frontend for warm-up before the real one listens
+ * @param fleet the DNS servers that queries are forwarded to; null for none, in which case only local zones are answered
+ * @param tenantOption the code of the EDNS option that names a tenant; 0 for none
+ * @param marginNanos how long before its deadline an unanswered query gets an error response
+ * @param attemptNanos the time limit for one server, UDP and TCP together, if the query can be retried on another
+ * @param cookieSecret 16 bytes, the same on all servers that share an address
  */
 public record DnsConfig(InetSocketAddress listen, int udpSize, boolean reusePort, long lameMillis, long drainMillis,
-    int warmUpQueries, Settings settings, FleetSource fleet, List<Match> matches, List<Clients> clients, List<Key> keys, int tenantOption,
+    int warmUpQueries, Settings settings, FleetSource fleet, List<Match> matches, List<ClientPrefix> clients, List<Key> keys, int tenantOption,
     byte[] cookieSecret, long marginNanos, long attemptNanos, boolean refusedIsFull, boolean unsafeOverTcp, Limits limits,
-    Caching caching, ClientConfig upstream, List<ZoneFile> zones, FleetNames fleetNames) {
+    Caching caching, ClientConfig upstream, List<ZoneFile> zones, FleetZoneConfig fleetZone) {
 
-  /** Which class a message is of: the first that fits. Without types, all. */
+  /** Maps messages to a request class; the first match applies. An empty type list matches all types. */
   public record Match(int opcode, List<Integer> types, RequestClass type) {}
 
-  /** Clients by their addresses. */
-  record Clients(Prefix prefix, String tenant) {}
+  /** Assigns clients to a tenant by address. */
+  record ClientPrefix(Prefix prefix, String tenant) {}
 
-  /** A TSIG key: what is signed by it is its tenant's. */
+  /** A TSIG key; messages signed with it belong to its tenant. */
   public record Key(String name, TSIG tsig, String tenant) {}
 
-  /** A zone of our own, in a master file (RFC 1035, 5). */
+  /** A local zone in a master file (RFC 1035, 5). */
   public record ZoneFile(String origin, Path file) {}
 
-  /** The zone made of the fleet. {@code ttl} is in seconds. */
-  public record FleetNames(String origin, String service, long ttl, InetSocketAddress server, long coldNanos, double coldFrom) {}
+  /** The zone generated from the fleet. {@code ttl} is in seconds. */
+  public record FleetZoneConfig(String origin, String service, long ttl, InetSocketAddress server, long slowStartNanos, double slowStartMinRatio) {}
 
-  /** Bounds on what clients can make us keep and do. Times in milliseconds, sizes in octets. */
+  /** Limits on the resources that clients can use. Times in milliseconds, sizes in bytes. */
   public record Limits(int connections, int connectionsPerClient, int pipelined, long idleMillis, long messageMillis,
-      long stallMillis, int queryBytes, int updateBytes, ResponseRateLimiter.Config responses, int prefix4, int prefix6) {}
+      long stallMillis, int queryBytes, int updateBytes, ResponseRateLimiter.Config responseRate, int prefix4, int prefix6) {}
 
-  /** {@code staleTtl} in seconds. */
-  public record Caching(long bytes, TtlPolicy.Config freshness, long staleTtl, long staleWaitNanos) {}
+  /** The cache settings. {@code staleTtl} is in seconds. */
+  public record Caching(long bytes, TtlPolicy.Config ttlPolicy, long staleTtl, long staleWaitNanos) {}
 
   private static final long DAY_MS = 86_400_000;
   private static final long WEEK_S = 604_800;
   private static final Map<String, Integer> OPCODES =
       Map.of("query", Message.QUERY, "notify", Message.NOTIFY, "update", Message.UPDATE);
-  private static final Map<Integer, Effect> NEEDED =
+  private static final Map<Integer, Effect> REQUIRED_EFFECTS =
       Map.of(Message.QUERY, Effect.SAFE, Message.NOTIFY, Effect.KEYED, Message.UPDATE, Effect.UNSAFE);
 
   /**
    * Reads the section.
    *
-   * @param service the settings of the fleet that is shown as a zone; null for those of the DNS servers
+   * @param service the settings of the fleet that is published as a zone; null to use those of the DNS servers
    */
   public static DnsConfig read(Section s, Settings service) {
     InetSocketAddress listen = s.address("listen", "127.0.0.1:5300");
@@ -93,47 +93,47 @@
         clients(s, settings), keys(s, settings), (int) s.whole("tenant_option", 0, 65_534, 0), secret(s),
         nanos(s, "answer_margin_ms", 0, 10_000, 20), nanos(u, "attempt_ms", 1, DAY_MS, 800), u.flag("refused_is_full", false),
         u.flag("unsafe_over_tcp", true), limits(s.table("limits")), caching(s.table("cache")), upstream, zones(s),
-        fleetNames(s, listen, service == null ? settings : service));
+        fleetZone(s, listen, service == null ? settings : service));
   }
 
-  /** The same for a front beside this one, at a port of its own on loopback, before other servers. */
-  DnsConfig aside(FleetSource other) {
-    Limits open = new Limits(limits.connections(), limits.connectionsPerClient(), limits.pipelined(), limits.idleMillis(),
+  /** A copy for the temporary warm-up frontend: an ephemeral loopback port, other servers and no rate limit. */
+  DnsConfig forWarmup(FleetSource warmupFleet) {
+    Limits unlimited = new Limits(limits.connections(), limits.connectionsPerClient(), limits.pipelined(), limits.idleMillis(),
         limits.messageMillis(), limits.stallMillis(), limits.queryBytes(), limits.updateBytes(), new ResponseRateLimiter.Config(0, 0, 1),
         limits.prefix4(), limits.prefix6());
-    return new DnsConfig(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), udpSize, false, 0, 0, 0, settings, other, matches,
-        clients, keys, tenantOption, cookieSecret, marginNanos, attemptNanos, refusedIsFull, unsafeOverTcp, open, caching, upstream,
+    return new DnsConfig(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0), udpSize, false, 0, 0, 0, settings, warmupFleet, matches,
+        clients, keys, tenantOption, cookieSecret, marginNanos, attemptNanos, refusedIsFull, unsafeOverTcp, unlimited, caching, upstream,
         List.of(), null);
   }
 
-  private static long nanos(Section s, String key, long least, long most, long absent) {
-    return TimeUnit.MILLISECONDS.toNanos(s.whole(key, least, most, absent));
+  private static long nanos(Section s, String key, long min, long max, long defaultMillis) {
+    return TimeUnit.MILLISECONDS.toNanos(s.whole(key, min, max, defaultMillis));
   }
 
   private static Limits limits(Section l) {
-    ResponseRateLimiter.Config responses = new ResponseRateLimiter.Config(l.number("udp_per_prefix_per_s", 0, 1e9, 1000),
+    ResponseRateLimiter.Config responseRate = new ResponseRateLimiter.Config(l.number("udp_per_prefix_per_s", 0, 1e9, 1000),
         (int) l.whole("slip", 0, 100, 2), (int) l.whole("prefixes", 1, 10_000_000, 100_000));
     return new Limits((int) l.whole("tcp_connections", 1, 1_000_000, 2000), (int) l.whole("tcp_per_client", 1, 1_000_000, 100),
         (int) l.whole("tcp_pipelined", 1, 65_535, 100), l.whole("tcp_idle_ms", 1, DAY_MS, 10_000),
         l.whole("tcp_message_ms", 1, DAY_MS, 3000), l.whole("tcp_stall_ms", 1, DAY_MS, 5000),
         (int) l.whole("query_bytes", 512, Message.MAX_LENGTH, 4096), (int) l.whole("update_bytes", 512, Message.MAX_LENGTH, Message.MAX_LENGTH),
-        responses, (int) l.whole("prefix_ipv4", 8, 32, 24), (int) l.whole("prefix_ipv6", 8, 128, 56));
+        responseRate, (int) l.whole("prefix_ipv4", 8, 32, 24), (int) l.whole("prefix_ipv6", 8, 128, 56));
   }
 
   private static Caching caching(Section c) {
-    TtlPolicy.Config freshness = new TtlPolicy.Config(c.whole("ttl_most_s", 0, WEEK_S, 86_400),
+    TtlPolicy.Config ttlPolicy = new TtlPolicy.Config(c.whole("ttl_most_s", 0, WEEK_S, 86_400),
         c.whole("negative_most_s", 0, WEEK_S, 3600), c.whole("stale_s", 0, WEEK_S, 86_400), c.number("prefetch_part", 0, 0.9, 0.1),
         (int) c.whole("prefetch_hits", 0, 1_000_000, 3));
-    return new Caching(c.whole("mb", 0, 1 << 20, 64) << 20, freshness, c.whole("stale_ttl_s", 1, WEEK_S, 30),
+    return new Caching(c.whole("mb", 0, 1 << 20, 64) << 20, ttlPolicy, c.whole("stale_ttl_s", 1, WEEK_S, 30),
         nanos(c, "stale_wait_ms", 1, DAY_MS, 1800));
   }
 
   private static byte[] secret(Section s) {
     String text = s.text("cookie_secret", "");
     if (text.isEmpty()) {
-      byte[] drawn = new byte[16];
-      new java.security.SecureRandom().nextBytes(drawn);
-      return drawn;
+      byte[] random = new byte[16];
+      new java.security.SecureRandom().nextBytes(random);
+      return random;
     } else if (!text.matches("[0-9a-fA-F]{32}")) {
       s.wrong("cookie_secret", "expected 32 hexadecimal figures");
       return new byte[16];
@@ -157,15 +157,15 @@
       RequestClass type = settings.classes().stream().filter(c -> c.name().equals(name)).findFirst().orElse(null);
       if (type == null) {
         m.wrong("class", "expected the name of a [[dns.class]], got \"" + name + "\"");
-      } else if (type.effect() != NEEDED.get(opcode)) {
-        m.wrong("class", "expected a class whose effect is " + NEEDED.get(opcode).name().toLowerCase(Locale.ROOT)
+      } else if (type.effect() != REQUIRED_EFFECTS.get(opcode)) {
+        m.wrong("class", "expected a class whose effect is " + REQUIRED_EFFECTS.get(opcode).name().toLowerCase(Locale.ROOT)
             + " for this opcode, got \"" + name + "\"");
       } else {
         matches.add(new Match(opcode, List.copyOf(types), type));
       }
     }
-    // What no entry speaks of goes to the first class of the effect that its opcode has; without one it is not served.
-    NEEDED.forEach((opcode, effect) -> settings.classes().stream().filter(c -> c.effect() == effect).findFirst()
+    // The default for each opcode is the first class with the effect that the opcode requires; without one it is not served.
+    REQUIRED_EFFECTS.forEach((opcode, effect) -> settings.classes().stream().filter(c -> c.effect() == effect).findFirst()
         .ifPresent(c -> matches.add(new Match(opcode, List.of(), c))));
     return List.copyOf(matches);
   }
@@ -178,8 +178,8 @@
     return name;
   }
 
-  private static List<Clients> clients(Section s, Settings settings) {
-    List<Clients> clients = new ArrayList<>();
+  private static List<ClientPrefix> clients(Section s, Settings settings) {
+    List<ClientPrefix> clients = new ArrayList<>();
     for (Section c : s.tables("client")) {
       String text = c.text("prefix");
       Prefix prefix = Prefix.of(text);
@@ -187,7 +187,7 @@
       if (prefix == null) {
         c.wrong("prefix", "expected a range of addresses such as 10.0.0.0/8, got \"" + text + "\"");
       } else {
-        clients.add(new Clients(prefix, tenant));
+        clients.add(new ClientPrefix(prefix, tenant));
       }
     }
     return List.copyOf(clients);
@@ -236,7 +236,7 @@
     return List.copyOf(zones);
   }
 
-  private static FleetNames fleetNames(Section s, InetSocketAddress listen, Settings service) {
+  private static FleetZoneConfig fleetZone(Section s, InetSocketAddress listen, Settings service) {
     if (!s.has("fleet_zone")) {
       return null;
     }
@@ -245,7 +245,7 @@
     if (!type.matches("_[a-z0-9-]{1,15}\\._(tcp|udp)")) {
       f.wrong("service", "expected a service such as _quote._tcp, got \"" + type + "\""); // RFC 6763, 7
     }
-    return new FleetNames(origin(f), type, f.whole("ttl_s", 1, 3600, 5),
+    return new FleetZoneConfig(origin(f), type, f.whole("ttl_s", 1, 3600, 5),
         f.address("name_server", listen.getAddress().getHostAddress().contains(":")
             ? "[" + listen.getAddress().getHostAddress() + "]:53" : listen.getAddress().getHostAddress() + ":53"),
         service.contract().slowStartNanos(), service.contract().slowStartMinRatio());
--- a/dns/src/main/java/cloverpulley/dns/DnsCounts.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsCounts.java
@@ -5,31 +5,31 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** What the front has done since its start; owned by its loop. */
+/** Counters since the start, owned by the event loop. They are printed under their field names. */
 final class DnsCounts {
 
   long queries;
   long answers;
-  /** From the cache, from zones of our own, from a server, after the TTL. */
+  /** Answers from the cache, from local zones, from a server, and stale ones past their TTL. */
   long cached;
   long own;
   long served;
   long stale;
-  /** Questions sent on their way, and those that joined one under way for the same. */
+  /** Queries forwarded, and queries that joined an in-flight query for the same question. */
   long flights;
   long joined;
   long prefetched;
-  /** Answered FORMERR; not answered at all, being no query. */
+  /** Messages answered with FORMERR, and messages that are no queries and get no answer. */
   long malformed;
   long silent;
-  /** Past a prefix's rate: short answers, and none. */
+  /** Queries past a prefix's rate: answered truncated, and dropped. */
   long slipped;
   long dropped;
-  /** An UPDATE or NOTIFY that a client sent again. */
+  /** Duplicate UPDATEs and NOTIFYs retransmitted by clients. */
   long repeated;
-  /** A server's answer with records of names that nobody asked for. */
+  /** Responses rejected because they have records for names that were not queried. */
   long poisoned;
-  /** Connections turned away or closed for what they did. */
+  /** Connections refused, or closed because of a limit. */
   long turnedAway;
   final Map<Reason, Long> ended = new EnumMap<>(Reason.class);
 
--- a/dns/src/main/java/cloverpulley/dns/DnsExchange.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsExchange.java
@@ -12,50 +12,50 @@
 import java.net.SocketAddress;
 import java.util.Map;
 
-/** A message in hand that is passed on: each attempt asks one server, and what it answers is worded for the module. */
+/** A forwarded message: each attempt queries one server and reports its outcome to the engine. */
 abstract class DnsExchange extends Exchange {
 
   final Resolver resolver;
-  private final UpstreamQuery.Spec asked;
+  private final UpstreamQuery.Spec spec;
 
-  DnsExchange(Facts facts, Resolver resolver, UpstreamQuery.Spec asked) {
+  DnsExchange(Facts facts, Resolver resolver, UpstreamQuery.Spec spec) {
     super(facts);
     this.resolver = resolver;
-    this.asked = asked;
+    this.spec = spec;
   }
 
   @Override
   protected Attempt.Sending start(Attempt attempt, SocketAddress address, long timeoutNanos) {
-    // What may go to another server does not wait for one that is silent; what may not waits as long as it is of use.
+    // A query that can be retried on another server doesn't wait for an unresponsive one; an unsafe one waits until its timeout.
     long wait = facts().type().effect() == Effect.UNSAFE ? timeoutNanos
         : Math.min(timeoutNanos, resolver.config.attemptNanos());
-    return resolver.client.query(attempt.upstream(), (InetSocketAddress) address, asked, wait,
-        (status, answer, why) -> ended(attempt, status, answer))::cancel;
+    return resolver.client.query(attempt.upstream(), (InetSocketAddress) address, spec, wait,
+        (status, answer, reason) -> onAttemptEnded(attempt, status, answer))::cancel;
   }
 
-  private void ended(Attempt attempt, Status status, Message answer) {
-    Status word = status;
-    ResponseTemplate body = null;
+  private void onAttemptEnded(Attempt attempt, Status status, Message answer) {
+    Status result = status;
+    ResponseTemplate parsed = null;
     if (answer != null) {
-      word = RcodeMapping.toStatus(facts().type().effect(), answer.rcode(), resolver.config.refusedIsFull());
-      if (word == Status.SERVED && asked.raw() == null) {
-        body = body(answer);
-        word = body == null ? Status.ERROR : word;
+      result = RcodeMapping.toStatus(facts().type().effect(), answer.rcode(), resolver.config.refusedIsFull());
+      if (result == Status.SERVED && spec.raw() == null) {
+        parsed = toTemplate(answer);
+        result = parsed == null ? Status.ERROR : result;
       }
     }
-    boolean served = word == Status.SERVED;
-    ResponseTemplate kept = body;
-    resolver.engine.attemptEnded(attempt, word, Map.of(), () -> {
+    boolean served = result == Status.SERVED;
+    ResponseTemplate template = parsed;
+    resolver.engine.attemptEnded(attempt, result, Map.of(), () -> {
       if (served && !isEnded()) {
         end();
         resolver.counts.served++;
-        served(answer, kept);
+        onServed(answer, template);
       }
     });
   }
 
-  /** What can be given to others; null where nobody asked for a part of it. */
-  private ResponseTemplate body(Message answer) {
+  /** The response as it can be cached and shared; null if it is malformed or has records for names that were not queried. */
+  private ResponseTemplate toTemplate(Message answer) {
     if (!answer.isInBailiwick()) {
       resolver.counts.poisoned++;
       return null;
@@ -67,9 +67,9 @@
     }
   }
 
-  /** The final answer is a server's. */
-  abstract void served(Message answer, ResponseTemplate body);
+  /** Called with the final answer, which came from a server. */
+  abstract void onServed(Message answer, ResponseTemplate template);
 
-  /** A client that waited for it has gone. */
-  abstract void gone(Query query);
+  /** Called when a waiting client has disconnected. */
+  abstract void onClientGone(Query query);
 }
--- a/dns/src/main/java/cloverpulley/dns/DnsServer.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsServer.java
@@ -53,25 +53,25 @@
 import org.xbill.DNS.Name;
 import org.xbill.DNS.Zone;
 
-/** One DNS front, from start to stop: its sockets, its way to the servers, the engine between them and one loop for all. */
+/** A DNS frontend: its listening sockets, the client for the upstream servers and the engine, all on one event loop. */
 public final class DnsServer implements AutoCloseable {
 
   private static final Logger LOG = Logger.getLogger(DnsServer.class.getName());
 
   private static final int DISCOVERY_CONNECT_MILLIS = 2000;
   private static final int BACKLOG = 1024;
-  /** Larger datagrams are cut, and then no messages. */
-  private static final int MOST_DATAGRAM = 4096;
-  private static final int READS = 256;
-  /** Room for a burst while the loop is busy: some thousand queries. */
+  /** Larger datagrams are truncated by the read and rejected as malformed. */
+  private static final int MAX_DATAGRAM = 4096;
+  private static final int MAX_READS = 256;
+  /** Holds a burst of some thousand queries while the event loop is busy. */
   private static final int RECEIVE_BUFFER = 1 << 20;
-  private static final int PORT_TRIES = 20;
+  private static final int BIND_ATTEMPTS = 20;
   private static final long STOP_CHECK_MILLIS = 10;
-  private static final long LAST_WORD_MILLIS = 1000;
-  /** How often the zone of the fleet is looked at for servers that get warm. */
-  private static final long ZONE_MILLIS = 1000;
-  /** After a failed call of the shown fleet's discovery. */
-  private static final long ASK_AGAIN_MILLIS = 1000;
+  private static final long CLOSE_TIMEOUT_MILLIS = 1000;
+  /** How often the fleet zone's weights are recomputed for servers in slow start. */
+  private static final long ZONE_REFRESH_MILLIS = 1000;
+  /** The delay after a failed discovery request for the published fleet. */
+  private static final long DISCOVERY_RETRY_MILLIS = 1000;
 
   private final DnsConfig config;
   private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -79,7 +79,7 @@
   private final Clock clock = new Clock();
   private final DnsCounts counts = new DnsCounts();
   private final Fleet fleet = new Fleet(clock);
-  private final HeldList held;
+  private final HeldList cachedList;
   private final Recorder recorder;
   private Engine engine;
   private DnsClient client;
@@ -88,56 +88,56 @@
   private Channel tcpListener;
   private Channel udp;
   private FleetZone fleetZone;
-  private LocalZone shownZone;
-  private Fleet shown;
-  private Engine.ListSource shownDiscovery;
-  private boolean wasQuiet;
+  private LocalZone publishedZone;
+  private Fleet publishedFleet;
+  private Engine.ListSource publishedDiscovery;
+  private boolean wasIdle;
   private QuotaKeeper quotas;
 
   private DnsServer(DnsConfig config, Recorder recorder) {
     this.config = config;
     this.recorder = recorder;
-    held = new HeldList(config.fleet() == null ? null : config.fleet().stateFile());
+    cachedList = new HeldList(config.fleet() == null ? null : config.fleet().stateFile());
   }
 
   /**
-   * Starts a front and returns once it listens over UDP and TCP.
+   * Starts a frontend and returns once it listens on UDP and TCP.
    *
-   * @param shown the fleet that is shown as a zone; null where none is
-   * @throws IOException where a zone can't be read or the port can't be had
+   * @param publishedFleet the fleet to publish as a zone; null for none
+   * @throws IOException if a zone file can't be read or the port can't be bound
    */
-  public static DnsServer start(DnsConfig config, FleetSource shown, long seed) throws IOException {
-    return start(config, shown, seed, Recorder.NONE);
+  public static DnsServer start(DnsConfig config, FleetSource publishedFleet, long seed) throws IOException {
+    return start(config, publishedFleet, seed, Recorder.NONE);
   }
 
-  /** The same with somebody who records what happens; whoever made the recorder ends it after this. */
-  public static DnsServer start(DnsConfig config, FleetSource shown, long seed, Recorder recorder) throws IOException {
-    return start(config, shown, seed, recorder, null);
+  /** Starts with a recorder, which the caller closes after the server. */
+  public static DnsServer start(DnsConfig config, FleetSource publishedFleet, long seed, Recorder recorder) throws IOException {
+    return start(config, publishedFleet, seed, recorder, null);
   }
 
-  /** The same with quotas of its clients; null for none. */
-  public static DnsServer start(DnsConfig config, FleetSource shown, long seed, Recorder recorder, QuotaConfig quota)
+  /** Starts with quotas for its clients; null for none. */
+  public static DnsServer start(DnsConfig config, FleetSource publishedFleet, long seed, Recorder recorder, QuotaConfig quota)
       throws IOException {
     Settings settings = config.settings();
-    return start(config, shown, n -> new Logic(settings, seed + n), recorder, quota);
+    return start(config, publishedFleet, n -> new Logic(settings, seed + n), recorder, quota);
   }
 
-  /** The same around other decisions; {@code modules} makes the n-th module of this process. */
-  static DnsServer start(DnsConfig config, FleetSource shown, LongFunction<Balancer> modules) throws IOException {
-    return start(config, shown, modules, Recorder.NONE, null);
+  /** Starts with other balancer modules; {@code modules} creates the n-th module of this process. */
+  static DnsServer start(DnsConfig config, FleetSource publishedFleet, LongFunction<Balancer> modules) throws IOException {
+    return start(config, publishedFleet, modules, Recorder.NONE, null);
   }
 
-  private static DnsServer start(DnsConfig config, FleetSource shown, LongFunction<Balancer> modules, Recorder recorder,
+  private static DnsServer start(DnsConfig config, FleetSource publishedFleet, LongFunction<Balancer> modules, Recorder recorder,
       QuotaConfig quota) throws IOException {
     DnsServer s = new DnsServer(config, recorder);
     try {
       List<LocalZone> zones = new ArrayList<>();
       for (DnsConfig.ZoneFile z : config.zones()) {
-        zones.add(zone(z));
+        zones.add(loadZone(z));
       }
       s.onLoop(() -> {
         s.quotas = quota == null ? null : new QuotaKeeper(quota, s.loop, s.clock::now);
-        s.wire(modules, zones, shown);
+        s.assemble(modules, zones, publishedFleet);
         return null;
       });
       s.listen();
@@ -151,7 +151,7 @@
     return s;
   }
 
-  private static LocalZone zone(DnsConfig.ZoneFile z) throws IOException {
+  private static LocalZone loadZone(DnsConfig.ZoneFile z) throws IOException {
     try {
       return new LocalZone(Names.of(z.origin()), new Zone(Name.fromString(z.origin()), z.file().toString()));
     } catch (IOException | RuntimeException e) {
@@ -159,11 +159,11 @@
     }
   }
 
-  private void wire(LongFunction<Balancer> modules, List<LocalZone> zones, FleetSource shownSource) {
+  private void assemble(LongFunction<Balancer> modules, List<LocalZone> zones, FleetSource publishedSource) {
     FleetSource source = config.fleet();
-    ServerList first = source == null ? ServerList.NONE : source.first();
+    ServerList initial = source == null ? ServerList.NONE : source.first();
     Engine.ListSource lists = source == null || source.isWritten() ? new WrittenList(fleet, (kind, list) -> engine.news(kind, list))
-        : open(source, first, fleet, this::news);
+        : openSource(source, initial, fleet, this::onEndpoints);
     client = new DnsClient(loop, clock, config.upstream());
     engine = new Engine(loop, clock, config.settings(), modules, fleet, lists, (to, data) -> { },
         recorder.isOn() ? recorder : Witness.NONE);
@@ -174,16 +174,16 @@
       }
     });
     resolver = new Resolver(loop, clock, config, engine, client, counts, recorder, quotas);
-    engine.news(ListKind.CACHED, first);
+    engine.news(ListKind.CACHED, initial);
     zones.forEach(resolver::add);
-    if (config.fleetNames() != null && shownSource != null) {
-      show(shownSource);
+    if (config.fleetZone() != null && publishedSource != null) {
+      publishFleet(publishedSource);
     }
   }
 
-  private Engine.ListSource open(FleetSource source, ServerList first, Fleet of, BiConsumer<ListKind, ServerList> told) {
-    return source.opener() != null ? source.opener().open(loop, first, of::revision, told)
-        : new Discovery(discoveryBootstrap(), source.discovery(), of::revision, told);
+  private Engine.ListSource openSource(FleetSource source, ServerList initial, Fleet of, BiConsumer<ListKind, ServerList> listener) {
+    return source.opener() != null ? source.opener().open(loop, initial, of::revision, listener)
+        : new Discovery(discoveryBootstrap(), source.discovery(), of::revision, listener);
   }
 
   private Bootstrap discoveryBootstrap() {
@@ -191,46 +191,46 @@
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DISCOVERY_CONNECT_MILLIS);
   }
 
-  private void news(ListKind kind, ServerList list) {
+  private void onEndpoints(ListKind kind, ServerList list) {
     engine.news(kind, list);
     if (kind != ListKind.FAILED) {
-      held.write(fleet.list());
+      cachedList.write(fleet.list());
     }
   }
 
-  // ---- The fleet as a zone -------------------------------------------------------------------------------
+  // ---- Fleet zone ----------------------------------------------------------------------------------------
 
-  private void show(FleetSource source) {
-    shown = new Fleet(clock);
-    ServerList first = source.first();
-    shown.take(ListKind.CACHED, first);
-    fleetZone = new FleetZone(config.fleetNames());
-    shownZone = new LocalZone(Names.of(config.fleetNames().origin()), fleetZone.zone(shown.list(), System.currentTimeMillis()));
-    resolver.add(shownZone);
+  private void publishFleet(FleetSource source) {
+    publishedFleet = new Fleet(clock);
+    ServerList initial = source.first();
+    publishedFleet.take(ListKind.CACHED, initial);
+    fleetZone = new FleetZone(config.fleetZone());
+    publishedZone = new LocalZone(Names.of(config.fleetZone().origin()), fleetZone.zone(publishedFleet.list(), System.currentTimeMillis()));
+    resolver.add(publishedZone);
     if (!source.isWritten()) {
-      shownDiscovery = open(source, first, shown, this::shownNews);
-      shownDiscovery.watch(true);
+      publishedDiscovery = openSource(source, initial, publishedFleet, this::onPublishedEndpoints);
+      publishedDiscovery.watch(true);
     }
-    loop.scheduleWithFixedDelay(this::renew, ZONE_MILLIS, ZONE_MILLIS, TimeUnit.MILLISECONDS);
+    loop.scheduleWithFixedDelay(this::refreshZone, ZONE_REFRESH_MILLIS, ZONE_REFRESH_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  private void shownNews(ListKind kind, ServerList list) {
+  private void onPublishedEndpoints(ListKind kind, ServerList list) {
     if (kind == ListKind.FAILED) {
-      loop.schedule(() -> shownDiscovery.watch(true), ASK_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+      loop.schedule(() -> publishedDiscovery.watch(true), DISCOVERY_RETRY_MILLIS, TimeUnit.MILLISECONDS);
     } else {
-      shown.take(kind, list);
-      renew();
+      publishedFleet.take(kind, list);
+      refreshZone();
     }
   }
 
-  private void renew() {
-    Zone next = fleetZone.zone(shown.list(), System.currentTimeMillis());
+  private void refreshZone() {
+    Zone next = fleetZone.zone(publishedFleet.list(), System.currentTimeMillis());
     if (next != null) {
-      shownZone.replace(next);
+      publishedZone.replace(next);
     }
   }
 
-  /** The operators' quotas have changed: what was used and is owed stays. */
+  /** Applies changed quotas. Recorded usage and debts are kept. */
   public void updateQuotas(QuotaPlan plan) {
     if (quotas != null) {
       onLoop(() -> {
@@ -240,15 +240,15 @@
     }
   }
 
-  /** The operators' lists have changed: of the servers that are forwarded to, and of the fleet that is shown. */
-  public void updateEndpoints(ServerList servers, ServerList fleetShown) {
+  /** Applies changed endpoint lists: the servers to forward to, and the published fleet. Null leaves a list as it is. */
+  public void updateEndpoints(ServerList servers, ServerList published) {
     loop.execute(() -> {
       if (servers != null) {
         engine.news(ListKind.FULL, servers);
       }
-      if (fleetShown != null && shown != null) {
-        shown.take(ListKind.FULL, fleetShown);
-        renew();
+      if (published != null && publishedFleet != null) {
+        publishedFleet.take(ListKind.FULL, published);
+        refreshZone();
       }
     });
   }
@@ -258,40 +258,40 @@
   private void listen() throws IOException {
     Flusher flusher = new Flusher(loop);
     tcp = onLoop(() -> new TcpFrontend(loop, resolver, flusher, config.limits()));
-    IOException last = null;
-    // Both transports on one port: with port 0 the one that TCP gets may be taken over UDP.
-    for (int i = 0; i < (config.listen().getPort() == 0 ? PORT_TRIES : 1); i++) {
+    IOException lastError = null;
+    // Both transports use one port: with port 0, the port assigned to TCP may be in use over UDP.
+    for (int i = 0; i < (config.listen().getPort() == 0 ? BIND_ATTEMPTS : 1); i++) {
       try {
         tcpListener = bindTcp();
         udp = bindUdp(flusher);
         return;
       } catch (IOException e) {
-        last = e;
+        lastError = e;
         if (tcpListener != null) {
           tcpListener.close().syncUninterruptibly();
         }
       }
     }
-    throw last;
+    throw lastError;
   }
 
   private Channel bindTcp() throws IOException {
     ServerBootstrap b = new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
         .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
-        // All that wait are taken in one turn: those still waiting when the listener closes are reset.
+        // Accepts the whole backlog in one read: connections still in it when the listener closes are reset.
         .option(ChannelOption.RECVBUF_ALLOCATOR, new ServerChannelRecvByteBufAllocator().maxMessagesPerRead(BACKLOG))
         .childOption(ChannelOption.TCP_NODELAY, true).childHandler(tcp);
     if (config.reusePort()) {
-      // A successor may listen before its predecessor has gone.
+      // Lets a successor listen before its predecessor has stopped.
       b.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
     }
-    return bound(b.bind(config.listen()));
+    return awaitBind(b.bind(config.listen()));
   }
 
   private Channel bindUdp(Flusher flusher) throws IOException {
     Bootstrap b = new Bootstrap().group(group).channel(NioDatagramChannel.class)
         .option(ChannelOption.SO_RCVBUF, RECEIVE_BUFFER)
-        .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MOST_DATAGRAM).maxMessagesPerRead(READS))
+        .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_DATAGRAM).maxMessagesPerRead(MAX_READS))
         .handler(new io.netty.channel.ChannelInitializer<NioDatagramChannel>() {
           @Override
           protected void initChannel(NioDatagramChannel channel) {
@@ -301,10 +301,10 @@
     if (config.reusePort()) {
       b.option(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
     }
-    return bound(b.bind(config.listen().getAddress(), address().getPort()));
+    return awaitBind(b.bind(config.listen().getAddress(), address().getPort()));
   }
 
-  private Channel bound(io.netty.channel.ChannelFuture bind) throws IOException {
+  private Channel awaitBind(io.netty.channel.ChannelFuture bind) throws IOException {
     bind.awaitUninterruptibly();
     if (!bind.isSuccess()) {
       throw new IOException("can't listen at " + config.listen() + ": " + bind.cause().getMessage(), bind.cause());
@@ -312,14 +312,14 @@
     return bind.channel();
   }
 
-  /** Where it listens, over UDP and TCP alike. */
+  /** The listening address, the same for UDP and TCP. */
   public InetSocketAddress address() {
     return (InetSocketAddress) tcpListener.localAddress();
   }
 
-  // ---- What is seen of it --------------------------------------------------------------------------------
+  // ---- Introspection -------------------------------------------------------------------------------------
 
-  /** Runs on its loop, in its turn. */
+  /** Runs a task on the event loop and waits for its result. */
   <T> T onLoop(Callable<T> task) {
     try {
       return loop.submit(task).get();
@@ -347,11 +347,11 @@
     return client;
   }
 
-  boolean isLeaving() {
-    return resolver.leaving.hasBegun();
+  boolean isShuttingDown() {
+    return resolver.shutdown.hasBegun();
   }
 
-  int inHand() {
+  int pendingRequests() {
     return onLoop(engine::inHand);
   }
 
@@ -359,44 +359,44 @@
     return onLoop(tcp::connections);
   }
 
-  /** Octets of clients' messages that are held and not taken yet. */
-  int unread() {
-    return onLoop(tcp::unread);
+  /** Bytes of client messages that have been read from sockets but not handled yet. */
+  int unreadBytes() {
+    return onLoop(tcp::unreadBytes);
   }
 
-  /** Whether a query that came now could be passed on; asked on its loop. */
-  boolean servesNow() {
+  /** Whether a query that arrives now could be forwarded. Call on the event loop. */
+  boolean canServe() {
     return engine.canServe();
   }
 
-  /** One line of all counts. */
+  /** All counters on one line. */
   public String report() {
     return onLoop(() -> counts + " " + client.counts() + " cache_entries=" + resolver.cache().size() + " cache_octets="
         + resolver.cache().weight());
   }
 
-  // ---- The end -------------------------------------------------------------------------------------------
+  // ---- Shutdown ------------------------------------------------------------------------------------------
 
   /**
-   * Stops in order: goes on for a while, for a successor to come up; takes no more connections; serves what still comes, in the second
-   * half of its time only what is in hand; what then has no answer gets one. Returns when all is over.
+   * Stops gracefully: keeps serving for a while so that a successor can start, then stops accepting connections and drains. In the second
+   * half of the drain time new queries are rejected; queries still pending at its end are answered with an error. Returns when stopped.
    */
   public void stop() throws InterruptedException {
     LOG.info("stopping");
     TimeUnit.MILLISECONDS.sleep(config.lameMillis());
     onLoop(() -> {
-      leave();
+      beginShutdown();
       return null;
     });
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(config.drainMillis());
-    while (System.nanoTime() < until && !onLoop(this::wentQuietly)) {
+    while (System.nanoTime() < until && !onLoop(this::closeIfIdle)) {
       TimeUnit.MILLISECONDS.sleep(STOP_CHECK_MILLIS);
     }
     onLoop(() -> {
       engine.failAll();
       return null;
     });
-    until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LAST_WORD_MILLIS);
+    until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(CLOSE_TIMEOUT_MILLIS);
     while (System.nanoTime() < until && connections() > 0) {
       TimeUnit.MILLISECONDS.sleep(STOP_CHECK_MILLIS);
     }
@@ -404,34 +404,34 @@
     close();
   }
 
-  /** On the loop: no more connections, and an end to those there are. */
-  void leave() {
+  /** Stops accepting connections and begins to close the open ones. Call on the event loop. */
+  void beginShutdown() {
     tcpListener.close();
-    resolver.leave(TimeUnit.MILLISECONDS.toNanos(config.drainMillis()));
-    tcp.stop();
+    resolver.beginShutdown(TimeUnit.MILLISECONDS.toNanos(config.drainMillis()));
+    tcp.beginShutdown();
   }
 
   /**
-   * With nothing in hand, twice in a row, the socket for datagrams goes: between the two it has been read, and what comes from here on is
-   * the successor's.
+   * Closes the UDP socket once nothing was pending at two checks in a row: the socket has been read between the two, so later datagrams
+   * are the successor's.
    */
-  private boolean wentQuietly() {
-    boolean quiet = engine.inHand() + tcp.connections() == 0;
-    boolean goes = quiet && wasQuiet;
-    wasQuiet = quiet;
-    if (goes) {
+  private boolean closeIfIdle() {
+    boolean idle = engine.inHand() + tcp.connections() == 0;
+    boolean finished = idle && wasIdle;
+    wasIdle = idle;
+    if (finished) {
       udp.close();
     }
-    return goes;
+    return finished;
   }
 
-  /** Ends at once, whatever is in hand. */
+  /** Closes at once, without waiting for pending queries. */
   @Override
   public void close() {
     if (loop.isShuttingDown()) {
       return;
     }
-    Future<?> over = loop.submit(() -> {
+    Future<?> closed = loop.submit(() -> {
       if (tcpListener != null) {
         tcpListener.close();
       }
@@ -448,12 +448,12 @@
         quotas.close();
       }
     });
-    over.awaitUninterruptibly(LAST_WORD_MILLIS);
-    held.close();
-    group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(LAST_WORD_MILLIS);
+    closed.awaitUninterruptibly(CLOSE_TIMEOUT_MILLIS);
+    cachedList.close();
+    group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(CLOSE_TIMEOUT_MILLIS);
   }
 
-  /** The socket over which datagrams come; for tests. */
+  /** The local address of the UDP socket; for tests. */
   SocketAddress udpAddress() {
     return udp.localAddress();
   }
--- a/dns/src/main/java/cloverpulley/dns/DuplicateRequestCache.java
+++ b/dns/src/main/java/cloverpulley/dns/DuplicateRequestCache.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 
 /**
- * UPDATEs and NOTIFYs that came over UDP: a client that hears nothing sends the same datagram again, which is not to run again. While
- * the first is in hand the repeat is dropped (the answer will come); after it, the same answer is given once more.
+ * Detects retransmitted UPDATEs and NOTIFYs over UDP, so that they don't run twice: a client that gets no answer sends the same datagram
+ * again. While the original is in progress a duplicate is dropped, as the answer is still to come; afterwards it gets the same answer.
  */
 final class DuplicateRequestCache {
 
-  /** Who sent which octets; its hash is the octets' own. */
+  /** Identifies a message by its sender and content. */
   static final class Key {
     private final InetAddress address;
     private final int port;
@@ -35,63 +35,63 @@
     }
   }
 
-  private static final class Held {
+  private static final class Entry {
     byte[] answer;
-    long at;
+    long updatedAt;
   }
 
-  private final int most;
-  private final long keepNanos;
-  private final Map<Key, Held> held = new LinkedHashMap<>();
+  private final int maxEntries;
+  private final long ttlNanos;
+  private final Map<Key, Entry> entries = new LinkedHashMap<>();
 
-  DuplicateRequestCache(int most, long keepNanos) {
-    this.most = most;
-    this.keepNanos = keepNanos;
+  DuplicateRequestCache(int maxEntries, long ttlNanos) {
+    this.maxEntries = maxEntries;
+    this.ttlNanos = ttlNanos;
   }
 
-  /** Whether it is here already. */
+  /** Whether the message is a duplicate. */
   boolean isKnown(Key key) {
-    return held.containsKey(key);
+    return entries.containsKey(key);
   }
 
-  /** The answer that it got; null while it is in hand. */
+  /** The answer to the original; null while it is in progress. */
   byte[] answer(Key key) {
-    return held.get(key).answer;
+    return entries.get(key).answer;
   }
 
-  /** Notes a new one; false where there is no room, so that its repeat would not be known. */
-  boolean taken(Key key, long now) {
-    forget(now);
-    if (held.size() >= most) {
+  /** Adds a new message. Returns false if the cache is full, in which case a duplicate would not be detected. */
+  boolean tryAdd(Key key, long now) {
+    evictExpired(now);
+    if (entries.size() >= maxEntries) {
       return false;
     }
-    Held h = new Held();
-    h.at = now;
-    held.put(key, h);
+    Entry entry = new Entry();
+    entry.updatedAt = now;
+    entries.put(key, entry);
     return true;
   }
 
-  void answered(Key key, byte[] octets, long now) {
-    Held h = held.remove(key);
-    if (h != null) {
-      h.answer = octets;
-      h.at = now;
-      held.put(key, h); // Those answered stand in the order of their answers.
+  void complete(Key key, byte[] octets, long now) {
+    Entry entry = entries.remove(key);
+    if (entry != null) {
+      entry.answer = octets;
+      entry.updatedAt = now;
+      entries.put(key, entry); // Answered entries are ordered by answer time.
     }
   }
 
-  private void forget(long now) {
-    for (Iterator<Held> i = held.values().iterator(); i.hasNext(); ) {
-      Held h = i.next();
-      if (now - h.at < keepNanos) {
+  private void evictExpired(long now) {
+    for (Iterator<Entry> i = entries.values().iterator(); i.hasNext(); ) {
+      Entry entry = i.next();
+      if (now - entry.updatedAt < ttlNanos) {
         return;
-      } else if (h.answer != null) {
+      } else if (entry.answer != null) {
         i.remove();
       }
     }
   }
 
   int size() {
-    return held.size();
+    return entries.size();
   }
 }
--- a/dns/src/main/java/cloverpulley/dns/InFlightQuery.java
+++ b/dns/src/main/java/cloverpulley/dns/InFlightQuery.java
@@ -6,79 +6,79 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A question on its way to the servers, once for all that ask it meanwhile; without anybody, to keep the cache fresh. */
+/** An in-flight query to the servers, shared by all clients that ask the same question meanwhile. A prefetch has no client. */
 final class InFlightQuery extends DnsExchange {
 
   final Cache.Key key;
   private final boolean prefetch;
   private List<Query> waiting = new ArrayList<>(1);
-  /** What is given should no server answer; null for none. */
+  /** The stale answer to fall back to if no server answers; null for none. */
   private final Cache.Entry stale;
-  private boolean staleGiven;
+  private boolean staleServed;
 
-  InFlightQuery(Facts facts, Resolver resolver, UpstreamQuery.Spec asked, Cache.Key key, Cache.Entry stale, boolean prefetch) {
-    super(facts, resolver, asked);
+  InFlightQuery(Facts facts, Resolver resolver, UpstreamQuery.Spec spec, Cache.Key key, Cache.Entry stale, boolean prefetch) {
+    super(facts, resolver, spec);
     this.key = key;
     this.stale = stale;
     this.prefetch = prefetch;
   }
 
-  /** Somebody asks the same. */
+  /** Adds a client's query for the same question. */
   void join(Query query) {
-    if (staleGiven) {
-      resolver.stale(query, stale);
+    if (staleServed) {
+      resolver.replyStale(query, stale);
     } else {
       waiting.add(query);
     }
   }
 
-  /** It takes long: who waits gets what there is, the flight goes on (RFC 8767, 5). */
-  void waitedLong() {
+  /** Answers waiting clients with the stale answer while the query continues (RFC 8767, 5). */
+  void onStaleTimeout() {
     if (!isEnded() && stale != null) {
-      staleGiven = true;
-      take().forEach(q -> resolver.stale(q, stale));
+      staleServed = true;
+      removeWaiting().forEach(q -> resolver.replyStale(q, stale));
     }
   }
 
-  private List<Query> take() {
+  private List<Query> removeWaiting() {
     List<Query> all = waiting;
     waiting = new ArrayList<>(1);
     return all;
   }
 
   @Override
-  void served(Message answer, ResponseTemplate body) {
+  void onServed(Message answer, ResponseTemplate template) {
     long now = resolver.clock.now();
-    resolver.landed(this);
-    resolver.keep(key, answer, body, now);
-    for (Query q : take()) {
-      resolver.reply(q, q.filled(resolver.replies, body, 0, Integer.MAX_VALUE, false, -1, null));
+    resolver.removeInFlight(this);
+    resolver.cacheAnswer(key, answer, template, now);
+    for (Query q : removeWaiting()) {
+      resolver.reply(q, q.withRecords(resolver.responseOptions, template, 0, Integer.MAX_VALUE, false, -1, null));
     }
   }
 
   @Override
   protected void answer(Verdict verdict) {
-    resolver.landed(this);
+    resolver.removeInFlight(this);
     long now = resolver.clock.now();
-    boolean timeUp = now >= facts().deadline() - resolver.config.marginNanos();
-    List<Query> left = new ArrayList<>();
-    for (Query q : take()) {
+    boolean deadlineReached = now >= facts().deadline() - resolver.config.marginNanos();
+    List<Query> remaining = new ArrayList<>();
+    for (Query q : removeWaiting()) {
       if (stale != null) {
-        resolver.stale(q, stale);
-      } else if (timeUp && resolver.deadline(q, facts().type()) > now + resolver.config.marginNanos()) {
-        left.add(q); // It joined later than the first, whose time is up: it has more.
+        resolver.replyStale(q, stale);
+      } else if (deadlineReached && resolver.deadline(q, facts().type()) > now + resolver.config.marginNanos()) {
+        remaining.add(q); // It joined after the first query, so its deadline is later.
       } else {
         resolver.fail(q, verdict);
       }
     }
-    left.forEach(resolver::fly);
+    remaining.forEach(resolver::joinOrStart);
   }
 
   @Override
-  void gone(Query query) {
+  void onClientGone(Query query) {
     waiting.remove(query);
-    if (waiting.isEmpty() && !staleGiven && !prefetch && !isEnded()) {
-      resolver.landed(this);
+    if (waiting.isEmpty() && !staleServed && !prefetch && !isEnded()) {
+      resolver.removeInFlight(this);
       resolver.engine.clientGone(this);
     }
   }
--- a/dns/src/main/java/cloverpulley/dns/LocalZone.java
+++ b/dns/src/main/java/cloverpulley/dns/LocalZone.java
@@ -20,20 +20,20 @@
 import org.xbill.DNS.Type;
 import org.xbill.DNS.Zone;
 
-/** A zone that is answered from here (RFC 1034, 4.3.2); answers once made are kept until the zone changes. */
+/** A zone that is answered locally (RFC 1034, 4.3.2). Answers are cached until the zone changes. */
 final class LocalZone {
 
-  private static final int MOST_KEPT = 2000;
-  private static final int MOST_ALIASES = 8;
-  /** More servers than this bring no additional records: the answer would not fit a datagram anyway. */
-  private static final int MOST_ADDITIONAL = 40;
+  private static final int MAX_CACHED_ANSWERS = 2000;
+  private static final int MAX_ALIASES = 8;
+  /** Larger record sets get no additional records: the answer would not fit in a datagram anyway. */
+  private static final int MAX_ADDITIONAL = 40;
 
-  /** An answer, and whether it is the zone's own word and not a referral. */
-  record Answer(ResponseTemplate body, boolean authoritative) {}
+  /** An answer, and whether it is authoritative; a referral is not. */
+  record Answer(ResponseTemplate template, boolean authoritative) {}
 
   final byte[] origin;
   private Zone zone;
-  private final Map<Question, Answer> kept = new LinkedHashMap<>(64, 0.75f, true);
+  private final Map<Question, Answer> cachedAnswers = new LinkedHashMap<>(64, 0.75f, true);
 
   LocalZone(byte[] origin, Zone zone) {
     this.origin = origin;
@@ -42,61 +42,61 @@
 
   void replace(Zone next) {
     zone = next;
-    kept.clear();
+    cachedAnswers.clear();
   }
 
-  boolean holds(Question q) {
+  boolean contains(Question q) {
     return Names.isWithin(q.name(), origin);
   }
 
   Answer answer(Question q) {
-    Answer answer = kept.get(q);
+    Answer answer = cachedAnswers.get(q);
     if (answer == null) {
-      answer = make(q);
-      kept.put(q, answer);
-      if (kept.size() > MOST_KEPT) {
-        kept.remove(kept.keySet().iterator().next());
+      answer = buildAnswer(q);
+      cachedAnswers.put(q, answer);
+      if (cachedAnswers.size() > MAX_CACHED_ANSWERS) {
+        cachedAnswers.remove(cachedAnswers.keySet().iterator().next());
       }
     }
     return answer;
   }
 
-  private Answer make(Question q) {
+  private Answer buildAnswer(Question q) {
     try {
       Name name = new Name(q.name());
       org.xbill.DNS.Message m = new org.xbill.DNS.Message(0);
       m.getHeader().setFlag(Flags.QR);
       m.addRecord(Record.newRecord(name, q.type(), DClass.IN), Section.QUESTION);
-      boolean own = fill(m, name, q.type());
-      return new Answer(ResponseTemplate.of(Message.read(m.toWire(Message.MAX_LENGTH))), own);
+      boolean authoritative = fillSections(m, name, q.type());
+      return new Answer(ResponseTemplate.of(Message.read(m.toWire(Message.MAX_LENGTH))), authoritative);
     } catch (IOException | MalformedException e) {
-      throw new IllegalStateException("no answer for " + q, e); // Both have been read before.
+      throw new IllegalStateException("no answer for " + q, e); // Can't happen: the question and the zone have been parsed before.
     }
   }
 
-  private boolean fill(org.xbill.DNS.Message m, Name asked, int type) {
-    Name name = asked;
-    for (int i = 0; i < MOST_ALIASES; i++) {
-      SetResponse found = zone.findRecords(name, type);
-      if (found.isSuccessful()) {
-        found.answers().forEach(set -> add(m, set, Section.ANSWER));
-        additional(m, found.answers());
+  private boolean fillSections(org.xbill.DNS.Message m, Name queried, int type) {
+    Name name = queried;
+    for (int i = 0; i < MAX_ALIASES; i++) {
+      SetResponse response = zone.findRecords(name, type);
+      if (response.isSuccessful()) {
+        response.answers().forEach(set -> add(m, set, Section.ANSWER));
+        addAdditional(m, response.answers());
         return true;
-      } else if (found.isCNAME()) {
-        m.addRecord(found.getCNAME(), Section.ANSWER);
-        name = found.getCNAME().getTarget();
+      } else if (response.isCNAME()) {
+        m.addRecord(response.getCNAME(), Section.ANSWER);
+        name = response.getCNAME().getTarget();
         if (!name.subdomain(zone.getOrigin())) {
-          return true; // Whoever asked goes on from there.
+          return true; // The client resolves the rest of the chain.
         }
-      } else if (found.isDelegation()) {
-        add(m, found.getNS(), Section.AUTHORITY);
+      } else if (response.isDelegation()) {
+        add(m, response.getNS(), Section.AUTHORITY);
         return false;
       } else {
-        if (found.isNXDOMAIN()) {
+        if (response.isNXDOMAIN()) {
           m.getHeader().setRcode(Message.NXDOMAIN);
         }
         SOARecord soa = zone.getSOA();
-        // For how long there is nothing: RFC 2308, 3.
+        // The negative TTL (RFC 2308, 3).
         m.addRecord(Record.newRecord(soa.getName(), Type.SOA, DClass.IN, Math.min(soa.getTTL(), soa.getMinimum()),
             soa.rdataToWireCanonical()), Section.AUTHORITY);
         return true;
@@ -109,24 +109,24 @@
     set.rrs(false).forEach(r -> m.addRecord(r, section));
   }
 
-  /** The addresses of service records, and for instances all that is asked next (RFC 6763, 12). */
-  private void additional(org.xbill.DNS.Message m, List<RRset> sets) {
+  /** Adds the addresses of SRV targets, and for PTR records the SRV, TXT and address records that clients query next (RFC 6763, 12). */
+  private void addAdditional(org.xbill.DNS.Message m, List<RRset> sets) {
     for (RRset set : sets) {
-      if (set.size() > MOST_ADDITIONAL) {
+      if (set.size() > MAX_ADDITIONAL) {
         continue;
       }
       for (Record r : set.rrs(false)) {
         if (r instanceof SRVRecord srv) {
-          addresses(m, srv.getTarget());
+          addAddresses(m, srv.getTarget());
         } else if (r.getType() == Type.PTR) {
           Name instance = ((org.xbill.DNS.PTRRecord) r).getTarget();
           for (int type : new int[] {Type.SRV, Type.TXT}) {
-            SetResponse found = zone.findRecords(instance, type);
-            if (found.isSuccessful()) {
-              found.answers().forEach(s -> add(m, s, Section.ADDITIONAL));
-              found.answers().forEach(s -> s.rrs(false).forEach(x -> {
+            SetResponse response = zone.findRecords(instance, type);
+            if (response.isSuccessful()) {
+              response.answers().forEach(s -> add(m, s, Section.ADDITIONAL));
+              response.answers().forEach(s -> s.rrs(false).forEach(x -> {
                 if (x instanceof SRVRecord srv) {
-                  addresses(m, srv.getTarget());
+                  addAddresses(m, srv.getTarget());
                 }
               }));
             }
@@ -136,11 +136,11 @@
     }
   }
 
-  private void addresses(org.xbill.DNS.Message m, Name host) {
+  private void addAddresses(org.xbill.DNS.Message m, Name host) {
     for (int type : new int[] {Type.A, Type.AAAA}) {
-      SetResponse found = zone.findRecords(host, type);
-      if (found.isSuccessful()) {
-        found.answers().forEach(s -> add(m, s, Section.ADDITIONAL));
+      SetResponse response = zone.findRecords(host, type);
+      if (response.isSuccessful()) {
+        response.answers().forEach(s -> add(m, s, Section.ADDITIONAL));
       }
     }
   }
--- a/dns/src/main/java/cloverpulley/dns/PassThroughExchange.java
+++ b/dns/src/main/java/cloverpulley/dns/PassThroughExchange.java
@@ -4,42 +4,43 @@
 import cloverpulley.dns.wire.Message;
 import cloverpulley.engine.Verdict;
 
-/** An UPDATE, a NOTIFY or a signed question on its way: passed on untouched, and its answer as well. */
+/** Forwards an UPDATE, a NOTIFY or a signed query, and its response, unmodified except for the message id. */
 final class PassThroughExchange extends DnsExchange {
 
   private final Query query;
-  /** Under which a client's repeat of it is known; null over TCP, where clients don't repeat, and for questions, which
-   * may. */
+  /** The key for duplicate detection; null over TCP, where clients don't retransmit, and for queries, which
+   * may be repeated. */
   private final DuplicateRequestCache.Key key;
 
-  PassThroughExchange(Facts facts, Resolver resolver, UpstreamQuery.Spec asked, Query query, DuplicateRequestCache.Key key) {
-    super(facts, resolver, asked);
+  PassThroughExchange(Facts facts, Resolver resolver, UpstreamQuery.Spec spec, Query query, DuplicateRequestCache.Key key) {
+    super(facts, resolver, spec);
     this.query = query;
     this.key = key;
   }
 
   @Override
-  void served(Message answer, ResponseTemplate body) {
+  void onServed(Message answer, ResponseTemplate template) {
     byte[] octets = answer.bytes().clone();
     Message.put16(octets, 0, query.message.id());
-    // What does not fit is not cut, for its signature covers all of it: the client comes over TCP.
-    reply(query.fits(octets.length, resolver.replies) ? octets : query.empty(resolver.replies, Message.TC, Message.NOERROR, -1, null));
+    // A response that is too long can't be shortened because its signature covers all of it: TC makes the client retry over TCP.
+    reply(query.fits(octets.length, resolver.responseOptions) ? octets
+        : query.empty(resolver.responseOptions, Message.TC, Message.NOERROR, -1, null));
   }
 
   @Override
   protected void answer(Verdict verdict) {
-    reply(resolver.failure(query, verdict));
+    reply(resolver.failureResponse(query, verdict));
   }
 
   private void reply(byte[] octets) {
     if (key != null) {
-      resolver.repeated.answered(key, octets.clone(), resolver.clock.now());
+      resolver.duplicates.complete(key, octets.clone(), resolver.clock.now());
     }
     resolver.reply(query, octets);
   }
 
   @Override
-  void gone(Query gone) {
+  void onClientGone(Query client) {
     if (!isEnded()) {
       resolver.engine.clientGone(this);
     }
--- a/dns/src/main/java/cloverpulley/dns/Prefix.java
+++ b/dns/src/main/java/cloverpulley/dns/Prefix.java
@@ -4,24 +4,24 @@
 import java.net.UnknownHostException;
 import java.util.regex.Pattern;
 
-/** A range of addresses, as 10.0.0.0/8 or 2001:db8::/32 names it. */
+/** An address prefix such as 10.0.0.0/8 or 2001:db8::/32. */
 record Prefix(byte[] address, int bits) {
 
-  private static final Pattern FIGURES = Pattern.compile("(?:\\d{1,3}\\.){3}\\d{1,3}|[0-9a-fA-F:.]*:[0-9a-fA-F:.]*");
+  private static final Pattern IP_LITERAL = Pattern.compile("(?:\\d{1,3}\\.){3}\\d{1,3}|[0-9a-fA-F:.]*:[0-9a-fA-F:.]*");
   private static final long FNV = 0x100000001b3L;
 
-  /** The range that a text names; null for any other text. */
+  /** Parses a prefix; null if the text is none. */
   static Prefix of(String text) {
     int slash = text.indexOf('/');
     String host = slash < 0 ? text : text.substring(0, slash);
-    if (!FIGURES.matcher(host).matches()) {
-      return null; // Guards against a look-up of a name.
+    if (!IP_LITERAL.matcher(host).matches()) {
+      return null; // Guards against a DNS lookup by InetAddress.
     }
     try {
       byte[] address = InetAddress.getByName(host).getAddress();
-      int most = address.length * 8;
-      int bits = slash < 0 ? most : Integer.parseInt(text.substring(slash + 1));
-      return bits < 0 || bits > most ? null : new Prefix(address, bits);
+      int addressBits = address.length * 8;
+      int bits = slash < 0 ? addressBits : Integer.parseInt(text.substring(slash + 1));
+      return bits < 0 || bits > addressBits ? null : new Prefix(address, bits);
     } catch (UnknownHostException | NumberFormatException e) {
       return null;
     }
@@ -41,8 +41,8 @@
     return true;
   }
 
-  /** A number for the range that an address lies in: its first so many bits, by its kind. */
-  static long number(InetAddress address, int bits4, int bits6) {
+  /** A hash (FNV-1a) of the network that an address belongs to, by prefix length for its family. */
+  static long networkKey(InetAddress address, int bits4, int bits6) {
     byte[] a = address.getAddress();
     int bits = a.length == 4 ? bits4 : bits6;
     long hash = 0xcbf29ce484222325L ^ a.length;
--- a/dns/src/main/java/cloverpulley/dns/Resolver.java
+++ b/dns/src/main/java/cloverpulley/dns/Resolver.java
@@ -35,31 +35,31 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What becomes of a client's message: an answer of our own, one from the cache, or an exchange that the engine takes. Which server
- * is asked, whether again and what is refused, the module decides. All of it runs on one loop.
+ * Handles client messages: answers them from local zones or the cache, or forwards them through the engine. The balancer module decides
+ * which server is queried, whether a query is retried and what is rejected. Runs on one event loop.
  */
 final class Resolver {
 
-  /** Extended errors, RFC 8914, 4. */
+  /** Extended DNS error codes (RFC 8914, 4). */
   private static final int OTHER = 0;
-  private static final int STALE = 3;
+  private static final int STALE_ANSWER = 3;
   private static final int NOT_READY = 14;
   private static final int NOT_AUTHORITATIVE = 20;
   private static final int NOT_SUPPORTED = 21;
-  private static final int NO_REACHABLE = 22;
+  private static final int NO_REACHABLE_AUTHORITY = 22;
 
   private static final int IXFR = 251;
   private static final int AXFR = 252;
   private static final int NXNAME = 128;
   private static final int HINFO = 13;
-  /** RFC 8482, 4.2: an answer to ANY that says no more than that. */
+  /** RDATA of the HINFO record that answers ANY (RFC 8482, 4.2). */
   private static final byte[] ANY_DATA = {7, 'R', 'F', 'C', '8', '4', '8', '2', 0};
   private static final int ANY_TTL_S = 3789;
-  private static final int MOST_KEY = 128;
-  private static final int MOST_REPEATS = 100_000;
-  /** Longer than clients go on repeating (RFC 2136 names no time; resolvers give up after some 5 to 10 s). */
-  private static final long REPEATS_KEPT = TimeUnit.SECONDS.toNanos(15);
-  private static final long NANOS = 1_000_000_000L;
+  private static final int MAX_KEY_LENGTH = 128;
+  private static final int MAX_DUPLICATES = 100_000;
+  /** Longer than clients retransmit (RFC 2136 gives no time; resolvers give up after about 5 to 10 s). */
+  private static final long DUPLICATE_TTL_NANOS = TimeUnit.SECONDS.toNanos(15);
+  private static final long NANOS_PER_SECOND = 1_000_000_000L;
 
   final EventLoop loop;
   final Clock clock;
@@ -67,17 +67,17 @@
   final Engine engine;
   final DnsClient client;
   final DnsCounts counts;
-  final GracefulShutdown leaving = new GracefulShutdown();
-  Query.Replies replies;
-  final DuplicateRequestCache repeated = new DuplicateRequestCache(MOST_REPEATS, REPEATS_KEPT);
+  final GracefulShutdown shutdown = new GracefulShutdown();
+  Query.ResponseOptions responseOptions;
+  final DuplicateRequestCache duplicates = new DuplicateRequestCache(MAX_DUPLICATES, DUPLICATE_TTL_NANOS);
   private final Recorder recorder;
-  /** Null where there are none. */
+  /** Null if no quotas are configured. */
   private final QuotaKeeper quotas;
   private final Cache cache;
   private final Cookies cookies;
-  private final ResponseRateLimiter limit;
+  private final ResponseRateLimiter rateLimiter;
   private final List<LocalZone> zones = new ArrayList<>();
-  private final Map<Cache.Key, InFlightQuery> flights = new HashMap<>();
+  private final Map<Cache.Key, InFlightQuery> inFlight = new HashMap<>();
   private final Set<String> tenants = new HashSet<>();
 
   Resolver(EventLoop loop, Clock clock, DnsConfig config, Engine engine, DnsClient client, DnsCounts counts,
@@ -90,10 +90,10 @@
     this.engine = engine;
     this.client = client;
     this.counts = counts;
-    replies = new Query.Replies(config.udpSize(), (int) (config.limits().idleMillis() / 100));
-    cache = new Cache(config.caching().bytes(), new TtlPolicy(config.caching().freshness()));
+    responseOptions = new Query.ResponseOptions(config.udpSize(), (int) (config.limits().idleMillis() / 100));
+    cache = new Cache(config.caching().bytes(), new TtlPolicy(config.caching().ttlPolicy()));
     cookies = new Cookies(config.cookieSecret());
-    limit = new ResponseRateLimiter(config.limits().responses());
+    rateLimiter = new ResponseRateLimiter(config.limits().responseRate());
     config.settings().tenants().forEach(t -> tenants.add(t.name()));
   }
 
@@ -105,12 +105,12 @@
     return cache;
   }
 
-  // ---- A message has come --------------------------------------------------------------------------------
+  // ---- Incoming messages ---------------------------------------------------------------------------------
 
-  /** Takes a client's message; the octets are kept. */
-  void take(byte[] octets, Query.Client from) {
+  /** Handles a client's message. The array is kept, not copied. */
+  void onMessage(byte[] octets, Query.Client from) {
     if (!Message.hasHeader(octets) || Message.isResponse(octets)) {
-      counts.silent++; // An answer to that could go round for ever.
+      counts.silent++; // An answer to a response could cause an endless loop.
       return;
     }
     counts.queries++;
@@ -122,75 +122,78 @@
       return;
     }
     Query q = new Query(m, from, clock.now());
-    if (!mayAnswer(q)) {
+    if (!passesRateLimit(q)) {
       return;
     }
     if (m.opcode() != Message.QUERY && m.opcode() != Message.NOTIFY && m.opcode() != Message.UPDATE) {
-      reply(q, q.empty(replies, 0, Message.NOTIMP, -1, null));
-    } else if (q.speaksEdns() && m.edns().version() > 0) {
-      reply(q, q.empty(replies, 0, Message.BADVERS, -1, null));
+      reply(q, q.empty(responseOptions, 0, Message.NOTIMP, -1, null));
+    } else if (q.hasEdns() && m.edns().version() > 0) {
+      reply(q, q.empty(responseOptions, 0, Message.BADVERS, -1, null));
     } else if (m.question() == null) {
-      // A question for a cookie alone (RFC 7873, 5.4).
+      // A cookie-only query (RFC 7873, 5.4).
       boolean cookie = q.cookie != null && m.opcode() == Message.QUERY && m.answers() + m.authorities() == 0;
-      reply(q, q.empty(replies, 0, cookie ? Message.NOERROR : Message.FORMERR, -1, null));
+      reply(q, q.empty(responseOptions, 0, cookie ? Message.NOERROR : Message.FORMERR, -1, null));
     } else if (octets.length > (m.opcode() == Message.QUERY ? config.limits().queryBytes() : config.limits().updateBytes())) {
-      reply(q, q.empty(replies, 0, Message.FORMERR, OTHER, "too long"));
+      reply(q, q.empty(responseOptions, 0, Message.FORMERR, OTHER, "too long"));
     } else if (m.question().dnsClass() != Message.IN) {
-      reply(q, q.empty(replies, 0, Message.REFUSED, NOT_SUPPORTED, "class IN only"));
-    } else if (knowsSender(q) && hasQuota(q)) {
+      reply(q, q.empty(responseOptions, 0, Message.REFUSED, NOT_SUPPORTED, "class IN only"));
+    } else if (identifyTenant(q) && acquireQuota(q)) {
       if (m.opcode() == Message.QUERY) {
-        query(q);
+        onQuery(q);
       } else {
-        pass(q);
+        passThrough(q);
       }
     }
   }
 
   private void malformed(byte[] octets, Query.Client from) {
     counts.malformed++;
-    if (from.isTcp() || limit(from.address()) == ResponseRateLimiter.Action.ANSWER) {
+    if (from.isTcp() || checkRate(from.address()) == ResponseRateLimiter.Action.ANSWER) {
       counts.answers++;
       from.answer(Message.empty(Message.get16(octets, 0), Message.opcode(octets) << 11 | Message.get16(octets, 2) & Message.RD,
           Message.FORMERR, null, null));
     }
   }
 
-  private ResponseRateLimiter.Action limit(InetAddress address) {
-    return limit.onQuery(clock.now(), Prefix.number(address, config.limits().prefix4(), config.limits().prefix6()));
+  private ResponseRateLimiter.Action checkRate(InetAddress address) {
+    return rateLimiter.onQuery(clock.now(), Prefix.networkKey(address, config.limits().prefix4(), config.limits().prefix6()));
   }
 
-  /** Whether a sender whose address may be forged is answered in full; gives the cookie that proves it next time. */
-  private boolean mayAnswer(Query q) {
-    byte[] given = q.speaksEdns() ? q.message.edns().cookie() : null;
-    boolean proven = q.client.isTcp();
-    if (given != null) {
+  /**
+   * Applies the response rate limit, which only clients with a possibly forged source address are subject to: over UDP and without a valid
+   * server cookie. Also creates the cookie to send back.
+   */
+  private boolean passesRateLimit(Query q) {
+    byte[] received = q.hasEdns() ? q.message.edns().cookie() : null;
+    boolean verified = q.client.isTcp();
+    if (received != null) {
       byte[] address = q.client.address().getAddress();
       long seconds = System.currentTimeMillis() / 1000;
-      proven |= cookies.isOurs(given, address, seconds);
-      q.cookie = cookies.make(given, address, seconds);
+      verified |= cookies.isValid(received, address, seconds);
+      q.cookie = cookies.create(received, address, seconds);
     }
-    if (proven) {
+    if (verified) {
       return true;
     }
-    ResponseRateLimiter.Action finding = limit(q.client.address());
-    if (finding == ResponseRateLimiter.Action.SLIP) {
+    ResponseRateLimiter.Action action = checkRate(q.client.address());
+    if (action == ResponseRateLimiter.Action.SLIP) {
       counts.slipped++;
-      reply(q, q.empty(replies, Message.TC, Message.NOERROR, -1, null));
-    } else if (finding == ResponseRateLimiter.Action.DROP) {
+      reply(q, q.empty(responseOptions, Message.TC, Message.NOERROR, -1, null));
+    } else if (action == ResponseRateLimiter.Action.DROP) {
       counts.dropped++;
-      unanswered(q, "rate_dropped");
+      recordUnanswered(q, "rate_dropped");
     }
-    return finding == ResponseRateLimiter.Action.ANSWER;
+    return action == ResponseRateLimiter.Action.ANSWER;
   }
 
-  /** Finds whose message it is; false where it was answered because its signature is wrong. */
-  private boolean knowsSender(Query q) {
+  /** Sets the query's tenant, by TSIG key, EDNS option or client prefix. Returns false if the query was answered because its signature is invalid. */
+  private boolean identifyTenant(Query q) {
     if (q.message.tsigName() != null) {
       String name = Names.text(Names.lower(q.message.tsigName()));
       for (DnsConfig.Key key : config.keys()) {
         if (key.name().equals(name)) {
           if (!isSigned(q, key)) {
-            reply(q, q.empty(replies, 0, Message.NOTAUTH, OTHER, "the signature is not that of its key"));
+            reply(q, q.empty(responseOptions, 0, Message.NOTAUTH, OTHER, "the signature is not that of its key"));
             return false;
           }
           q.tenant = key.tenant();
@@ -198,21 +201,24 @@
         }
       }
     }
-    byte[] named = q.speaksEdns() ? q.message.edns().tenant() : null;
-    if (named != null) {
-      String text = new String(named, StandardCharsets.UTF_8);
+    byte[] option = q.hasEdns() ? q.message.edns().tenant() : null;
+    if (option != null) {
+      String text = new String(option, StandardCharsets.UTF_8);
       q.tenant = tenants.contains(text) ? text : null;
     }
     for (int i = 0; i < config.clients().size() && q.tenant == null; i++) {
-      DnsConfig.Clients c = config.clients().get(i);
+      DnsConfig.ClientPrefix c = config.clients().get(i);
       q.tenant = c.prefix().contains(q.client.address()) ? c.tenant() : null;
     }
     return true;
   }
 
-  /** Whether its tenant's quota allows it; false where it was answered. A repeat of what may have run is not refused. */
-  private boolean hasQuota(Query q) {
-    if (quotas == null || q.message.opcode() != Message.QUERY && !q.client.isTcp() && repeated.isKnown(new DuplicateRequestCache.Key(q))) {
+  /**
+   * Charges the query to its tenant's quota. Returns false if the query was rejected and answered. A retransmission of a message that may
+   * have run is never rejected.
+   */
+  private boolean acquireQuota(Query q) {
+    if (quotas == null || q.message.opcode() != Message.QUERY && !q.client.isTcp() && duplicates.isKnown(new DuplicateRequestCache.Key(q))) {
       return true;
     }
     long grant = quotas.tryAcquire(q.tenant, 1, q.message.bytes().length, 0, false);
@@ -231,38 +237,38 @@
     }
   }
 
-  // ---- Questions -----------------------------------------------------------------------------------------
+  // ---- Queries -------------------------------------------------------------------------------------------
 
-  private void query(Query q) {
+  private void onQuery(Query q) {
     Message m = q.message;
     int type = q.question().type();
     if (m.answers() + m.authorities() > 0 && type != IXFR) {
-      reply(q, q.empty(replies, 0, Message.FORMERR, OTHER, "records in a question"));
+      reply(q, q.empty(responseOptions, 0, Message.FORMERR, OTHER, "records in a question"));
     } else if (type == AXFR || type == IXFR) {
-      reply(q, q.empty(replies, 0, Message.REFUSED, NOT_SUPPORTED, "no transfers"));
+      reply(q, q.empty(responseOptions, 0, Message.REFUSED, NOT_SUPPORTED, "no transfers"));
     } else if (type == 0 || type == Edns.OPT || type >= NXNAME && type != Message.ANY && type < 256) {
-      reply(q, q.empty(replies, 0, Message.NOTIMP, OTHER, "a type that is not asked for"));
+      reply(q, q.empty(responseOptions, 0, Message.NOTIMP, OTHER, "a type that is not asked for"));
     } else if (type == Message.ANY) {
-      any(q);
+      answerAny(q);
     } else {
       for (LocalZone zone : zones) {
-        if (zone.holds(q.question())) {
+        if (zone.contains(q.question())) {
           counts.own++;
           LocalZone.Answer a = zone.answer(q.question());
-          reply(q, q.filled(replies, a.body(), 0, Integer.MAX_VALUE, a.authoritative(), -1, null));
+          reply(q, q.withRecords(responseOptions, a.template(), 0, Integer.MAX_VALUE, a.authoritative(), -1, null));
           return;
         }
       }
       if (q.message.tsigName() != null) {
-        // Whoever signs wants a signed answer, which only the server can give: not from the cache, and untouched.
-        pass(q);
+        // A signed query needs a signed answer, which only the server can produce: bypass the cache and forward it unmodified.
+        passThrough(q);
       } else {
-        cached(q);
+        answerFromCache(q);
       }
     }
   }
 
-  private void any(Query q) {
+  private void answerAny(Query q) {
     counts.own++;
     int start = q.message.questionEnd();
     byte[] octets = new byte[start + 12 + ANY_DATA.length];
@@ -276,93 +282,93 @@
     Message.put32(octets, start + 6, ANY_TTL_S);
     Message.put16(octets, start + 10, ANY_DATA.length);
     System.arraycopy(ANY_DATA, 0, octets, start + 12, ANY_DATA.length);
-    ResponseTemplate body = new ResponseTemplate(octets, new int[0], octets.length, start, Message.NOERROR);
-    reply(q, q.filled(replies, body, 0, ANY_TTL_S, false, -1, null));
+    ResponseTemplate template = new ResponseTemplate(octets, new int[0], octets.length, start, Message.NOERROR);
+    reply(q, q.withRecords(responseOptions, template, 0, ANY_TTL_S, false, -1, null));
   }
 
-  private void cached(Query q) {
+  private void answerFromCache(Query q) {
     if (config.fleet() == null) {
-      reply(q, q.empty(replies, 0, Message.REFUSED, NOT_AUTHORITATIVE, "no zone of ours"));
+      reply(q, q.empty(responseOptions, 0, Message.REFUSED, NOT_AUTHORITATIVE, "no zone of ours"));
       return;
     }
     Cache.Key key = Cache.Key.of(q);
     Cache.Entry e = cache.get(key, q.arrivedAt);
-    TtlPolicy.Freshness use = e == null ? TtlPolicy.Freshness.EXPIRED : cache.use(e, q.arrivedAt);
-    if (use == TtlPolicy.Freshness.FRESH || use == TtlPolicy.Freshness.PREFETCH) {
+    TtlPolicy.Freshness freshness = e == null ? TtlPolicy.Freshness.EXPIRED : cache.freshness(e, q.arrivedAt);
+    if (freshness == TtlPolicy.Freshness.FRESH || freshness == TtlPolicy.Freshness.PREFETCH) {
       e.hits++;
       counts.cached++;
-      long age = (q.arrivedAt - e.at) / NANOS;
-      reply(q, q.filled(replies, e.body, age, e.ttl - age, false, -1, null));
-      if (use == TtlPolicy.Freshness.PREFETCH && !leaving.hasBegun() && !flights.containsKey(key)) {
+      long age = (q.arrivedAt - e.storedAt) / NANOS_PER_SECOND;
+      reply(q, q.withRecords(responseOptions, e.template, age, e.ttl - age, false, -1, null));
+      if (freshness == TtlPolicy.Freshness.PREFETCH && !shutdown.hasBegun() && !inFlight.containsKey(key)) {
         counts.prefetched++;
-        launch(key, q, e, true);
+        startQuery(key, q, e, true);
       }
-    } else if (leaving.rejectsNew(q.arrivedAt) && !flights.containsKey(key)) {
-      fail(q, stopping(q));
+    } else if (shutdown.rejectsNew(q.arrivedAt) && !inFlight.containsKey(key)) {
+      fail(q, stoppingVerdict(q));
     } else {
-      fly(q);
+      joinOrStart(q);
     }
   }
 
-  /** Nothing of it has run: asked again once we have gone, it comes to the successor. */
-  private Verdict stopping(Query q) {
-    return new Verdict(true, Reason.STOPPING, leaving.remaining(q.arrivedAt));
+  /** A safe-to-retry rejection: nothing has run, and a retry after the shutdown reaches the successor. */
+  private Verdict stoppingVerdict(Query q) {
+    return new Verdict(true, Reason.STOPPING, shutdown.remaining(q.arrivedAt));
   }
 
-  /** The front goes: from here on {@link GracefulShutdown} says what is taken. */
-  void leave(long lastsNanos) {
-    leaving.begin(clock.now(), lastsNanos);
-    replies = new Query.Replies(config.udpSize(), 0); // Who asked for it is told to close (RFC 7828, 3.2.2).
+  /** Begins the shutdown: from here on {@link GracefulShutdown} decides which queries are accepted. */
+  void beginShutdown(long lastsNanos) {
+    shutdown.begin(clock.now(), lastsNanos);
+    responseOptions = new Query.ResponseOptions(config.udpSize(), 0); // A keepalive timeout of 0 asks TCP clients to close (RFC 7828, 3.2.2).
   }
 
-  /** Sends a question on its way, or lets it join one that is under way. */
-  void fly(Query q) {
+  /** Forwards a query, or joins it to an in-flight query for the same key. */
+  void joinOrStart(Query q) {
     Cache.Key key = Cache.Key.of(q);
-    InFlightQuery flight = flights.get(key);
-    if (flight == null) {
+    InFlightQuery query = inFlight.get(key);
+    if (query == null) {
       Cache.Entry e = cache.get(key, clock.now());
-      flight = launch(key, q, e, false);
+      query = startQuery(key, q, e, false);
     } else {
       counts.joined++;
     }
-    if (flight != null) {
-      q.client.waits(q, flight);
-      flight.join(q);
+    if (query != null) {
+      q.client.onPending(q, query);
+      query.join(q);
     }
   }
 
-  private InFlightQuery launch(Cache.Key key, Query q, Cache.Entry stale, boolean prefetch) {
-    RequestClass type = type(q);
+  private InFlightQuery startQuery(Cache.Key key, Query q, Cache.Entry stale, boolean prefetch) {
+    RequestClass type = classOf(q);
     if (type == null) {
-      reply(q, q.empty(replies, 0, Message.NOTIMP, NOT_SUPPORTED, "no class for it"));
+      reply(q, q.empty(responseOptions, 0, Message.NOTIMP, NOT_SUPPORTED, "no class for it"));
       return null;
     }
-    // AD says that we know what it means in the answer (RFC 6840, 5.7); each client gets it as he asked.
+    // AD in a query asks for the AD bit in the answer (RFC 6840, 5.7); whether a client gets the bit depends on its own query.
     int flags = q.message.flags() & (Message.RD | Message.CD) | Message.AD;
-    UpstreamQuery.Spec asked = new UpstreamQuery.Spec(null, q.question(), flags, q.wantsDnssec(), false);
+    UpstreamQuery.Spec spec = new UpstreamQuery.Spec(null, q.question(), flags, q.wantsDnssec(), false);
     long deadline = prefetch ? clock.now() + type.deadlineNanos() : deadline(q, type);
-    InFlightQuery flight = new InFlightQuery(new Exchange.Facts(type, q.tenant, name(q.question()), 0, false, deadline, 0, List.of()), this,
-        asked, key, stale, prefetch);
-    flights.put(key, flight);
+    InFlightQuery query = new InFlightQuery(new Exchange.Facts(type, q.tenant, affinityKey(q.question()), 0, false, deadline, 0, List.of()), this,
+        spec, key, stale, prefetch);
+    inFlight.put(key, query);
     counts.flights++;
-    engine.take(flight);
+    engine.take(query);
     if (stale != null) {
-      loop.schedule(flight::waitedLong, config.caching().staleWaitNanos(), TimeUnit.NANOSECONDS);
+      loop.schedule(query::onStaleTimeout, config.caching().staleWaitNanos(), TimeUnit.NANOSECONDS);
     }
-    return flight;
+    return query;
   }
 
   long deadline(Query q, RequestClass type) {
     return q.arrivedAt + Math.max(type.deadlineNanos() / 2, type.deadlineNanos() - config.marginNanos());
   }
 
-  /** Affinity: the same name goes to the same server, which has it cached. */
-  private static String name(Question q) {
+  /** The affinity key: queries for one name go to one server, which then has it cached. */
+  private static String affinityKey(Question q) {
     String name = new String(q.name(), StandardCharsets.ISO_8859_1);
-    return name.length() <= MOST_KEY ? name : Integer.toHexString(name.hashCode());
+    return name.length() <= MAX_KEY_LENGTH ? name : Integer.toHexString(name.hashCode());
   }
 
-  private RequestClass type(Query q) {
+  private RequestClass classOf(Query q) {
     for (Match match : config.matches()) {
       if (match.opcode() == q.message.opcode() && (match.types().isEmpty() || match.types().contains(q.question().type()))) {
         return match.type();
@@ -371,51 +377,51 @@
     return null;
   }
 
-  void landed(InFlightQuery flight) {
-    flights.remove(flight.key, flight);
+  void removeInFlight(InFlightQuery query) {
+    inFlight.remove(query.key, query);
   }
 
-  void keep(Cache.Key key, Message answer, ResponseTemplate body, long now) {
+  void cacheAnswer(Cache.Key key, Message answer, ResponseTemplate template, long now) {
     boolean negative = answer.answers() == 0 || answer.rcode() != Message.NOERROR;
-    cache.put(key, body, answer.ttl(), negative, now);
+    cache.put(key, template, answer.ttl(), negative, now);
   }
 
-  // ---- Messages that are passed on -----------------------------------------------------------------------
+  // ---- Messages passed through unmodified ----------------------------------------------------------------
 
-  private void pass(Query q) {
-    RequestClass type = type(q);
+  private void passThrough(Query q) {
+    RequestClass type = classOf(q);
     if (type == null || config.fleet() == null) {
-      reply(q, q.empty(replies, 0, Message.NOTIMP, NOT_SUPPORTED, "no class for it"));
+      reply(q, q.empty(responseOptions, 0, Message.NOTIMP, NOT_SUPPORTED, "no class for it"));
       return;
     }
     for (LocalZone zone : zones) {
-      if (zone.holds(q.question())) {
-        reply(q, q.empty(replies, 0, Message.REFUSED, NOT_SUPPORTED, "a zone of ours is not changed so"));
+      if (zone.contains(q.question())) {
+        reply(q, q.empty(responseOptions, 0, Message.REFUSED, NOT_SUPPORTED, "a zone of ours is not changed so"));
         return;
       }
     }
     boolean safe = type.effect() == Effect.SAFE;
     DuplicateRequestCache.Key key = safe || q.client.isTcp() ? null : new DuplicateRequestCache.Key(q);
-    if (key != null && repeated.isKnown(key)) {
+    if (key != null && duplicates.isKnown(key)) {
       counts.repeated++;
-      byte[] answer = repeated.answer(key);
+      byte[] answer = duplicates.answer(key);
       if (answer != null) {
         reply(q, answer.clone());
       }
       return;
-    } else if (leaving.rejectsNew(q.arrivedAt)) {
-      fail(q, stopping(q)); // Only here: of a repeat the first may have run, or be under way.
+    } else if (shutdown.rejectsNew(q.arrivedAt)) {
+      fail(q, stoppingVerdict(q)); // Only after the duplicate check: the original of a retransmission may have run or be in flight.
       return;
-    } else if (key != null && !repeated.taken(key, q.arrivedAt)) {
-      fail(q, new Verdict(true, Reason.RECORD_FULL, NANOS));
+    } else if (key != null && !duplicates.tryAdd(key, q.arrivedAt)) {
+      fail(q, new Verdict(true, Reason.RECORD_FULL, NANOS_PER_SECOND));
       return;
     }
     boolean tcp = !safe && config.unsafeOverTcp() || q.message.bytes().length > config.udpSize();
-    UpstreamQuery.Spec asked = new UpstreamQuery.Spec(q.message.bytes(), q.question(), 0, false, tcp);
-    PassThroughExchange passing = new PassThroughExchange(new Exchange.Facts(type, q.tenant, name(q.question()), 0, false, deadline(q, type), 0, List.of()),
-        this, asked, q, key);
-    q.client.waits(q, passing);
-    engine.take(passing);
+    UpstreamQuery.Spec spec = new UpstreamQuery.Spec(q.message.bytes(), q.question(), 0, false, tcp);
+    PassThroughExchange exchange = new PassThroughExchange(
+        new Exchange.Facts(type, q.tenant, affinityKey(q.question()), 0, false, deadline(q, type), 0, List.of()), this, spec, q, key);
+    q.client.onPending(q, exchange);
+    engine.take(exchange);
   }
 
   // ---- Answers -------------------------------------------------------------------------------------------
@@ -428,57 +434,57 @@
     q.answer(octets);
   }
 
-  /** An answer is what its client makes of it: a cut one over UDP, too, is none. */
+  /** Records the answer as the client sees it: a truncated answer doesn't count as served. */
   private void record(Query q, byte[] octets) {
     int rcode = octets[3] & 0xF;
-    boolean cut = (Message.get16(octets, 2) & Message.TC) != 0;
-    boolean served = !cut && (rcode == Message.NOERROR || rcode == Message.NXDOMAIN);
-    String word = q.reason != null ? q.reason : served ? "served" : cut ? "truncated" : "rcode_" + rcode;
-    recordAs(q, word, q.client.isGone() ? Entry.GONE : served ? Entry.SERVED : rcode == Message.REFUSED || cut ? Entry.REFUSED
+    boolean truncated = (Message.get16(octets, 2) & Message.TC) != 0;
+    boolean served = !truncated && (rcode == Message.NOERROR || rcode == Message.NXDOMAIN);
+    String reasonCode = q.reason != null ? q.reason : served ? "served" : truncated ? "truncated" : "rcode_" + rcode;
+    recordAs(q, reasonCode, q.client.isClosed() ? Entry.GONE : served ? Entry.SERVED : rcode == Message.REFUSED || truncated ? Entry.REFUSED
         : Entry.FAILED);
   }
 
-  private void recordAs(Query q, String word, int kind) {
-    RequestClass type = q.question() == null ? null : type(q);
-    recorder.answered(0, null, type == null ? null : type.name(), q.tenant, word, kind, clock.now() - q.arrivedAt);
+  private void recordAs(Query q, String reasonCode, int kind) {
+    RequestClass type = q.question() == null ? null : classOf(q);
+    recorder.answered(0, null, type == null ? null : type.name(), q.tenant, reasonCode, kind, clock.now() - q.arrivedAt);
   }
 
-  /** Its client has left, or it was dropped: no answer is owed. */
-  void unanswered(Query q, String word) {
+  /** Records a query that gets no answer because its client has disconnected or the rate limit dropped it. */
+  void recordUnanswered(Query q, String reasonCode) {
     if (recorder.isOn()) {
-      recordAs(q, word, Entry.GONE);
+      recordAs(q, reasonCode, Entry.GONE);
     }
   }
 
-  /** What was held past its TTL, marked as such. */
-  void stale(Query q, Cache.Entry e) {
+  /** Answers with a cached answer past its TTL, marked as stale (RFC 8767). */
+  void replyStale(Query q, Cache.Entry e) {
     counts.stale++;
-    reply(q, q.filled(replies, e.body, 0, config.caching().staleTtl(), false, STALE, "no server answers"));
+    reply(q, q.withRecords(responseOptions, e.template, 0, config.caching().staleTtl(), false, STALE_ANSWER, "no server answers"));
   }
 
   void fail(Query q, Verdict verdict) {
-    reply(q, failure(q, verdict));
+    reply(q, failureResponse(q, verdict));
   }
 
   /**
-   * REFUSED where there is too much to do, SERVFAIL where the servers do not answer; both tell why, and when to come back where the
-   * module says so.
+   * An error response: REFUSED if a limit or quota rejects the query, SERVFAIL if no server answers it. The extended error text has the
+   * reason and, if the module gives one, the time after which to retry.
    */
-  byte[] failure(Query q, Verdict verdict) {
+  byte[] failureResponse(Query q, Verdict verdict) {
     counts.end(verdict.reason());
-    String word = verdict.reason().code();
-    q.reason = word;
+    String reasonCode = verdict.reason().code();
+    q.reason = reasonCode;
     long millis = TimeUnit.NANOSECONDS.toMillis(verdict.retryAfterNanos());
-    String text = millis > 0 ? word + ", come back in " + millis + " ms" : word;
+    String text = millis > 0 ? reasonCode + ", come back in " + millis + " ms" : reasonCode;
     int rcode = switch (verdict.reason()) {
       case OVER_RATE, TABLE_FULL, RECORD_FULL, QUOTA -> Message.REFUSED;
       default -> Message.SERVFAIL;
     };
     int code = switch (verdict.reason()) {
       case STOPPING -> NOT_READY;
-      case NO_UPSTREAM, NO_ROOM, DEADLINE, ATTEMPTS, RETRY_BUDGET -> NO_REACHABLE;
+      case NO_UPSTREAM, NO_ROOM, DEADLINE, ATTEMPTS, RETRY_BUDGET -> NO_REACHABLE_AUTHORITY;
       default -> OTHER;
     };
-    return q.empty(replies, 0, rcode, code, text);
+    return q.empty(responseOptions, 0, rcode, code, text);
   }
 }
--- a/dns/src/main/java/cloverpulley/dns/TcpFrontend.java
+++ b/dns/src/main/java/cloverpulley/dns/TcpFrontend.java
@@ -19,21 +19,21 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** The clients' connections (RFC 7766): pipelined, answered out of order, bounded in number, in time and in what waits. */
+/** Accepts TCP connections from clients (RFC 7766): pipelined, answered out of order, with limits on number, time and pending queries. */
 final class TcpFrontend extends ChannelInitializer<Channel> {
 
-  private static final int SWEEPS = 8;
-  private static final long MOST_SWEEP_MILLIS = 250;
-  /** And while stopping. */
+  private static final int SWEEPS_PER_TIMEOUT = 8;
+  private static final long MAX_SWEEP_MILLIS = 250;
+  /** The sweep period during shutdown. */
   private static final long STOP_SWEEP_MILLIS = 5;
 
   private final EventLoop loop;
   private final Resolver resolver;
   private final Flusher flusher;
   private final DnsConfig.Limits limits;
-  /** In the order of their last use, the idle longest first. */
-  private final Set<Peer> peers = new LinkedHashSet<>();
-  private final Map<InetAddress, Integer> byClient = new HashMap<>();
+  /** Ordered by last use, the one idle longest first. */
+  private final Set<Connection> openConnections = new LinkedHashSet<>();
+  private final Map<InetAddress, Integer> connectionsByClient = new HashMap<>();
   private Future<?> sweep;
 
   TcpFrontend(EventLoop loop, Resolver resolver, Flusher flusher, DnsConfig.Limits limits) {
@@ -41,33 +41,34 @@
     this.resolver = resolver;
     this.flusher = flusher;
     this.limits = limits;
-    long least = Math.min(limits.idleMillis(), Math.min(limits.messageMillis(), limits.stallMillis()));
-    long every = Math.max(1, Math.min(MOST_SWEEP_MILLIS, least / SWEEPS));
-    sweep = loop.scheduleWithFixedDelay(this::sweep, every, every, TimeUnit.MILLISECONDS);
+    long shortestTimeout = Math.min(limits.idleMillis(), Math.min(limits.messageMillis(), limits.stallMillis()));
+    long periodMillis = Math.max(1, Math.min(MAX_SWEEP_MILLIS, shortestTimeout / SWEEPS_PER_TIMEOUT));
+    sweep = loop.scheduleWithFixedDelay(this::sweep, periodMillis, periodMillis, TimeUnit.MILLISECONDS);
   }
 
   @Override
   protected void initChannel(Channel channel) {
     InetAddress address = ((InetSocketAddress) channel.remoteAddress()).getAddress();
-    if (byClient.getOrDefault(address, 0) >= limits.connectionsPerClient() || peers.size() >= limits.connections() && !makeRoom()) {
+    if (connectionsByClient.getOrDefault(address, 0) >= limits.connectionsPerClient()
+        || openConnections.size() >= limits.connections() && !evictIdle()) {
       resolver.counts.turnedAway++;
       channel.config().setOption(ChannelOption.SO_LINGER, 0);
       channel.close();
       return;
     }
-    byClient.merge(address, 1, Integer::sum);
-    Peer peer = new Peer(channel, address);
-    peers.add(peer);
-    channel.pipeline().addLast(peer);
+    connectionsByClient.merge(address, 1, Integer::sum);
+    Connection connection = new Connection(channel, address);
+    openConnections.add(connection);
+    channel.pipeline().addLast(connection);
   }
 
-  /** The connection that has been idle longest goes for a new one, where any is idle. */
-  private boolean makeRoom() {
-    for (Peer p : peers) {
-      if (p.waiting.isEmpty() && !p.isWriting()) {
+  /** Closes the connection that has been idle longest to make room for a new one. Returns false if none is idle. */
+  private boolean evictIdle() {
+    for (Connection p : openConnections) {
+      if (p.pending.isEmpty() && !p.isWriting()) {
         resolver.counts.turnedAway++;
         p.channel.close();
-        p.over();
+        p.onClosed();
         return true;
       }
     }
@@ -76,52 +77,52 @@
 
   private void sweep() {
     long now = resolver.clock.now();
-    for (Peer p : List.copyOf(peers)) {
-      p.check(now);
+    for (Connection p : List.copyOf(openConnections)) {
+      p.closeIfExpired(now);
     }
   }
 
-  /** Connections go one by one, each at a moment at which nothing waits there. */
-  void stop() {
+  /** Begins to close connections, each at a moment when nothing is pending on it. */
+  void beginShutdown() {
     sweep.cancel(false);
     sweep = loop.scheduleWithFixedDelay(this::sweep, STOP_SWEEP_MILLIS, STOP_SWEEP_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   void close() {
     sweep.cancel(false);
-    List.copyOf(peers).forEach(p -> p.channel.close());
+    List.copyOf(openConnections).forEach(p -> p.channel.close());
   }
 
   int connections() {
-    return peers.size();
+    return openConnections.size();
   }
 
-  /** Octets read of messages that are not taken yet, over all connections. */
-  int unread() {
-    return peers.stream().mapToInt(Peer::held).sum();
+  /** Bytes read but not handled yet, over all connections. */
+  int unreadBytes() {
+    return openConnections.stream().mapToInt(Connection::bufferedBytes).sum();
   }
 
-  /** One connection. */
-  final class Peer extends ByteToMessageDecoder implements Query.Client {
+  /** A client connection. */
+  final class Connection extends ByteToMessageDecoder implements Query.Client {
 
     private final Channel channel;
     private final InetAddress address;
-    /** Queries without an answer, and who works on them. */
-    private final Map<Query, DnsExchange> waiting = new HashMap<>();
-    private boolean gone;
+    /** Unanswered queries and the exchanges that handle them. */
+    private final Map<Query, DnsExchange> pending = new HashMap<>();
+    private boolean closed;
     private long usedAt = resolver.clock.now();
-    /** When the first octet of a message came that is not whole yet; 0 for none. */
-    private long partSince;
-    /** Since when the client takes no answers; 0 where it does. */
+    /** When the first byte of a still incomplete message arrived; 0 for none. */
+    private long partialSince;
+    /** Since when writes to the client have been stalled; 0 if they are not. */
     private long stalledSince;
-    private boolean mayLeave;
+    private boolean closable;
 
-    Peer(Channel channel, InetAddress address) {
+    Connection(Channel channel, InetAddress address) {
       this.channel = channel;
       this.address = address;
     }
 
-    private int held() {
+    private int bufferedBytes() {
       return actualReadableBytes();
     }
 
@@ -131,16 +132,16 @@
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) {
-      // One message at a time: what a client may not have open yet stays unread.
-      if (gone || in.readableBytes() < 2 || waiting.size() >= limits.pipelined() || !channel.isWritable()) {
+      // One message at a time: messages beyond the pipelining limit stay unread.
+      if (closed || in.readableBytes() < 2 || pending.size() >= limits.pipelined() || !channel.isWritable()) {
         return;
       }
       int length = in.getUnsignedShort(in.readerIndex());
-      int most = Math.max(limits.queryBytes(), limits.updateBytes());
-      if (length < Message.HEADER_LENGTH || length > most) {
+      int maxLength = Math.max(limits.queryBytes(), limits.updateBytes());
+      if (length < Message.HEADER_LENGTH || length > maxLength) {
         resolver.counts.malformed++;
         in.skipBytes(in.readableBytes());
-        channel.close(); // Where the next message begins is not known any more.
+        channel.close(); // The start of the next message is unknown.
         return;
       }
       if (in.readableBytes() < 2 + length) {
@@ -148,9 +149,9 @@
       }
       byte[] octets = new byte[length];
       in.skipBytes(2).readBytes(octets);
-      partSince = 0;
-      used();
-      resolver.take(octets, this);
+      partialSince = 0;
+      touch();
+      resolver.onMessage(octets, this);
     }
 
     @Override
@@ -159,7 +160,7 @@
       afterRead();
     }
 
-    /** Guards against the decoder's own way, which reads on as long as it has made no message, whatever waits already. */
+    /** Overrides ByteToMessageDecoder, which keeps reading as long as it has decoded no message, even if auto-read is off. */
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
       discardSomeReadBytes();
@@ -167,18 +168,18 @@
     }
 
     private void afterRead() {
-      boolean full = waiting.size() >= limits.pipelined() || !channel.isWritable();
+      boolean full = pending.size() >= limits.pipelined() || !channel.isWritable();
       int left = actualReadableBytes();
-      partSince = left == 0 || full ? 0 : partSince == 0 ? resolver.clock.now() : partSince;
+      partialSince = left == 0 || full ? 0 : partialSince == 0 ? resolver.clock.now() : partialSince;
       channel.config().setAutoRead(!full);
     }
 
-    /** Room again: what has been read and not taken is taken before more is read. */
+    /** Resumes after the limit no longer applies: buffered messages are decoded before more is read. */
     private void resume() {
-      if (!gone && !channel.config().isAutoRead() && waiting.size() < limits.pipelined() && channel.isWritable()) {
+      if (!closed && !channel.config().isAutoRead() && pending.size() < limits.pipelined() && channel.isWritable()) {
         loop.execute(() -> {
           try {
-            if (!gone) {
+            if (!closed) {
               channelRead(channel.pipeline().context(this), channel.alloc().buffer(0));
             }
           } catch (Exception e) {
@@ -188,28 +189,28 @@
       }
     }
 
-    private void used() {
+    private void touch() {
       usedAt = resolver.clock.now();
-      if (peers.remove(this)) {
-        peers.add(this);
+      if (openConnections.remove(this)) {
+        openConnections.add(this);
       }
     }
 
     @Override
-    public void waits(Query q, DnsExchange by) {
-      waiting.put(q, by);
+    public void onPending(Query q, DnsExchange exchange) {
+      pending.put(q, exchange);
     }
 
-    private void check(long now) {
+    private void closeIfExpired(long now) {
       stalledSince = !isWriting() ? 0 : stalledSince == 0 ? now : stalledSince;
-      boolean idle = waiting.isEmpty() && !isWriting() && now - usedAt > TimeUnit.MILLISECONDS.toNanos(limits.idleMillis());
-      boolean slow = partSince > 0 && now - partSince > TimeUnit.MILLISECONDS.toNanos(limits.messageMillis());
+      boolean idle = pending.isEmpty() && !isWriting() && now - usedAt > TimeUnit.MILLISECONDS.toNanos(limits.idleMillis());
+      boolean slow = partialSince > 0 && now - partialSince > TimeUnit.MILLISECONDS.toNanos(limits.messageMillis());
       boolean stalled = stalledSince > 0 && now - stalledSince > TimeUnit.MILLISECONDS.toNanos(limits.stallMillis());
-      // Seen at two sweeps with all sockets read in between: a connection that is closed with octets unread is reset, and its client
-      // loses what it asked.
-      boolean couldLeave = mayLeave;
-      mayLeave = waiting.isEmpty() && !isWriting() && resolver.leaving.mayClose(now, usedAt, partSince > 0);
-      if (idle || slow || stalled || mayLeave && couldLeave) {
+      // Must hold at two sweeps in a row, between which all sockets are read: closing a connection with unread data resets it, and its
+      // client loses those queries.
+      boolean wasClosable = closable;
+      closable = pending.isEmpty() && !isWriting() && resolver.shutdown.mayClose(now, usedAt, partialSince > 0);
+      if (idle || slow || stalled || closable && wasClosable) {
         resolver.counts.turnedAway += slow || stalled ? 1 : 0;
         channel.close();
       }
@@ -231,21 +232,21 @@
     }
 
     @Override
-    public boolean isGone() {
-      return gone;
+    public boolean isClosed() {
+      return closed;
     }
 
     @Override
     public void answer(byte[] octets) {
       channel.write(channel.alloc().directBuffer(2 + octets.length).writeShort(octets.length).writeBytes(octets))
-          .addListener(f -> stalledSince = 0); // It reads, if slowly: an answer has gone out whole.
-      flusher.wrote(channel);
-      used();
+          .addListener(f -> stalledSince = 0); // An answer was written completely, so the client is reading, if slowly.
+      flusher.flushLater(channel);
+      touch();
     }
 
     @Override
-    public void answered(Query q) {
-      waiting.remove(q);
+    public void onAnswered(Query q) {
+      pending.remove(q);
       resume();
     }
 
@@ -255,28 +256,28 @@
       afterRead();
     }
 
-    private void over() {
-      if (!gone) {
-        gone = true;
-        peers.remove(this);
-        byClient.computeIfPresent(address, (a, n) -> n == 1 ? null : n - 1);
-        Map<Query, DnsExchange> left = Map.copyOf(waiting);
-        waiting.clear();
-        left.forEach((q, by) -> {
-          by.gone(q);
-          resolver.unanswered(q, "gone");
+    private void onClosed() {
+      if (!closed) {
+        closed = true;
+        openConnections.remove(this);
+        connectionsByClient.computeIfPresent(address, (a, n) -> n == 1 ? null : n - 1);
+        Map<Query, DnsExchange> left = Map.copyOf(pending);
+        pending.clear();
+        left.forEach((q, exchange) -> {
+          exchange.onClientGone(q);
+          resolver.recordUnanswered(q, "gone");
         });
       }
     }
 
     @Override
     protected void handlerRemoved0(ChannelHandlerContext context) {
-      over();
+      onClosed();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      over();
+      onClosed();
     }
 
     @Override
--- a/dns/src/main/java/cloverpulley/dns/UdpFrontend.java
+++ b/dns/src/main/java/cloverpulley/dns/UdpFrontend.java
@@ -9,7 +9,7 @@
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
 
-/** The clients' datagrams. */
+/** Receives queries from clients over UDP. */
 final class UdpFrontend extends ChannelInboundHandlerAdapter {
 
   private final Resolver resolver;
@@ -33,20 +33,20 @@
     } finally {
       packet.release();
     }
-    if (packet.sender().getPort() != 0) { // Nobody can be answered there.
-      resolver.take(octets, new Sender(packet.sender()));
+    if (packet.sender().getPort() != 0) { // Port 0 can't be answered.
+      resolver.onMessage(octets, new DatagramClient(packet.sender()));
     }
   }
 
-  /** A datagram that can't be sent concerns nobody but whoever it was for. */
+  /** Ignored: a datagram that can't be sent affects only its receiver. */
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {}
 
-  private final class Sender implements Query.Client {
+  private final class DatagramClient implements Query.Client {
 
     private final InetSocketAddress from;
 
-    Sender(InetSocketAddress from) {
+    DatagramClient(InetSocketAddress from) {
       this.from = from;
     }
 
@@ -66,7 +66,7 @@
     }
 
     @Override
-    public boolean isGone() {
+    public boolean isClosed() {
       return !channel.isOpen();
     }
 
@@ -74,7 +74,7 @@
     public void answer(byte[] octets) {
       ByteBuf buffer = channel.alloc().directBuffer(octets.length).writeBytes(octets);
       channel.write(new DatagramPacket(buffer, from), channel.voidPromise());
-      flusher.wrote(channel);
+      flusher.flushLater(channel);
     }
   }
 }
--- a/dns/src/main/java/cloverpulley/dns/client/BufferedSecureRandom.java
+++ b/dns/src/main/java/cloverpulley/dns/client/BufferedSecureRandom.java
@@ -2,27 +2,27 @@
 
 import java.security.SecureRandom;
 
-/** Numbers that nobody can foresee (RFC 5452, 9.2), drawn from the system's generator in blocks: one call for each would be slow. */
+/** Unpredictable numbers (RFC 5452, 9.2) from SecureRandom, fetched in blocks because one call per number would be slow. */
 final class BufferedSecureRandom {
 
-  private static final int BLOCK = 4096;
+  private static final int BUFFER_SIZE = 4096;
 
   private final SecureRandom source = new SecureRandom();
-  private final byte[] block = new byte[BLOCK];
-  private int at = BLOCK;
+  private final byte[] buffer = new byte[BUFFER_SIZE];
+  private int at = BUFFER_SIZE;
 
-  /** An octet, 0 to 255. */
-  int octet() {
-    if (at == BLOCK) {
-      source.nextBytes(block);
+  /** A byte, 0 to 255. */
+  int nextByte() {
+    if (at == BUFFER_SIZE) {
+      source.nextBytes(buffer);
       at = 0;
     }
-    return block[at++] & 0xFF;
+    return buffer[at++] & 0xFF;
   }
 
-  /** A number of 16 bits. */
+  /** A 16-bit message id. */
   int id() {
-    return octet() << 8 | octet();
+    return nextByte() << 8 | nextByte();
   }
 
   /** A number below {@code bound}, which is 65,536 at most; the bias of the remainder is below 1/65,536 of it. */
@@ -30,23 +30,23 @@
     return id() % bound;
   }
 
-  /** The name with its letters' cases drawn (draft-vixie-dnsext-dns0x20). */
-  byte[] mix(byte[] name) {
-    byte[] mixed = name.clone();
+  /** The name with randomized letter case (draft-vixie-dnsext-dns0x20). */
+  byte[] randomizeCase(byte[] name) {
+    byte[] randomized = name.clone();
     int bits = 0;
-    int left = 0;
-    for (int i = 0; i < mixed.length; i++) {
-      int letter = mixed[i] | 0x20;
+    int bitsLeft = 0;
+    for (int i = 0; i < randomized.length; i++) {
+      int letter = randomized[i] | 0x20;
       if (letter >= 'a' && letter <= 'z') {
-        if (left == 0) {
-          bits = octet();
-          left = 8;
+        if (bitsLeft == 0) {
+          bits = nextByte();
+          bitsLeft = 8;
         }
-        mixed[i] = (byte) ((bits & 1) == 0 ? letter : letter & ~0x20);
+        randomized[i] = (byte) ((bits & 1) == 0 ? letter : letter & ~0x20);
         bits >>= 1;
-        left--;
+        bitsLeft--;
       }
     }
-    return mixed;
+    return randomized;
   }
 }
--- a/dns/src/main/java/cloverpulley/dns/client/ClientConfig.java
+++ b/dns/src/main/java/cloverpulley/dns/client/ClientConfig.java
@@ -1,21 +1,21 @@
 package cloverpulley.dns.client;
 
 /**
- * Bounds of the way to the servers.
+ * Settings of the DNS client.
  *
- * @param portsPerServer source ports in use at one time towards one server
- * @param portUses queries after which a port is let go for a new one
- * @param pendingPerPort ids in use at one time on one port, those given up and not yet forgotten among them
- * @param wrongMost answers that are not the one asked for after which a query goes over to TCP (RFC 5452, 9.2 by detection)
- * @param udpSize what servers are told that can be taken over UDP, in octets
- * @param connectionsPerServer TCP connections to one server at one time
- * @param pipelined queries unanswered on one connection at one time
- * @param lateNanos how long an id that was given up is not used again, for its answer to be known as late
- * @param idleNanos after which a connection without a query is closed
- * @param drainNanos after which a connection to a server that drains is closed whatever is open on it
- * @param mixCase whether the letters' case of questions is drawn
- * @param traitsNanos how long it is believed that a server does not speak EDNS or keep the case
+ * @param portsPerServer source ports in use at a time for one server
+ * @param queriesPerPort queries after which a source port is replaced
+ * @param pendingPerPort ids in use at a time on one port, including abandoned ones that may not be reused yet
+ * @param maxMismatches mismatched answers after which a query falls back to TCP, as it may be under a spoofing attack (RFC 5452, 9.2)
+ * @param udpSize the UDP payload size advertised to servers, in bytes
+ * @param connectionsPerServer TCP connections to one server at a time
+ * @param pipelined unanswered queries on one connection at a time
+ * @param idReuseDelayNanos how long the id of an abandoned query is not reused, so that its answer is recognized as late
+ * @param idleTimeoutNanos the time after which a connection without queries is closed
+ * @param drainTimeoutNanos the time after which a connection to a draining server is closed even if queries are pending
+ * @param mixCase whether the letter case of query names is randomized
+ * @param capabilityTtlNanos how long the client remembers that a server doesn't support EDNS or preserve case
  */
-public record ClientConfig(int portsPerServer, int portUses, int pendingPerPort, int wrongMost, int udpSize,
-    int connectionsPerServer, int pipelined, long connectNanos, long lateNanos, long idleNanos, long drainNanos,
-    boolean mixCase, long traitsNanos) {}
+public record ClientConfig(int portsPerServer, int queriesPerPort, int pendingPerPort, int maxMismatches, int udpSize,
+    int connectionsPerServer, int pipelined, long connectTimeoutNanos, long idReuseDelayNanos, long idleTimeoutNanos, long drainTimeoutNanos,
+    boolean mixCase, long capabilityTtlNanos) {}
--- a/dns/src/main/java/cloverpulley/dns/client/ClientCounts.java
+++ b/dns/src/main/java/cloverpulley/dns/client/ClientCounts.java
@@ -1,20 +1,20 @@
 package cloverpulley.dns.client;
 
-/** What the way to the servers has seen; owned by its loop. */
+/** Counters of the DNS client, owned by its event loop. They are printed under their field names. */
 public final class ClientCounts {
 
-  /** Queries written over UDP and TCP. */
+  /** Queries sent over UDP and TCP. */
   public long udp;
   public long tcp;
-  /** Answers to queries that had been given up: never delivered. */
+  /** Answers to abandoned queries; dropped. */
   public long late;
-  /** Answers that were not the one asked for: another id, question, or case, or no message at all. */
+  /** Mismatched answers: another id, question or letter case, or malformed. */
   public long wrong;
-  /** Answers that did not fit and were asked for again over TCP. */
+  /** Truncated answers, after which the query was retried over TCP. */
   public long truncated;
-  /** Queries repeated without EDNS. */
+  /** Queries retried without EDNS. */
   public long plain;
-  /** Queries taken to TCP because of too many wrong answers or a lost case. */
+  /** Queries retried over TCP because of too many mismatched answers or a changed letter case. */
   public long suspicious;
 
   @Override
--- a/dns/src/main/java/cloverpulley/dns/client/DnsClient.java
+++ b/dns/src/main/java/cloverpulley/dns/client/DnsClient.java
@@ -15,42 +15,42 @@
 import java.util.function.LongPredicate;
 
 /**
- * The way to DNS servers over UDP and TCP. It asks the server that it is told to, once, and says how that ended; which server, and
- * whether again, is not decided here. All of it runs on one loop.
+ * A client for DNS servers over UDP and TCP. It sends a query to a given server once and reports the outcome; server selection and
+ * retries are the caller's. Runs on one event loop.
  */
 public final class DnsClient {
 
   final EventLoop loop;
   final Clock clock;
   final ClientConfig config;
-  final ServerCapabilities traits;
+  final ServerCapabilities capabilities;
   final BufferedSecureRandom random = new BufferedSecureRandom();
   final ClientCounts counts = new ClientCounts();
   final Flusher flusher;
   private final Map<Long, ServerConnections> servers = new HashMap<>();
-  /** Servers that drain, until the last connection to them is closed. */
-  private final Set<ServerConnections> leaving = new HashSet<>();
+  /** Draining servers, until their last connection is closed. */
+  private final Set<ServerConnections> draining = new HashSet<>();
   private final Future<?> sweep;
 
-  /** Makes a client; every method is then to be called on {@code loop}. */
+  /** Creates a client. All methods must be called on {@code loop}. */
   public DnsClient(EventLoop loop, Clock clock, ClientConfig config) {
     this.loop = loop;
     this.clock = clock;
     this.config = config;
     flusher = new Flusher(loop);
-    traits = new ServerCapabilities(config.traitsNanos());
-    long every = Math.max(TimeUnit.MILLISECONDS.toNanos(10), config.idleNanos() / 4);
+    capabilities = new ServerCapabilities(config.capabilityTtlNanos());
+    long every = Math.max(TimeUnit.MILLISECONDS.toNanos(10), config.idleTimeoutNanos() / 4);
     sweep = loop.scheduleWithFixedDelay(this::closeIdle, every, every, TimeUnit.NANOSECONDS);
   }
 
   /**
-   * Asks a server.
+   * Sends a query to a server.
    *
-   * @param number whose it is among servers; one that is withdrawn and asked again is a new one
-   * @param timeoutNanos for all legs together, connecting included
-   * @param done told once, maybe from in here
+   * @param number the server's number; one that is used again after {@link #withdraw} is a new server
+   * @param timeoutNanos the timeout for all fallbacks together, including connects
+   * @param callback called once, possibly before this method returns
    */
-  public UpstreamQuery query(long number, InetSocketAddress address, UpstreamQuery.Spec asked, long timeoutNanos, UpstreamQuery.Callback done) {
+  public UpstreamQuery query(long number, InetSocketAddress address, UpstreamQuery.Spec spec, long timeoutNanos, UpstreamQuery.Callback callback) {
     ServerConnections server = servers.get(number);
     if (server != null && !server.address.equals(address)) {
       withdraw(n -> n == number);
@@ -60,26 +60,26 @@
       server = new ServerConnections(this, number, address);
       servers.put(number, server);
     }
-    UpstreamQuery ask = new UpstreamQuery(asked, server, done);
-    ask.timer = loop.schedule(ask::timedOut, timeoutNanos, TimeUnit.NANOSECONDS);
-    ask.start(clock.now());
-    return ask;
+    UpstreamQuery query = new UpstreamQuery(spec, server, callback);
+    query.timer = loop.schedule(query::timedOut, timeoutNanos, TimeUnit.NANOSECONDS);
+    query.start(clock.now());
+    return query;
   }
 
-  /** These servers drain or are gone: what has not been sent comes back, connections close once they are empty. */
+  /** Drains the matching servers: unsent queries complete as not sent, and connections close once nothing is pending on them. */
   public void withdraw(LongPredicate from) {
     for (ServerConnections server : List.copyOf(servers.values())) {
       if (from.test(server.number)) {
         servers.remove(server.number);
-        leaving.add(server);
-        server.withdraw();
+        draining.add(server);
+        server.drain();
       }
     }
-    traits.retainAll(servers.keySet());
+    capabilities.retainAll(servers.keySet());
   }
 
-  void forget(ServerConnections server) {
-    leaving.remove(server);
+  void removeDrained(ServerConnections server) {
+    draining.remove(server);
   }
 
   private void closeIdle() {
@@ -91,16 +91,16 @@
     return counts;
   }
 
-  /** Sockets open towards servers. */
+  /** The number of open sockets to servers. */
   public int sockets() {
     return servers.values().stream().mapToInt(ServerConnections::sockets).sum()
-        + leaving.stream().mapToInt(ServerConnections::sockets).sum();
+        + draining.stream().mapToInt(ServerConnections::sockets).sum();
   }
 
-  /** Closes all; what is open ends as {@link Status#RESET}. */
+  /** Closes all sockets. Open queries complete with {@link Status#RESET}. */
   public void close() {
     sweep.cancel(false);
     List.copyOf(servers.values()).forEach(ServerConnections::close);
-    List.copyOf(leaving).forEach(ServerConnections::close);
+    List.copyOf(draining).forEach(ServerConnections::close);
   }
 }
--- a/dns/src/main/java/cloverpulley/dns/client/Flusher.java
+++ b/dns/src/main/java/cloverpulley/dns/client/Flusher.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** Flushes channels once all that their loop has in hand has been written: what can go together goes in one call. */
+/** Batches flushes: channels are flushed once the event loop has run its pending tasks, so that several writes share a system call. */
 public final class Flusher {
 
   private final EventLoop loop;
@@ -17,16 +17,16 @@
     this.loop = loop;
   }
 
-  /** Something has been written to the channel, on the loop. */
-  public void wrote(Channel channel) {
+  /** Schedules a flush after a write to the channel. Call on the event loop. */
+  public void flushLater(Channel channel) {
     unflushed.add(channel);
     if (!scheduled) {
       scheduled = true;
       loop.execute(() -> {
         scheduled = false;
-        List<Channel> now = List.copyOf(unflushed);
+        List<Channel> batch = List.copyOf(unflushed);
         unflushed.clear();
-        now.forEach(Channel::flush);
+        batch.forEach(Channel::flush);
       });
     }
   }
--- a/dns/src/main/java/cloverpulley/dns/client/ServerConnections.java
+++ b/dns/src/main/java/cloverpulley/dns/client/ServerConnections.java
@@ -7,18 +7,18 @@
 import java.util.List;
 import java.util.Set;
 
-/** All that leads to one server: source ports and connections, both bounded. */
+/** The UDP sockets and TCP connections to one server, both bounded in number. */
 final class ServerConnections {
 
   final DnsClient client;
   final long number;
   final InetSocketAddress address;
-  private final List<UdpSocket> ports = new ArrayList<>();
-  /** Ports that take no more queries and wait for their last answers. */
+  private final List<UdpSocket> sockets = new ArrayList<>();
+  /** Sockets that get no new queries and wait for their last answers. */
   private final Set<UdpSocket> retired = new HashSet<>();
-  private final List<TcpConnection> links = new ArrayList<>();
-  /** It drains or is gone: no leg begins any more. */
-  boolean withdrawn;
+  private final List<TcpConnection> connections = new ArrayList<>();
+  /** Whether the server is draining or gone: nothing more is sent to it. */
+  boolean draining;
 
   ServerConnections(DnsClient client, long number, InetSocketAddress address) {
     this.client = client;
@@ -26,99 +26,99 @@
     this.address = address;
   }
 
-  void udp(UpstreamQuery ask, long now) {
-    UdpSocket port = null;
-    if (ports.size() == client.config.portsPerServer()) {
-      // Any of those open, drawn: an attacker has to guess the port as well.
-      int first = client.random.below(ports.size());
-      for (int i = 0; i < ports.size() && port == null; i++) {
-        UdpSocket at = ports.get((first + i) % ports.size());
-        port = at.hasRoom(now) ? at : null;
+  void sendOverUdp(UpstreamQuery query, long now) {
+    UdpSocket socket = null;
+    if (sockets.size() == client.config.portsPerServer()) {
+      // A random one of the open sockets, so that an attacker has to guess the port as well.
+      int first = client.random.below(sockets.size());
+      for (int i = 0; i < sockets.size() && socket == null; i++) {
+        UdpSocket candidate = sockets.get((first + i) % sockets.size());
+        socket = candidate.hasCapacity(now) ? candidate : null;
       }
-      ports.removeIf(p -> !p.isOpen());
+      sockets.removeIf(p -> !p.isOpen());
     }
-    if (port == null && ports.size() < client.config.portsPerServer()) {
+    if (socket == null && sockets.size() < client.config.portsPerServer()) {
       try {
-        port = new UdpSocket(this);
-        ports.add(port);
+        socket = new UdpSocket(this);
+        sockets.add(socket);
       } catch (Exception e) {
-        if (ports.isEmpty()) {
-          ask.notSent(Status.CONNECT_FAILED, "no socket: " + e.getMessage());
+        if (sockets.isEmpty()) {
+          query.failUnsent(Status.CONNECT_FAILED, "can't open a UDP socket: " + e.getMessage());
           return;
         }
-        port = ports.get(0);
+        socket = sockets.get(0);
       }
     }
-    if (port == null) {
-      ask.notSent(Status.FULL, "all ids are in use");
+    if (socket == null) {
+      query.failUnsent(Status.FULL, "all ids are in use");
     } else {
-      port.send(ask, now);
+      socket.send(query, now);
     }
   }
 
-  void tcp(UpstreamQuery ask) {
-    TcpConnection least = null;
-    for (TcpConnection link : links) {
-      if (link.hasRoom(ask.asked.raw() != null) && (least == null || link.load() < least.load())) {
-        least = link;
+  void sendOverTcp(UpstreamQuery query) {
+    TcpConnection leastLoaded = null;
+    for (TcpConnection connection : connections) {
+      if (connection.hasCapacity(query.spec.raw() != null) && (leastLoaded == null || connection.load() < leastLoaded.load())) {
+        leastLoaded = connection;
       }
     }
-    if (least == null && links.size() < client.config.connectionsPerServer()) {
-      least = new TcpConnection(this);
-      if (!least.isClosed()) {
-        links.add(least);
+    if (leastLoaded == null && connections.size() < client.config.connectionsPerServer()) {
+      leastLoaded = new TcpConnection(this);
+      if (!leastLoaded.isClosed()) {
+        connections.add(leastLoaded);
       }
     }
-    if (least == null) {
-      ask.notSent(Status.FULL, "all connections are in use");
+    if (leastLoaded == null) {
+      query.failUnsent(Status.FULL, "all connections are in use");
     } else {
-      least.send(ask);
+      leastLoaded.send(query);
     }
   }
 
-  void closed(TcpConnection link) {
-    links.remove(link);
-    forgetIfDone();
+  void onClosed(TcpConnection connection) {
+    connections.remove(connection);
+    removeIfDrained();
   }
 
-  /** It has been used often enough: the next query gets a port that nobody can know yet. */
-  void retire(UdpSocket port) {
-    ports.remove(port);
-    retired.add(port);
+  /** Retires a socket after its share of queries, so that the next query uses a new, unpredictable port. */
+  void retire(UdpSocket socket) {
+    sockets.remove(socket);
+    retired.add(socket);
   }
 
-  void closed(UdpSocket port) {
-    ports.remove(port);
-    retired.remove(port);
-    forgetIfDone();
+  void onClosed(UdpSocket socket) {
+    sockets.remove(socket);
+    retired.remove(socket);
+    removeIfDrained();
   }
 
-  private void forgetIfDone() {
-    if (withdrawn && links.isEmpty() && ports.isEmpty() && retired.isEmpty()) {
-      client.forget(this);
+  private void removeIfDrained() {
+    if (draining && connections.isEmpty() && sockets.isEmpty() && retired.isEmpty()) {
+      client.removeDrained(this);
     }
   }
 
-  void withdraw() {
-    withdrawn = true;
-    List.copyOf(links).forEach(TcpConnection::drain);
-    List.copyOf(ports).forEach(UdpSocket::letGo);
-    List.copyOf(retired).forEach(UdpSocket::letGo);
-    forgetIfDone();
+  void drain() {
+    draining = true;
+    List.copyOf(connections).forEach(TcpConnection::drain);
+    List.copyOf(sockets).forEach(UdpSocket::retire);
+    List.copyOf(retired).forEach(UdpSocket::retire);
+    removeIfDrained();
   }
 
   void closeIdle(long now) {
-    List.copyOf(links).forEach(l -> l.closeIfIdle(now));
+    List.copyOf(connections).forEach(c -> c.closeIfIdle(now));
   }
 
-  /** TCP connections, and UDP ports. */
+  /** The number of TCP connections and UDP sockets. */
   int sockets() {
-    return links.size() + ports.size() + retired.size();
+    return connections.size() + sockets.size() + retired.size();
   }
 
   void close() {
-    List.copyOf(links).forEach(l -> l.over(Status.RESET, "the process ends"));
-    List.copyOf(ports).forEach(UdpSocket::close);
+    List.copyOf(connections).forEach(c -> c.closeWith(Status.RESET, "shutting down"));
+    List.copyOf(sockets).forEach(UdpSocket::close);
     List.copyOf(retired).forEach(UdpSocket::close);
   }
 }
--- a/dns/src/main/java/cloverpulley/dns/client/TcpConnection.java
+++ b/dns/src/main/java/cloverpulley/dns/client/TcpConnection.java
@@ -20,34 +20,34 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A connection to one server, with queries pipelined (RFC 7766, 6.2.1.1). A query counts as sent only once its last octet has
- * gone to the socket: what had not when the connection broke, the server can't have read.
+ * A TCP connection to a server, with pipelined queries (RFC 7766, 6.2.1.1). A query counts as sent only once its last byte has been
+ * written to the socket: if the connection fails before that, the server can't have read it.
  */
 final class TcpConnection extends ChannelInboundHandlerAdapter {
 
-  /** Past this what is to be sent waits here, where it can still be taken back, and not in the channel. */
+  /** Above the high mark, queries stay in the queue, where they can still be withdrawn, and not in the channel's buffer. */
   private static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(4096, 16_384);
-  /** What was begun to be written before a drain has this long to leave: well within the two seconds of rule 3. */
+  /** The time for writes that started before a drain to complete: well within the two seconds of rule 3. */
   private static final long DRAIN_WRITE_MILLIS = 1000;
 
   private final ServerConnections server;
   private final ArrayDeque<UpstreamQuery> queue = new ArrayDeque<>();
-  /** By id, also those given up: an id is used again only once its answer has come. */
+  /** By id, including abandoned queries: an id is reused only after its answer has arrived. */
   private final IntObjectHashMap<UpstreamQuery> pending = new IntObjectHashMap<>();
   private Channel channel;
   private boolean connected;
   private boolean closed;
   private boolean draining;
-  /** Queries that somebody waits for. */
-  private int open;
+  /** Queries that have not been abandoned. */
+  private int openQueries;
   private long usedAt;
-  private int unwritten;
+  private int pendingWrites;
 
   TcpConnection(ServerConnections server) {
     this.server = server;
     usedAt = server.client.clock.now();
     new Bootstrap().group(server.client.loop).channel(NioSocketChannel.class)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, TimeUnit.NANOSECONDS.toMillis(server.client.config.connectNanos())))
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) Math.max(1, TimeUnit.NANOSECONDS.toMillis(server.client.config.connectTimeoutNanos())))
         .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
         .handler(new ChannelInitializer<Channel>() {
           @Override
@@ -57,7 +57,7 @@
           }
         }).connect(server.address).addListener(f -> {
           if (!f.isSuccess()) {
-            over(Status.CONNECT_FAILED, "no connection");
+            closeWith(Status.CONNECT_FAILED, "connect failed");
           }
         });
   }
@@ -70,114 +70,114 @@
     return !connected && !closed;
   }
 
-  /** Queries that hold a place: past a bound no more are taken. */
+  /** Queries that count towards the pipelining limit. */
   int load() {
     return queue.size() + pending.size();
   }
 
-  /** Whether one more may be written; with {@code fresh} only where the server can't have closed it for idleness by now. */
-  boolean hasRoom(boolean fresh) {
-    boolean lately = server.client.clock.now() - usedAt < server.client.config.idleNanos() / 8;
-    return !closed && !draining && load() < server.client.config.pipelined() && (!fresh || lately || isConnecting());
+  /** Whether one more query fits; with {@code onlyRecentlyUsed}, only if the server can't have closed the connection as idle by now. */
+  boolean hasCapacity(boolean onlyRecentlyUsed) {
+    boolean recentlyUsed = server.client.clock.now() - usedAt < server.client.config.idleTimeoutNanos() / 8;
+    return !closed && !draining && load() < server.client.config.pipelined() && (!onlyRecentlyUsed || recentlyUsed || isConnecting());
   }
 
-  void send(UpstreamQuery ask) {
+  void send(UpstreamQuery query) {
     if (closed) {
-      ask.notSent(Status.CONNECT_FAILED, "no connection");
+      query.failUnsent(Status.CONNECT_FAILED, "connect failed");
       return;
     }
-    ask.link = this;
-    ask.writing = null;
-    open++;
-    queue.add(ask);
+    query.connection = this;
+    query.writeFuture = null;
+    openQueries++;
+    queue.add(query);
     usedAt = server.client.clock.now();
     writeMore();
   }
 
   private void writeMore() {
     while (connected && !closed && !queue.isEmpty() && channel.isWritable()) {
-      UpstreamQuery ask = queue.poll();
+      UpstreamQuery query = queue.poll();
       int id = server.client.random.id();
       while (pending.containsKey(id)) {
         id = id + 1 & 0xFFFF;
       }
-      byte[] message = ask.message(id, false, server.client.clock.now());
-      pending.put(id, ask);
-      unwritten++;
+      byte[] message = query.message(id, false, server.client.clock.now());
+      pending.put(id, query);
+      pendingWrites++;
       server.client.counts.tcp++;
       ByteBuf buffer = channel.alloc().directBuffer(2 + message.length).writeShort(message.length).writeBytes(message);
-      ask.writing = channel.write(buffer);
-      ask.writing.addListener(f -> unwritten--);
-      server.client.flusher.wrote(channel);
+      query.writeFuture = channel.write(buffer);
+      query.writeFuture.addListener(f -> pendingWrites--);
+      server.client.flusher.flushLater(channel);
     }
   }
 
-  /** Nobody waits for it any more. */
-  void giveUp(UpstreamQuery ask) {
-    if (ask.link == this) {
-      ask.link = null;
-      open--;
-      queue.remove(ask);
+  /** Abandons a query that no one waits for any more. */
+  void abandon(UpstreamQuery query) {
+    if (query.connection == this) {
+      query.connection = null;
+      openQueries--;
+      queue.remove(query);
       closeIfDone();
-      // Guards against a server that leaves most unanswered: their ids would take all places.
-      if (open == 0 && 2 * pending.size() >= server.client.config.pipelined()) {
-        over(Status.CANCELLED, "too little is answered");
+      // Guards against a server that leaves most queries unanswered: their ids would use up the limit.
+      if (openQueries == 0 && 2 * pending.size() >= server.client.config.pipelined()) {
+        closeWith(Status.CANCELLED, "too many unanswered queries");
       }
     }
   }
 
-  /** The server drains: what has not been written comes back, the rest may be answered yet. */
+  /** Drains the connection: unwritten queries complete as not sent, the others may still be answered. */
   void drain() {
     draining = true;
-    for (UpstreamQuery ask : List.copyOf(queue)) {
-      ask.notSent(Status.NOT_SENT, "the server drains");
+    for (UpstreamQuery query : List.copyOf(queue)) {
+      query.failUnsent(Status.NOT_SENT, "server is draining");
     }
     if (isConnecting()) {
-      over(Status.NOT_SENT, "the server drains");
+      closeWith(Status.NOT_SENT, "server is draining");
       return;
     }
     server.client.loop.schedule(() -> {
-      if (unwritten > 0) {
-        over(Status.RESET, "the server drains and does not read");
+      if (pendingWrites > 0) {
+        closeWith(Status.RESET, "server is draining and does not read");
       }
     }, DRAIN_WRITE_MILLIS, TimeUnit.MILLISECONDS);
-    server.client.loop.schedule(() -> over(Status.RESET, "the server drains"), server.client.config.drainNanos(),
+    server.client.loop.schedule(() -> closeWith(Status.RESET, "server is draining"), server.client.config.drainTimeoutNanos(),
         TimeUnit.NANOSECONDS);
     closeIfDone();
   }
 
   private void closeIfDone() {
-    if (draining && open == 0) {
-      over(Status.CANCELLED, "done");
+    if (draining && openQueries == 0) {
+      closeWith(Status.CANCELLED, "done");
     }
   }
 
-  /** Closes where nothing was asked for its time. */
+  /** Closes the connection if it has been idle for the idle timeout. */
   void closeIfIdle(long now) {
-    if (open == 0 && now - usedAt >= server.client.config.idleNanos()) {
-      over(Status.CANCELLED, "idle");
+    if (openQueries == 0 && now - usedAt >= server.client.config.idleTimeoutNanos()) {
+      closeWith(Status.CANCELLED, "idle");
     }
   }
 
-  /** Ends it: whoever waits is told what is known of his query. */
-  void over(Status status, String why) {
+  /** Closes the connection and completes each pending query according to whether it was sent. */
+  void closeWith(Status status, String reason) {
     if (closed) {
       return;
     }
     closed = true;
     if (channel != null) {
-      channel.close(); // Fails what was not written whole, so that it is known below.
+      channel.close(); // Fails incomplete writes, which isSent() relies on below.
     }
-    server.closed(this);
+    server.onClosed(this);
     List<UpstreamQuery> waiting = new ArrayList<>(queue);
     queue.clear();
     pending.values().forEach(waiting::add);
-    for (UpstreamQuery ask : waiting) {
-      if (ask.link == this && !ask.isEnded()) {
-        if (ask.isOut()) {
-          ask.end(status == Status.CONNECT_FAILED ? Status.RESET : status, null, why);
+    for (UpstreamQuery query : waiting) {
+      if (query.connection == this && !query.isEnded()) {
+        if (query.isSent()) {
+          query.end(status == Status.CONNECT_FAILED ? Status.RESET : status, null, reason);
         } else {
-          ask.notSent(status == Status.CONNECT_FAILED ? Status.CONNECT_FAILED : Status.NOT_SENT, why);
+          query.failUnsent(status == Status.CONNECT_FAILED ? Status.CONNECT_FAILED : Status.NOT_SENT, reason);
         }
       }
     }
@@ -209,32 +209,32 @@
     try {
       m = Message.read(octets);
     } catch (MalformedException e) {
-      UpstreamQuery ask = octets.length < 2 ? null : pending.remove(Message.get16(octets, 0));
-      if (ask != null && ask.link == this) {
-        ask.end(Status.ERROR, null, "an answer that is no message: " + e.getMessage());
+      UpstreamQuery query = octets.length < 2 ? null : pending.remove(Message.get16(octets, 0));
+      if (query != null && query.connection == this) {
+        query.end(Status.ERROR, null, "malformed answer: " + e.getMessage());
       }
-      over(Status.RESET, "an answer that is no message");
+      closeWith(Status.RESET, "malformed answer");
       return;
     }
-    UpstreamQuery ask = pending.remove(m.id());
-    if (ask == null) {
+    UpstreamQuery query = pending.remove(m.id());
+    if (query == null) {
       server.client.counts.wrong++;
-      over(Status.RESET, "an answer that nobody asked for");
-    } else if (ask.link != this || ask.isEnded()) {
+      closeWith(Status.RESET, "answer with an unknown id");
+    } else if (query.connection != this || query.isEnded()) {
       server.client.counts.late++;
-    } else if (!ask.overConnection(m, now)) {
-      over(Status.RESET, "an answer to another question");
+    } else if (!query.onTcpMessage(m, now)) {
+      closeWith(Status.RESET, "answer to a different question");
     }
     writeMore();
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    over(Status.RESET, "the connection broke");
+    closeWith(Status.RESET, "connection lost");
   }
 
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-    over(Status.RESET, "the connection broke");
+    closeWith(Status.RESET, "connection lost");
   }
 }
--- a/dns/src/main/java/cloverpulley/dns/client/UdpSocket.java
+++ b/dns/src/main/java/cloverpulley/dns/client/UdpSocket.java
@@ -16,30 +16,30 @@
 import java.util.List;
 
 /**
- * A source port towards one server, connected: the kernel lets nothing pass but what comes from the address and port asked, and
- * says when nobody listens there.
+ * A connected UDP socket for one server: the kernel passes only datagrams from the server's address and port, and reports when nothing
+ * listens there.
  */
 final class UdpSocket extends ChannelInboundHandlerAdapter {
 
-  private static final int MOST_DATAGRAM = 4096;
-  private static final int READS = 64;
+  private static final int MAX_DATAGRAM = 4096;
+  private static final int MAX_READS = 64;
 
-  /** An id that was given up, and until when it is not used again. */
-  private record Late(UpstreamQuery ask, long until) {}
+  /** The id of an abandoned query, and until when it is not reused. */
+  private record AbandonedId(UpstreamQuery query, long until) {}
 
   private final ServerConnections server;
   private final NioDatagramChannel channel = new NioDatagramChannel();
   private final IntObjectHashMap<UpstreamQuery> pending = new IntObjectHashMap<>();
-  private final ArrayDeque<Late> late = new ArrayDeque<>();
-  private int uses;
-  private int open;
-  private boolean letGo;
+  private final ArrayDeque<AbandonedId> abandoned = new ArrayDeque<>();
+  private int queriesSent;
+  private int openQueries;
+  private boolean retired;
 
-  /** Opens it, on the loop: datagram sockets connect at once. */
+  /** Opens the socket, on the event loop; connecting a datagram socket doesn't block. */
   UdpSocket(ServerConnections server) throws Exception {
     this.server = server;
     channel.config().setOption(ChannelOption.RECVBUF_ALLOCATOR,
-        new FixedRecvByteBufAllocator(MOST_DATAGRAM).maxMessagesPerRead(READS));
+        new FixedRecvByteBufAllocator(MAX_DATAGRAM).maxMessagesPerRead(MAX_READS));
     channel.pipeline().addLast(this);
     server.client.loop.register(channel).sync();
     try {
@@ -50,67 +50,67 @@
     }
   }
 
-  /** Whether one more query may use it. */
-  boolean hasRoom(long now) {
-    forget(now);
-    return !letGo && pending.size() < server.client.config.pendingPerPort();
+  /** Whether one more query may use the socket. */
+  boolean hasCapacity(long now) {
+    releaseExpiredIds(now);
+    return !retired && pending.size() < server.client.config.pendingPerPort();
   }
 
   boolean isOpen() {
     return channel.isOpen();
   }
 
-  private void forget(long now) {
-    while (!late.isEmpty() && late.peek().until() <= now) {
-      UpstreamQuery ask = late.poll().ask();
-      if (pending.get(ask.udpId) == ask) {
-        pending.remove(ask.udpId);
+  private void releaseExpiredIds(long now) {
+    while (!abandoned.isEmpty() && abandoned.peek().until() <= now) {
+      UpstreamQuery query = abandoned.poll().query();
+      if (pending.get(query.udpId) == query) {
+        pending.remove(query.udpId);
       }
     }
   }
 
-  void send(UpstreamQuery ask, long now) {
+  void send(UpstreamQuery query, long now) {
     int id = server.client.random.id();
     while (pending.containsKey(id)) {
-      id = id + 1 & 0xFFFF; // Never the same id twice in flight.
+      id = id + 1 & 0xFFFF; // An id is never in flight twice.
     }
-    byte[] message = ask.message(id, true, now);
-    pending.put(id, ask);
-    ask.port = this;
-    ask.udpId = id;
-    open++;
-    if (++uses == server.client.config.portUses()) {
+    byte[] message = query.message(id, true, now);
+    pending.put(id, query);
+    query.socket = this;
+    query.udpId = id;
+    openQueries++;
+    if (++queriesSent == server.client.config.queriesPerPort()) {
       server.retire(this);
     }
     server.client.counts.udp++;
     channel.write(channel.alloc().directBuffer(message.length).writeBytes(message), channel.voidPromise());
-    server.client.flusher.wrote(channel);
+    server.client.flusher.flushLater(channel);
   }
 
-  /** Nothing is waited for any more; where no answer has come, one that comes yet is late. */
-  void giveUp(UpstreamQuery ask, boolean answered) {
-    if (ask.port == this) {
-      ask.port = null;
-      open--;
+  /** Removes a query. If it is unanswered, its id stays reserved so that an answer that still comes is recognized as late. */
+  void abandon(UpstreamQuery query, boolean answered) {
+    if (query.socket == this) {
+      query.socket = null;
+      openQueries--;
       if (answered) {
-        pending.remove(ask.udpId);
+        pending.remove(query.udpId);
       } else {
-        late.add(new Late(ask, server.client.clock.now() + server.client.config.lateNanos()));
+        abandoned.add(new AbandonedId(query, server.client.clock.now() + server.client.config.idReuseDelayNanos()));
       }
       closeIfDone();
     }
   }
 
-  /** Nothing new goes through it; it closes once nothing is open. */
-  void letGo() {
-    letGo = true;
+  /** Stops new queries; the socket closes once none is open. */
+  void retire() {
+    retired = true;
     closeIfDone();
   }
 
   private void closeIfDone() {
-    if (open == 0 && (letGo || uses >= server.client.config.portUses())) {
+    if (openQueries == 0 && (retired || queriesSent >= server.client.config.queriesPerPort())) {
       channel.close();
-      server.closed(this);
+      server.onClosed(this);
     }
   }
 
@@ -133,32 +133,32 @@
       server.client.counts.wrong++;
       return;
     }
-    UpstreamQuery ask = pending.get(Message.get16(octets, 0));
-    if (ask == null) {
+    UpstreamQuery query = pending.get(Message.get16(octets, 0));
+    if (query == null) {
       server.client.counts.wrong++;
-    } else if (ask.port != this || ask.isEnded()) {
+    } else if (query.socket != this || query.isEnded()) {
       server.client.counts.late++;
     } else {
       Message m = null;
       try {
         m = Message.read(octets);
       } catch (MalformedException e) {
-        // A guess that is not even a message, or a server gone mad: the query waits for a better one.
+        // A spoofing attempt or a broken server: count it as a mismatch and keep waiting.
       }
-      ask.datagram(m, server.client.clock.now());
+      query.onDatagram(m, server.client.clock.now());
     }
   }
 
   /**
-   * Nobody listens at the server's port, or the network is gone. To which of the queries the kernel's word belongs is not known,
-   * and some may have run before the server died: none is said not to have.
+   * Nothing listens on the server's port, or the network is down. The kernel doesn't tell which query the error is for, and some may have
+   * run before the server died, so all complete as reset and none as not sent.
    */
   @Override
   public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
     List<UpstreamQuery> waiting = new ArrayList<>(pending.values());
-    for (UpstreamQuery ask : waiting) {
-      if (ask.port == this) {
-        ask.end(Status.RESET, null, "nobody listens");
+    for (UpstreamQuery query : waiting) {
+      if (query.socket == this) {
+        query.end(Status.RESET, null, "port unreachable");
       }
     }
   }
--- a/dns/src/main/java/cloverpulley/dns/client/UpstreamQuery.java
+++ b/dns/src/main/java/cloverpulley/dns/client/UpstreamQuery.java
@@ -8,214 +8,214 @@
 import java.util.concurrent.Future;
 
 /**
- * One query to one server, through all of its legs: over UDP, without EDNS, over TCP. The legs share one time-out and have one
- * end, whatever comes after it.
+ * A query to one server, including its fallbacks: over UDP, without EDNS, over TCP. They share one timeout, and the query completes
+ * once; later responses are ignored.
  */
 public final class UpstreamQuery {
 
   /**
-   * What is asked.
+   * The message to send.
    *
-   * @param raw a message to be passed on as it is but for its id, such as an UPDATE; null for a question of our own wording
-   * @param flags of the header, for a question of our own
-   * @param tcp whether it goes over TCP from the first: for what may not run twice, since only a connection can tell that
+   * @param raw a message to forward unmodified except for its id, such as an UPDATE; null to build a query from the question
+   * @param flags the header flags, if {@code raw} is null
+   * @param tcp whether to use TCP from the start: for messages that must not run twice, since only a connection can tell that
    *     nothing was sent
    */
   public record Spec(byte[] raw, Question question, int flags, boolean dnssecOk, boolean tcp) {}
 
-  /** Told once how it ended: with {@link Status#SERVED} an answer came, whatever its code; without, it is null. */
+  /** Called once on completion. The answer, with any response code, is present with {@link Status#SERVED} and null otherwise. */
   public interface Callback {
-    void ended(Status status, Message answer, String why);
+    void onComplete(Status status, Message answer, String reason);
   }
 
-  final Spec asked;
+  final Spec spec;
   final ServerConnections server;
-  private final Callback done;
+  private final Callback callback;
   Future<?> timer;
-  /** The question as it was last written. */
-  private Question written;
-  private boolean edns;
-  private int wrong;
-  private boolean answeredOnce;
+  /** The question as last sent. */
+  private Question sentQuestion;
+  private boolean useEdns;
+  private int mismatches;
+  private boolean answered;
   private boolean ended;
-  /** Where it waits now: one of them or none. */
-  UdpSocket port;
-  TcpConnection link;
-  /** The id under which it waits at its port. */
+  /** The socket or connection on which the query is pending; at most one is set. */
+  UdpSocket socket;
+  TcpConnection connection;
+  /** The message id on the UDP socket. */
   int udpId;
-  /** Its writing to a connection; done well once its last octet has gone to the socket. */
-  ChannelFuture writing;
+  /** The write to a connection; succeeds once the last byte has been written to the socket. */
+  ChannelFuture writeFuture;
 
-  UpstreamQuery(Spec asked, ServerConnections server, Callback done) {
-    this.asked = asked;
+  UpstreamQuery(Spec spec, ServerConnections server, Callback callback) {
+    this.spec = spec;
     this.server = server;
-    this.done = done;
+    this.callback = callback;
   }
 
   public boolean isEnded() {
     return ended;
   }
 
-  /** Whether the server may have read it from the connection it was put on last. */
-  boolean isOut() {
-    return writing != null && writing.isSuccess();
+  /** Whether the server may have read the query from its last connection. */
+  boolean isSent() {
+    return writeFuture != null && writeFuture.isSuccess();
   }
 
-  /** Whether it still waits here: what was handed to a connection that stays open may be read yet, however late. */
+  /** Whether the query is still queued for a connection. Once written to an open connection it may still be read, however late. */
   private boolean isQueued() {
-    return link != null && writing == null;
+    return connection != null && writeFuture == null;
   }
 
-  /** Nobody waits any more; it ends as called off, or as never sent where it was not. */
+  /** Cancels the query: it completes as cancelled, or as not sent if it was not. */
   public void cancel() {
-    boolean notSent = isQueued() && !answeredOnce;
-    end(notSent ? Status.NOT_SENT : Status.CANCELLED, null, "called off");
+    boolean notSent = isQueued() && !answered;
+    end(notSent ? Status.NOT_SENT : Status.CANCELLED, null, "cancelled");
   }
 
   void timedOut() {
-    // An answer that did not fit proves that it ran; otherwise what never left the connection did not.
-    boolean notSent = isQueued() && !answeredOnce;
-    end(notSent && link.isConnecting() ? Status.CONNECT_FAILED : notSent ? Status.NOT_SENT : Status.TIMEOUT, null, "no answer in time");
+    // A truncated answer proves that the query ran; otherwise, a query still queued did not.
+    boolean notSent = isQueued() && !answered;
+    end(notSent && connection.isConnecting() ? Status.CONNECT_FAILED : notSent ? Status.NOT_SENT : Status.TIMEOUT, null, "timed out");
   }
 
-  void end(Status status, Message answer, String why) {
+  void end(Status status, Message answer, String reason) {
     if (ended) {
       return;
     }
     ended = true;
     timer.cancel(false);
-    if (port != null) {
-      port.giveUp(this, answer != null);
+    if (socket != null) {
+      socket.abandon(this, answer != null);
     }
-    if (link != null) {
-      link.giveUp(this);
+    if (connection != null) {
+      connection.abandon(this);
     }
-    done.ended(status, answer, why);
+    callback.onComplete(status, answer, reason);
   }
 
-  // ---- Legs ----------------------------------------------------------------------------------------------
+  // ---- Sending -------------------------------------------------------------------------------------------
 
   void start(long now) {
-    edns = asked.raw() == null && server.client.traits.mayUseEdns(now, server.number);
-    if (asked.tcp()) {
-      overTcp();
+    useEdns = spec.raw() == null && server.client.capabilities.mayUseEdns(now, server.number);
+    if (spec.tcp()) {
+      startTcp();
     } else {
-      overUdp(now);
+      startUdp(now);
     }
   }
 
-  private void overUdp(long now) {
-    server.udp(this, now);
+  private void startUdp(long now) {
+    server.sendOverUdp(this, now);
   }
 
-  private void overTcp() {
-    if (port != null) {
-      port.giveUp(this, answeredOnce);
+  private void startTcp() {
+    if (socket != null) {
+      socket.abandon(this, answered);
     }
-    if (answeredOnce && server.withdrawn) {
-      end(Status.ERROR, null, "the server drains before the second leg");
+    if (answered && server.draining) {
+      end(Status.ERROR, null, "server is draining, fallback not attempted");
     } else {
-      server.tcp(this);
+      server.sendOverTcp(this);
     }
   }
 
-  /** The octets to write under an id; over TCP the case is left as asked, the connection vouches for the server. */
+  /** Builds the message to send under an id. */
   byte[] message(int newId, boolean udp, long now) {
-    if (asked.raw() != null) {
-      byte[] copy = asked.raw().clone();
+    if (spec.raw() != null) {
+      byte[] copy = spec.raw().clone();
       Message.put16(copy, 0, newId);
-      written = asked.question();
+      sentQuestion = spec.question();
       return copy;
     }
-    boolean mix = server.client.config.mixCase() && server.client.traits.mayMixCase(now, server.number);
-    written = mix ? new Question(server.client.random.mix(asked.question().name()), asked.question().type(),
-        asked.question().dnsClass()) : asked.question();
-    int size = server.client.config.udpSize();
-    return Message.query(newId, asked.flags(), written, edns ? new Edns.Writer(size, 0, asked.dnssecOk()).bytes() : null);
+    boolean randomizeCase = server.client.config.mixCase() && server.client.capabilities.mayMixCase(now, server.number);
+    sentQuestion = randomizeCase ? new Question(server.client.random.randomizeCase(spec.question().name()), spec.question().type(),
+        spec.question().dnsClass()) : spec.question();
+    int udpSize = server.client.config.udpSize();
+    return Message.query(newId, spec.flags(), sentQuestion, useEdns ? new Edns.Writer(udpSize, 0, spec.dnssecOk()).bytes() : null);
   }
 
-  /** It could not be sent over this leg; after an answer that was no use it has run all the same. */
-  void notSent(Status status, String why) {
-    end(answeredOnce ? Status.ERROR : status, null, why);
+  /** Fails the query because it could not be sent; as an error if an earlier unusable answer shows that it ran. */
+  void failUnsent(Status status, String reason) {
+    end(answered ? Status.ERROR : status, null, reason);
   }
 
-  // ---- Answers -------------------------------------------------------------------------------------------
+  // ---- Responses -----------------------------------------------------------------------------------------
 
-  /** Whether a message that bears its id can be its answer at all. */
+  /** Whether a message with the query's id is an answer to it. */
   private boolean isAnswer(Message m) {
-    boolean bare = m.question() == null && (asked.raw() != null || m.rcode() == Message.FORMERR || m.rcode() == Message.NOTIMP);
-    return m.isResponse() && m.opcode() == (asked.raw() == null ? Message.QUERY : Message.opcode(asked.raw()))
-        && (bare || written.equals(m.question()));
+    boolean noQuestion = m.question() == null && (spec.raw() != null || m.rcode() == Message.FORMERR || m.rcode() == Message.NOTIMP);
+    return m.isResponse() && m.opcode() == (spec.raw() == null ? Message.QUERY : Message.opcode(spec.raw()))
+        && (noQuestion || sentQuestion.equals(m.question()));
   }
 
-  /** A datagram from the server asked has come under its id; null for one that can't be read. */
-  void datagram(Message m, long now) {
+  /** Handles a datagram from the server with the query's id; null if it is malformed. */
+  void onDatagram(Message m, long now) {
     if (m == null || !isAnswer(m)) {
-      wrong();
-    } else if (m.question() != null && !m.question().hasCaseOf(written)) {
-      // Forged, or from a server that loses the case: a connection tells.
+      onMismatch();
+    } else if (m.question() != null && !m.question().hasSameCase(sentQuestion)) {
+      // Forged, or from a server that doesn't preserve case: retry over TCP to find out.
       server.client.counts.wrong++;
       server.client.counts.suspicious++;
-      answeredOnce = true;
-      overTcp();
+      answered = true;
+      startTcp();
     } else if (m.has(Message.TC)) {
       server.client.counts.truncated++;
-      answeredOnce = true;
-      overTcp();
-    } else if (refusesEdns(m)) {
-      withoutEdns(now);
+      answered = true;
+      startTcp();
+    } else if (rejectsEdns(m)) {
+      retryWithoutEdns(now);
     } else {
       end(Status.SERVED, m, "");
     }
   }
 
-  private void wrong() {
+  private void onMismatch() {
     server.client.counts.wrong++;
-    if (++wrong == server.client.config.wrongMost() && asked.raw() == null) {
-      // Somebody is guessing: the next guesses would be as good.
+    if (++mismatches == server.client.config.maxMismatches() && spec.raw() == null) {
+      // Probably an attacker guessing ids, who would go on to guess over UDP.
       server.client.counts.suspicious++;
-      overTcp();
+      startTcp();
     }
   }
 
-  private boolean refusesEdns(Message m) {
-    return edns && m.edns() == null && (m.rcode() == Message.FORMERR || m.rcode() == Message.NOTIMP);
+  private boolean rejectsEdns(Message m) {
+    return useEdns && m.edns() == null && (m.rcode() == Message.FORMERR || m.rcode() == Message.NOTIMP);
   }
 
-  private void withoutEdns(long now) {
-    server.client.traits.markNoEdns(now, server.number);
+  private void retryWithoutEdns(long now) {
+    server.client.capabilities.markNoEdns(now, server.number);
     server.client.counts.plain++;
-    answeredOnce = true;
-    edns = false;
-    boolean tcp = link != null;
-    if (port != null) {
-      port.giveUp(this, true);
+    answered = true;
+    useEdns = false;
+    boolean tcp = connection != null;
+    if (socket != null) {
+      socket.abandon(this, true);
     }
-    if (link != null) {
-      link.giveUp(this);
+    if (connection != null) {
+      connection.abandon(this);
     }
-    if (server.withdrawn) {
-      end(Status.ERROR, null, "the server drains before the second leg");
+    if (server.draining) {
+      end(Status.ERROR, null, "server is draining, fallback not attempted");
     } else if (tcp) {
-      server.tcp(this);
+      server.sendOverTcp(this);
     } else {
-      overUdp(now);
+      startUdp(now);
     }
   }
 
-  /** A message has come under its id over the connection; false where the connection is not to be trusted any more. */
-  boolean overConnection(Message m, long now) {
+  /** Handles a message with the query's id from the TCP connection. Returns false if the connection must be closed. */
+  boolean onTcpMessage(Message m, long now) {
     if (!isAnswer(m)) {
-      end(Status.ERROR, null, "an answer to another question");
+      end(Status.ERROR, null, "answer to a different question");
       return false;
     }
-    if (m.question() != null && !m.question().hasCaseOf(written)) {
-      server.client.traits.markCaseNotPreserved(now, server.number);
+    if (m.question() != null && !m.question().hasSameCase(sentQuestion)) {
+      server.client.capabilities.markCaseNotPreserved(now, server.number);
     }
     if (m.has(Message.TC)) {
-      end(Status.ERROR, null, "truncated over TCP as well");
-    } else if (refusesEdns(m)) {
-      withoutEdns(now);
+      end(Status.ERROR, null, "truncated over TCP");
+    } else if (rejectsEdns(m)) {
+      retryWithoutEdns(now);
     } else {
       end(Status.SERVED, m, "");
     }
--- a/dns/src/main/java/cloverpulley/dns/wire/MalformedException.java
+++ b/dns/src/main/java/cloverpulley/dns/wire/MalformedException.java
@@ -1,6 +1,6 @@
 package cloverpulley.dns.wire;
 
-/** Bytes that are no DNS message. It carries no stack: hostile bytes are no event worth one. */
+/** Thrown for malformed DNS messages. Has no stack trace, so that invalid input from attackers stays cheap to reject. */
 public final class MalformedException extends Exception {
 
   private static final long serialVersionUID = 1;
--- a/dns/src/main/java/cloverpulley/dns/wire/Message.java
+++ b/dns/src/main/java/cloverpulley/dns/wire/Message.java
@@ -5,8 +5,8 @@
 import java.util.Set;
 
 /**
- * A DNS message (RFC 1035, 4.1), read strictly and kept as the octets that came: what is passed on is passed on untouched. The
- * work for one message is bounded by its length.
+ * A DNS message (RFC 1035, 4.1), parsed strictly and kept as the received octets, so that it can be forwarded unmodified. The parsing
+ * effort is bounded by the message's length.
  */
 public final class Message {
 
@@ -39,10 +39,10 @@
   private static final int RRSIG = 46;
   private static final int TSIG = 250;
   private static final int POINTER = 0xC000;
-  /** Octets of a record after its name: type, class, TTL, length. */
-  private static final int FIXED = 10;
-  /** A chain of aliases longer than this is no answer. */
-  private static final int MOST_ALIASES = 16;
+  /** The octets of a record between its name and its data: type, class, TTL, data length. */
+  private static final int RECORD_FIXED_LENGTH = 10;
+  /** Longer CNAME chains are rejected. */
+  private static final int MAX_ALIASES = 16;
 
   private static final int QR = 0x8000;
   public static final int AA = 0x0400;
@@ -57,7 +57,7 @@
   private final int questionEnd;
   private final Edns edns;
   private final byte[] tsigName;
-  /** Where the answer, authority and additional sections end. */
+  /** The ends of the answer, authority and additional sections. */
   private final int[] ends;
   private final int records;
   private final boolean optLast;
@@ -74,29 +74,29 @@
     this.optLast = optLast;
   }
 
-  /** Whether the octets begin as a message does, which is enough to tell the sender that the rest is wrong. */
+  /** Whether the input is long enough for a header, which is needed to answer FORMERR. */
   public static boolean hasHeader(byte[] b) {
     return b.length >= HEADER_LENGTH;
   }
 
-  /** The same without an EDNS option of ours. */
+  /** Parses a message without a tenant option. */
   public static Message read(byte[] b) throws MalformedException {
     return read(b, 0);
   }
 
   /**
-   * Reads a message; the octets are kept, not copied.
+   * Parses a message. The array is kept, not copied.
    *
    * @param tenantOption the code of the EDNS option that names a tenant; 0 for none
-   * @throws MalformedException where counts, lengths or names lie, more than one question is asked, or octets are left over
+   * @throws MalformedException if counts, lengths or names are invalid, there are several questions, or octets follow the last record
    */
   public static Message read(byte[] b, int tenantOption) throws MalformedException {
     if (b.length < HEADER_LENGTH) {
-      throw new MalformedException("shorter than a header");
+      throw new MalformedException("message shorter than the header");
     }
     int questions = get16(b, 4);
     if (questions > 1) {
-      throw new MalformedException("several questions");
+      throw new MalformedException("more than one question");
     }
     Question question = null;
     int at = HEADER_LENGTH;
@@ -104,9 +104,9 @@
       byte[] name = Names.read(b, at);
       at = Names.skip(b, at);
       if (at != HEADER_LENGTH + name.length) {
-        throw new MalformedException("a question's name in parts");
+        throw new MalformedException("compressed name in the question");
       }
-      need(b, at, 4);
+      checkBounds(b, at, 4);
       question = new Question(name, get16(b, at), get16(b, at + 2));
       at += 4;
     }
@@ -120,18 +120,18 @@
       for (int left = get16(b, 6 + 2 * section); left > 0; left--) {
         int owner = at;
         at = Names.skip(b, at);
-        need(b, at, FIXED);
+        checkBounds(b, at, RECORD_FIXED_LENGTH);
         int type = get16(b, at);
-        int data = at + FIXED;
+        int data = at + RECORD_FIXED_LENGTH;
         int end = data + get16(b, at + 8);
-        need(b, data, end - data);
+        checkBounds(b, data, end - data);
         optLast = edns == null;
         if (tsig != null) {
-          throw new MalformedException("a record after the signature"); // RFC 8945, 5.1
+          throw new MalformedException("record after TSIG"); // RFC 8945, 5.1
         }
         if (type == Edns.OPT) {
           if (section != 2 || edns != null || b[owner] != 0) {
-            throw new MalformedException("an OPT record where there may be none"); // RFC 6891, 6.1.1
+            throw new MalformedException("misplaced or duplicate OPT record"); // RFC 6891, 6.1.1
           }
           edns = Edns.read(b, owner, end, tenantOption);
           optLast = true;
@@ -146,28 +146,28 @@
       ends[section] = at;
     }
     if (at != b.length) {
-      throw new MalformedException("octets after the end");
+      throw new MalformedException("trailing octets");
     }
     return new Message(b, question, questionEnd, edns, tsig, ends, records, optLast);
   }
 
-  private static void need(byte[] b, int at, int octets) throws MalformedException {
+  private static void checkBounds(byte[] b, int at, int octets) throws MalformedException {
     if (at + octets > b.length) {
-      throw new MalformedException("a record runs over the end");
+      throw new MalformedException("record extends past the end of the message");
     }
   }
 
-  /** The types whose data may hold compressed names, and the addresses: what others are, their readers know. */
+  /** Checks the data of types that may hold compressed names, and of addresses; other types are not interpreted here. */
   private static void checkData(byte[] b, int type, int dnsClass, int data, int end) throws MalformedException {
     if (dnsClass != IN || data == end) {
-      return; // An empty one stands for none in an UPDATE (RFC 2136, 2.4).
+      return; // Records without data are valid in an UPDATE (RFC 2136, 2.4).
     }
     int after = end;
     if (type == CNAME || type == NS || type == PTR || type == DNAME) {
       Names.read(b, data);
       after = Names.skip(b, data);
     } else if (type == MX) {
-      need(b, data, 3);
+      checkBounds(b, data, 3);
       Names.read(b, data + 2);
       after = Names.skip(b, data + 2);
     } else if (type == SOA) {
@@ -181,13 +181,13 @@
       after = data + 16;
     }
     if (after != end) {
-      throw new MalformedException("the data of a record does not fill its length");
+      throw new MalformedException("record data does not match its length");
     }
   }
 
-  // ---- What it says --------------------------------------------------------------------------------------
+  // ---- Fields --------------------------------------------------------------------------------------------
 
-  /** The octets themselves. */
+  /** The message in wire format. */
   public byte[] bytes() {
     return b;
   }
@@ -208,7 +208,7 @@
     return isResponse(b);
   }
 
-  /** The same for octets that have a header. */
+  /** The same for an unparsed message with at least a header. */
   public static boolean isResponse(byte[] b) {
     return (get16(b, 2) & QR) != 0;
   }
@@ -217,27 +217,27 @@
     return opcode(b);
   }
 
-  /** The same for octets that have a header. */
+  /** The same for an unparsed message with at least a header. */
   public static int opcode(byte[] b) {
     return b[2] >> 3 & 0xF;
   }
 
-  /** The response code, with the upper bits that EDNS brings. */
+  /** The response code, including the upper bits from EDNS. */
   public int rcode() {
-    return b[3] & 0xF | (edns == null ? 0 : edns.extended() << 4);
+    return b[3] & 0xF | (edns == null ? 0 : edns.extendedRcode() << 4);
   }
 
-  /** Null where none is asked. */
+  /** Null if there is none. */
   public Question question() {
     return question;
   }
 
-  /** Null where the sender speaks no EDNS. */
+  /** Null if the message has no OPT record. */
   public Edns edns() {
     return edns;
   }
 
-  /** The name of the key that signed it, as it was written; null where none did. */
+  /** The TSIG key name as received; null if the message is not signed. */
   public byte[] tsigName() {
     return tsigName;
   }
@@ -254,130 +254,130 @@
     return get16(b, 10);
   }
 
-  /** Where the question ends. */
+  /** The end of the question section. */
   public int questionEnd() {
     return questionEnd;
   }
 
-  /** Where a section ends: 0 the answer, 1 the authority, 2 the additional one. */
+  /** The end of a section: 0 answer, 1 authority, 2 additional. */
   public int end(int section) {
     return ends[section];
   }
 
-  /** Whether its OPT record, if any, is its last: what is before it can be passed on as it is. */
+  /** Whether the OPT record, if any, is the last record, so that it can be cut off. */
   public boolean isOptLast() {
     return optLast;
   }
 
-  /** Told of each record but OPT. */
+  /** Visits all records except OPT. */
   private interface Visitor {
-    /** The record's name is at {@code owner}, its type at {@code fixed}; false ends the walk. */
-    boolean record(int section, int owner, int fixed) throws MalformedException;
+    /** Visits the record with its name at {@code owner} and its type at {@code fixed}. Returns false to stop. */
+    boolean visit(int section, int owner, int fixed) throws MalformedException;
   }
 
-  private void walk(Visitor visitor) throws MalformedException {
+  private void forEachRecord(Visitor visitor) throws MalformedException {
     int at = questionEnd;
     for (int section = 0; section < 3; section++) {
       for (int left = get16(b, 6 + 2 * section); left > 0; left--) {
         int fixed = Names.skip(b, at);
-        if (get16(b, fixed) != Edns.OPT && !visitor.record(section, at, fixed)) {
+        if (get16(b, fixed) != Edns.OPT && !visitor.visit(section, at, fixed)) {
           return;
         }
-        at = fixed + FIXED + get16(b, fixed + 8);
+        at = fixed + RECORD_FIXED_LENGTH + get16(b, fixed + 8);
       }
     }
   }
 
-  /** Where the TTLs are. */
+  /** The offsets of the TTLs. */
   public int[] ttls() {
     int[] at = new int[records];
     int[] count = {0};
     try {
-      walk((section, owner, fixed) -> {
+      forEachRecord((section, owner, fixed) -> {
         at[count[0]++] = fixed + 4;
         return true;
       });
     } catch (MalformedException e) {
-      throw new IllegalStateException(e); // It has been read before.
+      throw new IllegalStateException(e); // Can't happen: the message has been parsed before.
     }
     return Arrays.copyOf(at, count[0]);
   }
 
   /**
-   * How long the answer may be kept, in seconds: the least TTL of its records, or for one that says that there is nothing what
-   * RFC 2308, 5 says; -1 where it may not be kept.
+   * How long the answer may be cached, in seconds: the lowest TTL of its records, or for a negative answer the TTL according to
+   * RFC 2308, 5; -1 if it must not be cached.
    */
   public long ttl() {
-    long[] least = {Long.MAX_VALUE};
+    long[] minTtl = {Long.MAX_VALUE};
     boolean[] soa = {false};
     boolean positive = answers() > 0 && rcode() == NOERROR;
     try {
-      walk((section, owner, fixed) -> {
+      forEachRecord((section, owner, fixed) -> {
         long ttl = ttlAt(b, fixed + 4);
         int type = get16(b, fixed);
         if (section == 1 && type == SOA && !positive) {
-          int end = fixed + FIXED + get16(b, fixed + 8);
+          int end = fixed + RECORD_FIXED_LENGTH + get16(b, fixed + 8);
           ttl = Math.min(ttl, ttlAt(b, end - 4));
           soa[0] = true;
         }
         if (section < 2) {
-          least[0] = Math.min(least[0], ttl);
+          minTtl[0] = Math.min(minTtl[0], ttl);
         }
         return section < 2;
       });
     } catch (MalformedException e) {
       return -1;
     }
-    return !positive && !soa[0] ? -1 : least[0];
+    return !positive && !soa[0] ? -1 : minTtl[0];
   }
 
-  /** A TTL; with its first bit set it counts as 0 (RFC 2181, 8). */
+  /** The TTL at an offset; one with the top bit set counts as 0 (RFC 2181, 8). */
   private static long ttlAt(byte[] b, int at) {
     long ttl = (long) get16(b, at) << 16 | get16(b, at + 2);
     return ttl > Integer.MAX_VALUE ? 0 : ttl;
   }
 
   /**
-   * Whether each record of the answer is of the name asked or of one that an alias there leads to (RFC 5452, 6; RFC 6672 for
-   * DNAME): anything else nobody asked for.
+   * Whether each record in the answer section belongs to the queried name or to a name that a CNAME or DNAME there leads to (RFC 5452, 6;
+   * RFC 6672).
    */
   public boolean isInBailiwick() {
-    return isPlain() || isLinked();
+    return allOwnersAreQuestion() || followsAliases();
   }
 
-  /** The usual case, without a look at names: each record's name is a pointer to the question's. */
-  private boolean isPlain() {
+  /** The fast path for the common case: each owner name is a pointer to the question's name. */
+  private boolean allOwnersAreQuestion() {
     int at = questionEnd;
     for (int left = answers(); left > 0; left--) {
       if (get16(b, at) != (POINTER | HEADER_LENGTH)) {
         return false;
       }
-      at += 2 + FIXED + get16(b, at + 2 + 8);
+      at += 2 + RECORD_FIXED_LENGTH + get16(b, at + 2 + 8);
     }
     return true;
   }
 
-  private boolean isLinked() {
+  private boolean followsAliases() {
     Set<String> names = new HashSet<>();
     names.add(key(question.name()));
     try {
-      // Aliases may stand in any order; each round adds those that the one before has led to.
-      for (int before = 0; before != names.size() && names.size() <= MOST_ALIASES; ) {
+      // CNAMEs may come in any order: repeat until no more names are added.
+      for (int before = 0; before != names.size() && names.size() <= MAX_ALIASES; ) {
         before = names.size();
-        walk((section, owner, fixed) -> {
+        forEachRecord((section, owner, fixed) -> {
           if (section == 0 && get16(b, fixed) == CNAME && names.contains(nameAt(owner))) {
-            names.add(nameAt(fixed + FIXED));
+            names.add(nameAt(fixed + RECORD_FIXED_LENGTH));
           }
           return section == 0;
         });
       }
-      boolean[] within = {names.size() <= MOST_ALIASES};
-      walk((section, owner, fixed) -> {
+      boolean[] within = {names.size() <= MAX_ALIASES};
+      forEachRecord((section, owner, fixed) -> {
         if (section == 0 && !names.contains(nameAt(owner))) {
           int type = get16(b, fixed);
-          byte[] above = Names.lower(Names.read(b, owner));
-          within[0] &= (type == DNAME || type == RRSIG && get16(b, fixed + FIXED) == DNAME)
-              && names.stream().anyMatch(n -> Names.isWithin(n.getBytes(java.nio.charset.StandardCharsets.ISO_8859_1), above));
+          byte[] dnameOwner = Names.lower(Names.read(b, owner));
+          within[0] &= (type == DNAME || type == RRSIG && get16(b, fixed + RECORD_FIXED_LENGTH) == DNAME)
+              && names.stream().anyMatch(n -> Names.isWithin(n.getBytes(java.nio.charset.StandardCharsets.ISO_8859_1), dnameOwner));
         }
         return section == 0 && within[0];
       });
@@ -395,9 +395,9 @@
     return new String(name, java.nio.charset.StandardCharsets.ISO_8859_1);
   }
 
-  // ---- Octets --------------------------------------------------------------------------------------------
+  // ---- Integers ------------------------------------------------------------------------------------------
 
-  /** A number of two octets. */
+  /** Reads a 16-bit integer. */
   public static int get16(byte[] b, int at) {
     return (b[at] & 0xFF) << 8 | b[at + 1] & 0xFF;
   }
@@ -412,13 +412,13 @@
     put16(b, at + 2, (int) value);
   }
 
-  // ---- Making messages -----------------------------------------------------------------------------------
+  // ---- Building messages ---------------------------------------------------------------------------------
 
   /**
-   * A question to a server.
+   * Builds a query.
    *
-   * @param flags those that the asker may set, such as {@link #RD}
-   * @param opt the OPT record; null to speak no EDNS
+   * @param flags the flags that a client may set, such as {@link #RD}
+   * @param opt the OPT record; null for none
    */
   public static byte[] query(int id, int flags, Question question, byte[] opt) {
     byte[] to = new byte[HEADER_LENGTH + question.length() + (opt == null ? 0 : opt.length)];
@@ -434,9 +434,9 @@
   }
 
   /**
-   * An answer without records.
+   * Builds a response without records.
    *
-   * @param question null where what was asked can't be read
+   * @param question null if the question can't be parsed
    * @param opt null for none
    */
   public static byte[] empty(int id, int flags, int rcode, Question question, byte[] opt) {
--- a/dns/src/main/java/cloverpulley/dns/wire/Names.java
+++ b/dns/src/main/java/cloverpulley/dns/wire/Names.java
@@ -2,81 +2,81 @@
 
 import java.util.Arrays;
 
-/** Domain names in their form on the wire (RFC 1035, 3.1 and 4.1.4): length-prefixed labels, at most 63 and 255 octets. */
+/** Domain names in wire format (RFC 1035, 3.1 and 4.1.4): length-prefixed labels of at most 63 octets, 255 octets in all. */
 public final class Names {
 
-  static final int MOST_LABEL = 63;
-  public static final int MOST_NAME = 255;
-  /** A name of 255 octets has no more labels than that, and so needs no more pointers. */
-  private static final int MOST_POINTERS = 127;
+  static final int MAX_LABEL_LENGTH = 63;
+  public static final int MAX_NAME_LENGTH = 255;
+  /** The maximum number of labels in a name of 255 octets, so a valid name needs no more pointers. */
+  private static final int MAX_POINTERS = 127;
   private static final int POINTER = 0xC0;
 
   private Names() {}
 
   /**
-   * The position after a name that starts at {@code at}, its pointers not followed but checked to go backward.
+   * The position after the name at {@code at}. Pointers are not followed, but checked to point backward.
    *
-   * @throws MalformedException where it runs over the end, has a label of an unknown type or points forward
+   * @throws MalformedException if the name runs past the end, has a label of an unknown type or points forward
    */
   public static int skip(byte[] b, int at) throws MalformedException {
     int octets = 1;
     for (int i = at; ; ) {
       if (i >= b.length) {
-        throw new MalformedException("a name runs over the end");
+        throw new MalformedException("name extends past the end of the message");
       }
       int n = b[i] & 0xFF;
       if (n == 0) {
         return i + 1;
       } else if ((n & POINTER) == POINTER) {
-        pointer(b, i, at);
+        readPointer(b, i, at);
         return i + 2;
-      } else if (n > MOST_LABEL) {
-        throw new MalformedException("a label of an unknown type");
+      } else if (n > MAX_LABEL_LENGTH) {
+        throw new MalformedException("unknown label type");
       }
       octets += n + 1;
-      if (octets > MOST_NAME) {
-        throw new MalformedException("a name over 255 octets");
+      if (octets > MAX_NAME_LENGTH) {
+        throw new MalformedException("name longer than 255 octets");
       }
       i += n + 1;
     }
   }
 
-  /** Where a pointer leads; it has to lead before the name that it is in, which rules out loops. */
-  private static int pointer(byte[] b, int i, int before) throws MalformedException {
+  /** The target of a pointer, which must be before the name that contains it; this rules out loops. */
+  private static int readPointer(byte[] b, int i, int before) throws MalformedException {
     if (i + 1 >= b.length) {
-      throw new MalformedException("a pointer runs over the end");
+      throw new MalformedException("pointer extends past the end of the message");
     }
     int to = (b[i] & ~POINTER & 0xFF) << 8 | b[i + 1] & 0xFF;
     if (to < Message.HEADER_LENGTH || to >= before) {
-      throw new MalformedException("a pointer that does not lead back");
+      throw new MalformedException("pointer does not point backward");
     }
     return to;
   }
 
-  /** The name at {@code at}, whole, its letters as they came. */
+  /** The uncompressed name at {@code at}, with its original letter case. */
   public static byte[] read(byte[] b, int at) throws MalformedException {
-    byte[] name = new byte[MOST_NAME];
+    byte[] name = new byte[MAX_NAME_LENGTH];
     int length = 0;
     int pointers = 0;
     int start = at;
     for (int i = at; ; ) {
       if (i >= b.length) {
-        throw new MalformedException("a name runs over the end");
+        throw new MalformedException("name extends past the end of the message");
       }
       int n = b[i] & 0xFF;
       if ((n & POINTER) == POINTER) {
-        i = pointer(b, i, start);
+        i = readPointer(b, i, start);
         start = i;
-        if (++pointers > MOST_POINTERS) {
-          throw new MalformedException("a name of too many pointers");
+        if (++pointers > MAX_POINTERS) {
+          throw new MalformedException("too many pointers in a name");
         }
         continue;
-      } else if (n > MOST_LABEL) {
-        throw new MalformedException("a label of an unknown type");
+      } else if (n > MAX_LABEL_LENGTH) {
+        throw new MalformedException("unknown label type");
       } else if (i + n >= b.length) {
-        throw new MalformedException("a label runs over the end");
-      } else if (length + n + 1 > MOST_NAME) {
-        throw new MalformedException("a name over 255 octets");
+        throw new MalformedException("label extends past the end of the message");
+      } else if (length + n + 1 > MAX_NAME_LENGTH) {
+        throw new MalformedException("name longer than 255 octets");
       }
       System.arraycopy(b, i, name, length, n + 1);
       length += n + 1;
@@ -87,7 +87,7 @@
     }
   }
 
-  /** The name in lower case; ASCII letters only have cases (RFC 4343). Lengths are below 'A' and stay. */
+  /** The name in lower case, for ASCII letters only (RFC 4343). Length octets are below 'A' and not affected. */
   public static byte[] lower(byte[] name) {
     byte[] lower = name.clone();
     for (int i = 0; i < lower.length; i++) {
@@ -105,13 +105,13 @@
       return false;
     }
     int i = 0;
-    while (i < at) { // The match has to begin with a label, not within one.
+    while (i < at) { // The match must begin at a label boundary.
       i += name[i] + 1;
     }
     return i == at;
   }
 
-  /** As text with a dot at its end; octets that are no plain letters as \DDD (RFC 1035, 5.1). */
+  /** The presentation format with a trailing dot; non-printable octets as \DDD (RFC 1035, 5.1). */
   public static String text(byte[] name) {
     if (name.length <= 1) {
       return ".";
@@ -131,13 +131,13 @@
     return text.toString();
   }
 
-  /** The name that a text of plain labels stands for; null where it is none. */
+  /** Parses a name of letters, digits, hyphens and underscores; null if it is invalid. */
   public static byte[] of(String text) {
     String bare = text.endsWith(".") ? text.substring(0, text.length() - 1) : text;
-    byte[] name = new byte[MOST_NAME];
+    byte[] name = new byte[MAX_NAME_LENGTH];
     int at = 0;
     for (String label : bare.isEmpty() ? new String[0] : bare.split("\\.", -1)) {
-      if (label.isEmpty() || label.length() > MOST_LABEL || at + label.length() + 2 > MOST_NAME
+      if (label.isEmpty() || label.length() > MAX_LABEL_LENGTH || at + label.length() + 2 > MAX_NAME_LENGTH
           || !label.matches("[A-Za-z0-9_-]+")) {
         return null;
       }
--- a/dns/src/main/java/cloverpulley/dns/wire/Question.java
+++ b/dns/src/main/java/cloverpulley/dns/wire/Question.java
@@ -2,27 +2,27 @@
 
 import java.util.Arrays;
 
-/** What is asked: a name, a type and a class. Names are compared without their case. */
+/** A question: name, type and class. Names are compared case-insensitively. */
 public final class Question {
 
-  private final byte[] asked;
+  private final byte[] originalName;
   private final byte[] name;
   private final int type;
   private final int dnsClass;
   private final int hash;
 
-  /** {@code asked} is the name on the wire, whole, its letters as the asker wrote them. */
-  public Question(byte[] asked, int type, int dnsClass) {
-    this.asked = asked;
+  /** {@code originalName} is the uncompressed name in wire format, in the sender's letter case. */
+  public Question(byte[] originalName, int type, int dnsClass) {
+    this.originalName = originalName;
     this.type = type;
     this.dnsClass = dnsClass;
-    name = Names.lower(asked);
+    name = Names.lower(originalName);
     hash = (Arrays.hashCode(name) * 31 + type) * 31 + dnsClass;
   }
 
-  /** The name as it was written. */
-  public byte[] asked() {
-    return asked;
+  /** The name in its original letter case. */
+  public byte[] originalName() {
+    return originalName;
   }
 
   /** The name in lower case. */
@@ -38,23 +38,23 @@
     return dnsClass;
   }
 
-  /** Octets that it takes in a message. */
+  /** The length in wire format. */
   public int length() {
-    return asked.length + 4;
+    return originalName.length + 4;
   }
 
-  /** Writes it; the position after it. */
+  /** Writes the question and returns the position after it. */
   public int write(byte[] to, int at) {
-    System.arraycopy(asked, 0, to, at, asked.length);
-    int i = at + asked.length;
+    System.arraycopy(originalName, 0, to, at, originalName.length);
+    int i = at + originalName.length;
     Message.put16(to, i, type);
     Message.put16(to, i + 2, dnsClass);
     return i + 4;
   }
 
-  /** Whether the other asks the same with the same letters (draft-vixie-dnsext-dns0x20). */
-  public boolean hasCaseOf(Question other) {
-    return Arrays.equals(asked, other.asked);
+  /** Whether the names have the same letter case (draft-vixie-dnsext-dns0x20). */
+  public boolean hasSameCase(Question other) {
+    return Arrays.equals(originalName, other.originalName);
   }
 
   @Override
@@ -69,6 +69,6 @@
 
   @Override
   public String toString() {
-    return Names.text(asked) + " type " + type + " class " + dnsClass;
+    return Names.text(originalName) + " type " + type + " class " + dnsClass;
   }
 }
--- a/dns/src/test/java/cloverpulley/dns/CacheTest.java
+++ b/dns/src/test/java/cloverpulley/dns/CacheTest.java
@@ -118,7 +118,7 @@
     Message m = second.answer();
     assertEquals(2, m.getHeader().getID());
     assertEquals(2L, rig.server.onLoop(() -> rig.server.counts().flights), "it was put to the module anew");
-    rig.awaitNothingInHand();
+    rig.awaitIdle();
   }
 
   /** All servers are silent: there is a stale answer, marked as such; elsewhere a SERVFAIL in time; and then all is well again. */
@@ -155,7 +155,7 @@
         throw new IllegalStateException(e);
       }
     });
-    rig.awaitNothingInHand();
+    rig.awaitIdle();
   }
 
   /** A server that is merely slow: who has waited long enough gets the stale answer, and the flight fills the cache. */
@@ -204,7 +204,7 @@
         throw new IllegalStateException(e);
       }
     });
-    rig.awaitNothingInHand();
+    rig.awaitIdle();
     assertEquals(server.seen().size() - 1L, rig.server.onLoop(() -> rig.server.counts().prefetched), "nobody waited but the first");
   }
 
--- a/dns/src/test/java/cloverpulley/dns/ConfigTest.java
+++ b/dns/src/test/java/cloverpulley/dns/ConfigTest.java
@@ -66,10 +66,11 @@
     for (String bad : List.of("", "a/8", "10.0.0.0/33", "10.0.0.0/x", "10.0.0/8", "::/129", "10.0.0.256")) {
       assertNull(Prefix.of(bad), bad);
     }
-    long one = Prefix.number(InetAddress.getByName("10.7.16.1"), 20, 56);
-    assertEquals(one, Prefix.number(InetAddress.getByName("10.7.31.255"), 20, 56));
-    assertNotEquals(one, Prefix.number(InetAddress.getByName("10.7.32.1"), 20, 56));
-    assertEquals(Prefix.number(InetAddress.getByName("2001:db8::1"), 24, 56), Prefix.number(InetAddress.getByName("2001:db8:0:ff::2"), 24, 56));
+    long one = Prefix.networkKey(InetAddress.getByName("10.7.16.1"), 20, 56);
+    assertEquals(one, Prefix.networkKey(InetAddress.getByName("10.7.31.255"), 20, 56));
+    assertNotEquals(one, Prefix.networkKey(InetAddress.getByName("10.7.32.1"), 20, 56));
+    assertEquals(Prefix.networkKey(InetAddress.getByName("2001:db8::1"), 24, 56),
+        Prefix.networkKey(InetAddress.getByName("2001:db8:0:ff::2"), 24, 56));
   }
 
   /** A prefix holds an address when both have the same first bits, whatever they are. */
@@ -81,35 +82,36 @@
     boolean same = bits == 0 || a >>> 32 - bits == b >>> 32 - bits;
     assertEquals(same, new Prefix(address, bits).contains(InetAddress.getByAddress(other)));
     if (bits >= 1) {
-      assertEquals(same, Prefix.number(InetAddress.getByAddress(address), bits, 56) == Prefix.number(InetAddress.getByAddress(other), bits, 56));
+      assertEquals(same,
+          Prefix.networkKey(InetAddress.getByAddress(address), bits, 56) == Prefix.networkKey(InetAddress.getByAddress(other), bits, 56));
     }
   }
 
   /** Repeats are known from their first coming until their time is over, and no more are kept than may be. */
   @Property(seed = "20261201", tries = 200)
   void repeatsAreBoundedAndNeverForgottenInHand(@ForAll @Size(min = 1, max = 60) List<@IntRange(max = 9) Integer> ids) throws Exception {
-    DuplicateRequestCache repeated = new DuplicateRequestCache(5, 100);
+    DuplicateRequestCache duplicates = new DuplicateRequestCache(5, 100);
     java.util.Map<Integer, Boolean> inHand = new java.util.HashMap<>();
     long now = 0;
     for (int id : ids) {
       now += 30;
-      DuplicateRequestCache.Key key = new DuplicateRequestCache.Key(new Query(cloverpulley.dns.wire.Message.read(Rig.question(id, "a.test.").toWire(512)),
-          new Nobody(), now));
-      if (repeated.isKnown(key)) {
-        assertEquals(inHand.get(id), repeated.answer(key) == null);
+      DuplicateRequestCache.Key key = new DuplicateRequestCache.Key(
+          new Query(cloverpulley.dns.wire.Message.read(Rig.question(id, "a.test.").toWire(512)), new Nobody(), now));
+      if (duplicates.isKnown(key)) {
+        assertEquals(inHand.get(id), duplicates.answer(key) == null);
         if (inHand.get(id)) {
-          repeated.answered(key, new byte[] {(byte) id}, now);
+          duplicates.complete(key, new byte[] {(byte) id}, now);
           inHand.put(id, false);
         } else {
-          assertEquals((byte) id, repeated.answer(key)[0], "its own answer");
+          assertEquals((byte) id, duplicates.answer(key)[0], "its own answer");
         }
       } else {
         assertFalse(inHand.getOrDefault(id, false), "one in hand is never forgotten");
-        if (repeated.taken(key, now)) {
+        if (duplicates.tryAdd(key, now)) {
           inHand.put(id, true);
         }
       }
-      assertTrue(repeated.size() <= 5);
+      assertTrue(duplicates.size() <= 5);
     }
   }
 
@@ -130,7 +132,7 @@
     }
 
     @Override
-    public boolean isGone() {
+    public boolean isClosed() {
       return false;
     }
 
--- a/dns/src/test/java/cloverpulley/dns/CookiesTest.java
+++ b/dns/src/test/java/cloverpulley/dns/CookiesTest.java
@@ -18,9 +18,9 @@
   void theStandardsExampleComesOut() {
     Cookies cookies = new Cookies(HEX.parseHex("e5e973e5a6b2a43f48e7dc849e37bfcf"));
     byte[] address = {(byte) 198, 51, 100, 100};
-    byte[] made = cookies.make(HEX.parseHex("2464c4abcf10c957"), address, 1559731985L);
+    byte[] made = cookies.create(HEX.parseHex("2464c4abcf10c957"), address, 1559731985L);
     assertEquals("2464c4abcf10c957010000005cf79f111f8130c3eee29480", HEX.formatHex(made));
-    assertTrue(cookies.isOurs(made, address, 1559731985L));
+    assertTrue(cookies.isValid(made, address, 1559731985L));
   }
 
   /** The first vectors of SipHash's authors: key 00..0f, input 00, 01, ... of each length. */
@@ -41,15 +41,15 @@
   void aCookieIsGoodForItsAddressAndItsHour() {
     Cookies cookies = new Cookies(new byte[16]);
     byte[] mine = {10, 0, 0, 1};
-    byte[] cookie = cookies.make(new byte[] {1, 2, 3, 4, 5, 6, 7, 8}, mine, 10_000);
-    assertTrue(cookies.isOurs(cookie, mine, 13_600));
-    assertFalse(cookies.isOurs(cookie, mine, 13_601));
-    assertTrue(cookies.isOurs(cookie, mine, 9_700));
-    assertFalse(cookies.isOurs(cookie, mine, 9_699));
-    assertFalse(cookies.isOurs(cookie, new byte[] {10, 0, 0, 2}, 10_000));
+    byte[] cookie = cookies.create(new byte[] {1, 2, 3, 4, 5, 6, 7, 8}, mine, 10_000);
+    assertTrue(cookies.isValid(cookie, mine, 13_600));
+    assertFalse(cookies.isValid(cookie, mine, 13_601));
+    assertTrue(cookies.isValid(cookie, mine, 9_700));
+    assertFalse(cookies.isValid(cookie, mine, 9_699));
+    assertFalse(cookies.isValid(cookie, new byte[] {10, 0, 0, 2}, 10_000));
     cookie[20] ^= 1;
-    assertFalse(cookies.isOurs(cookie, mine, 10_000));
-    assertFalse(cookies.isOurs(Arrays.copyOf(cookie, 8), mine, 10_000));
+    assertFalse(cookies.isValid(cookie, mine, 10_000));
+    assertFalse(cookies.isValid(Arrays.copyOf(cookie, 8), mine, 10_000));
     assertArrayEquals(new byte[] {1, 2, 3, 4, 5, 6, 7, 8}, Arrays.copyOf(cookie, 8));
   }
 }
