--- a/dns/src/test/java/cloverpulley/dns/FrontTest.java
+++ b/dns/src/test/java/cloverpulley/dns/FrontTest.java
@@ -95,7 +95,7 @@
     Message filled = Rig.question(1, "www.example.");
     filled.addRecord(StandInDns.record("a. 1 A 10.0.0.1"), Section.ANSWER);
     assertEquals(Rcode.FORMERR, client.ask(filled).getRcode());
-    rig.awaitNothingInHand();
+    rig.awaitIdle();
   }
 
   @Test
@@ -204,7 +204,7 @@
       client.send(Rig.question(i, "www.example."));
     }
     Rig.await("all were seen", () -> rig.server.onLoop(() -> rig.server.counts().queries) == 40);
-    rig.awaitNothingInHand();
+    rig.awaitIdle();
     long answered = rig.server.onLoop(() -> rig.server.counts().answers);
     long dropped = rig.server.onLoop(() -> rig.server.counts().dropped);
     long slipped = rig.server.onLoop(() -> rig.server.counts().slipped);
@@ -339,7 +339,7 @@
     Rig.Tcp client = tcp().write(segment.toByteArray());
     Set<Integer> ids = new HashSet<>();
     for (int i = 0; i < 40; i++) {
-      assertTrue(rig.server.inHand() <= 5);
+      assertTrue(rig.server.pendingRequests() <= 5);
       ids.add(client.answer().getHeader().getID());
     }
     assertEquals(40, ids.size());
@@ -349,9 +349,9 @@
   void aClientThatHangsUpIsForgotten() throws Exception {
     rig.start("", "", rig.dns(a -> { }));
     Rig.Tcp client = tcp().send(Rig.question(1, "www.example."));
-    Rig.await("in hand", () -> rig.server.inHand() == 1);
+    Rig.await("in hand", () -> rig.server.pendingRequests() == 1);
     client.close();
-    rig.awaitNothingInHand();
+    rig.awaitIdle();
     assertNotNull(rig.server.report());
   }
 
@@ -378,7 +378,7 @@
         rig.server.onLoop(() -> null); // It has had its turn to read.
       }
       assertTrue(sent < most, "all was read: " + sent);
-      int held = rig.server.unread();
+      int held = rig.server.unreadBytes();
       assertTrue(held < 1 << 20, "held " + held);
     }
   }
--- a/dns/src/test/java/cloverpulley/dns/MessageTest.java
+++ b/dns/src/test/java/cloverpulley/dns/MessageTest.java
@@ -62,16 +62,16 @@
     }
     byte[] octets = m.toWire(65_535);
     Message read = Message.read(octets);
-    assertEquals(names.get(0), Names.text(read.question().asked()));
+    assertEquals(names.get(0), Names.text(read.question().originalName()));
     assertEquals(ttl, read.ttl());
     assertEquals(opt, read.edns() != null);
     assertEquals(opt && dnssec, opt && read.edns().dnssecOk());
     assertTrue(read.isInBailiwick());
-    ResponseTemplate body = ResponseTemplate.of(read);
-    assertEquals(m.getSection(Section.ANSWER), new org.xbill.DNS.Message(body.octets()).getSection(Section.ANSWER));
-    assertNull(new org.xbill.DNS.Message(body.octets()).getOPT());
-    byte[] aged = body.octets().clone();
-    body.writeTtls(aged, aged.length, 3, Integer.MAX_VALUE);
+    ResponseTemplate template = ResponseTemplate.of(read);
+    assertEquals(m.getSection(Section.ANSWER), new org.xbill.DNS.Message(template.octets()).getSection(Section.ANSWER));
+    assertNull(new org.xbill.DNS.Message(template.octets()).getOPT());
+    byte[] aged = template.octets().clone();
+    template.writeTtls(aged, aged.length, 3, Integer.MAX_VALUE);
     assertEquals(Math.max(0, ttl - 3), new org.xbill.DNS.Message(aged).getSection(Section.ANSWER).get(0).getTTL());
   }
 
@@ -124,24 +124,24 @@
 
   @Test
   void pointersThatLoopOrLeadForwardAreRefused() {
-    assertEquals("a pointer that does not lead back", why("0123010000010000000000 00c00c00010001".replace(" ", "")));
-    assertEquals("a pointer that does not lead back", why("012301000001000000000000c0ff00010001"));
-    assertEquals("a pointer that does not lead back", why("012301000001000000000000c00000010001"));
+    assertEquals("pointer does not point backward", why("0123010000010000000000 00c00c00010001".replace(" ", "")));
+    assertEquals("pointer does not point backward", why("012301000001000000000000c0ff00010001"));
+    assertEquals("pointer does not point backward", why("012301000001000000000000c00000010001"));
     // The second record's name points at the first's, which points at itself.
-    assertEquals("a pointer that does not lead back",
+    assertEquals("pointer does not point backward",
         why("012381000000000200000000" + "c00c00010001000000000000" + "c00c00010001000000000000"));
   }
 
   @Test
   void countsAndLengthsThatLieAreRefused() {
-    assertEquals("shorter than a header", why("0123"));
-    assertEquals("several questions", why("012301000002000000000000" + "000001000100000100 01".replace(" ", "")));
-    assertEquals("a name runs over the end", why("012301000001000000000000"));
-    assertEquals("a record runs over the end", why("01230100000100000000000000"));
-    assertEquals("octets after the end", why(QUESTION + "00"));
-    assertEquals("a label of an unknown type", why("01230100000100000000000041" + "00".repeat(70)));
-    assertEquals("a record runs over the end", why("0123810000000001000000 00".replace(" ", "") + "0000010001000000000400"));
-    assertEquals("the data of a record does not fill its length",
+    assertEquals("message shorter than the header", why("0123"));
+    assertEquals("more than one question", why("012301000002000000000000" + "000001000100000100 01".replace(" ", "")));
+    assertEquals("name extends past the end of the message", why("012301000001000000000000"));
+    assertEquals("record extends past the end of the message", why("01230100000100000000000000"));
+    assertEquals("trailing octets", why(QUESTION + "00"));
+    assertEquals("unknown label type", why("01230100000100000000000041" + "00".repeat(70)));
+    assertEquals("record extends past the end of the message", why("0123810000000001000000 00".replace(" ", "") + "0000010001000000000400"));
+    assertEquals("record data does not match its length",
         why("0123810000000001000000 00".replace(" ", "") + "000001000100000000000501020304 05".replace(" ", "")));
   }
 
@@ -149,20 +149,20 @@
   void namesHaveTheirMostOctets() throws Exception {
     String label = "3f" + "61".repeat(63);
     String most = label.repeat(3) + "3d" + "61".repeat(61) + "00";
-    assertEquals(255, Message.read(bytes("012301000001000000000000" + most + "00010001")).question().asked().length);
-    assertEquals("a name over 255 octets",
+    assertEquals(255, Message.read(bytes("012301000001000000000000" + most + "00010001")).question().originalName().length);
+    assertEquals("name longer than 255 octets",
         why("012301000001000000000000" + label.repeat(3) + "3e" + "61".repeat(62) + "00" + "00010001"));
   }
 
   @Test
   void optRecordsStandWhereTheyMay() {
     String opt = "00002904d0000000000000";
-    assertEquals("an OPT record where there may be none", why(QUESTION.replace("0000000000000765", "0000000000020765") + opt + opt));
-    assertEquals("an OPT record where there may be none",
+    assertEquals("misplaced or duplicate OPT record", why(QUESTION.replace("0000000000000765", "0000000000020765") + opt + opt));
+    assertEquals("misplaced or duplicate OPT record",
         why(QUESTION.replace("0000000000000765", "0001000000000765") + opt));
-    assertEquals("an option runs over the end of its record",
+    assertEquals("EDNS option extends past the end of its record",
         why(QUESTION.replace("0000000000000765", "0000000000010765") + "00002904d00000000000040 00a0008".replace(" ", "")));
-    assertEquals("a cookie of a length that there is not",
+    assertEquals("invalid cookie length",
         why(QUESTION.replace("0000000000000765", "0000000000010765") + "00002904d0000000000005" + "000a000101"));
   }
 
--- a/dns/src/test/java/cloverpulley/dns/RestartTest.java
+++ b/dns/src/test/java/cloverpulley/dns/RestartTest.java
@@ -58,7 +58,7 @@
     try (Rig.Udp udp = new Rig.Udp(rig.server.address()); Rig.Tcp tcp = new Rig.Tcp(rig.server.address())) {
       udp.send(Rig.edns(Rig.question(1, "a.example."), 1232, 0));
       tcp.send(Rig.edns(Rig.question(2, "b.example."), 1232, 0));
-      Rig.await("both are in hand", () -> rig.server.inHand() == 2);
+      Rig.await("both are in hand", () -> rig.server.pendingRequests() == 2);
       CompletableFuture<Void> stopped = stopping(rig.server);
       Message m = udp.answer();
       assertEquals(Rcode.SERVFAIL, m.getRcode());
@@ -95,7 +95,7 @@
       tcp.send(Rig.question(0, "q0.example."));
       Rig.await("the first is in hand", () -> held.size() == 1);
       CompletableFuture<Void> stopped = stopping(rig.server);
-      Rig.await("it stops", () -> rig.server.onLoop(rig.server::isLeaving));
+      Rig.await("it stops", () -> rig.server.onLoop(rig.server::isShuttingDown));
       for (int i = 1; i < 4; i++) {
         int now = i + 1;
         tcp.send(Rig.question(i, "q" + i + ".example."));
@@ -122,7 +122,7 @@
       rig.server.onLoop(() -> {
         TimeUnit.MILLISECONDS.sleep(150); // The loop is busy, the connection silent for long.
         tcp.send(Rig.question(2, "b.example."));
-        rig.server.leave();
+        rig.server.beginShutdown();
         return null;
       });
       assertEquals("10.0.0.1", Rig.text(tcp.answer()));
@@ -145,7 +145,7 @@
       tcp.send(Rig.question(1, "held.example."));
       Rig.await("it is in hand", () -> held.size() == 1);
       CompletableFuture<Void> stopped = stopping(rig.server);
-      Rig.await("it stops", () -> rig.server.onLoop(rig.server::isLeaving));
+      Rig.await("it stops", () -> rig.server.onLoop(rig.server::isShuttingDown));
       for (int i = 0; i < 5; i++) {
         assertEquals("10.0.0.2", Rig.text(udp.ask(Rig.question(i, "u" + i + ".example."))));
       }
--- a/dns/src/test/java/cloverpulley/dns/Rig.java
+++ b/dns/src/test/java/cloverpulley/dns/Rig.java
@@ -145,8 +145,8 @@
     }
   }
 
-  void awaitNothingInHand() throws InterruptedException {
-    await("nothing in hand", () -> server.inHand() == 0);
+  void awaitIdle() throws InterruptedException {
+    await("nothing in hand", () -> server.pendingRequests() == 0);
   }
 
   @Override
--- a/dns/src/test/java/cloverpulley/dns/RulesTest.java
+++ b/dns/src/test/java/cloverpulley/dns/RulesTest.java
@@ -78,7 +78,7 @@
   private void list(List<ServerList.Server> members) {
     rig.server.updateEndpoints(new ServerList(0, true, members), null);
     // Its turn on the loop comes after the list's: a question sent before could still go by the list before, as it may.
-    rig.server.inHand();
+    rig.server.pendingRequests();
   }
 
   // ---- Rule 1 --------------------------------------------------------------------------------------------
@@ -111,7 +111,7 @@
       assertEquals(i, m.getHeader().getID());
       assertEquals("c" + i + ".example.", m.getQuestion().getName().toString());
     }
-    rig.awaitNothingInHand();
+    rig.awaitIdle();
     for (Rig.Udp client : clients) {
       client.assertNothingElse(rig.server.address());
     }
@@ -152,7 +152,7 @@
     }
     updates.assertNoneTwice(10);
     assertEquals(0, heir.seen().stream().filter(s -> s.opcode() == Opcode.UPDATE).count());
-    rig.awaitNothingInHand();
+    rig.awaitIdle();
   }
 
   /** Updates that have come to a server, by the name that they add. */
@@ -234,7 +234,7 @@
     Rig.await("it has come", () -> updates.names.size() == 1);
     // The client gives up; nobody is asked again.
     client.close();
-    rig.awaitNothingInHand();
+    rig.awaitIdle();
     updates.assertNoneTwice(1);
   }
 
@@ -315,7 +315,7 @@
       }
       clients.add(tcp().send(m));
     }
-    Rig.await("all are in hand", () -> rig.server.inHand() == count);
+    Rig.await("all are in hand", () -> rig.server.pendingRequests() == count);
     List<ServerList.Server> now = listed(draining, other);
     ServerList.Server d = now.get(0);
     list(List.of(new ServerList.Server(d.id(), d.address(), d.zone(), d.cell(), cloverpulley.Balancer.State.DRAINING, d.size(),
@@ -327,7 +327,7 @@
     assertTrue(moved > 0, "what was not written went elsewhere");
     assertEquals(moved, other.seen().size(), "and what may have run was not sent again");
     assertTrue(moved < count, "some of it had been written: " + moved);
-    rig.awaitNothingInHand();
+    rig.awaitIdle();
   }
 
   // ---- Rule 4 --------------------------------------------------------------------------------------------
@@ -377,7 +377,7 @@
       codes.add(client.answer().getRcode());
     }
     assertTrue(!codes.contains(Rcode.NOERROR), codes.toString());
-    rig.awaitNothingInHand();
+    rig.awaitIdle();
     silent.set(0);
     // Served again within the time that an ejected server may be left alone.
     CompletableFuture<Integer> back = CompletableFuture.supplyAsync(() -> {
--- a/dns/src/test/java/cloverpulley/dns/UpstreamTest.java
+++ b/dns/src/test/java/cloverpulley/dns/UpstreamTest.java
@@ -29,7 +29,7 @@
 @Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
 class UpstreamTest {
 
-  private static final int NO_REACHABLE = 22;
+  private static final int NO_REACHABLE_AUTHORITY = 22;
 
   private final Rig rig = new Rig();
 
@@ -380,8 +380,8 @@
     rig.start("upstream.attempt_ms = 200", "", rig.dns(a -> { }), rig.dns(a -> { }));
     Message m = udp().ask(Rig.edns(Rig.question(1, "www.example.", Type.MX), 1232, 0));
     assertEquals(Rcode.SERVFAIL, m.getRcode());
-    assertEquals(NO_REACHABLE, Rig.error(m));
-    rig.awaitNothingInHand();
+    assertEquals(NO_REACHABLE_AUTHORITY, Rig.error(m));
+    rig.awaitIdle();
   }
 
   @Test
--- a/dns/src/test/java/cloverpulley/dns/ZonesTest.java
+++ b/dns/src/test/java/cloverpulley/dns/ZonesTest.java
@@ -172,7 +172,7 @@
 
   @Test
   void aColdServerWeighsLessAndRisesAndNothingElseChanges() throws Exception {
-    DnsConfig.FleetNames names = new DnsConfig.FleetNames("fleet.test.", "_quote._tcp", 5, new InetSocketAddress("127.0.0.1", 53),
+    DnsConfig.FleetZoneConfig names = new DnsConfig.FleetZoneConfig("fleet.test.", "_quote._tcp", 5, new InetSocketAddress("127.0.0.1", 53),
         TimeUnit.SECONDS.toNanos(10), 0.3);
     FleetZone zone = new FleetZone(names);
     long now = 1_800_000_000_000L;
@@ -193,7 +193,7 @@
 
   @Test
   void serialsGrowWhateverTheClockDoes() {
-    FleetZone zone = new FleetZone(new DnsConfig.FleetNames("fleet.test.", "_quote._tcp", 5,
+    FleetZone zone = new FleetZone(new DnsConfig.FleetZoneConfig("fleet.test.", "_quote._tcp", 5,
         new InetSocketAddress("127.0.0.1", 53), 0, 1));
     long last = 0;
     for (int i = 0; i < 20; i++) {
