--- a/dns/src/test/java/cloverpulley/dns/CacheTest.java
+++ b/dns/src/test/java/cloverpulley/dns/CacheTest.java
@@ -18,8 +18,8 @@
 import org.xbill.DNS.Rcode;
 import org.xbill.DNS.Section;
 
-/** What is kept, for how long, and what it is good for when no server answers. */
-@Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
+/** Caching, query coalescing, prefetch and stale answers. */
+@Timeout(value = 2 * Rig.TIMEOUT_S, unit = TimeUnit.SECONDS)
 class CacheTest {
 
   private static final int STALE = 3;
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void anAnswerIsKeptForItsTtlAndAges() throws Exception {
+  void answersAreCachedForTheirTtlAndAge() throws Exception {
     StandInDns server = rig.dns(StandInDns.addresses("10.0.0.1"));
     rig.start("", "", server);
     Rig.Udp client = udp();
@@ -50,7 +50,7 @@
   }
 
   @Test
-  void aNameThatIsNotThereIsRememberedAsItsSoaSays() throws Exception {
+  void nxdomainIsCachedForTheSoaMinimum() throws Exception {
     StandInDns server = rig.dns(a -> {
       Message m = a.answer(Rcode.NXDOMAIN);
       try {
@@ -68,7 +68,7 @@
   }
 
   @Test
-  void whatMayNotBeKeptIsNot() throws Exception {
+  void uncacheableAnswersAreNotCached() throws Exception {
     AtomicInteger n = new AtomicInteger();
     StandInDns server = rig.dns(a -> a.reply(n.getAndIncrement() % 2 == 0 ? a.address(0, "10.0.0.1") : a.answer(Rcode.NXDOMAIN)));
     rig.start("", "", server);
@@ -79,7 +79,7 @@
   }
 
   @Test
-  void manyClientsOfOneQuestionAreOneFlight() throws Exception {
+  void concurrentQueriesForOneQuestionAreCoalesced() throws Exception {
     List<Asked> held = java.util.Collections.synchronizedList(new ArrayList<>());
     StandInDns server = rig.dns(held::add);
     rig.start("upstream.attempt_ms = 15000", "", server);
@@ -87,8 +87,8 @@
     for (int i = 0; i < 30; i++) {
       clients.add(udp().send(Rig.question(i, i % 2 == 0 ? "www.example." : "WWW.example.")));
     }
-    Rig.await("all have joined", () -> rig.server.onLoop(() -> rig.server.counts().joined) == 29);
-    Rig.await("the server has been asked", () -> held.size() == 1);
+    Rig.await("all queries joined", () -> rig.server.onLoop(() -> rig.server.counts().joined) == 29);
+    Rig.await("server got the query", () -> held.size() == 1);
     held.get(0).reply(held.get(0).address(60, "10.0.0.1"));
     for (int i = 0; i < 30; i++) {
       Message m = clients.get(i).answer();
@@ -98,44 +98,44 @@
     assertEquals(1, server.seen().size());
   }
 
-  /** A client that joined late has time left when the first one's is up: it is not failed with it. */
+  /** A query that joined an in-flight query later must not fail when the first one's deadline passes. */
   @Test
-  void whoJoinsLaterHasItsOwnTime() throws Exception {
-    AtomicBoolean answers = new AtomicBoolean();
+  void joinedQueryKeepsItsOwnDeadline() throws Exception {
+    AtomicBoolean answering = new AtomicBoolean();
     StandInDns server = rig.dns(a -> {
-      if (answers.get()) {
+      if (answering.get()) {
         a.reply(a.address(60, "10.0.0.1"));
       }
     });
     rig.start("upstream.attempt_ms = 15000", "", server);
     Rig.Udp first = udp().send(Rig.question(1, "www.example.", org.xbill.DNS.Type.MX));
-    Rig.await("the first is on its way", () -> server.seen().size() == 1);
-    TimeUnit.MILLISECONDS.sleep(200); // A third of the first one's time, so that the second has so much more.
+    Rig.await("first query forwarded", () -> server.seen().size() == 1);
+    TimeUnit.MILLISECONDS.sleep(200); // A third of the first query's deadline, by which the second one's is later.
     Rig.Udp second = udp().send(Rig.question(2, "www.example.", org.xbill.DNS.Type.MX));
-    Rig.await("the second has joined", () -> rig.server.onLoop(() -> rig.server.counts().joined) == 1);
-    answers.set(true);
+    Rig.await("second query joined", () -> rig.server.onLoop(() -> rig.server.counts().joined) == 1);
+    answering.set(true);
     assertEquals(Rcode.SERVFAIL, first.answer().getRcode());
     Message m = second.answer();
     assertEquals(2, m.getHeader().getID());
-    assertEquals(2L, rig.server.onLoop(() -> rig.server.counts().flights), "it was put to the module anew");
+    assertEquals(2L, rig.server.onLoop(() -> rig.server.counts().flights), "the second query was started again");
     rig.awaitIdle();
   }
 
-  /** All servers are silent: there is a stale answer, marked as such; elsewhere a SERVFAIL in time; and then all is well again. */
+  /** With all servers unresponsive, cached names get stale answers marked as such and others SERVFAIL in time, until the servers recover. */
   @Test
-  void staleAnswersBridgeAnOutage() throws Exception {
-    AtomicBoolean out = new AtomicBoolean();
+  void staleAnswersAreServedDuringAnOutage() throws Exception {
+    AtomicBoolean outage = new AtomicBoolean();
     StandInDns server = rig.dns(a -> {
-      if (!out.get()) {
+      if (!outage.get()) {
         a.reply(a.address(1, "10.0.0.1"));
       }
     });
     rig.start("upstream.attempt_ms = 100\ncache.stale_wait_ms = 10000", "", server);
     assertEquals("10.0.0.1", Rig.text(udp().ask(Rig.question(1, "www.example.", org.xbill.DNS.Type.A))));
-    out.set(true);
+    outage.set(true);
     Message[] stale = new Message[1];
     Rig.Udp client = udp();
-    Rig.await("the answer is past its TTL", () -> {
+    Rig.await("stale answer", () -> {
       try {
         Message m = client.ask(Rig.edns(Rig.question(2, "www.example."), 1232, 0));
         stale[0] = m;
@@ -145,10 +145,10 @@
       }
     });
     assertEquals("10.0.0.1", Rig.text(stale[0]));
-    assertEquals(1, stale[0].getSection(Section.ANSWER).get(0).getTTL(), "no longer than it was good for when it came");
+    assertEquals(1, stale[0].getSection(Section.ANSWER).get(0).getTTL(), "stale TTL is capped at the original TTL");
     assertEquals(Rcode.SERVFAIL, udp().ask(Rig.question(3, "other.example.", org.xbill.DNS.Type.MX)).getRcode());
-    out.set(false);
-    Rig.await("it is fresh again", () -> {
+    outage.set(false);
+    Rig.await("fresh answer after recovery", () -> {
       try {
         return Rig.error(client.ask(Rig.edns(Rig.question(4, "www.example."), 1232, 0))) == -1;
       } catch (Exception e) {
@@ -158,9 +158,9 @@
     rig.awaitIdle();
   }
 
-  /** A server that is merely slow: who has waited long enough gets the stale answer, and the flight fills the cache. */
+  /** With a slow server, clients get the stale answer after a while, and the in-flight query still refreshes the cache. */
   @Test
-  void aSlowServerDoesNotKeepPeopleWaitingWhereThereIsAStaleAnswer() throws Exception {
+  void staleAnswerIsServedWhileTheServerIsSlow() throws Exception {
     List<Asked> held = java.util.Collections.synchronizedList(new ArrayList<>());
     AtomicBoolean slow = new AtomicBoolean();
     StandInDns server = rig.dns(a -> {
@@ -174,7 +174,7 @@
     udp().ask(Rig.question(1, "www.example."));
     slow.set(true);
     Rig.Udp client = udp();
-    Rig.await("a stale answer", () -> {
+    Rig.await("stale answer", () -> {
       try {
         return Rig.error(client.ask(Rig.edns(Rig.question(2, "www.example."), 1232, 0))) == STALE;
       } catch (Exception e) {
@@ -182,7 +182,7 @@
       }
     });
     held.get(0).reply(held.get(0).address(60, "10.0.0.2"));
-    Rig.await("the cache has the new one", () -> {
+    Rig.await("new answer cached", () -> {
       try {
         return Rig.text(client.ask(Rig.question(3, "www.example."))).equals("10.0.0.2");
       } catch (Exception e) {
@@ -192,11 +192,11 @@
   }
 
   @Test
-  void popularNamesAreAskedForBeforeTheyExpire() throws Exception {
+  void popularNamesArePrefetched() throws Exception {
     StandInDns server = rig.dns(a -> a.reply(a.address(2, "10.0.0.1")));
     rig.start("cache.prefetch_part = 0.9\ncache.prefetch_hits = 2\nlimits.udp_per_prefix_per_s = 0", "", server);
     Rig.Udp client = udp();
-    Rig.await("it was asked for ahead", () -> {
+    Rig.await("name prefetched", () -> {
       try {
         client.ask(Rig.question(1, "www.example."));
         return rig.server.onLoop(() -> rig.server.counts().prefetched) >= 2;
@@ -205,12 +205,12 @@
       }
     });
     rig.awaitIdle();
-    assertEquals(server.seen().size() - 1L, rig.server.onLoop(() -> rig.server.counts().prefetched), "nobody waited but the first");
+    assertEquals(server.seen().size() - 1L, rig.server.onLoop(() -> rig.server.counts().prefetched), "all but the first query were prefetches");
   }
 
-  /** Whatever is kept, its octets stay under the ceiling. */
+  /** The cache stays within its limit in bytes, whatever is stored. */
   @Test
-  void theCacheStaysUnderItsCeiling() throws Exception {
+  void cacheStaysWithinItsSizeLimit() throws Exception {
     Cache cache = new Cache(100_000, new TtlPolicy(new TtlPolicy.Config(1000, 1000, 1000, 0.1, 3)));
     for (int i = 0; i < 5000; i++) {
       Message m = Rig.question(1, "n" + i + ".example.");
@@ -218,7 +218,7 @@
       cloverpulley.dns.wire.Message read = cloverpulley.dns.wire.Message.read(m.toWire(512));
       cache.put(new Cache.Key(read.question(), false, false, true), ResponseTemplate.of(read), read.ttl(), false, i);
     }
-    assertTrue(cache.weight() <= 100_000 && cache.weight() > 50_000, "octets " + cache.weight());
+    assertTrue(cache.weight() <= 100_000 && cache.weight() > 50_000, "bytes " + cache.weight());
     assertTrue(cache.size() < 300, "entries " + cache.size());
   }
 }
--- a/dns/src/test/java/cloverpulley/dns/ConfigTest.java
+++ b/dns/src/test/java/cloverpulley/dns/ConfigTest.java
@@ -18,11 +18,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What operators can write of DNS, and what is said of it where it is wrong. */
+/** Reading and validation of the DNS settings, and the value types built from them. */
 class ConfigTest {
 
-  private static String why(String dns, String rest) {
-    return assertThrows(BadFileException.class, () -> Rig.told(dns, rest + Rig.server("d", "127.0.0.1:53", "ready"))).getMessage();
+  private static String errorOf(String dns, String rest) {
+    return assertThrows(BadFileException.class, () -> Rig.parse(dns, rest + Rig.server("d", "127.0.0.1:53", "ready"))).getMessage();
   }
 
   @ParameterizedTest
@@ -33,30 +33,30 @@
     "upstream.ports = 0|dns.upstream.ports",
     "cache.prefetch_part = 2|dns.cache.prefetch_part",
     "odd = 1|dns.odd: unknown key"})
-  void whatIsWrongIsNamed(String line, String expected) {
-    assertTrue(why(line, "").contains(expected), why(line, ""));
+  void invalidValuesAreReported(String line, String expected) {
+    assertTrue(errorOf(line, "").contains(expected), errorOf(line, ""));
   }
 
   @Test
-  void tablesAreChecked() {
-    assertTrue(why("", "[[dns.match]]\nopcode = \"update\"\nclass = \"query\"\n").contains("expected a class whose effect is unsafe"));
-    assertTrue(why("", "[[dns.match]]\ntypes = [\"NOSUCH\"]\nclass = \"query\"\n").contains("expected types such as A"));
-    assertTrue(why("", "[[dns.match]]\nclass = \"none\"\n").contains("expected the name of a [[dns.class]]"));
-    assertTrue(why("", "[[dns.client]]\nprefix = \"example.com/8\"\ntenant = \"t\"\n").contains("expected a range of addresses"));
-    assertTrue(why("", "[[dns.tsig]]\nname = \"k\"\nsecret = \"!\"\ntenant = \"t\"\n").contains("expected a key in Base64"));
-    assertTrue(why("", "[[dns.zone]]\norigin = \"a..b\"\nfile = \"/none\"\n").contains("expected a domain name"));
-    assertTrue(why("", "[dns.fleet_zone]\norigin = \"a\"\nservice = \"quote\"\n").contains("expected a service such as _quote._tcp"));
+  void invalidTablesAreReported() {
+    assertTrue(errorOf("", "[[dns.match]]\nopcode = \"update\"\nclass = \"query\"\n").contains("expected a class whose effect is unsafe"));
+    assertTrue(errorOf("", "[[dns.match]]\ntypes = [\"NOSUCH\"]\nclass = \"query\"\n").contains("expected types such as A"));
+    assertTrue(errorOf("", "[[dns.match]]\nclass = \"none\"\n").contains("expected the name of a [[dns.class]]"));
+    assertTrue(errorOf("", "[[dns.client]]\nprefix = \"example.com/8\"\ntenant = \"t\"\n").contains("expected a range of addresses"));
+    assertTrue(errorOf("", "[[dns.tsig]]\nname = \"k\"\nsecret = \"!\"\ntenant = \"t\"\n").contains("expected a key in Base64"));
+    assertTrue(errorOf("", "[[dns.zone]]\norigin = \"a..b\"\nfile = \"/none\"\n").contains("expected a domain name"));
+    assertTrue(errorOf("", "[dns.fleet_zone]\norigin = \"a\"\nservice = \"quote\"\n").contains("expected a service such as _quote._tcp"));
   }
 
   @Test
-  void classesAreFoundByOpcodeAndType() throws Exception {
-    DnsConfig c = Rig.told("", Rig.server("d", "127.0.0.1:53", "ready")).dns();
+  void classesAreMatchedByOpcodeAndType() throws Exception {
+    DnsConfig c = Rig.parse("", Rig.server("d", "127.0.0.1:53", "ready")).dns();
     assertEquals(List.of("brief"), c.matches().stream().filter(m -> m.types().contains(15)).map(m -> m.type().name()).toList());
-    assertEquals(3, c.matches().stream().filter(m -> m.types().isEmpty()).count(), "one for each opcode that is served");
+    assertEquals(3, c.matches().stream().filter(m -> m.types().isEmpty()).count(), "one default per served opcode");
   }
 
   @Test
-  void prefixesHoldTheirAddresses() throws Exception {
+  void prefixesContainTheirAddresses() throws Exception {
     assertTrue(Prefix.of("10.7.0.0/16").contains(InetAddress.getByName("10.7.200.1")));
     assertFalse(Prefix.of("10.7.0.0/16").contains(InetAddress.getByName("10.8.0.1")));
     assertTrue(Prefix.of("10.7.128.0/17").contains(InetAddress.getByName("10.7.200.1")));
@@ -73,10 +73,10 @@
         Prefix.networkKey(InetAddress.getByName("2001:db8:0:ff::2"), 24, 56));
   }
 
-  /** A prefix holds an address when both have the same first bits, whatever they are. */
+  /** A prefix contains an address if and only if both have the same leading bits. */
   @Property(seed = "20261201", tries = 500)
-  void aPrefixHoldsWhatBeginsAsItDoes(@ForAll @Size(4) byte[] address, @ForAll @Size(4) byte[] other, @ForAll @IntRange(max = 32) int bits)
-      throws Exception {
+  void prefixContainsAddressesWithTheSameLeadingBits(@ForAll @Size(4) byte[] address, @ForAll @Size(4) byte[] other,
+      @ForAll @IntRange(max = 32) int bits) throws Exception {
     int a = java.nio.ByteBuffer.wrap(address).getInt();
     int b = java.nio.ByteBuffer.wrap(other).getInt();
     boolean same = bits == 0 || a >>> 32 - bits == b >>> 32 - bits;
@@ -87,35 +87,35 @@
     }
   }
 
-  /** Repeats are known from their first coming until their time is over, and no more are kept than may be. */
+  /** Duplicates are detected until their entry expires, and the number of entries is bounded. */
   @Property(seed = "20261201", tries = 200)
-  void repeatsAreBoundedAndNeverForgottenInHand(@ForAll @Size(min = 1, max = 60) List<@IntRange(max = 9) Integer> ids) throws Exception {
+  void duplicatesAreBoundedAndNeverEvictedWhileInProgress(@ForAll @Size(min = 1, max = 60) List<@IntRange(max = 9) Integer> ids) throws Exception {
     DuplicateRequestCache duplicates = new DuplicateRequestCache(5, 100);
-    java.util.Map<Integer, Boolean> inHand = new java.util.HashMap<>();
+    java.util.Map<Integer, Boolean> inProgress = new java.util.HashMap<>();
     long now = 0;
     for (int id : ids) {
       now += 30;
       DuplicateRequestCache.Key key = new DuplicateRequestCache.Key(
-          new Query(cloverpulley.dns.wire.Message.read(Rig.question(id, "a.test.").toWire(512)), new Nobody(), now));
+          new Query(cloverpulley.dns.wire.Message.read(Rig.question(id, "a.test.").toWire(512)), new FakeClient(), now));
       if (duplicates.isKnown(key)) {
-        assertEquals(inHand.get(id), duplicates.answer(key) == null);
-        if (inHand.get(id)) {
+        assertEquals(inProgress.get(id), duplicates.answer(key) == null);
+        if (inProgress.get(id)) {
           duplicates.complete(key, new byte[] {(byte) id}, now);
-          inHand.put(id, false);
+          inProgress.put(id, false);
         } else {
-          assertEquals((byte) id, duplicates.answer(key)[0], "its own answer");
+          assertEquals((byte) id, duplicates.answer(key)[0], "answer to the same message");
         }
       } else {
-        assertFalse(inHand.getOrDefault(id, false), "one in hand is never forgotten");
+        assertFalse(inProgress.getOrDefault(id, false), "an entry in progress is never evicted");
         if (duplicates.tryAdd(key, now)) {
-          inHand.put(id, true);
+          inProgress.put(id, true);
         }
       }
       assertTrue(duplicates.size() <= 5);
     }
   }
 
-  private static final class Nobody implements Query.Client {
+  private static final class FakeClient implements Query.Client {
     @Override
     public InetAddress address() {
       return InetAddress.getLoopbackAddress();
--- a/dns/src/test/java/cloverpulley/dns/CookiesTest.java
+++ b/dns/src/test/java/cloverpulley/dns/CookiesTest.java
@@ -13,9 +13,9 @@
 
   private static final HexFormat HEX = HexFormat.of();
 
-  /** RFC 9018, appendix A.1: the cookie learned by a client at 198.51.100.100 on 2019-06-05 12:42:30 UTC. */
+  /** The example of RFC 9018, appendix A.1: a client at 198.51.100.100 on 2019-06-05 12:42:30 UTC. */
   @Test
-  void theStandardsExampleComesOut() {
+  void createsTheCookieOfRfc9018() {
     Cookies cookies = new Cookies(HEX.parseHex("e5e973e5a6b2a43f48e7dc849e37bfcf"));
     byte[] address = {(byte) 198, 51, 100, 100};
     byte[] made = cookies.create(HEX.parseHex("2464c4abcf10c957"), address, 1559731985L);
@@ -23,9 +23,9 @@
     assertTrue(cookies.isValid(made, address, 1559731985L));
   }
 
-  /** The first vectors of SipHash's authors: key 00..0f, input 00, 01, ... of each length. */
+  /** Test vectors of SipHash's authors: key 00..0f, inputs 00, 01, ... by length. */
   @Test
-  void sipHashIsThatOfItsAuthors() {
+  void sipHashMatchesTheReferenceVectors() {
     byte[] key = new byte[16];
     byte[] input = new byte[16];
     for (int i = 0; i < 16; i++) {
@@ -38,7 +38,7 @@
   }
 
   @Test
-  void aCookieIsGoodForItsAddressAndItsHour() {
+  void cookieIsValidForItsAddressAndOneHour() {
     Cookies cookies = new Cookies(new byte[16]);
     byte[] mine = {10, 0, 0, 1};
     byte[] cookie = cookies.create(new byte[] {1, 2, 3, 4, 5, 6, 7, 8}, mine, 10_000);
--- a/dns/src/test/java/cloverpulley/dns/FloodTest.java
+++ b/dns/src/test/java/cloverpulley/dns/FloodTest.java
@@ -16,25 +16,25 @@
 import org.xbill.DNS.Message;
 
 /**
- * Floods, and what the good clients get meanwhile: all of their answers, asking again where the kernel had no room for a datagram, as
- * all clients do. How quickly is the bench's matter.
+ * Legitimate clients get all their answers during a flood, if they retry queries that the kernel dropped, as all clients do. Latency is
+ * measured by the bench.
  */
-@Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
+@Timeout(value = 2 * Rig.TIMEOUT_S, unit = TimeUnit.SECONDS)
 class FloodTest {
 
-  private static final int GOOD = 100;
+  private static final int QUERIES = 100;
   private static final int BURST = 20;
   private static final int PAUSE_MS = 5;
 
   private final Rig rig = new Rig();
-  private final AtomicBoolean over = new AtomicBoolean();
+  private final AtomicBoolean stopped = new AtomicBoolean();
   private final List<Thread> floods = new ArrayList<>();
 
   @AfterEach
   void close() throws Exception {
-    over.set(true);
+    stopped.set(true);
     for (Thread t : floods) {
-      t.join(TimeUnit.SECONDS.toMillis(Rig.LIMIT_S));
+      t.join(TimeUnit.SECONDS.toMillis(Rig.TIMEOUT_S));
     }
     rig.close();
   }
@@ -46,14 +46,14 @@
   private void flood(Step step) {
     Thread t = new Thread(() -> {
       try {
-        for (int n = 0; !over.get(); n++) {
+        for (int n = 0; !stopped.get(); n++) {
           step.run(n);
           if (n % BURST == 0) {
-            TimeUnit.MILLISECONDS.sleep(PAUSE_MS); // Some thousands a second: a flood, and not all that a core can send.
+            TimeUnit.MILLISECONDS.sleep(PAUSE_MS); // Some thousands a second: a flood, but less than a core can send.
           }
         }
       } catch (Exception e) {
-        // Cut off, as may be.
+        // The server may close the connection.
       }
     });
     t.setDaemon(true);
@@ -61,45 +61,45 @@
     t.start();
   }
 
-  /** Good clients ask over both transports; each has its answer, and the right one. */
-  private void goodClientsAreServed() throws Exception {
-    Message learned = new Message(1);
-    Rig.edns(learned, 1232, 0, new CookieOption(new byte[8]));
+  /** Queries over both transports; each must get the right answer. */
+  private void assertLegitimateClientsAreServed() throws Exception {
+    Message cookieQuery = new Message(1);
+    Rig.edns(cookieQuery, 1232, 0, new CookieOption(new byte[8]));
     try (Rig.Udp udp = new Rig.Udp(rig.server.address()); Rig.Tcp tcp = new Rig.Tcp(rig.server.address())) {
-      // The cookie comes over TCP, where no limit holds, as after a short answer.
-      CookieOption cookie = (CookieOption) tcp.ask(learned).getOPT().getOptions().get(0);
-      for (int i = 0; i < GOOD; i++) {
+      // Gets the cookie over TCP, which is not rate limited, as a client does after a truncated answer.
+      CookieOption cookie = (CookieOption) tcp.ask(cookieQuery).getOPT().getOptions().get(0);
+      for (int i = 0; i < QUERIES; i++) {
         assertEquals("10.0.0.1", Rig.text(tcp.ask(Rig.question(i, "g" + i % 20 + ".example."))));
-        assertEquals("10.0.0.1", Rig.text(patient(udp, Rig.edns(Rig.question(i, "g" + i % 20 + ".example."), 1232, 0, cookie))));
+        assertEquals("10.0.0.1", Rig.text(askWithRetries(udp, Rig.edns(Rig.question(i, "g" + i % 20 + ".example."), 1232, 0, cookie))));
       }
     }
   }
 
-  /** Asks again where nothing comes; an answer to an earlier try bears the same id and is as good. */
-  private static Message patient(Rig.Udp client, Message m) throws Exception {
+  /** Retries on timeout; an answer to an earlier attempt has the same id and counts as well. */
+  private static Message askWithRetries(Rig.Udp client, Message m) throws Exception {
     client.timeout(100);
     for (int i = 0; i < 50; i++) {
       client.send(m);
       try {
         Message answer = client.answer();
         while (answer.getHeader().getID() != m.getHeader().getID()) {
-          answer = client.answer(); // A second one to a question that was asked twice.
+          answer = client.answer(); // A duplicate answer to an earlier, retried query.
         }
         return answer;
       } catch (java.net.SocketTimeoutException e) {
-        // Once more.
+        // Retry.
       }
     }
-    throw new AssertionError("never answered");
+    throw new AssertionError("no answer after 50 attempts");
   }
 
   private void start(String dns) throws Exception {
     rig.start(dns, "", rig.dns(StandInDns.addresses("10.0.0.1")));
   }
 
-  /** Datagrams from many addresses, each prefix far past its rate. */
+  /** Datagrams from many prefixes, each far over its rate. */
   @Test
-  void datagramsFromForgedPrefixes() throws Exception {
+  void floodFromManyPrefixes() throws Exception {
     start("limits.udp_per_prefix_per_s = 20\nlimits.prefixes = 1000");
     for (int i = 0; i < 4; i++) {
       List<Rig.Udp> senders = new ArrayList<>();
@@ -108,12 +108,12 @@
       }
       flood(n -> senders.get(n % senders.size()).send(Rig.question(n & 0xFFFF, "f" + n + ".example.")));
     }
-    Rig.await("the flood is on", () -> rig.server.onLoop(() -> rig.server.counts().dropped) > 1000);
-    goodClientsAreServed();
+    Rig.await("flood started", () -> rig.server.onLoop(() -> rig.server.counts().dropped) > 1000);
+    assertLegitimateClientsAreServed();
   }
 
   @Test
-  void noise() throws Exception {
+  void randomDatagrams() throws Exception {
     start("");
     SplittableRandom random = new SplittableRandom(20261201);
     Rig.Udp sender = rig.keep(new Rig.Udp(rig.server.address(), "127.9.9.9"));
@@ -122,31 +122,31 @@
       random.nextBytes(octets);
       sender.send(octets);
     });
-    Rig.await("the flood is on", () -> rig.server.onLoop(() -> rig.server.counts().malformed) > 1000);
-    goodClientsAreServed();
+    Rig.await("flood started", () -> rig.server.onLoop(() -> rig.server.counts().malformed) > 1000);
+    assertLegitimateClientsAreServed();
   }
 
-  /** Connections that say nothing, or one octet at a time; those of one client are bounded, and their places are taken back. */
+  /** Connections that send nothing or an incomplete message: their number is limited, and idle ones are closed to make room. */
   @Test
-  void connectionsThatSayNothing() throws Exception {
+  void idleAndSlowConnections() throws Exception {
     start("limits.tcp_idle_ms = 1000\nlimits.tcp_message_ms = 500\nlimits.tcp_connections = 50\nlimits.tcp_per_client = 1000");
     flood(n -> {
-      rig.keepQuietly(new Rig.Tcp(rig.server.address()));
+      rig.keepConcurrently(new Rig.Tcp(rig.server.address()));
       TimeUnit.MICROSECONDS.sleep(500);
     });
     flood(n -> {
       Rig.Tcp c = new Rig.Tcp(rig.server.address());
-      rig.keepQuietly(c);
+      rig.keepConcurrently(c);
       c.write(new byte[] {0, 40, 1});
       TimeUnit.MILLISECONDS.sleep(20);
     });
-    Rig.await("the flood is on", () -> rig.server.onLoop(() -> rig.server.counts().turnedAway) > 100);
+    Rig.await("flood started", () -> rig.server.onLoop(() -> rig.server.counts().turnedAway) > 100);
     try (Rig.Udp udp = new Rig.Udp(rig.server.address())) {
-      for (int i = 0; i < GOOD; i++) {
-        assertEquals("10.0.0.1", Rig.text(patient(udp, Rig.question(i, "g" + i % 20 + ".example."))));
+      for (int i = 0; i < QUERIES; i++) {
+        assertEquals("10.0.0.1", Rig.text(askWithRetries(udp, Rig.question(i, "g" + i % 20 + ".example."))));
       }
     }
-    // A connection that is worked on is not the one that goes.
+    // A connection in use is not evicted.
     try (Rig.Tcp tcp = new Rig.Tcp(rig.server.address())) {
       assertEquals("10.0.0.1", Rig.text(tcp.ask(Rig.question(1, "tcp.example."))));
     }
@@ -154,7 +154,7 @@
   }
 
   @Test
-  void queriesWithoutReadingTheAnswers() throws Exception {
+  void clientsThatDoNotReadAnswers() throws Exception {
     String[] records = new String[200];
     for (int i = 0; i < records.length; i++) {
       records[i] = "big.example. 600 A 10.0.1." + i;
@@ -169,15 +169,15 @@
           for (int k = 0; k < 500; k++) {
             System.arraycopy(one, 0, many, k * one.length, one.length);
           }
-          while (!over.get()) {
+          while (!stopped.get()) {
             c.write(many);
           }
         } catch (java.io.IOException e) {
-          // Cut off; the next one comes.
+          // Disconnected; opens the next connection.
         }
       });
     }
-    Rig.await("they are cut off", () -> rig.server.onLoop(() -> rig.server.counts().turnedAway) >= 4);
-    goodClientsAreServed();
+    Rig.await("clients disconnected", () -> rig.server.onLoop(() -> rig.server.counts().turnedAway) >= 4);
+    assertLegitimateClientsAreServed();
   }
 }
--- a/dns/src/test/java/cloverpulley/dns/FrontTest.java
+++ b/dns/src/test/java/cloverpulley/dns/FrontTest.java
@@ -28,8 +28,8 @@
 import org.xbill.DNS.TcpKeepaliveOption;
 import org.xbill.DNS.Type;
 
-/** What clients see of the front, over both transports, whatever they send. */
-@Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
+/** The frontend as clients see it: responses, limits and connection handling over UDP and TCP. */
+@Timeout(value = 2 * Rig.TIMEOUT_S, unit = TimeUnit.SECONDS)
 class FrontTest {
 
   private final Rig rig = new Rig();
@@ -52,21 +52,21 @@
   }
 
   @Test
-  void bothTransportsAnswer() throws Exception {
+  void answersOverUdpAndTcp() throws Exception {
     start("", "");
-    Message over = udp().ask(Rig.question(4711, "Www.Example."));
-    assertEquals(4711, over.getHeader().getID());
-    assertEquals("10.0.0.1", Rig.text(over));
-    assertEquals("Www.Example.", over.getQuestion().getName().toString(), "the letters as the client wrote them");
-    assertTrue(over.getHeader().getFlag(Flags.RA) && over.getHeader().getFlag(Flags.RD) && !over.getHeader().getFlag(Flags.AA));
-    assertNull(over.getOPT(), "no EDNS for one that speaks none");
-    Message stream = tcp().ask(Rig.edns(Rig.question(4712, "www.example."), 4096, 0));
-    assertEquals("10.0.0.1", Rig.text(stream));
-    assertEquals(1232, stream.getOPT().getPayloadSize());
+    Message udpAnswer = udp().ask(Rig.question(4711, "Www.Example."));
+    assertEquals(4711, udpAnswer.getHeader().getID());
+    assertEquals("10.0.0.1", Rig.text(udpAnswer));
+    assertEquals("Www.Example.", udpAnswer.getQuestion().getName().toString(), "letter case preserved");
+    assertTrue(udpAnswer.getHeader().getFlag(Flags.RA) && udpAnswer.getHeader().getFlag(Flags.RD) && !udpAnswer.getHeader().getFlag(Flags.AA));
+    assertNull(udpAnswer.getOPT(), "no OPT for a client without EDNS");
+    Message tcpAnswer = tcp().ask(Rig.edns(Rig.question(4712, "www.example."), 4096, 0));
+    assertEquals("10.0.0.1", Rig.text(tcpAnswer));
+    assertEquals(1232, tcpAnswer.getOPT().getPayloadSize());
   }
 
   @Test
-  void whatIsNoMessageGetsAFormerrAndWhatIsNoQueryNothing() throws Exception {
+  void malformedMessagesGetFormerrAndResponsesAreIgnored() throws Exception {
     start("limits.udp_per_prefix_per_s = 0", "");
     Rig.Udp client = udp();
     byte[] good = Rig.question(1, "www.example.").toWire(512);
@@ -78,7 +78,7 @@
     byte[] response = good.clone();
     response[2] |= (byte) 0x80;
     client.send(response).send(new byte[] {1, 2, 3}).send(new byte[0]);
-    client.assertNothingElse(rig.server.address());
+    client.assertNoMoreAnswers(rig.server.address());
     for (int opcode : new int[] {1, 2, 3, 6, 7, 15}) {
       byte[] other = good.clone();
       other[2] = (byte) (opcode << 3);
@@ -88,8 +88,8 @@
     }
     assertEquals(Rcode.REFUSED, client.ask(Rig.question(1, "www.example.", Type.AXFR)).getRcode());
     assertEquals(Rcode.NOTIMP, client.ask(Rig.question(1, "www.example.", Type.MAILB)).getRcode());
-    Message chaos = Rig.question(1, "version.bind.", Type.TXT);
-    byte[] octets = chaos.toWire(512);
+    Message chaosClass = Rig.question(1, "version.bind.", Type.TXT);
+    byte[] octets = chaosClass.toWire(512);
     octets[octets.length - 1] = 3;
     assertEquals(Rcode.REFUSED, client.send(octets).answer().getRcode());
     Message filled = Rig.question(1, "www.example.");
@@ -99,33 +99,33 @@
   }
 
   @Test
-  void ednsIsAnsweredAsItIsSpoken() throws Exception {
+  void ednsVersionAndOptions() throws Exception {
     start("", "");
     Rig.Udp client = udp();
     byte[] next = Rig.edns(Rig.question(1, "www.example."), 1232, 0).toWire(512);
     next[next.length - 5] = 1; // Version 1.
-    Message bad = client.send(next).answer();
-    assertEquals(Rcode.BADVERS, bad.getRcode());
-    assertEquals(0, bad.getOPT().getVersion());
-    // An option that nobody knows is passed over, and keepalive over UDP is no matter (RFC 7828, 3.2.1).
-    Message odd = client.ask(Rig.edns(Rig.question(2, "www.example."), 1232, 0,
+    Message badVersion = client.send(next).answer();
+    assertEquals(Rcode.BADVERS, badVersion.getRcode());
+    assertEquals(0, badVersion.getOPT().getVersion());
+    // Unknown options and keepalive over UDP are ignored (RFC 7828, 3.2.1).
+    Message withUnknownOption = client.ask(Rig.edns(Rig.question(2, "www.example."), 1232, 0,
         new GenericEDNSOption(65_001, new byte[] {1, 2, 3}), new TcpKeepaliveOption()));
-    assertEquals("10.0.0.1", Rig.text(odd));
-    assertEquals(List.of(), odd.getOPT().getOptions());
+    assertEquals("10.0.0.1", Rig.text(withUnknownOption));
+    assertEquals(List.of(), withUnknownOption.getOPT().getOptions());
   }
 
   @Test
-  void aLargeAnswerIsCutWithTcAndWholeOverTcp() throws Exception {
+  void largeAnswerIsTruncatedOverUdpAndCompleteOverTcp() throws Exception {
     String[] records = new String[60];
     for (int i = 0; i < records.length; i++) {
       records[i] = "big.example. 60 A 10.0.1." + i;
     }
     StandInDns server = rig.dns(a -> a.reply(a.answer(0, records)));
     rig.start("", "", server);
-    Message cut = udp().ask(Rig.question(1, "big.example."));
-    assertTrue(cut.getHeader().getFlag(Flags.TC));
-    assertEquals(0, cut.getSection(Section.ANSWER).size());
-    assertEquals(Rcode.NOERROR, cut.getRcode());
+    Message truncated = udp().ask(Rig.question(1, "big.example."));
+    assertTrue(truncated.getHeader().getFlag(Flags.TC));
+    assertEquals(0, truncated.getSection(Section.ANSWER).size());
+    assertEquals(Rcode.NOERROR, truncated.getRcode());
     Message fits = udp().ask(Rig.edns(Rig.question(2, "big.example."), 1232, 0));
     assertFalse(fits.getHeader().getFlag(Flags.TC));
     assertEquals(60, fits.getSection(Section.ANSWER).size());
@@ -133,7 +133,7 @@
   }
 
   @Test
-  void additionalRecordsGoFirstAndThatIsNoTruncation() throws Exception {
+  void additionalRecordsAreOmittedWithoutTc() throws Exception {
     StandInDns server = rig.dns(a -> {
       Message m = a.answer(0, "s.example. 60 A 10.0.0.9");
       for (int i = 0; i < 40; i++) {
@@ -154,7 +154,7 @@
   }
 
   @Test
-  void anyIsKeptSmall() throws Exception {
+  void anyGetsAMinimalAnswer() throws Exception {
     start("", "");
     Message m = udp().ask(Rig.question(1, "www.example.", Type.ANY));
     assertEquals(1, m.getSection(Section.ANSWER).size());
@@ -162,7 +162,7 @@
   }
 
   @Test
-  void cookiesAreGivenAndFreeTheirBringerFromTheLimit() throws Exception {
+  void validCookieBypassesTheRateLimit() throws Exception {
     start("limits.udp_per_prefix_per_s = 2\nlimits.slip = 1", "");
     Rig.Udp client = udp();
     CookieOption own = new CookieOption(HexFormat.of().parseHex("0102030405060708"));
@@ -182,11 +182,11 @@
           new CookieOption(own.getClientCookie(), forged)));
       slipped += m.getHeader().getFlag(Flags.TC) ? 1 : 0;
     }
-    assertTrue(slipped >= 7, "past the rate only short answers: " + slipped);
+    assertTrue(slipped >= 7, "truncated answers past the rate: " + slipped);
   }
 
   @Test
-  void aQuestionForACookieAloneIsAnswered() throws Exception {
+  void cookieOnlyQueryIsAnswered() throws Exception {
     start("", "");
     Message m = new Message(7);
     Rig.edns(m, 1232, 0, new CookieOption(new byte[8]));
@@ -197,13 +197,13 @@
   }
 
   @Test
-  void pastItsRateAPrefixGetsShortAnswersAndTcpGoesOn() throws Exception {
+  void prefixOverItsRateIsLimitedOverUdpOnly() throws Exception {
     start("limits.udp_per_prefix_per_s = 3\nlimits.slip = 2", "");
     Rig.Udp client = udp();
     for (int i = 0; i < 40; i++) {
       client.send(Rig.question(i, "www.example."));
     }
-    Rig.await("all were seen", () -> rig.server.onLoop(() -> rig.server.counts().queries) == 40);
+    Rig.await("all queries received", () -> rig.server.onLoop(() -> rig.server.counts().queries) == 40);
     rig.awaitIdle();
     long answered = rig.server.onLoop(() -> rig.server.counts().answers);
     long dropped = rig.server.onLoop(() -> rig.server.counts().dropped);
@@ -216,7 +216,7 @@
   // ---- TCP -----------------------------------------------------------------------------------------------
 
   @Test
-  void severalQueriesInOneSegmentAreAnsweredOutOfOrder() throws Exception {
+  void pipelinedQueriesAreAnsweredOutOfOrder() throws Exception {
     StandInDns server = rig.dns(a -> {
       if (a.name().startsWith("slow")) {
         a.replyAfter(300, a.address(60, "10.0.0.2"));
@@ -242,7 +242,7 @@
   }
 
   @Test
-  void aMessageInSingleOctetsIsOneMessage() throws Exception {
+  void messageMayArriveByteByByte() throws Exception {
     start("", "");
     Rig.Tcp client = tcp();
     byte[] framed = Rig.Tcp.framed(Rig.question(9, "www.example.").toWire(512));
@@ -253,7 +253,7 @@
   }
 
   @Test
-  void keepaliveIsGrantedWhereItIsAskedFor() throws Exception {
+  void keepaliveIsSentOnRequest() throws Exception {
     start("limits.tcp_idle_ms = 7000", "");
     Message m = tcp().ask(Rig.edns(Rig.question(1, "www.example."), 1232, 0, new TcpKeepaliveOption()));
     EDNSOption option = m.getOPT().getOptions().get(0);
@@ -261,29 +261,29 @@
   }
 
   @Test
-  void idleSlowAndSilentConnectionsAreClosed() throws Exception {
+  void idleSlowAndInvalidConnectionsAreClosed() throws Exception {
     start("limits.tcp_idle_ms = 200\nlimits.tcp_message_ms = 300", "");
-    assertTrue(tcp().ends(), "one that says nothing");
+    assertTrue(tcp().ends(), "idle connection");
     Rig.Tcp half = tcp().write(new byte[] {0, 40, 1});
-    assertTrue(half.ends(), "one that stops in mid-message");
-    Rig.Tcp bad = tcp().write(new byte[] {0, 3, 1, 2, 3});
-    assertTrue(bad.ends(), "one whose lengths can't be");
-    Rig.await("all are gone", () -> rig.server.connections() == 0);
+    assertTrue(half.ends(), "incomplete message");
+    Rig.Tcp invalid = tcp().write(new byte[] {0, 3, 1, 2, 3});
+    assertTrue(invalid.ends(), "invalid length");
+    Rig.await("all connections closed", () -> rig.server.connections() == 0);
   }
 
   @Test
-  void connectionsAreBoundedByClientAndInAll() throws Exception {
+  void connectionsPerClientAreLimited() throws Exception {
     start("limits.tcp_per_client = 3\nlimits.tcp_idle_ms = 60000", "");
     Rig.Tcp first = tcp();
     assertEquals("10.0.0.1", Rig.text(first.ask(Rig.question(1, "www.example."))));
     tcp().ask(Rig.question(1, "www.example."));
     tcp().ask(Rig.question(1, "www.example."));
-    assertTrue(tcp().ends(), "the fourth of one client");
+    assertTrue(tcp().ends(), "fourth connection of one client");
     assertEquals("10.0.0.1", Rig.text(first.ask(Rig.question(2, "www.example."))));
   }
 
   @Test
-  void theConnectionIdleLongestGoesForANewOne() throws Exception {
+  void longestIdleConnectionIsClosedForANewOne() throws Exception {
     start("limits.tcp_connections = 2\nlimits.tcp_idle_ms = 60000", "");
     Rig.Tcp first = tcp();
     first.ask(Rig.question(1, "www.example."));
@@ -295,9 +295,9 @@
     assertEquals("10.0.0.1", Rig.text(second.ask(Rig.question(1, "www.example."))));
   }
 
-  /** Whoever asks without reading is not read either, and goes in the end; what is kept for it stays bounded. */
+  /** The server stops reading from a client that doesn't read its answers, and disconnects it in the end; buffered data stays bounded. */
   @Test
-  void aClientThatDoesNotReadItsAnswersIsCutOff() throws Exception {
+  void clientThatDoesNotReadIsDisconnected() throws Exception {
     String[] records = new String[200];
     for (int i = 0; i < records.length; i++) {
       records[i] = "big.example. 600 A 10.0.1." + i;
@@ -305,7 +305,7 @@
     rig.start("limits.tcp_stall_ms = 400", "", rig.dns(a -> a.reply(a.answer(0, records))));
     Rig.Tcp good = tcp();
     good.ask(Rig.question(1, "big.example."));
-    Rig.Tcp bad = tcp();
+    Rig.Tcp stalled = tcp();
     byte[] one = Rig.Tcp.framed(Rig.question(2, "big.example.").toWire(512));
     byte[] many = new byte[one.length * 1000];
     for (int i = 0; i < 1000; i++) {
@@ -314,22 +314,22 @@
     Thread writer = new Thread(() -> {
       try {
         while (true) {
-          bad.write(many);
+          stalled.write(many);
         }
       } catch (java.io.IOException e) {
-        // Cut off, as it has to be.
+        // Expected: disconnected by the server.
       }
     });
     writer.start();
-    Rig.await("it is cut off", () -> rig.server.onLoop(() -> rig.server.counts().turnedAway) >= 1);
+    Rig.await("client disconnected", () -> rig.server.onLoop(() -> rig.server.counts().turnedAway) >= 1);
     assertEquals(200, good.ask(Rig.question(3, "big.example.")).getSection(Section.ANSWER).size());
-    writer.join(TimeUnit.SECONDS.toMillis(Rig.LIMIT_S));
+    writer.join(TimeUnit.SECONDS.toMillis(Rig.TIMEOUT_S));
     assertFalse(writer.isAlive());
   }
 
-  /** No more than so many of one connection's queries are open; the rest wait unread and are all answered. */
+  /** Queries beyond the pipelining limit of a connection wait unread, and all are answered. */
   @Test
-  void pipeliningIsBoundedAndNothingIsLost() throws Exception {
+  void pipeliningIsLimitedWithoutLoss() throws Exception {
     StandInDns server = rig.dns(a -> a.replyAfter(50, a.address(60, "10.0.0.3")));
     rig.start("limits.tcp_pipelined = 5", "", server);
     ByteArrayOutputStream segment = new ByteArrayOutputStream();
@@ -346,40 +346,41 @@
   }
 
   @Test
-  void aClientThatHangsUpIsForgotten() throws Exception {
+  void queriesOfADisconnectedClientAreCancelled() throws Exception {
     rig.start("", "", rig.dns(a -> { }));
     Rig.Tcp client = tcp().send(Rig.question(1, "www.example."));
-    Rig.await("in hand", () -> rig.server.pendingRequests() == 1);
+    Rig.await("query pending", () -> rig.server.pendingRequests() == 1);
     client.close();
     rig.awaitIdle();
     assertNotNull(rig.server.report());
   }
 
   /**
-   * Who pipelines without end, and more than it may have open, is held back by its own socket. Before, all of it was read and kept.
+   * A client that keeps sending queries beyond the pipelining limit is slowed down by TCP flow control. Guards against reading and buffering
+   * all of them.
    */
   @Test
-  void whatMayNotBeOpenYetIsLeftInTheSocket() throws Exception {
+  void queriesBeyondThePipeliningLimitStayUnread() throws Exception {
     rig.start("limits.tcp_pipelined = 2\nupstream.attempt_ms = 15000", "", rig.dns(a -> { }));
     byte[] one = Rig.Tcp.framed(Rig.question(1, "held.example.").toWire(512));
     java.nio.ByteBuffer many = java.nio.ByteBuffer.allocate(one.length * 1000);
     while (many.hasRemaining()) {
       many.put(one);
     }
-    long most = 64 << 20; // No socket buffers are as large.
+    long maxBytes = 64 << 20; // More than all socket buffers hold.
     try (java.nio.channels.SocketChannel client = java.nio.channels.SocketChannel.open(rig.server.address())) {
       client.configureBlocking(false);
       long sent = 0;
-      for (int full = 0; full < 50 && sent < most;) {
+      for (int full = 0; full < 50 && sent < maxBytes;) {
         many.rewind();
         int n = client.write(many);
         sent += n;
         full = n == 0 ? full + 1 : 0;
-        rig.server.onLoop(() -> null); // It has had its turn to read.
+        rig.server.onLoop(() -> null); // Lets the event loop read.
       }
-      assertTrue(sent < most, "all was read: " + sent);
-      int held = rig.server.unreadBytes();
-      assertTrue(held < 1 << 20, "held " + held);
+      assertTrue(sent < maxBytes, "everything was read: " + sent);
+      int buffered = rig.server.unreadBytes();
+      assertTrue(buffered < 1 << 20, "buffered " + buffered);
     }
   }
 }
--- a/dns/src/test/java/cloverpulley/dns/MessageTest.java
+++ b/dns/src/test/java/cloverpulley/dns/MessageTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.Test;
 import org.xbill.DNS.Section;
 
-/** The reading of messages, against dnsjava's writing of them and against bytes that are none. */
+/** Message parsing and writing, checked against dnsjava and with malformed input. */
 class MessageTest {
 
   private static final HexFormat HEX = HexFormat.of();
@@ -35,7 +35,7 @@
     return HEX.parseHex(hex);
   }
 
-  private static String why(String hex) {
+  private static String errorOf(String hex) {
     return assertThrows(MalformedException.class, () -> Message.read(bytes(hex))).getMessage();
   }
 
@@ -45,9 +45,9 @@
     return label.list().ofMinSize(1).ofMaxSize(6).map(labels -> String.join(".", labels) + ".").list().ofMinSize(1).ofMaxSize(12);
   }
 
-  /** Whatever dnsjava writes, with its compression, is read here, and the octets passed on are the same message. */
+  /** Messages written by dnsjava, with name compression, are parsed correctly, and the template holds the same message. */
   @Property(seed = "20261201", tries = 300)
-  void whatAnotherLibraryWritesIsReadAndTakenApartRight(@ForAll("names") List<String> names, @ForAll @IntRange(max = 100_000) int ttl,
+  void parsesMessagesWrittenByDnsjava(@ForAll("names") List<String> names, @ForAll @IntRange(max = 100_000) int ttl,
       @ForAll boolean opt, @ForAll boolean dnssec) throws Exception {
     org.xbill.DNS.Message m = Rig.question(77, names.get(0));
     m.getHeader().setFlag(org.xbill.DNS.Flags.QR);
@@ -75,9 +75,9 @@
     assertEquals(Math.max(0, ttl - 3), new org.xbill.DNS.Message(aged).getSection(Section.ANSWER).get(0).getTTL());
   }
 
-  /** A question written here is read by dnsjava as it was meant, and reads back the same. */
+  /** dnsjava parses queries written here, and they parse back to the same question. */
   @Property(seed = "20261201", tries = 300)
-  void whatIsWrittenHereAnotherLibraryReads(@ForAll("names") List<String> names, @ForAll @IntRange(max = 65_535) int id,
+  void dnsjavaParsesWrittenQueries(@ForAll("names") List<String> names, @ForAll @IntRange(max = 65_535) int id,
       @ForAll @IntRange(min = 1, max = 0x7FFF) int type) throws Exception {
     Question q = new Question(Names.of(names.get(0)), type, Message.IN);
     byte[] octets = Message.query(id, Message.RD, q, new Edns.Writer(1232, 0, true).cookie(new byte[8]).error(3, "why").bytes());
@@ -92,9 +92,9 @@
     assertTrue(back.edns().dnssecOk());
   }
 
-  /** Any octets are a message or malformed: nothing else is thrown, and nothing is read outside of them. */
+  /** Random octets either parse or throw MalformedException, and no other exception. */
   @Property(seed = "20261201", tries = 5000)
-  void anyOctetsAreReadOrRefused(@ForAll @Size(max = 300) byte[] octets) {
+  void randomOctetsAreParsedOrRejected(@ForAll @Size(max = 300) byte[] octets) {
     try {
       Message m = Message.read(octets);
       m.ttl();
@@ -107,9 +107,9 @@
     }
   }
 
-  /** The same for messages that were right before a few octets were changed. */
+  /** The same for valid messages in which a few octets were changed. */
   @Property(seed = "20261201", tries = 5000)
-  void changedOctetsAreReadOrRefused(@ForAll("names") List<String> names, @ForAll @Size(min = 1, max = 6) List<Integer> places,
+  void corruptedMessagesAreParsedOrRejected(@ForAll("names") List<String> names, @ForAll @Size(min = 1, max = 6) List<Integer> places,
       @ForAll @Size(value = 6) byte[] values) throws Exception {
     org.xbill.DNS.Message m = Rig.edns(Rig.question(77, names.get(0)), 1232, 0);
     for (String name : names) {
@@ -119,61 +119,61 @@
     for (int i = 0; i < places.size(); i++) {
       octets[Math.floorMod(places.get(i), octets.length)] = values[i];
     }
-    anyOctetsAreReadOrRefused(octets);
+    randomOctetsAreParsedOrRejected(octets);
   }
 
   @Test
-  void pointersThatLoopOrLeadForwardAreRefused() {
-    assertEquals("pointer does not point backward", why("0123010000010000000000 00c00c00010001".replace(" ", "")));
-    assertEquals("pointer does not point backward", why("012301000001000000000000c0ff00010001"));
-    assertEquals("pointer does not point backward", why("012301000001000000000000c00000010001"));
-    // The second record's name points at the first's, which points at itself.
+  void loopingAndForwardPointersAreRejected() {
+    assertEquals("pointer does not point backward", errorOf("0123010000010000000000 00c00c00010001".replace(" ", "")));
+    assertEquals("pointer does not point backward", errorOf("012301000001000000000000c0ff00010001"));
+    assertEquals("pointer does not point backward", errorOf("012301000001000000000000c00000010001"));
+    // The second record's name points to the first record's, which points to itself.
     assertEquals("pointer does not point backward",
-        why("012381000000000200000000" + "c00c00010001000000000000" + "c00c00010001000000000000"));
+        errorOf("012381000000000200000000" + "c00c00010001000000000000" + "c00c00010001000000000000"));
   }
 
   @Test
-  void countsAndLengthsThatLieAreRefused() {
-    assertEquals("message shorter than the header", why("0123"));
-    assertEquals("more than one question", why("012301000002000000000000" + "000001000100000100 01".replace(" ", "")));
-    assertEquals("name extends past the end of the message", why("012301000001000000000000"));
-    assertEquals("record extends past the end of the message", why("01230100000100000000000000"));
-    assertEquals("trailing octets", why(QUESTION + "00"));
-    assertEquals("unknown label type", why("01230100000100000000000041" + "00".repeat(70)));
-    assertEquals("record extends past the end of the message", why("0123810000000001000000 00".replace(" ", "") + "0000010001000000000400"));
+  void invalidCountsAndLengthsAreRejected() {
+    assertEquals("message shorter than the header", errorOf("0123"));
+    assertEquals("more than one question", errorOf("012301000002000000000000" + "000001000100000100 01".replace(" ", "")));
+    assertEquals("name extends past the end of the message", errorOf("012301000001000000000000"));
+    assertEquals("record extends past the end of the message", errorOf("01230100000100000000000000"));
+    assertEquals("trailing octets", errorOf(QUESTION + "00"));
+    assertEquals("unknown label type", errorOf("01230100000100000000000041" + "00".repeat(70)));
+    assertEquals("record extends past the end of the message", errorOf("0123810000000001000000 00".replace(" ", "") + "0000010001000000000400"));
     assertEquals("record data does not match its length",
-        why("0123810000000001000000 00".replace(" ", "") + "000001000100000000000501020304 05".replace(" ", "")));
+        errorOf("0123810000000001000000 00".replace(" ", "") + "000001000100000000000501020304 05".replace(" ", "")));
   }
 
   @Test
-  void namesHaveTheirMostOctets() throws Exception {
+  void nameLengthLimitIs255() throws Exception {
     String label = "3f" + "61".repeat(63);
-    String most = label.repeat(3) + "3d" + "61".repeat(61) + "00";
-    assertEquals(255, Message.read(bytes("012301000001000000000000" + most + "00010001")).question().originalName().length);
+    String longest = label.repeat(3) + "3d" + "61".repeat(61) + "00";
+    assertEquals(255, Message.read(bytes("012301000001000000000000" + longest + "00010001")).question().originalName().length);
     assertEquals("name longer than 255 octets",
-        why("012301000001000000000000" + label.repeat(3) + "3e" + "61".repeat(62) + "00" + "00010001"));
+        errorOf("012301000001000000000000" + label.repeat(3) + "3e" + "61".repeat(62) + "00" + "00010001"));
   }
 
   @Test
-  void optRecordsStandWhereTheyMay() {
+  void misplacedOptRecordsAreRejected() {
     String opt = "00002904d0000000000000";
-    assertEquals("misplaced or duplicate OPT record", why(QUESTION.replace("0000000000000765", "0000000000020765") + opt + opt));
+    assertEquals("misplaced or duplicate OPT record", errorOf(QUESTION.replace("0000000000000765", "0000000000020765") + opt + opt));
     assertEquals("misplaced or duplicate OPT record",
-        why(QUESTION.replace("0000000000000765", "0001000000000765") + opt));
+        errorOf(QUESTION.replace("0000000000000765", "0001000000000765") + opt));
     assertEquals("EDNS option extends past the end of its record",
-        why(QUESTION.replace("0000000000000765", "0000000000010765") + "00002904d00000000000040 00a0008".replace(" ", "")));
+        errorOf(QUESTION.replace("0000000000000765", "0000000000010765") + "00002904d00000000000040 00a0008".replace(" ", "")));
     assertEquals("invalid cookie length",
-        why(QUESTION.replace("0000000000000765", "0000000000010765") + "00002904d0000000000005" + "000a000101"));
+        errorOf(QUESTION.replace("0000000000000765", "0000000000010765") + "00002904d0000000000005" + "000a000101"));
   }
 
-  /** Work is bounded by the octets: a message made of pointers to pointers is as quick as any. */
+  /** Guards against quadratic parsing: a message made of pointers to pointers is rejected after a bounded number of steps. */
   @Test
-  void aMessageOfPointersIsRefusedAfterFewSteps() {
+  void chainOfPointersIsRejected() {
     byte[] octets = new byte[65_535];
     octets[2] = (byte) 0x81;
     Message.put16(octets, 6, 3000);
     int at = 12;
-    for (int i = 0; i < 3000; i++) { // Each name is a pointer to the one before.
+    for (int i = 0; i < 3000; i++) { // Each name is a pointer to the previous one.
       Message.put16(octets, at, 0xC000 | Math.max(12, at - 12) & 0x3FFF);
       at += 12;
     }
@@ -181,19 +181,19 @@
   }
 
   @Test
-  void recordsNobodyAskedForAreSeen() throws Exception {
+  void recordsForOtherNamesAreOutOfBailiwick() throws Exception {
     org.xbill.DNS.Message m = Rig.question(1, "www.example.");
     m.getHeader().setFlag(org.xbill.DNS.Flags.QR);
     m.addRecord(cloverpulley.standins.StandInDns.record("c.example. 5 A 10.0.0.1"), Section.ANSWER);
     m.addRecord(cloverpulley.standins.StandInDns.record("b.example. 5 CNAME c.example."), Section.ANSWER);
     m.addRecord(cloverpulley.standins.StandInDns.record("www.example. 5 CNAME b.example."), Section.ANSWER);
-    assertTrue(Message.read(m.toWire(65_535)).isInBailiwick(), "aliases in any order");
+    assertTrue(Message.read(m.toWire(65_535)).isInBailiwick(), "CNAMEs in any order");
     m.addRecord(cloverpulley.standins.StandInDns.record("www.bank. 5 A 10.6.6.6"), Section.ANSWER);
     assertFalse(Message.read(m.toWire(65_535)).isInBailiwick());
   }
 
   @Test
-  void aDnameCoversWhatIsBelowIt() throws Exception {
+  void dnameCoversNamesBelowIt() throws Exception {
     org.xbill.DNS.Message m = Rig.question(1, "a.old.example.");
     m.addRecord(cloverpulley.standins.StandInDns.record("old.example. 5 DNAME new.example."), Section.ANSWER);
     m.addRecord(cloverpulley.standins.StandInDns.record("a.old.example. 5 CNAME a.new.example."), Section.ANSWER);
@@ -204,23 +204,23 @@
   }
 
   @Test
-  void negativeAnswersAreKeptAsTheirSoaSays() throws Exception {
+  void negativeTtlComesFromTheSoa() throws Exception {
     org.xbill.DNS.Message m = Rig.question(1, "no.example.");
     m.getHeader().setFlag(org.xbill.DNS.Flags.QR);
     m.getHeader().setRcode(3);
-    assertEquals(-1, Message.read(m.toWire(65_535)).ttl(), "without an SOA it is not kept");
+    assertEquals(-1, Message.read(m.toWire(65_535)).ttl(), "not cacheable without an SOA");
     m.addRecord(cloverpulley.standins.StandInDns.record("example. 500 SOA ns.example. h.example. 1 2 3 4 60"), Section.AUTHORITY);
     assertEquals(60, Message.read(m.toWire(65_535)).ttl());
   }
 
-  /** An OPT record before others can't be cut off, for names behind it may be pointed to. */
+  /** An OPT record followed by others can't simply be cut off, as compressed names may point past it. */
   @Test
-  void anOptRecordInTheMiddleIsTakenOutAllTheSame() throws Exception {
+  void optRecordInTheMiddleIsRemoved() throws Exception {
     org.xbill.DNS.Message m = Rig.question(1, "www.example.");
     m.addRecord(cloverpulley.standins.StandInDns.record("a.other.test. 5 A 10.0.0.1"), Section.ADDITIONAL);
     byte[] plain = m.toWire(65_535);
     int question = Message.read(plain).questionEnd();
-    // Written by hand, for libraries put it last: the name after it is a pointer to the one before it.
+    // Written by hand because libraries put OPT last: the name after it is a pointer to the one before it.
     byte[] opt = bytes("00002904d0000000000000");
     byte[] pointer = bytes("c0" + HEX.toHexDigits((byte) question) + "00010001000000050004" + "0a000002");
     byte[] octets = Arrays.copyOf(plain, plain.length + opt.length + pointer.length);
@@ -235,7 +235,7 @@
   }
 
   @Test
-  void namesAreWithinZonesByWholeLabels() {
+  void zoneMembershipIsByWholeLabels() {
     assertTrue(Names.isWithin(Names.of("a.example."), Names.of("example.")));
     assertTrue(Names.isWithin(Names.of("example."), Names.of("example.")));
     assertFalse(Names.isWithin(Names.of("badexample."), Names.of("example.")));
--- a/dns/src/test/java/cloverpulley/dns/QuotaTest.java
+++ b/dns/src/test/java/cloverpulley/dns/QuotaTest.java
@@ -19,8 +19,8 @@
 import org.xbill.DNS.Record;
 import org.xbill.DNS.Section;
 
-/** Quotas of DNS clients by prefix, over sockets: cached and forwarded questions alike, and a repeat that is not refused. */
-@Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
+/** Quotas of DNS clients by prefix, over sockets: for cached and forwarded queries, but not for retransmitted updates. */
+@Timeout(value = 2 * Rig.TIMEOUT_S, unit = TimeUnit.SECONDS)
 class QuotaTest {
 
   private static final String QUOTA = """
@@ -48,22 +48,22 @@
   }
 
   private void start(StandInDns server) throws Exception {
-    Rig.Told told = Rig.told("", "[[dns.tenant]]\nname = \"p1\"\n[[dns.client]]\nprefix = \"127.0.0.2/32\"\ntenant = \"p1\"\n"
+    Rig.ParsedConfig parsed = Rig.parse("", "[[dns.tenant]]\nname = \"p1\"\n[[dns.client]]\nprefix = \"127.0.0.2/32\"\ntenant = \"p1\"\n"
         + Rig.servers(server));
     QuotaConfig quota = OperatorsFile.parse("q", QUOTA, s -> QuotaConfig.read(s.table("quota")));
-    rig.server = rig.keep(DnsServer.start(told.dns(), null, 7, Recorder.NONE, quota));
+    rig.server = rig.keep(DnsServer.start(parsed.dns(), null, 7, Recorder.NONE, quota));
   }
 
   @Test
-  void eachIsHeldToItsOwnAndToldWhenToReturn() throws Exception {
+  void eachTenantIsLimitedToItsQuota() throws Exception {
     start(rig.dns(StandInDns.addresses("10.0.0.1")));
     try (Rig.Udp p1 = new Rig.Udp(rig.server.address(), "127.0.0.2"); Rig.Udp other = new Rig.Udp(rig.server.address(), "127.0.0.3")) {
       for (int i = 0; i < 20; i++) {
         assertEquals(Rcode.NOERROR, p1.ask(Rig.question(i, i % 2 == 0 ? "cached.example." : "n" + i + ".example.")).getRcode());
       }
-      Message refused = p1.ask(Rig.edns(Rig.question(99, "cached.example."), 1232, 0));
-      assertEquals(Rcode.REFUSED, refused.getRcode());
-      assertTrue(refused.getOPT().toString().contains("quota"), refused.getOPT().toString());
+      Message rejected = p1.ask(Rig.edns(Rig.question(99, "cached.example."), 1232, 0));
+      assertEquals(Rcode.REFUSED, rejected.getRcode());
+      assertTrue(rejected.getOPT().toString().contains("quota"), rejected.getOPT().toString());
       for (int i = 0; i < 3; i++) {
         assertEquals(Rcode.NOERROR, other.ask(Rig.question(i, "cached.example.")).getRcode());
       }
@@ -71,13 +71,13 @@
     }
   }
 
-  /** A change that was passed on and is repeated by its client has its one outcome, quota or not. */
+  /** A retransmission of a forwarded update gets the original's answer even if the quota is used up. */
   @Test
-  void aRepeatedChangeIsNotRefused() throws Exception {
-    List<StandInDns.Asked> held = java.util.Collections.synchronizedList(new ArrayList<>());
+  void retransmittedUpdateIsNotRejected() throws Exception {
+    List<StandInDns.Asked> pending = java.util.Collections.synchronizedList(new ArrayList<>());
     start(rig.dns(a -> {
       if (a.message().getHeader().getOpcode() == Opcode.UPDATE) {
-        held.add(a);
+        pending.add(a);
       } else {
         a.reply(a.address(0, "10.0.0.1"));
       }
@@ -87,16 +87,16 @@
       u.add(Record.fromString(org.xbill.DNS.Name.fromString("a.z.example."), org.xbill.DNS.Type.A, org.xbill.DNS.DClass.IN, 60, "10.9.9.9",
           org.xbill.DNS.Name.root));
       other.send(u);
-      Rig.await("it is under way", () -> held.size() == 1);
+      Rig.await("update forwarded", () -> pending.size() == 1);
       assertEquals(Rcode.NOERROR, other.ask(Rig.question(1, "x.example.")).getRcode());
       assertEquals(Rcode.NOERROR, other.ask(Rig.question(2, "y.example.")).getRcode());
       assertEquals(Rcode.REFUSED, other.ask(Rig.question(3, "w.example.")).getRcode());
-      other.send(u); // Again: not refused, and not passed on again.
-      held.get(0).reply(held.get(0).answer(0));
+      other.send(u); // Retransmission: neither rejected nor forwarded again.
+      pending.get(0).reply(pending.get(0).answer(0));
       Message m = other.answer();
       assertEquals(Opcode.UPDATE, m.getHeader().getOpcode());
       assertEquals(Rcode.NOERROR, m.getRcode());
-      assertEquals(1, held.size());
+      assertEquals(1, pending.size());
       assertEquals(0, m.getSection(Section.ANSWER).size());
     }
   }
--- a/dns/src/test/java/cloverpulley/dns/RealClientTest.java
+++ b/dns/src/test/java/cloverpulley/dns/RealClientTest.java
@@ -24,8 +24,8 @@
 import org.xbill.DNS.Type;
 import org.xbill.DNS.Update;
 
-/** Clients that were written elsewhere: dnsjava's resolver and the JDK's own naming provider. */
-@Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
+/** Interoperability with other clients: dnsjava's resolver and the JDK's JNDI DNS provider. */
+@Timeout(value = 2 * Rig.TIMEOUT_S, unit = TimeUnit.SECONDS)
 class RealClientTest {
 
   private final Rig rig = new Rig();
@@ -38,12 +38,12 @@
   private SimpleResolver resolver(boolean tcp) throws Exception {
     SimpleResolver r = new SimpleResolver(rig.server.address());
     r.setTCP(tcp);
-    r.setTimeout(Duration.ofSeconds(Rig.LIMIT_S));
+    r.setTimeout(Duration.ofSeconds(Rig.TIMEOUT_S));
     return r;
   }
 
   @Test
-  void dnsjavaIsAnsweredOverBoth() throws Exception {
+  void dnsjavaOverUdpAndTcp() throws Exception {
     rig.start("", "", rig.dns(StandInDns.addresses("10.0.0.1")));
     for (boolean tcp : new boolean[] {false, true}) {
       SimpleResolver r = resolver(tcp);
@@ -54,9 +54,9 @@
     }
   }
 
-  /** It goes over to TCP by itself when it sees TC. */
+  /** dnsjava retries over TCP by itself when TC is set. */
   @Test
-  void dnsjavaFollowsATruncationToTcp() throws Exception {
+  void dnsjavaRetriesTruncatedAnswerOverTcp() throws Exception {
     String[] records = new String[100];
     for (int i = 0; i < records.length; i++) {
       records[i] = "big.example. 60 A 10.0.1." + i;
@@ -66,7 +66,7 @@
   }
 
   @Test
-  void theJdksProviderIsAnswered() throws Exception {
+  void jdkNamingProvider() throws Exception {
     rig.start("", "", rig.dns(a -> {
       if (a.name().startsWith("no.")) {
         a.reply(a.answer(Rcode.NXDOMAIN));
@@ -97,9 +97,9 @@
       tenant = "steppe-auto"
       """;
 
-  /** A signed question reaches a server each time, signature and all, and its signed answer comes back as the server made it. */
+  /** A signed query is always forwarded with its signature, and the server's signed answer is returned unmodified. */
   @Test
-  void aSignedQuestionIsAnsweredByAServerAndNotFromTheCache() throws Exception {
+  void signedQueryBypassesTheCache() throws Exception {
     TSIG key = new TSIG(TSIG.HMAC_SHA256, Name.fromString("other.key."), "secretsecretsecret".getBytes());
     StandInDns server = rig.dns(a -> {
       Message m = a.message().getTSIG() == null ? a.address(60, "10.0.0.1") : a.answer(0, a.name() + " 60 A 10.0.0.2");
@@ -119,18 +119,18 @@
         assertEquals(i, m.getHeader().getID());
         assertTrue(m.getTSIG() != null, "signed by the server");
       }
-      assertEquals("10.0.0.1", Rig.text(client.ask(Rig.question(6, "www.example."))), "the cache is another matter");
+      assertEquals("10.0.0.1", Rig.text(client.ask(Rig.question(6, "www.example."))), "unsigned queries still use the cache");
     }
     assertEquals(4, server.seen().size());
   }
 
-  /** A signed update passes with its signature whole, so that the server can check it with the same key. */
+  /** A signed update is forwarded with its signature intact, so that the server can verify it with the same key. */
   @Test
-  void aSignedUpdatePassesAndAForgedOneDoesNot() throws Exception {
+  void signedUpdateIsForwardedAndForgedOneRejected() throws Exception {
     TSIG key = new TSIG(TSIG.HMAC_SHA256, Name.fromString("partner.key."), "secretsecretsecret".getBytes());
     int[] verified = {-1};
     rig.start("", TSIG_TABLES, rig.dns(a -> {
-      // The id of each hop is its own; signed was the original one, which the signature names (RFC 8945, 5.3).
+      // Each hop has its own message id; the signature covers the original id, which the TSIG record contains (RFC 8945, 5.3).
       byte[] octets = a.octets();
       int original = a.message().getTSIG().getOriginalID();
       octets[0] = (byte) (original >> 8);
--- a/dns/src/test/java/cloverpulley/dns/Rig.java
+++ b/dns/src/test/java/cloverpulley/dns/Rig.java
@@ -32,11 +32,11 @@
 import org.xbill.DNS.TextParseException;
 import org.xbill.DNS.Type;
 
-/** A DNS front on an ephemeral port, made from an operators' file, with stand-in servers behind it and clients before it. */
+/** A test rig: a DNS frontend on an ephemeral port, configured from an operators' file, with stand-in servers and test clients. */
 final class Rig implements AutoCloseable {
 
-  /** A generous limit for what has to happen: no test passes by its running out. */
-  static final int LIMIT_S = 20;
+  /** A generous timeout for expected events. No test passes by reaching it. */
+  static final int TIMEOUT_S = 20;
 
   static final String CLASSES = """
       [[class]]
@@ -72,40 +72,40 @@
       class = "brief"
       """;
 
-  /** What a file says, read. */
-  record Told(DnsConfig dns, FleetSource shown) {
-    static Told read(Section file) {
+  /** A parsed operators' file. */
+  record ParsedConfig(DnsConfig dns, FleetSource shown) {
+    static ParsedConfig read(Section file) {
       var service = ServiceSection.read(file);
-      return new Told(DnsConfig.read(file.table("dns"), service), file.has("fleet") ? FleetSource.read(file.table("fleet")) : null);
+      return new ParsedConfig(DnsConfig.read(file.table("dns"), service), file.has("fleet") ? FleetSource.read(file.table("fleet")) : null);
     }
   }
 
   final EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-  private final List<AutoCloseable> closing = new java.util.concurrent.CopyOnWriteArrayList<>();
+  private final List<AutoCloseable> resources = new java.util.concurrent.CopyOnWriteArrayList<>();
   DnsServer server;
 
-  static Told told(String dns, String rest) throws BadFileException {
-    // Tables with a list inside come first and the keys of [dns] before them.
-    return OperatorsFile.parse("test", "[dns]\nlisten = \"127.0.0.1:0\"\n" + dns + "\n" + CLASSES + rest, Told::read);
+  static ParsedConfig parse(String dns, String rest) throws BadFileException {
+    // Arrays of tables come first, preceded by the keys of [dns].
+    return OperatorsFile.parse("test", "[dns]\nlisten = \"127.0.0.1:0\"\n" + dns + "\n" + CLASSES + rest, ParsedConfig::read);
   }
 
-  /** Starts a front; {@code dns} are lines of its own section, {@code rest} further tables. */
+  /** Starts a frontend. {@code dns} has lines of the [dns] section, {@code rest} further tables. */
   DnsServer start(String dns, String rest) throws BadFileException, IOException {
-    Told told = told(dns, rest);
-    server = keep(DnsServer.start(told.dns, told.shown, 7));
+    ParsedConfig parsed = parse(dns, rest);
+    server = keep(DnsServer.start(parsed.dns, parsed.shown, 7));
     return server;
   }
 
-  /** The same before these servers. */
+  /** Starts a frontend for these servers. */
   DnsServer start(String dns, String rest, StandInDns... servers) throws BadFileException, IOException {
     return start(dns, rest + servers(servers));
   }
 
-  /** Starts one on the port of another, which may still listen there. */
-  DnsServer startBeside(InetSocketAddress same, String dns, String rest) throws BadFileException, IOException {
-    Told told = OperatorsFile.parse("test", "[dns]\nlisten = \"127.0.0.1:" + same.getPort() + "\"\n" + dns + "\n" + CLASSES + rest,
-        Told::read);
-    return keep(DnsServer.start(told.dns, told.shown, 8));
+  /** Starts a frontend on the port of another, which may still be listening. */
+  DnsServer startOnPort(InetSocketAddress address, String dns, String rest) throws BadFileException, IOException {
+    ParsedConfig parsed = OperatorsFile.parse("test", "[dns]\nlisten = \"127.0.0.1:" + address.getPort() + "\"\n" + dns + "\n" + CLASSES + rest,
+        ParsedConfig::read);
+    return keep(DnsServer.start(parsed.dns, parsed.shown, 8));
   }
 
   static String servers(StandInDns... servers) {
@@ -125,33 +125,33 @@
   }
 
   <T extends AutoCloseable> T keep(T closeable) {
-    closing.add(0, closeable);
+    resources.add(0, closeable);
     return closeable;
   }
 
-  /** The same from a thread of its own. */
-  void keepQuietly(AutoCloseable closeable) {
-    closing.add(0, closeable);
+  /** Registers a resource to close; may be called from any thread. */
+  void keepConcurrently(AutoCloseable closeable) {
+    resources.add(0, closeable);
   }
 
-  /** Waits for something that has to come about. */
+  /** Waits for a condition. */
   static void await(String what, BooleanSupplier condition) throws InterruptedException {
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_S);
+    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > until) {
-        throw new AssertionError("never: " + what);
+        throw new AssertionError("timed out waiting for: " + what);
       }
       TimeUnit.MILLISECONDS.sleep(2);
     }
   }
 
   void awaitIdle() throws InterruptedException {
-    await("nothing in hand", () -> server.pendingRequests() == 0);
+    await("no pending requests", () -> server.pendingRequests() == 0);
   }
 
   @Override
   public void close() throws Exception {
-    for (AutoCloseable c : closing) {
+    for (AutoCloseable c : resources) {
       c.close();
     }
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
@@ -159,7 +159,7 @@
 
   // ---- Messages ------------------------------------------------------------------------------------------
 
-  /** A question with recursion wanted, without EDNS. */
+  /** A query with RD set and without EDNS. */
   static Message question(int id, String name, int type) {
     try {
       Message m = Message.newQuery(Record.newRecord(Name.fromString(name), type, DClass.IN));
@@ -174,7 +174,7 @@
     return question(id, name, Type.A);
   }
 
-  /** The same with EDNS. */
+  /** Adds an OPT record. */
   static Message edns(Message m, int size, int flags, org.xbill.DNS.EDNSOption... options) {
     m.addRecord(new OPTRecord(size, 0, 0, flags, Arrays.asList(options)), org.xbill.DNS.Section.ADDITIONAL);
     return m;
@@ -185,7 +185,7 @@
     return records.isEmpty() ? "" : records.get(0).rdataToString();
   }
 
-  /** The extended error of an answer; -1 for none. */
+  /** The extended error code of an answer; -1 for none. */
   static int error(Message answer) {
     if (answer.getOPT() != null) {
       for (var option : answer.getOPT().getOptions()) {
@@ -199,7 +199,7 @@
 
   // ---- Clients -------------------------------------------------------------------------------------------
 
-  /** A client over UDP, with a port of its own. */
+  /** A UDP client with its own port. */
   static final class Udp implements AutoCloseable {
 
     private final DatagramSocket socket;
@@ -211,7 +211,7 @@
     Udp(InetSocketAddress to, String from) throws IOException {
       socket = new DatagramSocket(0, InetAddress.getByName(from));
       socket.connect(to);
-      socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LIMIT_S));
+      socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
     }
 
     Udp send(byte[] octets) throws IOException {
@@ -241,14 +241,14 @@
       return send(m).answer();
     }
 
-    /** Whether nothing more is there: told by an answer to a question of another kind that was sent after. */
-    void assertNothingElse(InetSocketAddress server) throws IOException {
+    /** Asserts that no more answers are queued, by sending a marker query whose answer must come next. */
+    void assertNoMoreAnswers(InetSocketAddress server) throws IOException {
       byte[] last = question(0xFFFF, "marker.example.").toWire(512);
-      last[2] |= 0x10; // Opcode STATUS, which is answered at once.
+      last[2] |= 0x10; // Opcode STATUS is answered at once.
       send(last);
       Message m = answer();
       if (m.getHeader().getID() != 0xFFFF) {
-        throw new AssertionError("one more answer: " + m);
+        throw new AssertionError("unexpected answer: " + m);
       }
     }
 
@@ -258,7 +258,7 @@
     }
   }
 
-  /** A client over TCP. */
+  /** A TCP client. */
   static final class Tcp implements AutoCloseable {
 
     final Socket socket = new Socket();
@@ -266,7 +266,7 @@
 
     Tcp(InetSocketAddress to) throws IOException {
       socket.setTcpNoDelay(true);
-      socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(LIMIT_S));
+      socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(TIMEOUT_S));
       socket.connect(to);
       in = new DataInputStream(socket.getInputStream());
     }
@@ -298,7 +298,7 @@
       return send(m).answer();
     }
 
-    /** Whether the server ends the connection, without a further answer. */
+    /** Whether the server closes the connection without sending another answer. */
     boolean ends() throws IOException {
       try {
         return in.read() < 0;
--- a/dns/src/test/java/cloverpulley/dns/RulesTest.java
+++ b/dns/src/test/java/cloverpulley/dns/RulesTest.java
@@ -28,8 +28,8 @@
 import org.xbill.DNS.Type;
 import org.xbill.DNS.Update;
 
-/** The four rules over DNS, as the servers themselves count. */
-@Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
+/** The four balancing rules over DNS, measured at the servers. */
+@Timeout(value = 2 * Rig.TIMEOUT_S, unit = TimeUnit.SECONDS)
 class RulesTest {
 
   private static final long GRACE_NANOS = TimeUnit.SECONDS.toNanos(2);
@@ -71,23 +71,23 @@
     return a.message().getSection(Section.AUTHORITY).get(0).getName().toString();
   }
 
-  private List<ServerList.Server> listed(StandInDns... servers) throws Exception {
-    return Rig.told("", Rig.servers(servers)).dns().fleet().list().members();
+  private List<ServerList.Server> members(StandInDns... servers) throws Exception {
+    return Rig.parse("", Rig.servers(servers)).dns().fleet().list().members();
   }
 
   private void list(List<ServerList.Server> members) {
     rig.server.updateEndpoints(new ServerList(0, true, members), null);
-    // Its turn on the loop comes after the list's: a question sent before could still go by the list before, as it may.
+    // Waits on the event loop until the list is applied: a query sent before could still be routed by the old list.
     rig.server.pendingRequests();
   }
 
   // ---- Rule 1 --------------------------------------------------------------------------------------------
 
-  /** Whatever the servers do, each of a hundred clients gets one answer, his own, and nothing is left. */
+  /** Whatever the servers do, each of a hundred clients gets exactly one answer, its own, and nothing stays pending. */
   @Test
   void everyQueryGetsOneAnswer() throws Exception {
     AtomicInteger n = new AtomicInteger();
-    java.util.function.Consumer<Asked> odd = a -> {
+    java.util.function.Consumer<Asked> unreliable = a -> {
       switch (n.getAndIncrement() % 7) {
         case 0 -> { }
         case 1 -> a.reply(a.answer(Rcode.SERVFAIL));
@@ -101,7 +101,7 @@
         default -> a.reply(a.address(0, "10.0.0.1"));
       }
     };
-    rig.start("upstream.attempt_ms = 100", "", rig.dns(odd), rig.dns(odd), rig.dns(odd));
+    rig.start("upstream.attempt_ms = 100", "", rig.dns(unreliable), rig.dns(unreliable), rig.dns(unreliable));
     List<Rig.Udp> clients = new ArrayList<>();
     for (int i = 0; i < 100; i++) {
       clients.add(udp().send(Rig.question(i, "c" + i + ".example.", i % 2 == 0 ? Type.A : Type.MX)));
@@ -113,50 +113,50 @@
     }
     rig.awaitIdle();
     for (Rig.Udp client : clients) {
-      client.assertNothingElse(rig.server.address());
+      client.assertNoMoreAnswers(rig.server.address());
     }
   }
 
   // ---- Rule 2 --------------------------------------------------------------------------------------------
 
-  /** A server dies with updates and queries in flight: the queries move on, the updates fail, none is sent twice. */
+  /** When a server dies, in-flight queries are retried elsewhere and updates fail; no update is sent twice. */
   @Test
-  void whenAServerDiesQueriesMoveOnAndUpdatesFail() throws Exception {
-    Queue updates = new Queue();
+  void serverDeathRetriesQueriesAndFailsUpdates() throws Exception {
+    UpdateLog updates = new UpdateLog();
     StandInDns dying = rig.dns(a -> updates.note(a));
     rig.start("upstream.attempt_ms = 1000", "", dying);
-    List<Rig.Udp> askers = new ArrayList<>();
-    List<Rig.Tcp> changers = new ArrayList<>();
+    List<Rig.Udp> queryClients = new ArrayList<>();
+    List<Rig.Tcp> updateClients = new ArrayList<>();
     for (int i = 0; i < 10; i++) {
-      askers.add(udp().send(Rig.edns(Rig.question(i, "q" + i + ".example."), 1232, 0)));
-      changers.add(tcp().send(update(i, "h" + i)));
+      queryClients.add(udp().send(Rig.edns(Rig.question(i, "q" + i + ".example."), 1232, 0)));
+      updateClients.add(tcp().send(update(i, "h" + i)));
     }
-    Rig.await("all have come", () -> dying.seen().size() == 20);
-    StandInDns heir = rig.dns(a -> {
+    Rig.await("all messages received", () -> dying.seen().size() == 20);
+    StandInDns survivor = rig.dns(a -> {
       updates.note(a);
       a.reply(a.message().getHeader().getOpcode() == Opcode.UPDATE ? a.answer(0) : a.address(0, "10.0.0.5"));
     });
-    list(listed(dying, heir));
+    list(members(dying, survivor));
     dying.close();
     for (int i = 0; i < 10; i++) {
-      Message failed = changers.get(i).answer();
+      Message failed = updateClients.get(i).answer();
       assertEquals(Rcode.SERVFAIL, failed.getRcode());
       assertEquals(Opcode.UPDATE, failed.getHeader().getOpcode());
     }
-    // The queries move once something is heard of the server; a datagram to a dead port is that.
+    // The queries are retried once the server's failure is detected, here by a datagram to its closed port.
     for (int i = 10; i < 16; i++) {
       assertEquals("10.0.0.5", Rig.text(udp().ask(Rig.question(i, "q" + i + ".example."))));
     }
-    for (Rig.Udp asker : askers) {
-      assertEquals("10.0.0.5", Rig.text(asker.answer()));
+    for (Rig.Udp queryClient : queryClients) {
+      assertEquals("10.0.0.5", Rig.text(queryClient.answer()));
     }
     updates.assertNoneTwice(10);
-    assertEquals(0, heir.seen().stream().filter(s -> s.opcode() == Opcode.UPDATE).count());
+    assertEquals(0, survivor.seen().stream().filter(s -> s.opcode() == Opcode.UPDATE).count());
     rig.awaitIdle();
   }
 
-  /** Updates that have come to a server, by the name that they add. */
-  private static final class Queue {
+  /** The updates received by the servers, by the name that they add. */
+  private static final class UpdateLog {
     private final ConcurrentLinkedQueue<String> names = new ConcurrentLinkedQueue<>();
 
     void note(Asked a) {
@@ -172,11 +172,11 @@
   }
 
   @Test
-  void anUpdateThatCantHaveRunGoesToAnotherServer() throws Exception {
+  void unsentUpdateIsRetriedOnAnotherServer() throws Exception {
     StandInDns dead = new StandInDns(rig.group, a -> { });
     String address = dead.hostPort();
     dead.close();
-    Queue updates = new Queue();
+    UpdateLog updates = new UpdateLog();
     rig.start("", Rig.servers(rig.dns(a -> {
       updates.note(a);
       a.reply(a.answer(0));
@@ -187,10 +187,10 @@
     updates.assertNoneTwice(12);
   }
 
-  /** Over UDP clients send again when they hear nothing: it is one update all the same, and they get one answer each time. */
+  /** An update retransmitted over UDP runs once; a retransmission after the answer gets the same answer. */
   @Test
-  void anUpdateSentAgainByItsClientRunsOnce() throws Exception {
-    Queue updates = new Queue();
+  void retransmittedUpdateRunsOnce() throws Exception {
+    UpdateLog updates = new UpdateLog();
     List<Asked> held = new ArrayList<>();
     rig.start("", "", rig.dns(a -> {
       updates.note(a);
@@ -199,47 +199,47 @@
     Rig.Udp client = udp();
     byte[] octets = update(77, "h").toWire(65_535);
     client.send(octets).send(octets).send(octets);
-    Rig.await("the repeats are known", () -> rig.server.onLoop(() -> rig.server.counts().repeated) == 2);
-    Rig.await("it has come", () -> held.size() == 1);
+    Rig.await("duplicates detected", () -> rig.server.onLoop(() -> rig.server.counts().repeated) == 2);
+    Rig.await("update received", () -> held.size() == 1);
     held.get(0).reply(held.get(0).answer(Rcode.YXDOMAIN));
     Message m = client.answer();
-    assertEquals(Rcode.YXDOMAIN, m.getRcode(), "the server's own word");
+    assertEquals(Rcode.YXDOMAIN, m.getRcode(), "the server's response code");
     assertEquals(77, m.getHeader().getID());
-    assertEquals(Rcode.YXDOMAIN, client.send(octets).answer().getRcode(), "the same answer again");
-    client.assertNothingElse(rig.server.address());
+    assertEquals(Rcode.YXDOMAIN, client.send(octets).answer().getRcode(), "same answer for a duplicate");
+    client.assertNoMoreAnswers(rig.server.address());
     updates.assertNoneTwice(1);
   }
 
   @Test
-  void anUpdateIsPassedOnUntouchedButForItsId() throws Exception {
-    List<byte[]> came = new ArrayList<>();
+  void updateIsForwardedUnmodifiedExceptForItsId() throws Exception {
+    List<byte[]> received = new ArrayList<>();
     rig.start("", "", rig.dns(a -> {
-      came.add(a.octets());
+      received.add(a.octets());
       a.reply(a.answer(0));
     }));
     byte[] octets = update(4711, "h").toWire(65_535);
     assertEquals(4711, udp().send(octets).answer().getHeader().getID());
-    byte[] seen = came.get(0);
+    byte[] seen = received.get(0);
     seen[0] = octets[0];
     seen[1] = octets[1];
     org.junit.jupiter.api.Assertions.assertArrayEquals(octets, seen);
   }
 
   @Test
-  void anUpdateThatIsNotAnsweredFailsAndIsNotSentAgain() throws Exception {
-    Queue updates = new Queue();
+  void unansweredUpdateIsNotRetried() throws Exception {
+    UpdateLog updates = new UpdateLog();
     rig.start("", Rig.servers(rig.dns(updates::note), rig.dns(updates::note)));
     Rig.Tcp client = tcp();
     client.send(update(1, "h"));
-    Rig.await("it has come", () -> updates.names.size() == 1);
-    // The client gives up; nobody is asked again.
+    Rig.await("update received", () -> updates.names.size() == 1);
+    // The client disconnects; the update is not sent to another server.
     client.close();
     rig.awaitIdle();
     updates.assertNoneTwice(1);
   }
 
   @Test
-  void aNotifyIsPassedOn() throws Exception {
+  void notifyIsForwarded() throws Exception {
     rig.start("", "", rig.dns(a -> a.reply(a.answer(0))));
     Message m = udp().ask(notify(9));
     assertEquals(Opcode.NOTIFY, m.getHeader().getOpcode());
@@ -249,11 +249,11 @@
   // ---- Rule 3 --------------------------------------------------------------------------------------------
 
   /**
-   * A server drains with 50 queries on its stream of which 20 have no answer yet. Each of the 50 clients gets exactly one answer,
-   * and the server counts nothing new later than two seconds after the notice; the stream ends when it is empty.
+   * A server starts to drain after 50 queries on its connection, 20 of them unanswered. Each of the 50 clients gets exactly one answer, the
+   * server gets nothing new later than two seconds after the notification, and the connection closes once nothing is pending.
    */
   @Test
-  void aServerThatDrainsInMidStreamGetsNothingNew() throws Exception {
+  void drainingServerGetsNoNewQueries() throws Exception {
     List<Asked> held = java.util.Collections.synchronizedList(new ArrayList<>());
     AtomicInteger streamed = new AtomicInteger();
     StandInDns draining = rig.dns(a -> {
@@ -271,9 +271,9 @@
     for (int i = 0; i < 50; i++) {
       clients.add(udp().send(Rig.question(i, "d" + i + ".example.")));
     }
-    Rig.await("20 wait at the server", () -> held.size() == 20);
+    Rig.await("20 queries pending at the server", () -> held.size() == 20);
     assertEquals(1, draining.connections());
-    List<ServerList.Server> now = listed(draining, other);
+    List<ServerList.Server> now = members(draining, other);
     ServerList.Server d = now.get(0);
     list(List.of(new ServerList.Server(d.id(), d.address(), d.zone(), d.cell(), cloverpulley.Balancer.State.DRAINING, d.size(),
         d.upSinceMillis()), now.get(1)));
@@ -281,23 +281,23 @@
     for (int i = 50; i < 80; i++) {
       assertEquals("10.0.0.2", Rig.text(udp().ask(Rig.question(i, "d" + i + ".example."))));
     }
-    assertEquals(1, draining.connections(), "what it was asked before it may still answer");
+    assertEquals(1, draining.connections(), "connection stays open for pending queries");
     held.forEach(a -> a.reply(a.address(0, "10.0.0.1")));
     Map<String, Integer> answers = new HashMap<>();
     for (Rig.Udp client : clients) {
       answers.merge(Rig.text(client.answer()), 1, Integer::sum);
     }
     assertEquals(Map.of("10.0.0.1", 50), answers);
-    Rig.await("the stream ends", () -> draining.connections() == 0);
+    Rig.await("connection closed", () -> draining.connections() == 0);
     assertEquals(0, draining.seen().stream().filter(s -> s.atNanos() - notice > GRACE_NANOS).count());
     for (Rig.Udp client : clients) {
-      client.assertNothingElse(rig.server.address());
+      client.assertNoMoreAnswers(rig.server.address());
     }
   }
 
-  /** What a server that drains has not been sent yet goes elsewhere; a stream that it does not read is ended. */
+  /** Updates not yet written to a draining server go to another one; a connection that the server doesn't read is closed. */
   @Test
-  void whatHasNotBeenWrittenToADrainingServerGoesElsewhere() throws Exception {
+  void unwrittenUpdatesMoveAwayFromADrainingServer() throws Exception {
     StandInDns draining = rig.dns(a -> {
       if (a.isTcp()) {
         a.stopReading();
@@ -305,7 +305,7 @@
     });
     StandInDns other = rig.dns(a -> a.reply(a.answer(0)));
     rig.start("upstream.connections = 1\nupstream.pipelined = 10000\nupstream.drain_ms = 1500\nlimits.tcp_per_client = 1000", "", draining);
-    // Updates of 60 kB each: past what the sockets' buffers hold, they wait on this side.
+    // Updates of 60 kB each: those beyond the socket buffers stay in the client's queue.
     List<Rig.Tcp> clients = new ArrayList<>();
     int count = 200;
     for (int i = 0; i < count; i++) {
@@ -315,8 +315,8 @@
       }
       clients.add(tcp().send(m));
     }
-    Rig.await("all are in hand", () -> rig.server.pendingRequests() == count);
-    List<ServerList.Server> now = listed(draining, other);
+    Rig.await("all updates pending", () -> rig.server.pendingRequests() == count);
+    List<ServerList.Server> now = members(draining, other);
     ServerList.Server d = now.get(0);
     list(List.of(new ServerList.Server(d.id(), d.address(), d.zone(), d.cell(), cloverpulley.Balancer.State.DRAINING, d.size(),
         d.upSinceMillis()), now.get(1)));
@@ -324,17 +324,17 @@
     for (Rig.Tcp client : clients) {
       moved += client.answer().getRcode() == Rcode.NOERROR ? 1 : 0;
     }
-    assertTrue(moved > 0, "what was not written went elsewhere");
-    assertEquals(moved, other.seen().size(), "and what may have run was not sent again");
-    assertTrue(moved < count, "some of it had been written: " + moved);
+    assertTrue(moved > 0, "unwritten updates went to the other server");
+    assertEquals(moved, other.seen().size(), "updates that may have run were not sent again");
+    assertTrue(moved < count, "some updates had been written: " + moved);
     rig.awaitIdle();
   }
 
   // ---- Rule 4 --------------------------------------------------------------------------------------------
 
-  /** A server that has just started, among warm ones: it gets what a cold one may have and not its share. */
+  /** A server in slow start gets its slow-start budget and not an equal share. */
   @Test
-  void aColdServerIsNotPushedOver() throws Exception {
+  void startingServerIsNotOverloaded() throws Exception {
     StandInDns[] servers = new StandInDns[4];
     for (int i = 0; i < servers.length; i++) {
       servers[i] = rig.dns(a -> a.reply(a.address(0, "10.0.0.1")));
@@ -345,9 +345,9 @@
     for (; n < 1500; n++) {
       client.ask(Rig.question(n, "w" + n + ".example."));
     }
-    List<ServerList.Server> members = new ArrayList<>(listed(servers));
-    ServerList.Server cold = members.get(3);
-    members.set(3, new ServerList.Server(cold.id(), cold.address(), cold.zone(), cold.cell(), cold.state(), cold.size(),
+    List<ServerList.Server> members = new ArrayList<>(members(servers));
+    ServerList.Server starting = members.get(3);
+    members.set(3, new ServerList.Server(starting.id(), starting.address(), starting.zone(), starting.cell(), starting.state(), starting.size(),
         System.currentTimeMillis()));
     list(members);
     int before = n;
@@ -358,12 +358,12 @@
     assertTrue(got < 300 / 4, "of 300, an equal share would be 75: " + got);
   }
 
-  /** All are silent, then one comes back: what waits does not fall on it at once. */
+  /** When servers recover from being unresponsive, the waiting queries don't all hit them at once. */
   @Test
-  void theFirstServerThatComesBackIsNotFlooded() throws Exception {
-    AtomicInteger silent = new AtomicInteger(1);
+  void recoveringServerIsNotFlooded() throws Exception {
+    AtomicInteger unresponsive = new AtomicInteger(1);
     java.util.function.Consumer<Asked> script = a -> {
-      if (silent.get() == 0) {
+      if (unresponsive.get() == 0) {
         a.reply(a.address(0, "10.0.0.1"));
       }
     };
@@ -378,9 +378,9 @@
     }
     assertTrue(!codes.contains(Rcode.NOERROR), codes.toString());
     rig.awaitIdle();
-    silent.set(0);
-    // Served again within the time that an ejected server may be left alone.
-    CompletableFuture<Integer> back = CompletableFuture.supplyAsync(() -> {
+    unresponsive.set(0);
+    // Must be served again within the longest ejection time.
+    CompletableFuture<Integer> recovered = CompletableFuture.supplyAsync(() -> {
       try (Rig.Udp client = new Rig.Udp(rig.server.address())) {
         for (int i = 0; ; i++) {
           if (Rig.text(client.ask(Rig.question(i & 0x7FFF, "s" + i + ".example.", Type.A))).equals("10.0.0.1")) {
@@ -391,6 +391,6 @@
         throw new IllegalStateException(e);
       }
     });
-    assertTrue(back.get(Rig.LIMIT_S, TimeUnit.SECONDS) >= 0);
+    assertTrue(recovered.get(Rig.TIMEOUT_S, TimeUnit.SECONDS) >= 0);
   }
 }
--- a/dns/src/test/java/cloverpulley/dns/UpstreamTest.java
+++ b/dns/src/test/java/cloverpulley/dns/UpstreamTest.java
@@ -25,8 +25,8 @@
 import org.xbill.DNS.Section;
 import org.xbill.DNS.Type;
 
-/** The way to the servers: legs, forgers, servers that can't do what others can. */
-@Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
+/** The DNS client: fallback to TCP and plain DNS, forged answers, and servers with missing capabilities. */
+@Timeout(value = 2 * Rig.TIMEOUT_S, unit = TimeUnit.SECONDS)
 class UpstreamTest {
 
   private static final int NO_REACHABLE_AUTHORITY = 22;
@@ -46,14 +46,14 @@
     return Rig.edns(Rig.question(id, name), 1232, 0);
   }
 
-  private long count(java.util.function.ToLongFunction<cloverpulley.dns.client.ClientCounts> which) {
-    return rig.server.onLoop(() -> which.applyAsLong(rig.server.clientCounts()));
+  private long count(java.util.function.ToLongFunction<cloverpulley.dns.client.ClientCounts> counter) {
+    return rig.server.onLoop(() -> counter.applyAsLong(rig.server.clientCounts()));
   }
 
   // ---- Truncation ----------------------------------------------------------------------------------------
 
   @Test
-  void aTruncatedAnswerIsAskedForOverTcpOnOneConnection() throws Exception {
+  void truncatedAnswersAreRetriedOverOneTcpConnection() throws Exception {
     StandInDns server = rig.dns(a -> {
       if (a.isTcp()) {
         a.reply(a.address(60, "10.0.0.7"));
@@ -71,18 +71,18 @@
   }
 
   @Test
-  void tcpRefusedAfterATruncatedAnswerGoesToAnotherServer() throws Exception {
-    StandInDns lame = rig.dns(a -> a.reply(a.truncated()));
-    lame.refuseTcp();
-    rig.start("", "", lame, rig.dns(StandInDns.addresses("10.0.0.8")));
+  void refusedTcpAfterTruncationFailsOver() throws Exception {
+    StandInDns withoutTcp = rig.dns(a -> a.reply(a.truncated()));
+    withoutTcp.refuseTcp();
+    rig.start("", "", withoutTcp, rig.dns(StandInDns.addresses("10.0.0.8")));
     for (int i = 0; i < 12; i++) {
       assertEquals("10.0.0.8", Rig.text(udp().ask(Rig.question(i, "r" + i + ".example."))));
     }
-    assertTrue(count(c -> c.truncated) > 0, "the lame one was asked too");
+    assertTrue(count(c -> c.truncated) > 0, "the server without TCP was queried too");
   }
 
   @Test
-  void tcpThatIsSlowEndsWithTheAttempt() throws Exception {
+  void slowTcpEndsWithTheAttemptTimeout() throws Exception {
     StandInDns slow = rig.dns(a -> {
       if (!a.isTcp()) {
         a.reply(a.truncated());
@@ -96,14 +96,14 @@
   }
 
   @Test
-  void truncatedOverTcpAsWellIsNoAnswer() throws Exception {
+  void truncationOverTcpIsAnError() throws Exception {
     rig.start("", "", rig.dns(a -> a.reply(a.truncated())));
     Message m = udp().ask(ednsQuestion(1, "www.example."));
     assertEquals(Rcode.SERVFAIL, m.getRcode());
-    assertTrue(Rig.error(m) >= 0, "the reason is told");
+    assertTrue(Rig.error(m) >= 0, "has an extended error");
   }
 
-  // ---- Forgers -------------------------------------------------------------------------------------------
+  // ---- Forged answers ------------------------------------------------------------------------------------
 
   private static byte[] forged(Asked a, int id) {
     byte[] octets = a.address(60, "10.6.6.6").toWire(65_535);
@@ -112,9 +112,9 @@
     return octets;
   }
 
-  /** From the right address and port, with every id but the right one: none is taken, whatever the count. */
+  /** Forged answers from the right address and port, but with wrong ids, are never accepted, however many there are. */
   @Test
-  void tenThousandForgedAnswersAreNotTaken() throws Exception {
+  void tenThousandForgedAnswersAreIgnored() throws Exception {
     StandInDns server = rig.dns(a -> {
       if (!a.isTcp()) {
         for (int i = 1; i <= 10_000; i++) {
@@ -126,11 +126,11 @@
     rig.start("", "", server);
     Message m = udp().ask(Rig.question(1, "www.example."));
     assertEquals("10.0.0.1", Rig.text(m));
-    assertEquals("10.0.0.1", Rig.text(udp().ask(Rig.question(2, "www.example."))), "and none is in the cache");
+    assertEquals("10.0.0.1", Rig.text(udp().ask(Rig.question(2, "www.example."))), "and none is cached");
   }
 
   @Test
-  void answersToAnotherQuestionOrFromAnotherSenderAreNotTaken() throws Exception {
+  void mismatchedAnswersAreIgnored() throws Exception {
     StandInDns other = rig.dns(a -> { });
     StandInDns server = rig.dns(a -> {
       if (!a.isTcp()) {
@@ -155,9 +155,9 @@
     assertEquals(0, other.seen().size());
   }
 
-  /** With the right id and the letters changed: a guess, or a server that loses them. A connection tells which. */
+  /** The right id with changed letter case is a forgery or a server that doesn't preserve case; the query is retried over TCP. */
   @Test
-  void anAnswerInOtherLettersIsCheckedOverTcp() throws Exception {
+  void answerInOtherCaseIsRetriedOverTcp() throws Exception {
     StandInDns server = rig.dns(a -> {
       if (a.isTcp()) {
         a.reply(a.address(60, "10.0.0.1"));
@@ -176,7 +176,7 @@
   }
 
   @Test
-  void aServerThatLosesTheCaseIsFoundOutAndAskedInPlainLetters() throws Exception {
+  void serverThatDoesNotPreserveCaseIsDetected() throws Exception {
     Set<String> asked = new HashSet<>();
     StandInDns server = rig.dns(a -> {
       asked.add(a.message().getQuestion().getName().toString());
@@ -193,11 +193,11 @@
       assertEquals("10.0.0.1", Rig.text(udp().ask(Rig.question(i, "nextoflongnames" + i + ".example."))));
       assertTrue(asked.contains("nextoflongnames" + i + ".example."));
     }
-    assertEquals(1, count(c -> c.tcp), "one look over TCP was enough");
+    assertEquals(1, count(c -> c.tcp), "one retry over TCP is enough");
   }
 
   @Test
-  void idsPortsAndLettersAreDrawn() throws Exception {
+  void idsAndCaseAreRandomized() throws Exception {
     Set<Integer> ids = new HashSet<>();
     Set<String> names = new HashSet<>();
     StandInDns server = rig.dns(a -> {
@@ -211,11 +211,11 @@
       client.ask(Rig.question(7, "averyordinaryname.example."));
     }
     assertTrue(ids.size() > 45, "ids: " + ids.size());
-    assertTrue(names.size() > 45, "letters: " + names.size());
+    assertTrue(names.size() > 45, "spellings: " + names.size());
   }
 
   @Test
-  void recordsOfNamesNobodyAskedForVoidTheAnswer() throws Exception {
+  void outOfBailiwickRecordsInvalidateTheAnswer() throws Exception {
     StandInDns server = rig.dns(a -> a.reply(a.answer(0, a.name() + " 60 A 10.0.0.1", "www.bank. 60 A 10.6.6.6")));
     rig.start("", "", server, rig.dns(StandInDns.addresses("10.0.0.8")));
     for (int i = 0; i < 6; i++) {
@@ -224,10 +224,10 @@
     assertTrue(rig.server.onLoop(() -> rig.server.counts().poisoned) > 0);
   }
 
-  // ---- Ids of clients ------------------------------------------------------------------------------------
+  // ---- Client message ids --------------------------------------------------------------------------------
 
   @Test
-  void theSameIdTwiceInFlightAndAtOnceAgain() throws Exception {
+  void clientMayReuseAnIdInFlight() throws Exception {
     StandInDns server = rig.dns(a -> a.replyAfter(a.name().startsWith("a") ? 120 : 20, a.address(0,
         a.name().startsWith("a") ? "10.0.0.1" : "10.0.0.2")));
     rig.start("", "", server);
@@ -239,23 +239,23 @@
     assertEquals("b2.example.", client.answer().getQuestion().getName().toString());
     Message last = client.answer();
     assertEquals("10.0.0.1", Rig.text(last));
-    client.assertNothingElse(rig.server.address());
+    client.assertNoMoreAnswers(rig.server.address());
   }
 
   @Test
-  void anAnswerThatComesTwiceIsDeliveredOnce() throws Exception {
+  void duplicateAnswerIsDeliveredOnce() throws Exception {
     rig.start("", "", rig.dns(a -> {
       a.reply(a.address(60, "10.0.0.1"));
       a.reply(a.address(60, "10.0.0.2"));
     }));
     Rig.Udp client = udp();
     assertEquals("10.0.0.1", Rig.text(client.ask(Rig.question(1, "www.example."))));
-    client.assertNothingElse(rig.server.address());
+    client.assertNoMoreAnswers(rig.server.address());
     assertEquals("10.0.0.1", Rig.text(client.ask(Rig.question(2, "www.example."))));
   }
 
   @Test
-  void aLateAnswerIsCountedAndNotDelivered() throws Exception {
+  void lateAnswerIsCountedAndDropped() throws Exception {
     AtomicReference<Asked> first = new AtomicReference<>();
     StandInDns slow = rig.dns(a -> {
       if (!first.compareAndSet(null, a)) {
@@ -264,16 +264,16 @@
     });
     rig.start("upstream.attempt_ms = 150", "", slow);
     Rig.Udp client = udp();
-    assertEquals("10.0.0.2", Rig.text(client.ask(Rig.question(1, "www.example."))), "asked again after its time");
+    assertEquals("10.0.0.2", Rig.text(client.ask(Rig.question(1, "www.example."))), "retried after the attempt timeout");
     first.get().reply(first.get().address(60, "10.6.6.6"));
-    Rig.await("it is counted", () -> count(c -> c.late) == 1);
-    client.assertNothingElse(rig.server.address());
+    Rig.await("late answer counted", () -> count(c -> c.late) == 1);
+    client.assertNoMoreAnswers(rig.server.address());
   }
 
-  // ---- Servers that are not like others ------------------------------------------------------------------
+  // ---- Servers with missing capabilities -----------------------------------------------------------------
 
   @Test
-  void aServerWithoutEdnsIsAskedWithoutIt() throws Exception {
+  void fallsBackToPlainDnsForServersWithoutEdns() throws Exception {
     StandInDns old = rig.dns(a -> {
       if (a.message().getOPT() != null) {
         Message m = new Message(a.id());
@@ -288,13 +288,13 @@
     for (int i = 0; i < 5; i++) {
       Message m = udp().ask(ednsQuestion(i, "o" + i + ".example."));
       assertEquals("10.0.0.1", Rig.text(m));
-      assertTrue(m.getOPT() != null, "the client's EDNS is ours to answer");
+      assertTrue(m.getOPT() != null, "the frontend answers the client's EDNS itself");
     }
-    assertEquals(1, old.seen().stream().filter(Seen::edns).count(), "found out once");
+    assertEquals(1, old.seen().stream().filter(Seen::edns).count(), "detected once");
   }
 
   @Test
-  void dnssecRecordsPassUntouchedAndOnlyWhereAskedFor() throws Exception {
+  void dnssecRecordsAreReturnedUnmodifiedOnRequestOnly() throws Exception {
     String signature = "www.example. 60 RRSIG A 13 2 60 20300101000000 20200101000000 4711 example. "
         + "AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8gISIjJCUmJygpKissLS4vMDEyMzQ1Njc4OTo7PD0+Pw==";
     StandInDns server = rig.dns(a -> {
@@ -315,9 +315,9 @@
   }
 
   @Test
-  void aConnectionThatTellsNonsenseIsDropped() throws Exception {
-    List<String> nonsense = List.of("id", "question", "octets", "cut");
-    for (String kind : nonsense) {
+  void connectionWithInvalidResponsesIsClosed() throws Exception {
+    List<String> invalidResponses = List.of("id", "question", "octets", "cut");
+    for (String kind : invalidResponses) {
       StandInDns server = rig.dns(a -> {
         if (!a.isTcp()) {
           a.reply(a.truncated());
@@ -347,7 +347,7 @@
   }
 
   @Test
-  void refusedIsFullWhereTheOperatorsSaySo() throws Exception {
+  void refusedCountsAsFullIfConfigured() throws Exception {
     StandInDns full = rig.dns(a -> a.reply(a.answer(Rcode.REFUSED)));
     rig.start("upstream.refused_is_full = true", "", full, rig.dns(StandInDns.addresses("10.0.0.8")));
     for (int i = 0; i < 6; i++) {
@@ -356,7 +356,7 @@
   }
 
   @Test
-  void portsAreLetGoAfterTheirUses() throws Exception {
+  void portsAreReplacedAfterTheirQueries() throws Exception {
     List<Integer> sockets = new ArrayList<>();
     rig.start("upstream.ports = 2\nupstream.port_uses = 3", "", rig.dns(StandInDns.addresses("10.0.0.1")));
     Rig.Udp client = udp();
@@ -368,7 +368,7 @@
   }
 
   @Test
-  void aSilentServerCostsNoMoreThanItsTimeAndSomebodyElseAnswers() throws Exception {
+  void unresponsiveServerCostsOneAttemptTimeout() throws Exception {
     rig.start("upstream.attempt_ms = 150", "", rig.dns(a -> { }), rig.dns(StandInDns.addresses("10.0.0.8")));
     for (int i = 0; i < 10; i++) {
       assertEquals("10.0.0.8", Rig.text(udp().ask(Rig.question(i, "q" + i + ".example."))));
@@ -376,7 +376,7 @@
   }
 
   @Test
-  void allServersSilentIsAServfailInTime() throws Exception {
+  void allServersUnresponsiveGivesServfail() throws Exception {
     rig.start("upstream.attempt_ms = 200", "", rig.dns(a -> { }), rig.dns(a -> { }));
     Message m = udp().ask(Rig.edns(Rig.question(1, "www.example.", Type.MX), 1232, 0));
     assertEquals(Rcode.SERVFAIL, m.getRcode());
@@ -385,7 +385,7 @@
   }
 
   @Test
-  void nobodyListeningIsFoundOutAtOnce() throws Exception {
+  void closedPortIsDetectedAtOnce() throws Exception {
     StandInDns dead = new StandInDns(rig.group, a -> { });
     String address = dead.hostPort();
     dead.close();
@@ -397,7 +397,7 @@
   }
 
   @Test
-  void namesAreKeptInLowerCaseAndAnsweredAsAsked() throws Exception {
+  void cacheIgnoresCaseAndAnswersInTheClientsCase() throws Exception {
     StandInDns server = rig.dns(StandInDns.addresses("10.0.0.1"));
     rig.start("", "", server);
     udp().ask(Rig.question(1, "www.example."));
--- a/dns/src/test/java/cloverpulley/dns/ZonesTest.java
+++ b/dns/src/test/java/cloverpulley/dns/ZonesTest.java
@@ -30,8 +30,8 @@
 import org.xbill.DNS.Section;
 import org.xbill.DNS.Type;
 
-/** Zones of our own: from a master file, and from the fleet as it changes. */
-@Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
+/** Local zones: from a master file, and generated from the fleet as it changes. */
+@Timeout(value = 2 * Rig.TIMEOUT_S, unit = TimeUnit.SECONDS)
 class ZonesTest {
 
   private static final String MASTER = """
@@ -71,18 +71,18 @@
   }
 
   @Test
-  void aMasterFileIsAnswered() throws Exception {
+  void answersFromAMasterFile() throws Exception {
     startZone();
     Message m = ask("web.partner.test.", Type.A);
     assertEquals("10.1.0.1", Rig.text(m));
     assertTrue(m.getHeader().getFlag(Flags.AA));
     Message alias = ask("www.partner.test.", Type.A);
     assertEquals(List.of(Type.CNAME, Type.A), alias.getSection(Section.ANSWER).stream().map(r -> r.getType()).toList());
-    assertEquals(1, ask("out.partner.test.", Type.A).getSection(Section.ANSWER).size(), "whoever asked goes on from there");
+    assertEquals(1, ask("out.partner.test.", Type.A).getSection(Section.ANSWER).size(), "CNAME target outside the zone is left to the client");
     assertEquals("\"any\"", Rig.text(ask("x.wild.partner.test.", Type.TXT)));
     Message none = ask("no.partner.test.", Type.A);
     assertEquals(Rcode.NXDOMAIN, none.getRcode());
-    assertEquals(60, none.getSection(Section.AUTHORITY).get(0).getTTL(), "RFC 2308: the lesser of TTL and minimum");
+    assertEquals(60, none.getSection(Section.AUTHORITY).get(0).getTTL(), "RFC 2308: the lower of TTL and minimum");
     Message noData = ask("web.partner.test.", Type.MX);
     assertEquals(Rcode.NOERROR, noData.getRcode());
     assertEquals(Type.SOA, noData.getSection(Section.AUTHORITY).get(0).getType());
@@ -93,14 +93,14 @@
   }
 
   @Test
-  void aZoneThatCantBeReadIsToldAtTheStart() throws Exception {
+  void unreadableZoneFileFailsTheStart() throws Exception {
     Path file = Files.writeString(folder.resolve("bad.zone"), "@ SOA nonsense\n");
     IOException e = assertThrows(IOException.class,
         () -> rig.start("", "[[dns.zone]]\norigin = \"bad.test\"\nfile = \"" + file + "\"\n"));
     assertTrue(e.getMessage().contains("bad.zone"), e.getMessage());
   }
 
-  // ---- The fleet -----------------------------------------------------------------------------------------
+  // ---- Fleet zone ----------------------------------------------------------------------------------------
 
   private static final String FLEET_ZONE = "[dns.fleet_zone]\norigin = \"fleet.test\"\n";
 
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void theFleetIsAZone() throws Exception {
+  void fleetIsPublishedAsAZone() throws Exception {
     rig.start("", FLEET_ZONE + """
         [fleet]
         [[fleet.server]]
@@ -128,7 +128,7 @@
         """);
     Message browse = ask("_quote._tcp.fleet.test.", Type.PTR);
     assertEquals(2, browse.getSection(Section.ANSWER).size());
-    assertTrue(browse.getSection(Section.ADDITIONAL).size() >= 4, "what is asked next comes along");
+    assertTrue(browse.getSection(Section.ADDITIONAL).size() >= 4, "records queried next are included");
     SRVRecord srv = (SRVRecord) ask("s-1._quote._tcp.fleet.test.", Type.SRV).getSection(Section.ANSWER).get(0);
     assertEquals(8001, srv.getPort());
     assertEquals(200, srv.getWeight());
@@ -146,19 +146,19 @@
   }
 
   @Test
-  void drainedServersLeaveAtOnceAndTheSerialGrows() throws Exception {
+  void drainingServersAreRemovedAndTheSerialIncreases() throws Exception {
     StandInDiscovery discovery = rig.keep(new StandInDiscovery(rig.group));
     discovery.set("a", "127.0.0.1:7001", 0, "ready", 0);
     discovery.set("b", "127.0.0.1:7002", 0, "ready", 0);
     rig.start("", FLEET_ZONE + "[fleet]\ndiscovery = \"" + discovery.address() + "\"\n");
-    Rig.await("both are there", () -> count("_quote._tcp.fleet.test.") == 2);
+    Rig.await("both servers published", () -> count("_quote._tcp.fleet.test.") == 2);
     long before = serial();
     discovery.set("b", "127.0.0.1:7002", 0, "draining", 0);
-    Rig.await("one has left", () -> count("_quote._tcp.fleet.test.") == 1);
+    Rig.await("draining server removed", () -> count("_quote._tcp.fleet.test.") == 1);
     long after = serial();
     assertTrue(after > before, before + " " + after);
     discovery.set("b", "127.0.0.1:7002", 0, "ready", 0);
-    Rig.await("it is back", () -> count("_quote._tcp.fleet.test.") == 2);
+    Rig.await("server published again", () -> count("_quote._tcp.fleet.test.") == 2);
     assertTrue(serial() > after);
   }
 
@@ -171,28 +171,28 @@
   }
 
   @Test
-  void aColdServerWeighsLessAndRisesAndNothingElseChanges() throws Exception {
+  void weightRisesDuringSlowStart() throws Exception {
     DnsConfig.FleetZoneConfig names = new DnsConfig.FleetZoneConfig("fleet.test.", "_quote._tcp", 5, new InetSocketAddress("127.0.0.1", 53),
         TimeUnit.SECONDS.toNanos(10), 0.3);
     FleetZone zone = new FleetZone(names);
     long now = 1_800_000_000_000L;
-    Server cold = server("c", 8001, State.READY, 1, now);
-    assertEquals(30, zone.weight(cold, now));
-    assertEquals(65, zone.weight(cold, now + 5000));
-    assertEquals(100, zone.weight(cold, now + 10_000));
+    Server starting = server("c", 8001, State.READY, 1, now);
+    assertEquals(30, zone.weight(starting, now));
+    assertEquals(65, zone.weight(starting, now + 5000));
+    assertEquals(100, zone.weight(starting, now + 10_000));
     assertEquals(100, zone.weight(server("w", 8002, State.READY, 1, 0), now));
-    ServerList list = new ServerList(0, true, List.of(cold));
+    ServerList list = new ServerList(0, true, List.of(starting));
     assertNotNull(zone.zone(list, now));
     long serial = zone.serial();
-    assertNull(zone.zone(list, now), "nothing has changed");
+    assertNull(zone.zone(list, now), "nothing changed");
     assertNotNull(zone.zone(list, now + 5000));
     assertTrue(zone.serial() > serial);
     assertNotNull(zone.zone(list, now + 20_000));
-    assertNull(zone.zone(list, now + 40_000), "warm is warm");
+    assertNull(zone.zone(list, now + 40_000), "no change after slow start");
   }
 
   @Test
-  void serialsGrowWhateverTheClockDoes() {
+  void serialIncreasesEvenIfTheClockGoesBack() {
     FleetZone zone = new FleetZone(new DnsConfig.FleetZoneConfig("fleet.test.", "_quote._tcp", 5,
         new InetSocketAddress("127.0.0.1", 53), 0, 1));
     long last = 0;
@@ -203,24 +203,24 @@
     }
   }
 
-  /** A large fleet: too much for a datagram, and whole over TCP. */
+  /** A large fleet doesn't fit in a datagram and is complete over TCP. */
   @Test
-  void aLargeFleetIsWholeOverTcp() throws Exception {
+  void largeFleetIsTruncatedOverUdpAndCompleteOverTcp() throws Exception {
     StringBuilder text = new StringBuilder(FLEET_ZONE + "[fleet]\n");
     for (int i = 0; i < 300; i++) {
       text.append("[[fleet.server]]\nid = \"s-").append(i).append("\"\naddress = \"127.0.").append(i / 200).append('.').append(1 + i % 200)
           .append(":8000\"\n");
     }
     rig.start("", text.toString());
-    Message cut = ask("_quote._tcp.fleet.test.", Type.SRV);
-    assertTrue(cut.getHeader().getFlag(Flags.TC));
+    Message truncated = ask("_quote._tcp.fleet.test.", Type.SRV);
+    assertTrue(truncated.getHeader().getFlag(Flags.TC));
     try (Rig.Tcp client = new Rig.Tcp(rig.server.address())) {
       assertEquals(300, client.ask(Rig.question(1, "_quote._tcp.fleet.test.", Type.SRV)).getSection(Section.ANSWER).size());
     }
   }
 
   @Test
-  void idsThatAreNoLabelsGetOne() {
+  void idsThatAreNoLabelsAreHashed() {
     assertEquals("s-1", FleetZone.label("s-1"));
     for (String id : List.of("a.b", "", "-a", "ä", "x".repeat(64), "a b")) {
       assertTrue(FleetZone.label(id).matches("n-[0-9a-f]+"), id);
