--- a/dns/src/main/java/cloverpulley/dns/DnsServer.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsServer.java
@@ -175,7 +175,7 @@
     });
     resolver = new Resolver(loop, clock, config, engine, client, counts, recorder, quotas);
     engine.news(ListKind.CACHED, initial);
-    zones.forEach(resolver::add);
+    zones.forEach(resolver::addZone);
     if (config.fleetZone() != null && publishedSource != null) {
       publishFleet(publishedSource);
     }
@@ -206,7 +206,7 @@
     publishedFleet.take(ListKind.CACHED, initial);
     fleetZone = new FleetZone(config.fleetZone());
     publishedZone = new LocalZone(Names.of(config.fleetZone().origin()), fleetZone.zone(publishedFleet.list(), System.currentTimeMillis()));
-    resolver.add(publishedZone);
+    resolver.addZone(publishedZone);
     if (!source.isWritten()) {
       publishedDiscovery = openSource(source, initial, publishedFleet, this::onPublishedEndpoints);
       publishedDiscovery.watch(true);
--- a/dns/src/main/java/cloverpulley/dns/Resolver.java
+++ b/dns/src/main/java/cloverpulley/dns/Resolver.java
@@ -97,7 +97,7 @@
     config.settings().tenants().forEach(t -> tenants.add(t.name()));
   }
 
-  void add(LocalZone zone) {
+  void addZone(LocalZone zone) {
     zones.add(zone);
   }
 
@@ -118,7 +118,7 @@
     try {
       m = Message.read(octets, config.tenantOption());
     } catch (MalformedException e) {
-      malformed(octets, from);
+      onMalformed(octets, from);
       return;
     }
     Query q = new Query(m, from, clock.now());
@@ -146,7 +146,7 @@
     }
   }
 
-  private void malformed(byte[] octets, Query.Client from) {
+  private void onMalformed(byte[] octets, Query.Client from) {
     counts.malformed++;
     if (from.isTcp() || checkRate(from.address()) == ResponseRateLimiter.Action.ANSWER) {
       counts.answers++;
@@ -429,13 +429,13 @@
   void reply(Query q, byte[] octets) {
     counts.answers++;
     if (recorder.isOn()) {
-      record(q, octets);
+      recordAnswer(q, octets);
     }
     q.answer(octets);
   }
 
   /** Records the answer as the client sees it: a truncated answer doesn't count as served. */
-  private void record(Query q, byte[] octets) {
+  private void recordAnswer(Query q, byte[] octets) {
     int rcode = octets[3] & 0xF;
     boolean truncated = (Message.get16(octets, 2) & Message.TC) != 0;
     boolean served = !truncated && (rcode == Message.NOERROR || rcode == Message.NXDOMAIN);
--- a/dns/src/main/java/cloverpulley/dns/TcpFrontend.java
+++ b/dns/src/main/java/cloverpulley/dns/TcpFrontend.java
@@ -64,11 +64,11 @@
 
   /** Closes the connection that has been idle longest to make room for a new one. Returns false if none is idle. */
   private boolean evictIdle() {
-    for (Connection p : openConnections) {
-      if (p.pending.isEmpty() && !p.isWriting()) {
+    for (Connection c : openConnections) {
+      if (c.pending.isEmpty() && !c.isWriting()) {
         resolver.counts.turnedAway++;
-        p.channel.close();
-        p.onClosed();
+        c.channel.close();
+        c.onClosed();
         return true;
       }
     }
@@ -77,8 +77,8 @@
 
   private void sweep() {
     long now = resolver.clock.now();
-    for (Connection p : List.copyOf(openConnections)) {
-      p.closeIfExpired(now);
+    for (Connection c : List.copyOf(openConnections)) {
+      c.closeIfExpired(now);
     }
   }
 
@@ -90,7 +90,7 @@
 
   void close() {
     sweep.cancel(false);
-    List.copyOf(openConnections).forEach(p -> p.channel.close());
+    List.copyOf(openConnections).forEach(c -> c.channel.close());
   }
 
   int connections() {
