--- a/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
@@ -10,12 +10,12 @@
 import cloverpulley.config.BadFileException;
 import cloverpulley.discovery.Discovery;
 import cloverpulley.engine.Attempt;
-import cloverpulley.engine.Both;
+import cloverpulley.engine.CompositeEngineListener;
 import cloverpulley.engine.Engine;
+import cloverpulley.engine.EngineListener;
 import cloverpulley.engine.Exchange;
 import cloverpulley.engine.Fleet;
 import cloverpulley.engine.ServerList;
-import cloverpulley.engine.Witness;
 import cloverpulley.fleet.FleetSource;
 import cloverpulley.fleet.HeldList;
 import cloverpulley.fleet.WrittenList;
@@ -62,7 +62,7 @@
   private Path config;
 
   /** What the ledger's follower and the leader's roll hear of the engine; on its loop. */
-  private static final class Ears implements Witness {
+  private static final class Ears implements EngineListener {
     private final AgreeConfig agree;
     private final Map<Long, String> names = new ConcurrentHashMap<>();
     private final Map<String, MembershipReconciler.Registration> listed = new HashMap<>();
@@ -75,13 +75,13 @@
     }
 
     @Override
-    public void taken(Exchange x) {}
+    public void requestAccepted(Exchange x) {}
 
     @Override
-    public void sent(Attempt attempt) {}
+    public void attemptSent(Attempt attempt) {}
 
     @Override
-    public void outcome(Attempt attempt, Status status, long latencyNanos) {
+    public void attemptEnded(Attempt attempt, Status status, long latencyNanos) {
       String name = names.get(attempt.upstream());
       if (name == null || follower == null || status == Status.CANCELLED || status == Status.NOT_SENT) {
         return;
@@ -91,18 +91,18 @@
     }
 
     @Override
-    public void ended(Exchange x, End end, Reason reason) {
-      if (follower != null && end != End.GONE) {
-        follower.recordRequest(end == End.REFUSED && reason != Reason.QUOTA); // A share of one's own used up says nothing of the fleet.
+    public void requestEnded(Exchange x, Completion end, Reason reason) {
+      if (follower != null && end != Completion.GONE) {
+        follower.recordRequest(end == Completion.REJECTED && reason != Reason.QUOTA); // A share of one's own used up says nothing of the fleet.
       }
     }
 
     @Override
-    public void listed(ListKind kind, ServerList list, List<Numbered> servers) {
+    public void serverListUpdated(ListKind kind, ServerList list, List<NumberedServer> servers) {
       if (kind == ListKind.FULL || kind == ListKind.CACHED) {
         listed.clear();
       }
-      for (Numbered n : servers) {
+      for (NumberedServer n : servers) {
         ServerList.Server s = n.server();
         names.put(n.upstream(), s.id());
         if (s.state() == cloverpulley.Balancer.State.GONE) {
@@ -117,7 +117,7 @@
     }
 
     @Override
-    public void replaced(String event) {}
+    public void moduleReplaced(String event) {}
   }
 
   @Override
@@ -134,7 +134,7 @@
     Ears ears = agree == null ? null : new Ears(agree, voter);
     Recorder recorder = Recorder.open(operators.records(), "balance", operators.settings());
     HeldList held = new HeldList(operators.fleet().stateFile());
-    Witness witness = ears == null ? recorder : new Both(recorder, ears);
+    EngineListener witness = ears == null ? recorder : new CompositeEngineListener(recorder, ears);
     BalanceConfig b = operators.balance();
     FleetSource fleet = operators.fleet();
     Balance.Lists lists = (loop, f, news) -> open(fleet, held, loop, f, news);
--- a/dns/src/main/java/cloverpulley/dns/DnsExchange.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsExchange.java
@@ -18,16 +18,16 @@
   final Resolver resolver;
   private final UpstreamQuery.Spec spec;
 
-  DnsExchange(Facts facts, Resolver resolver, UpstreamQuery.Spec spec) {
-    super(facts);
+  DnsExchange(RequestInfo info, Resolver resolver, UpstreamQuery.Spec spec) {
+    super(info);
     this.resolver = resolver;
     this.spec = spec;
   }
 
   @Override
-  protected Attempt.Sending start(Attempt attempt, SocketAddress address, long timeoutNanos) {
+  protected Attempt.CancelHandle startAttempt(Attempt attempt, SocketAddress address, long timeoutNanos) {
     // A query that can be retried on another server doesn't wait for an unresponsive one; an unsafe one waits until its timeout.
-    long wait = facts().type().effect() == Effect.UNSAFE ? timeoutNanos
+    long wait = info().requestClass().effect() == Effect.UNSAFE ? timeoutNanos
         : Math.min(timeoutNanos, resolver.config.attemptNanos());
     return resolver.client.query(attempt.upstream(), (InetSocketAddress) address, spec, wait,
         (status, answer, reason) -> onAttemptEnded(attempt, status, answer))::cancel;
@@ -37,7 +37,7 @@
     Status result = status;
     ResponseTemplate parsed = null;
     if (answer != null) {
-      result = RcodeMapping.toStatus(facts().type().effect(), answer.rcode(), resolver.config.refusedIsFull());
+      result = RcodeMapping.toStatus(info().requestClass().effect(), answer.rcode(), resolver.config.refusedIsFull());
       if (result == Status.SERVED && spec.raw() == null) {
         parsed = toTemplate(answer);
         result = parsed == null ? Status.ERROR : result;
--- a/dns/src/main/java/cloverpulley/dns/DnsServer.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsServer.java
@@ -11,10 +11,10 @@
 import cloverpulley.dns.wire.Names;
 import cloverpulley.engine.Clock;
 import cloverpulley.engine.Engine;
+import cloverpulley.engine.EngineListener;
 import cloverpulley.engine.Fleet;
 import cloverpulley.engine.ServerList;
 import cloverpulley.engine.Transport;
-import cloverpulley.engine.Witness;
 import cloverpulley.fleet.FleetSource;
 import cloverpulley.fleet.HeldList;
 import cloverpulley.fleet.WrittenList;
@@ -161,20 +161,20 @@
 
   private void assemble(LongFunction<Balancer> modules, List<LocalZone> zones, FleetSource publishedSource) {
     FleetSource source = config.fleet();
-    ServerList initial = source == null ? ServerList.NONE : source.first();
-    Engine.ListSource lists = source == null || source.isWritten() ? new WrittenList(fleet, (kind, list) -> engine.news(kind, list))
+    ServerList initial = source == null ? ServerList.EMPTY : source.first();
+    Engine.ListSource lists = source == null || source.isWritten() ? new WrittenList(fleet, (kind, list) -> engine.serverListUpdated(kind, list))
         : openSource(source, initial, fleet, this::onEndpoints);
     client = new DnsClient(loop, clock, config.upstream());
     engine = new Engine(loop, clock, config.settings(), modules, fleet, lists, (to, data) -> { },
-        recorder.isOn() ? recorder : Witness.NONE);
-    engine.attach(new Transport() {
+        recorder.isOn() ? recorder : EngineListener.NO_OP);
+    engine.addTransport(new Transport() {
       @Override
-      public void withdraw(LongPredicate from) {
+      public void drainUpstreams(LongPredicate from) {
         client.withdraw(from);
       }
     });
     resolver = new Resolver(loop, clock, config, engine, client, counts, recorder, quotas);
-    engine.news(ListKind.CACHED, initial);
+    engine.serverListUpdated(ListKind.CACHED, initial);
     zones.forEach(resolver::addZone);
     if (config.fleetZone() != null && publishedSource != null) {
       publishFleet(publishedSource);
@@ -192,7 +192,7 @@
   }
 
   private void onEndpoints(ListKind kind, ServerList list) {
-    engine.news(kind, list);
+    engine.serverListUpdated(kind, list);
     if (kind != ListKind.FAILED) {
       cachedList.write(fleet.list());
     }
@@ -203,7 +203,7 @@
   private void publishFleet(FleetSource source) {
     publishedFleet = new Fleet(clock);
     ServerList initial = source.first();
-    publishedFleet.take(ListKind.CACHED, initial);
+    publishedFleet.update(ListKind.CACHED, initial);
     fleetZone = new FleetZone(config.fleetZone());
     publishedZone = new LocalZone(Names.of(config.fleetZone().origin()), fleetZone.zone(publishedFleet.list(), System.currentTimeMillis()));
     resolver.addZone(publishedZone);
@@ -218,7 +218,7 @@
     if (kind == ListKind.FAILED) {
       loop.schedule(() -> publishedDiscovery.watch(true), DISCOVERY_RETRY_MILLIS, TimeUnit.MILLISECONDS);
     } else {
-      publishedFleet.take(kind, list);
+      publishedFleet.update(kind, list);
       refreshZone();
     }
   }
@@ -244,10 +244,10 @@
   public void updateEndpoints(ServerList servers, ServerList published) {
     loop.execute(() -> {
       if (servers != null) {
-        engine.news(ListKind.FULL, servers);
+        engine.serverListUpdated(ListKind.FULL, servers);
       }
       if (published != null && publishedFleet != null) {
-        publishedFleet.take(ListKind.FULL, published);
+        publishedFleet.update(ListKind.FULL, published);
         refreshZone();
       }
     });
@@ -352,7 +352,7 @@
   }
 
   int pendingRequests() {
-    return onLoop(engine::inHand);
+    return onLoop(engine::pendingRequests);
   }
 
   int connections() {
@@ -416,7 +416,7 @@
    * are the successor's.
    */
   private boolean closeIfIdle() {
-    boolean idle = engine.inHand() + tcp.connections() == 0;
+    boolean idle = engine.pendingRequests() + tcp.connections() == 0;
     boolean finished = idle && wasIdle;
     wasIdle = idle;
     if (finished) {
--- a/dns/src/main/java/cloverpulley/dns/InFlightQuery.java
+++ b/dns/src/main/java/cloverpulley/dns/InFlightQuery.java
@@ -2,7 +2,7 @@
 
 import cloverpulley.dns.client.UpstreamQuery;
 import cloverpulley.dns.wire.Message;
-import cloverpulley.engine.Verdict;
+import cloverpulley.engine.LocalReply;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -16,8 +16,8 @@
   private final Cache.Entry stale;
   private boolean staleServed;
 
-  InFlightQuery(Facts facts, Resolver resolver, UpstreamQuery.Spec spec, Cache.Key key, Cache.Entry stale, boolean prefetch) {
-    super(facts, resolver, spec);
+  InFlightQuery(RequestInfo info, Resolver resolver, UpstreamQuery.Spec spec, Cache.Key key, Cache.Entry stale, boolean prefetch) {
+    super(info, resolver, spec);
     this.key = key;
     this.stale = stale;
     this.prefetch = prefetch;
@@ -57,15 +57,15 @@
   }
 
   @Override
-  protected void answer(Verdict verdict) {
+  protected void respond(LocalReply verdict) {
     resolver.removeInFlight(this);
     long now = resolver.clock.now();
-    boolean deadlineReached = now >= facts().deadline() - resolver.config.marginNanos();
+    boolean deadlineReached = now >= info().deadline() - resolver.config.marginNanos();
     List<Query> remaining = new ArrayList<>();
     for (Query q : removeWaiting()) {
       if (stale != null) {
         resolver.replyStale(q, stale);
-      } else if (deadlineReached && resolver.deadline(q, facts().type()) > now + resolver.config.marginNanos()) {
+      } else if (deadlineReached && resolver.deadline(q, info().requestClass()) > now + resolver.config.marginNanos()) {
         remaining.add(q); // It joined after the first query, so its deadline is later.
       } else {
         resolver.fail(q, verdict);
--- a/dns/src/main/java/cloverpulley/dns/PassThroughExchange.java
+++ b/dns/src/main/java/cloverpulley/dns/PassThroughExchange.java
@@ -2,7 +2,7 @@
 
 import cloverpulley.dns.client.UpstreamQuery;
 import cloverpulley.dns.wire.Message;
-import cloverpulley.engine.Verdict;
+import cloverpulley.engine.LocalReply;
 
 /** Forwards an UPDATE, a NOTIFY or a signed query, and its response, unmodified except for the message id. */
 final class PassThroughExchange extends DnsExchange {
@@ -12,8 +12,8 @@
    * may be repeated. */
   private final DuplicateRequestCache.Key key;
 
-  PassThroughExchange(Facts facts, Resolver resolver, UpstreamQuery.Spec spec, Query query, DuplicateRequestCache.Key key) {
-    super(facts, resolver, spec);
+  PassThroughExchange(RequestInfo info, Resolver resolver, UpstreamQuery.Spec spec, Query query, DuplicateRequestCache.Key key) {
+    super(info, resolver, spec);
     this.query = query;
     this.key = key;
   }
@@ -28,7 +28,7 @@
   }
 
   @Override
-  protected void answer(Verdict verdict) {
+  protected void respond(LocalReply verdict) {
     reply(resolver.failureResponse(query, verdict));
   }
 
--- a/dns/src/main/java/cloverpulley/dns/Resolver.java
+++ b/dns/src/main/java/cloverpulley/dns/Resolver.java
@@ -14,7 +14,7 @@
 import cloverpulley.engine.Clock;
 import cloverpulley.engine.Engine;
 import cloverpulley.engine.Exchange;
-import cloverpulley.engine.Verdict;
+import cloverpulley.engine.LocalReply;
 import cloverpulley.incident.Entry;
 import cloverpulley.names.GracefulShutdown;
 import cloverpulley.names.ResponseRateLimiter;
@@ -223,7 +223,7 @@
     }
     long grant = quotas.tryAcquire(q.tenant, 1, q.message.bytes().length, 0, false);
     if (Quotas.isRejected(grant)) {
-      fail(q, new Verdict(true, Reason.QUOTA, quotas.retryAfterNanos()));
+      fail(q, new LocalReply(true, Reason.QUOTA, quotas.retryAfterNanos()));
       return false;
     }
     return true;
@@ -311,8 +311,8 @@
   }
 
   /** A safe-to-retry rejection: nothing has run, and a retry after the shutdown reaches the successor. */
-  private Verdict stoppingVerdict(Query q) {
-    return new Verdict(true, Reason.STOPPING, shutdown.remaining(q.arrivedAt));
+  private LocalReply stoppingVerdict(Query q) {
+    return new LocalReply(true, Reason.STOPPING, shutdown.remaining(q.arrivedAt));
   }
 
   /** Begins the shutdown: from here on {@link GracefulShutdown} decides which queries are accepted. */
@@ -347,11 +347,12 @@
     int flags = q.message.flags() & (Message.RD | Message.CD) | Message.AD;
     UpstreamQuery.Spec spec = new UpstreamQuery.Spec(null, q.question(), flags, q.wantsDnssec(), false);
     long deadline = prefetch ? clock.now() + type.deadlineNanos() : deadline(q, type);
-    InFlightQuery query = new InFlightQuery(new Exchange.Facts(type, q.tenant, affinityKey(q.question()), 0, false, deadline, 0, List.of()), this,
+    InFlightQuery query = new InFlightQuery(
+        new Exchange.RequestInfo(type, q.tenant, affinityKey(q.question()), 0, false, deadline, 0, List.of()), this,
         spec, key, stale, prefetch);
     inFlight.put(key, query);
     counts.flights++;
-    engine.take(query);
+    engine.accept(query);
     if (stale != null) {
       loop.schedule(query::onStaleTimeout, config.caching().staleWaitNanos(), TimeUnit.NANOSECONDS);
     }
@@ -413,15 +414,15 @@
       fail(q, stoppingVerdict(q)); // Only after the duplicate check: the original of a retransmission may have run or be in flight.
       return;
     } else if (key != null && !duplicates.tryAdd(key, q.arrivedAt)) {
-      fail(q, new Verdict(true, Reason.RECORD_FULL, NANOS_PER_SECOND));
+      fail(q, new LocalReply(true, Reason.RECORD_FULL, NANOS_PER_SECOND));
       return;
     }
     boolean tcp = !safe && config.unsafeOverTcp() || q.message.bytes().length > config.udpSize();
     UpstreamQuery.Spec spec = new UpstreamQuery.Spec(q.message.bytes(), q.question(), 0, false, tcp);
     PassThroughExchange exchange = new PassThroughExchange(
-        new Exchange.Facts(type, q.tenant, affinityKey(q.question()), 0, false, deadline(q, type), 0, List.of()), this, spec, q, key);
+        new Exchange.RequestInfo(type, q.tenant, affinityKey(q.question()), 0, false, deadline(q, type), 0, List.of()), this, spec, q, key);
     q.client.onPending(q, exchange);
-    engine.take(exchange);
+    engine.accept(exchange);
   }
 
   // ---- Answers -------------------------------------------------------------------------------------------
@@ -462,7 +463,7 @@
     reply(q, q.withRecords(responseOptions, e.template, 0, config.caching().staleTtl(), false, STALE_ANSWER, "no server answers"));
   }
 
-  void fail(Query q, Verdict verdict) {
+  void fail(Query q, LocalReply verdict) {
     reply(q, failureResponse(q, verdict));
   }
 
@@ -470,7 +471,7 @@
    * An error response: REFUSED if a limit or quota rejects the query, SERVFAIL if no server answers it. The extended error text has the
    * reason and, if the module gives one, the time after which to retry.
    */
-  byte[] failureResponse(Query q, Verdict verdict) {
+  byte[] failureResponse(Query q, LocalReply verdict) {
     counts.end(verdict.reason());
     String reasonCode = verdict.reason().code();
     q.reason = reasonCode;
--- a/engine/src/main/java/cloverpulley/engine/Engine.java
+++ b/engine/src/main/java/cloverpulley/engine/Engine.java
@@ -1,11 +1,10 @@
 package cloverpulley.engine;
 
+import cloverpulley.Balancer;
 import cloverpulley.Balancer.Action;
 import cloverpulley.Balancer.AnswerStarted;
-import cloverpulley.Balancer.PublishSnapshot;
-import cloverpulley.Balancer.ProcessCountChanged;
+import cloverpulley.Balancer.BodyDiscarded;
 import cloverpulley.Balancer.BodyEnded;
-import cloverpulley.Balancer.UpstreamSetOnline;
 import cloverpulley.Balancer.Cancel;
 import cloverpulley.Balancer.ClientGone;
 import cloverpulley.Balancer.CloseIdle;
@@ -13,26 +12,27 @@
 import cloverpulley.Balancer.Event;
 import cloverpulley.Balancer.Fail;
 import cloverpulley.Balancer.FetchEndpoints;
-import cloverpulley.Balancer.SnapshotRequested;
-import cloverpulley.Balancer.SnapshotRestored;
 import cloverpulley.Balancer.ListKind;
 import cloverpulley.Balancer.Outcome;
 import cloverpulley.Balancer.PeerMessage;
 import cloverpulley.Balancer.Probe;
 import cloverpulley.Balancer.ProbeResult;
+import cloverpulley.Balancer.ProcessCountChanged;
+import cloverpulley.Balancer.PublishSnapshot;
 import cloverpulley.Balancer.Reject;
 import cloverpulley.Balancer.Request;
-import cloverpulley.Balancer.SettingsChanged;
 import cloverpulley.Balancer.Send;
+import cloverpulley.Balancer.SendToPeer;
 import cloverpulley.Balancer.SetTimer;
 import cloverpulley.Balancer.Settings;
+import cloverpulley.Balancer.SettingsChanged;
+import cloverpulley.Balancer.SnapshotRequested;
+import cloverpulley.Balancer.SnapshotRestored;
 import cloverpulley.Balancer.Status;
-import cloverpulley.Balancer.UpstreamSetOffline;
-import cloverpulley.Balancer.SendToPeer;
 import cloverpulley.Balancer.TimerFired;
-import cloverpulley.Balancer.BodyDiscarded;
+import cloverpulley.Balancer.UpstreamSetOffline;
+import cloverpulley.Balancer.UpstreamSetOnline;
 import cloverpulley.Balancer.Watch;
-import cloverpulley.Balancer;
 import cloverpulley.Reason;
 import cloverpulley.state.BalancerSnapshot;
 import java.net.SocketAddress;
@@ -69,7 +69,7 @@
   private final Fleet fleet;
   private final ListSource lists;
   private final PeerSender peers;
-  private final Witness witness;
+  private final EngineListener witness;
   private final List<Transport> transports = new ArrayList<>(1);
   private final Map<String, Exchange> exchanges = new HashMap<>();
   /** What has happened and the module has not been told; an entry is worded when its turn comes. */
@@ -99,12 +99,12 @@
    */
   public Engine(ScheduledExecutorService loop, Clock clock, Settings settings, LongFunction<Balancer> modules, Fleet fleet,
       ListSource lists, PeerSender peers) {
-    this(loop, clock, settings, modules, fleet, lists, peers, Witness.NONE);
+    this(loop, clock, settings, modules, fleet, lists, peers, EngineListener.NO_OP);
   }
 
   /** The same, with somebody who is told of all that happens. */
   public Engine(ScheduledExecutorService loop, Clock clock, Settings settings, LongFunction<Balancer> modules, Fleet fleet,
-      ListSource lists, PeerSender peers, Witness witness) {
+      ListSource lists, PeerSender peers, EngineListener witness) {
     this.witness = witness;
     this.loop = loop;
     this.clock = clock;
@@ -117,30 +117,30 @@
   }
 
   /** A front's way to the upstreams joins; the first that can probe does. */
-  public void attach(Transport transport) {
+  public void addTransport(Transport transport) {
     transports.add(transport);
   }
 
   // ---- What happens --------------------------------------------------------------------------------------
 
   /** A client's request has come in whole. */
-  public void take(Exchange x) {
+  public void accept(Exchange x) {
     x.id = "r" + taken;
     x.number = ++taken;
     x.maxAttempts = settings.limits().maxAttempts();
     exchanges.put(x.id, x);
-    witness.taken(x);
-    Exchange.Facts f = x.facts();
+    witness.requestAccepted(x);
+    Exchange.RequestInfo f = x.info();
     long due = f.answerBy() > 0 ? Math.min(f.answerBy(), f.deadline()) : f.deadline();
     guard(x, due);
-    enqueue(() -> x.isEnded() ? null : new Request(x.id, f.type().name(), f.tenant(), f.key(), f.deadline(), f.hintNanos(),
-        f.retry(), f.answerBy(), f.earlier()));
+    enqueue(() -> x.isEnded() ? null : new Request(x.id, f.requestClass().name(), f.tenant(), f.key(), f.deadline(), f.hintNanos(),
+        f.retry(), f.answerBy(), f.priorAttempts()));
   }
 
   /** The client has gone, or has been answered by its front without the module. */
   public void clientGone(Exchange x) {
     if (x.id != null) {
-      finish(x, Witness.End.GONE, null);
+      finish(x, EngineListener.Completion.GONE, null);
     }
     x.end();
     enqueue(() -> known(x) ? new ClientGone(x.id) : null);
@@ -148,31 +148,31 @@
 
   private void overdue(Exchange x) {
     if (!x.isEnded()) {
-      finish(x, Witness.End.FAILED, Reason.DEADLINE);
+      finish(x, EngineListener.Completion.FAILED, Reason.DEADLINE);
       x.end();
-      x.answer(Verdict.failed(Reason.DEADLINE));
+      x.respond(LocalReply.failed(Reason.DEADLINE));
       clientGone(x);
     }
   }
 
   /** A source of the list has said something; with FAILED it has not, and the list is unused. */
-  public void news(ListKind kind, ServerList list) {
+  public void serverListUpdated(ListKind kind, ServerList list) {
     if (kind == ListKind.FAILED) {
-      witness.listed(kind, ServerList.NONE, List.of());
+      witness.serverListUpdated(kind, ServerList.EMPTY, List.of());
       enqueue(() -> new EndpointUpdate(kind, List.of()));
       return;
     }
-    EndpointUpdate news = fleet.take(kind, list);
-    if (witness != Witness.NONE) {
-      List<Witness.Numbered> told = new ArrayList<>(news.endpoints().size());
+    EndpointUpdate news = fleet.update(kind, list);
+    if (witness != EngineListener.NO_OP) {
+      List<EngineListener.NumberedServer> told = new ArrayList<>(news.endpoints().size());
       for (int i = 0; i < news.endpoints().size(); i++) {
-        told.add(new Witness.Numbered(news.endpoints().get(i).upstream(), list.members().get(i)));
+        told.add(new EngineListener.NumberedServer(news.endpoints().get(i).upstream(), list.members().get(i)));
       }
-      witness.listed(kind, list, told);
+      witness.serverListUpdated(kind, list, told);
     }
     enqueue(() -> news);
     // After the news, so that the module knows why what was still connecting comes back unsent.
-    transports.forEach(t -> t.withdraw(upstream -> !fleet.isReady(upstream)));
+    transports.forEach(t -> t.drainUpstreams(upstream -> !fleet.isReady(upstream)));
   }
 
   /**
@@ -180,42 +180,42 @@
    *
    * @param forNanos how long it has been out already, where that was told elsewhere
    */
-  public void takeOut(String id, long forNanos) {
-    if (!fleet.out().contains(id)) {
-      long upstream = fleet.takeOut(id);
+  public void setOffline(String id, long forNanos) {
+    if (!fleet.offline().contains(id)) {
+      long upstream = fleet.setOffline(id);
       enqueue(() -> new UpstreamSetOffline(upstream, forNanos));
-      transports.forEach(t -> t.withdraw(u -> !fleet.isReady(u)));
+      transports.forEach(t -> t.drainUpstreams(u -> !fleet.isReady(u)));
     }
   }
 
   /** An operator calls an upstream back; nothing where it was not out. */
-  public void callBack(String id) {
-    Long upstream = fleet.callBack(id);
+  public void setOnline(String id) {
+    Long upstream = fleet.setOnline(id);
     if (upstream != null) {
       enqueue(() -> new UpstreamSetOnline(upstream));
     }
   }
 
   /** Asks the module what it knows, for a successor; told in the module's turn. */
-  public void knowledge(Consumer<BalancerSnapshot> to) {
+  public void requestSnapshot(Consumer<BalancerSnapshot> to) {
     knowledgeTo = to;
     enqueue(SnapshotRequested::new);
   }
 
   /** What a predecessor's module knew; after the first list. */
-  public void inherit(BalancerSnapshot knowledge) {
+  public void restoreSnapshot(BalancerSnapshot knowledge) {
     enqueue(() -> new SnapshotRestored(knowledge));
   }
 
   /** Other settings hold for requests that are taken from here on; those in hand keep theirs. */
-  public void retune(Settings to) {
+  public void updateSettings(Settings to) {
     settings = to;
     retuned = true;
     enqueue(() -> new SettingsChanged(to));
   }
 
   /** So many processes serve as this balancer, this one among them. */
-  public void beside(int processes) {
+  public void setProcessCount(int processes) {
     enqueue(() -> new ProcessCountChanged(processes));
   }
 
@@ -230,12 +230,12 @@
   }
 
   /** Requests in hand: those owed an answer, and those with an attempt still out. */
-  public int inHand() {
+  public int pendingRequests() {
     return exchanges.size();
   }
 
   /** Attempts that have not ended. */
-  public int inFlight() {
+  public int inFlightAttempts() {
     int attempts = 0;
     for (Exchange x : exchanges.values()) {
       attempts += x.outstanding;
@@ -247,9 +247,9 @@
   public void failAll() {
     for (Exchange x : List.copyOf(exchanges.values())) {
       if (!x.isEnded()) {
-        finish(x, Witness.End.FAILED, Reason.STOPPING);
+        finish(x, EngineListener.Completion.FAILED, Reason.STOPPING);
         x.end();
-        x.answer(Verdict.failed(Reason.STOPPING));
+        x.respond(LocalReply.failed(Reason.STOPPING));
         clientGone(x);
       }
     }
@@ -269,14 +269,14 @@
     attempt.ended = true;
     Exchange x = attempt.exchange();
     long latency = attempt.begunAfter >= 0 ? attempt.begunAfter : latency(attempt);
-    witness.outcome(attempt, status, latency);
+    witness.attemptEnded(attempt, status, latency);
     enqueue(() -> {
       x.outstanding--;
       inTurn.run();
       if (x.isEnded()) {
         // By its front, in this turn or before it: an end that was told already stays.
         boolean broke = x.passing == attempt && status != Status.SERVED;
-        finish(x, broke ? Witness.End.FAILED : Witness.End.SERVED, broke ? Reason.MAY_HAVE_RUN : null);
+        finish(x, broke ? EngineListener.Completion.FAILED : EngineListener.Completion.SERVED, broke ? Reason.MAY_HAVE_RUN : null);
       }
       return known(x) ? new Outcome(x.id, attempt.number(), attempt.upstream(), status, latency, x.isEnded(), load) : null;
     });
@@ -290,7 +290,7 @@
    * An attempt's answer has begun and is to be passed on while it comes: from here on the request is this attempt's, without a
    * deadline, and ends with it. False where the request has its end or another attempt's answer: then nothing may be passed on.
    */
-  public boolean answerBegins(Attempt attempt) {
+  public boolean answerStarted(Attempt attempt) {
     Exchange x = attempt.exchange();
     if (attempt.ended || x.isEnded() || x.passing != null || !known(x)) {
       return false;
@@ -317,7 +317,7 @@
   }
 
   /** The beginning of a request's body is not kept any more. */
-  public void unrepeatable(Exchange x) {
+  public void bodyDiscarded(Exchange x) {
     enqueue(() -> known(x) ? new BodyDiscarded(x.id) : null);
   }
 
@@ -376,33 +376,33 @@
       loop.execute(() -> Runtime.getRuntime().halt(1));
       return;
     }
-    witness.replaced(cause.getClass().getSimpleName());
+    witness.moduleReplaced(cause.getClass().getSimpleName());
     List<Exchange> all = List.copyOf(exchanges.values());
     for (Exchange x : all) {
       x.attempts.forEach(Engine::cancel);
     }
     failAll();
     exchanges.clear();
-    all.forEach(Exchange::forgotten);
+    all.forEach(Exchange::onRemoved);
     queue.clear();
     module = modules.apply(++generation);
     if (retuned) {
       Settings now = settings;
       enqueue(() -> new SettingsChanged(now)); // Before the list: it was made with those of the start.
     }
-    EndpointUpdate held = fleet.held();
+    EndpointUpdate held = fleet.cachedUpdate();
     enqueue(() -> held);
-    fleet.out().forEach(id -> {
-      long upstream = fleet.takeOut(id);
+    fleet.offline().forEach(id -> {
+      long upstream = fleet.setOffline(id);
       enqueue(() -> new UpstreamSetOffline(upstream, 0));
     });
   }
 
   /** Tells of a request's end, the first time. */
-  private void finish(Exchange x, Witness.End end, Reason reason) {
+  private void finish(Exchange x, EngineListener.Completion end, Reason reason) {
     if (!x.told) {
       x.told = true;
-      witness.ended(x, end, reason);
+      witness.requestEnded(x, end, reason);
     }
   }
 
@@ -413,7 +413,7 @@
   private void forget(Exchange x) {
     if (x != null && x.isEnded() && x.outstanding == 0) {
       exchanges.remove(x.id);
-      x.forgotten();
+      x.onRemoved();
     }
   }
 
@@ -425,12 +425,12 @@
     } else if (action instanceof Cancel a) {
       Exchange x = exchanges.get(a.id());
       if (x != null) {
-        cancel(x.attempts.get(a.attempt() - x.facts().earlier().size()));
+        cancel(x.attempts.get(a.attempt() - x.info().priorAttempts().size()));
       }
     } else if (action instanceof Reject a) {
-      end(a.id(), new Verdict(true, a.reason(), a.retryAfterNanos()));
+      end(a.id(), new LocalReply(true, a.reason(), a.retryAfterNanos()));
     } else if (action instanceof Fail a) {
-      end(a.id(), Verdict.failed(a.reason()));
+      end(a.id(), LocalReply.failed(a.reason()));
     } else if (action instanceof SetTimer a) {
       long made = generation;
       loop.schedule(() -> enqueue(() -> made == generation ? new TimerFired(a.token()) : null),
@@ -466,24 +466,24 @@
     return x;
   }
 
-  private void end(String id, Verdict verdict) {
+  private void end(String id, LocalReply verdict) {
     Exchange x = exchanges.get(id);
     if (x != null && !x.isEnded()) {
-      finish(x, verdict.refused() ? Witness.End.REFUSED : Witness.End.FAILED, verdict.reason());
+      finish(x, verdict.rejected() ? EngineListener.Completion.REJECTED : EngineListener.Completion.FAILED, verdict.reason());
       x.end();
-      x.answer(verdict);
+      x.respond(verdict);
     }
     forget(x);
   }
 
   private void send(Exchange x, Send send) {
     long now = clock.now();
-    int number = x.facts().earlier().size() + x.attempts.size();
+    int number = x.info().priorAttempts().size() + x.attempts.size();
     Attempt attempt = new Attempt(x, number, send.upstream(), now, send.sendByNanos());
     x.attempts.add(attempt);
     x.outstanding++;
-    witness.sent(attempt);
-    if (x.facts().answerBy() > 0) {
+    witness.attemptSent(attempt);
+    if (x.info().answerBy() > 0) {
       x.guard.cancel(false); // The sending is the answer; its own time-out bounds it from here on.
     }
     long left = x.deadline - now;
@@ -494,21 +494,21 @@
     } else if (address == null) {
       attemptEnded(attempt, Status.CONNECT_FAILED, Map.of(), () -> { });
     } else {
-      attempt.sending = x.start(attempt, address, timeout);
+      attempt.sending = x.startAttempt(attempt, address, timeout);
     }
   }
 
   private void probe(long upstream) {
     long sentAt = clock.now();
     SocketAddress address = fleet.address(upstream);
-    Transport.Probed done = (status, load) -> {
+    Transport.ProbeCallback done = (status, load) -> {
       long latency = clock.now() - sentAt;
       enqueue(() -> new ProbeResult(upstream, status, latency, load));
     };
     if (address == null) {
-      done.ended(Status.CONNECT_FAILED, Map.of());
+      done.probeEnded(Status.CONNECT_FAILED, Map.of());
     } else if (transports.stream().noneMatch(t -> t.probe(upstream, address, done))) {
-      done.ended(Status.NOT_SENT, Map.of());
+      done.probeEnded(Status.NOT_SENT, Map.of());
     }
   }
 }
--- a/http/src/main/java/cloverpulley/serve/Counts.java
+++ b/http/src/main/java/cloverpulley/serve/Counts.java
@@ -5,11 +5,11 @@
 import cloverpulley.Reason;
 import cloverpulley.engine.Attempt;
 import cloverpulley.engine.Engine;
+import cloverpulley.engine.EngineListener;
 import cloverpulley.engine.Exchange;
 import cloverpulley.engine.Fleet;
 import cloverpulley.engine.Periodic;
 import cloverpulley.engine.ServerList;
-import cloverpulley.engine.Witness;
 import io.netty.channel.EventLoop;
 import java.util.HashMap;
 import java.util.List;
@@ -22,7 +22,7 @@
  * What this balancer did in a second, in one line of its log: what is harmless in one and harmful in all can be added up across
  * a fleet. Counts alone, the words of {@link Reason}, nothing where nothing happened. All of it runs on the engine's loop.
  */
-final class Counts implements Witness {
+final class Counts implements EngineListener {
 
   private static final Logger LOG = Logger.getLogger(Counts.class.getName());
 
@@ -114,37 +114,37 @@
   }
 
   @Override
-  public void taken(Exchange x) {
+  public void requestAccepted(Exchange x) {
     taken++;
   }
 
   @Override
-  public void sent(Attempt attempt) {
+  public void attemptSent(Attempt attempt) {
     sent++;
     again += attempt.number() > 0 ? 1 : 0;
-    long ago = fleet.startedAgo(attempt.upstream());
+    long ago = fleet.ageNanos(attempt.upstream());
     if (ago >= 0 && ago < warmNanos) {
       cold.merge(attempt.upstream(), 1, Integer::sum);
     }
   }
 
   @Override
-  public void outcome(Attempt attempt, Status status, long latencyNanos) {
+  public void attemptEnded(Attempt attempt, Status status, long latencyNanos) {
     statuses[status.ordinal()]++;
   }
 
   @Override
-  public void ended(Exchange x, End end, Reason reason) {
+  public void requestEnded(Exchange x, Completion end, Reason reason) {
     switch (end) {
       case SERVED -> served++;
       case GONE -> gone++;
-      case REFUSED -> refused[reason.ordinal()]++;
+      case REJECTED -> refused[reason.ordinal()]++;
       case FAILED -> failed[reason.ordinal()]++;
     }
   }
 
   @Override
-  public void listed(ListKind kind, ServerList list, List<Numbered> servers) {
+  public void serverListUpdated(ListKind kind, ServerList list, List<NumberedServer> servers) {
     if (kind == ListKind.FAILED) {
       unanswered++;
     } else if (kind != ListKind.CACHED) {
@@ -155,7 +155,7 @@
   }
 
   @Override
-  public void replaced(String event) {}
+  public void moduleReplaced(String event) {}
 
   /** What was counted since the last line; empty for nothing. */
   String line() {
--- a/http/src/main/java/cloverpulley/serve/HttpExchange.java
+++ b/http/src/main/java/cloverpulley/serve/HttpExchange.java
@@ -1,11 +1,11 @@
 package cloverpulley.serve;
 
+import cloverpulley.Balancer.Status;
 import cloverpulley.engine.Attempt;
 import cloverpulley.engine.Engine;
 import cloverpulley.engine.Exchange;
 import cloverpulley.engine.LoadReport;
-import cloverpulley.engine.Verdict;
-import cloverpulley.Balancer.Status;
+import cloverpulley.engine.LocalReply;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.handler.codec.http.DefaultFullHttpRequest;
@@ -63,7 +63,7 @@
 
     /** The load report of an answer. */
     Map<String, Double> load(FullHttpResponse answer) {
-      return loadReports && answer != null ? LoadReport.of(answer.headers().get(LoadReport.HEADER)) : Map.of();
+      return loadReports && answer != null ? LoadReport.parse(answer.headers().get(LoadReport.HEADER)) : Map.of();
     }
   }
 
@@ -78,8 +78,8 @@
   private Stream passing;
 
   /** Takes over the request; {@code waitNanos} is how long its client waits, {@code forgotten} is run when nothing is left of it. */
-  HttpExchange(Facts facts, Front front, FullHttpRequest request, long waitNanos, Reply reply, Runnable forgotten) {
-    super(facts);
+  HttpExchange(RequestInfo info, Front front, FullHttpRequest request, long waitNanos, Reply reply, Runnable forgotten) {
+    super(info);
     rest = request instanceof StreamedRequest s ? s.rest : null;
     this.waitNanos = waitNanos;
     this.front = front;
@@ -89,7 +89,7 @@
   }
 
   @Override
-  protected Attempt.Sending start(Attempt attempt, SocketAddress address, long timeoutNanos) {
+  protected Attempt.CancelHandle startAttempt(Attempt attempt, SocketAddress address, long timeoutNanos) {
     if (!isAwaited()) {
       front.engine.attemptEnded(attempt, Status.NOT_SENT, Map.of(), () -> { });
       return () -> { };
@@ -100,7 +100,7 @@
       return () -> { };
     }
     Answer answer = new Answer(attempt);
-    long leaves = attempt.leavesBy() > 0 ? attempt.leavesBy() - attempt.sentAt() : 0;
+    long leaves = attempt.sendBy() > 0 ? attempt.sendBy() - attempt.sentAt() : 0;
     Call call = new Call(attempt.upstream(), answer::ended, answer, rest, waitNanos, leaves);
     answer.call = call;
     sending = call;
@@ -141,7 +141,7 @@
 
     @Override
     public boolean begins(HttpResponse head) {
-      if (!front.engine.answerBegins(attempt)) {
+      if (!front.engine.answerStarted(attempt)) {
         return false;
       }
       begun = true;
@@ -168,7 +168,7 @@
       FullHttpResponse served = status == Status.SERVED ? answer.retain() : null;
       front.engine.attemptEnded(attempt, status, front.load(answer), () -> {
         if (served != null) {
-          if (!isEnded() && !isPassing()) {
+          if (!isEnded() && !isStreaming()) {
             end();
             reply.answer(HttpResponseStatus.OK, 0, served.headers().get(HttpHeaderNames.CONTENT_TYPE), served.content());
           }
@@ -179,12 +179,12 @@
   }
 
   @Override
-  protected void answer(Verdict verdict) {
+  protected void respond(LocalReply verdict) {
     if (passing != null) {
       passing.abort(); // An answer has begun, and there is no other.
       return;
     }
-    HttpResponseStatus status = verdict.refused() ? HttpResponseStatus.TOO_MANY_REQUESTS : switch (verdict.reason()) {
+    HttpResponseStatus status = verdict.rejected() ? HttpResponseStatus.TOO_MANY_REQUESTS : switch (verdict.reason()) {
       case DEADLINE -> HttpResponseStatus.GATEWAY_TIMEOUT;
       case STOPPING -> HttpResponseStatus.INTERNAL_SERVER_ERROR;
       default -> HttpResponseStatus.BAD_GATEWAY;
@@ -193,7 +193,7 @@
   }
 
   @Override
-  protected void released() {
+  protected void onEnded() {
     request.release();
     if (rest != null) {
       rest.drop();
@@ -201,7 +201,7 @@
   }
 
   @Override
-  protected void forgotten() {
+  protected void onRemoved() {
     forgotten.run();
   }
 
--- a/http/src/main/java/cloverpulley/serve/Server.java
+++ b/http/src/main/java/cloverpulley/serve/Server.java
@@ -6,13 +6,13 @@
 import cloverpulley.Balancer.Settings;
 import cloverpulley.Logic;
 import cloverpulley.discovery.Discovery;
-import cloverpulley.engine.Both;
 import cloverpulley.engine.Clock;
+import cloverpulley.engine.CompositeEngineListener;
 import cloverpulley.engine.Engine;
+import cloverpulley.engine.EngineListener;
 import cloverpulley.engine.Fleet;
 import cloverpulley.engine.ServerList;
-import cloverpulley.engine.Sockets;
-import cloverpulley.engine.Witness;
+import cloverpulley.engine.SocketBudget;
 import cloverpulley.handover.HandoverSnapshot;
 import cloverpulley.state.BalancerSnapshot.UpstreamSnapshot;
 import io.netty.bootstrap.Bootstrap;
@@ -101,7 +101,7 @@
   private Discovery discovery;
   /** Where lists come from in place of discovery; null for discovery. */
   private Balance.Lists lists;
-  private Witness witness = Witness.NONE;
+  private EngineListener witness = EngineListener.NO_OP;
   /** Upstreams that are out by agreement of the fleet: the management endpoint's word alone does not bring them back. */
   private final Set<String> agreed = ConcurrentHashMap.newKeySet();
   private Peers peers;
@@ -133,14 +133,14 @@
 
   /** The same around other decisions; {@code modules} makes the n-th module of this process. */
   static Server start(Config config, LongFunction<Balancer> modules) {
-    return start(config, modules, null, Witness.NONE, s -> { });
+    return start(config, modules, null, EngineListener.NO_OP, s -> { });
   }
 
   /**
    * The same with lists from elsewhere than the platform's discovery, where {@code lists} is not null; {@code wired} is run before clients
    * are heard.
    */
-  static Server start(Config config, LongFunction<Balancer> modules, Balance.Lists lists, Witness witness, Consumer<Server> wired) {
+  static Server start(Config config, LongFunction<Balancer> modules, Balance.Lists lists, EngineListener witness, Consumer<Server> wired) {
     Server server = new Server();
     server.lists = lists;
     server.witness = witness;
@@ -208,7 +208,7 @@
     stopMillis = stopMillis(config.settings());
     Clock clock = new Clock();
     Fleet fleet = new Fleet(clock);
-    Sockets sockets = new Sockets(config.sockets() - (config.management() == null ? 0 : ManagementServer.MOST_CALLERS));
+    SocketBudget sockets = new SocketBudget(config.sockets() - (config.management() == null ? 0 : ManagementServer.MOST_CALLERS));
     Counts counts = new Counts(fleet, config.settings().contract().slowStartNanos());
     counts.writeOn(loop);
     Bootstrap connections = new Bootstrap().group(group).channelFactory(UpstreamSocket::new)
@@ -228,8 +228,8 @@
       source = lists.open(loop, fleet, this::news);
     }
     engine = new Engine(loop, clock, config.settings(), modules, fleet, counts.counted(source), peers,
-        witness == Witness.NONE ? counts : new Both(counts, witness));
-    engine.attach(pool);
+        witness == EngineListener.NO_OP ? counts : new CompositeEngineListener(counts, witness));
+    engine.addTransport(pool);
     frontend = new Frontend(new HttpExchange.Front(engine, pool, config.loadReports()), clock, sockets, config.settings(),
         new RequestReader.Budgets(new BufferBudget(config.memoryBytes() / KEPT_PART), new BufferBudget(config.memoryBytes() / UPLOADS_PART)), counts);
     parts = new Operations.Parts(loop, engine, fleet, sockets, pool, frontend, agreed);
@@ -237,10 +237,10 @@
     if (newer) {
       takeOverStarts(fleet, inherited);
     }
-    engine.news(ListKind.CACHED, newer ? inherited.list() : config.known());
+    engine.serverListUpdated(ListKind.CACHED, newer ? inherited.list() : config.known());
     if (inherited != null) {
-      fleet.wereListed(inherited.names());
-      engine.inherit(inherited.knowledge());
+      fleet.addPreviouslyListed(inherited.names());
+      engine.restoreSnapshot(inherited.balancerSnapshot());
       LOG.info(() -> "took over from a predecessor: " + inherited.list().members().size() + " upstreams, list "
           + inherited.list().revision());
     }
@@ -251,12 +251,12 @@
 
   /** A predecessor knows when servers started, whatever the wall clocks of the two say. */
   private static void takeOverStarts(Fleet fleet, HandoverSnapshot inherited) {
-    Map<Long, UpstreamSnapshot> known = inherited.knowledge().upstreams().stream()
+    Map<Long, UpstreamSnapshot> known = inherited.balancerSnapshot().upstreams().stream()
         .collect(Collectors.toMap(UpstreamSnapshot::upstream, k -> k, (a, b) -> a));
     for (ServerList.Server server : inherited.list().members()) {
       UpstreamSnapshot k = known.get(fleet.numberOf(server.id()));
       if (k != null) {
-        fleet.started(server, k.ageNanos());
+        fleet.recordStart(server, k.ageNanos());
       }
     }
   }
@@ -277,7 +277,7 @@
 
   private void news(ListKind kind, ServerList list) {
     if (kind != ListKind.FAILED || !pushed) {
-      engine.news(kind, list);
+      engine.serverListUpdated(kind, list);
       listed.countDown();
     } else {
       loop.schedule(this::watch, retryNanos(System.nanoTime() - watchedAt), TimeUnit.NANOSECONDS);
@@ -328,7 +328,7 @@
     String told = others ? ", settings: " + difference(config.settings(), read.settings()) : "";
     config = read;
     loop.execute(() -> {
-      discovery.move(read.discovery());
+      discovery.setAddress(read.discovery());
       if (others) {
         retune(read);
       }
@@ -359,7 +359,7 @@
     stopMillis = stopMillis(to.settings());
     parts.pool().retune(to.settings().limits().connectTimeoutNanos(), to.idleNanos());
     frontend.retune(to.settings());
-    engine.retune(to.settings());
+    engine.updateSettings(to.settings());
   }
 
   /** What an operator looks for first: classes that came, went or are others now, and the number of attempts. */
@@ -396,7 +396,7 @@
   /** The fleet has agreed that this upstream is out. */
   CompletableFuture<Void> agreedOut(String id, long forNanos) {
     agreed.add(id);
-    return tell(engine -> engine.takeOut(id, forNanos));
+    return tell(engine -> engine.setOffline(id, forNanos));
   }
 
   /** The fleet has agreed that it is back; out it stays where this one's management endpoint says so. */
@@ -404,7 +404,7 @@
     agreed.remove(id);
     return tell(engine -> {
       if (operations == null || !operations.isOffline(id)) {
-        engine.callBack(id);
+        engine.setOnline(id);
       }
     });
   }
--- a/http/src/main/java/cloverpulley/serve/Warmup.java
+++ b/http/src/main/java/cloverpulley/serve/Warmup.java
@@ -1,16 +1,16 @@
 package cloverpulley.serve;
 
 import cloverpulley.Balancer.ListKind;
+import cloverpulley.Balancer.RequestClass;
 import cloverpulley.Balancer.Settings;
 import cloverpulley.Balancer.State;
-import cloverpulley.Balancer.RequestClass;
 import cloverpulley.Logic;
 import cloverpulley.engine.Clock;
 import cloverpulley.engine.Engine;
 import cloverpulley.engine.Fleet;
 import cloverpulley.engine.ServerList;
 import cloverpulley.engine.ServerList.Server;
-import cloverpulley.engine.Sockets;
+import cloverpulley.engine.SocketBudget;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
@@ -105,17 +105,17 @@
     LocalAddress balancer = new LocalAddress(Frontend.class);
     Clock clock = new Clock();
     Fleet fleet = new Fleet(clock);
-    Sockets sockets = new Sockets(Integer.MAX_VALUE);
+    SocketBudget sockets = new SocketBudget(Integer.MAX_VALUE);
     Counts counts = new Counts(fleet, 0);
     UpstreamPool pool = new UpstreamPool(new Bootstrap().group(group).channel(LocalChannel.class), sockets,
         settings.limits().connectTimeoutNanos(), TimeUnit.SECONDS.toNanos(1), fleet::isReady, false,
         new BufferBudget(Long.MAX_VALUE), counts);
     Engine engine = new Engine(group.next(), clock, settings, n -> new Logic(settings, n), fleet, new NoList(),
         (to, data) -> { }, counts);
-    engine.attach(pool);
+    engine.addTransport(pool);
     Frontend frontend = new Frontend(new HttpExchange.Front(engine, pool, false), clock, sockets, settings,
         new RequestReader.Budgets(new BufferBudget(Long.MAX_VALUE), new BufferBudget(Long.MAX_VALUE)), counts);
-    engine.news(ListKind.CACHED, new ServerList(0, true,
+    engine.serverListUpdated(ListKind.CACHED, new ServerList(0, true,
         IntStream.range(0, UPSTREAMS).mapToObj(i -> new Server("warm-up-" + i, upstream, settings.zone(), 0, State.READY, 1, 0))
             .toList()));
     ServerBootstrap listeners = new ServerBootstrap().group(group).channel(LocalServerChannel.class);
--- a/http/src/test/java/cloverpulley/serve/LeftTest.java
+++ b/http/src/test/java/cloverpulley/serve/LeftTest.java
@@ -11,8 +11,8 @@
 import cloverpulley.Balancer.Send;
 import cloverpulley.Balancer.SetTimer;
 import cloverpulley.Balancer.Status;
-import cloverpulley.Balancer.UpstreamSetOffline;
 import cloverpulley.Balancer.TimerFired;
+import cloverpulley.Balancer.UpstreamSetOffline;
 import cloverpulley.Reason;
 import cloverpulley.handover.ProcessRegistry;
 import cloverpulley.serve.Rig.Client;
@@ -202,7 +202,7 @@
       Thread stop = new Thread(rig.server::stop);
       stop.start();
       rig.server.awaitStopping();
-      rig.server.tell(engine -> engine.takeOut("s-none", 0));
+      rig.server.tell(engine -> engine.setOffline("s-none", 0));
       assertTrue(looks.await(Rig.LIMIT_S, TimeUnit.SECONDS));
       leave(client, reset);
       left.countDown();
--- a/processor/src/main/java/cloverpulley/processor/Calls.java
+++ b/processor/src/main/java/cloverpulley/processor/Calls.java
@@ -8,8 +8,8 @@
 import cloverpulley.engine.Engine;
 import cloverpulley.engine.Exchange;
 import cloverpulley.engine.Fleet;
+import cloverpulley.engine.LocalReply;
 import cloverpulley.engine.ServerList.Server;
-import cloverpulley.engine.Verdict;
 import cloverpulley.quota.Quotas;
 import cloverpulley.quota.service.QuotaKeeper;
 import cloverpulley.repeats.AttemptTracker;
@@ -68,7 +68,7 @@
    */
   CallExchange takeAgain(CallExchange x, long answerBy) {
     ended(x, Status.NOT_SENT, Map.of());
-    return take(x.call, x.facts().deadline() - x.call.waitNanos(), answerBy, x.caller,
+    return take(x.call, x.info().deadline() - x.call.waitNanos(), answerBy, x.caller,
         x.call.id() == null ? new AttemptTracker.FirstCall() : repeats.onReselect(clock.now(), x.call.id()));
   }
 
@@ -78,11 +78,11 @@
       earlier = joined.priorAttempts();
       counts.joined.increment();
     } else if (finding instanceof AttemptTracker.UnknownHistory) {
-      end(caller, Verdict.failed(Reason.UNKNOWN_EARLIER));
+      end(caller, LocalReply.failed(Reason.UNKNOWN_EARLIER));
       return null;
     } else if (finding instanceof AttemptTracker.TableFull) {
       // Nothing of it has run: trying again, elsewhere or later, is harmless.
-      end(caller, new Verdict(true, Reason.RECORD_FULL, TimeUnit.SECONDS.toNanos(1)));
+      end(caller, new LocalReply(true, Reason.RECORD_FULL, TimeUnit.SECONDS.toNanos(1)));
       return null;
     } else if (finding instanceof AttemptTracker.InProgress) {
       counts.count(Reason.IN_HAND);
@@ -99,17 +99,17 @@
         if (call.id() != null) {
           repeats.onNotSent(clock.now(), call.id());
         }
-        end(caller, new Verdict(true, Reason.QUOTA, quotas.retryAfterNanos()));
+        end(caller, new LocalReply(true, Reason.QUOTA, quotas.retryAfterNanos()));
         return null;
       }
     }
-    CallExchange x = new CallExchange(new Exchange.Facts(call.type(), call.tenant(), call.key(), call.hintNanos(),
+    CallExchange x = new CallExchange(new Exchange.RequestInfo(call.type(), call.tenant(), call.key(), call.hintNanos(),
         call.retry(), receivedAt + call.waitNanos(), answerBy, earlier), call, caller, this);
     x.granted = quotas != null && finding instanceof AttemptTracker.FirstCall;
     x.grant = grant;
     x.grantedAt = clock.now();
     x.expectedOctets = octets;
-    engine.take(x);
+    engine.accept(x);
     return x;
   }
 
@@ -122,13 +122,13 @@
     }
   }
 
-  private void end(CallExchange.Caller caller, Verdict verdict) {
+  private void end(CallExchange.Caller caller, LocalReply verdict) {
     counts.count(verdict.reason());
     caller.end(verdict);
   }
 
   /** The module has a call sent: the caller is told, and its time starts. */
-  Attempt.Sending started(CallExchange x, SocketAddress address, long timeoutNanos) {
+  Attempt.CancelHandle started(CallExchange x, SocketAddress address, long timeoutNanos) {
     counts.sent.increment();
     Server server = fleet.server(x.attempt.upstream());
     if (x.call.id() != null) {
@@ -140,7 +140,7 @@
   }
 
   /** The module has ended a call without an attempt. */
-  void answered(CallExchange x, Verdict verdict) {
+  void answered(CallExchange x, LocalReply verdict) {
     counts.count(verdict.reason());
     record(x, verdict.reason().code(), false);
     over(x);
@@ -148,7 +148,7 @@
 
   private void record(CallExchange x, String word, boolean sent) {
     if (records.isKept()) {
-      long took = (clock.now() - (x.facts().deadline() - x.call.waitNanos())) / 1000;
+      long took = (clock.now() - (x.info().deadline() - x.call.waitNanos())) / 1000;
       records.add(new RecordsFile.Call(RecordsFile.nowMicros() - took, x.call.type().name(), x.call.tenant(),
           RecordsFile.hash(x.call.key()), x.call.hintNanos() / 1000, word, sent, sent ? x.attempt.upstream() : 0, took));
     }
