--- a/dns/src/main/java/cloverpulley/dns/DnsConfig.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsConfig.java
@@ -30,12 +30,16 @@
 /**
  * The DNS frontend's configuration, read from {@code [dns]} of the operators' file. Times are in nanoseconds unless the name says otherwise.
  *
+ * @param lameMillis how long to keep serving after a stop request before the shutdown begins, so that a successor can start
+ * @param drainMillis the time limit of the shutdown
  * @param warmUpQueries the number of queries sent to a temporary frontend for warm-up before the real one listens
  * @param fleet the DNS servers that queries are forwarded to; null for none, in which case only local zones are answered
  * @param tenantOption the code of the EDNS option that names a tenant; 0 for none
+ * @param cookieSecret 16 bytes, the same on all servers that share an address
  * @param marginNanos how long before its deadline an unanswered query gets an error response
  * @param attemptNanos the time limit for one server, UDP and TCP together, if the query can be retried on another
- * @param cookieSecret 16 bytes, the same on all servers that share an address
+ * @param refusedIsFull whether a server's REFUSED means that it is at capacity and nothing has run
+ * @param unsafeOverTcp whether UPDATEs and NOTIFYs are always forwarded over TCP
  */
 public record DnsConfig(InetSocketAddress listen, int udpSize, boolean reusePort, long lameMillis, long drainMillis,
     int warmUpQueries, Settings settings, FleetSource fleet, List<Match> matches, List<ClientPrefix> clients, List<Key> keys, int tenantOption,
@@ -43,7 +47,7 @@
     Caching caching, ClientConfig upstream, List<ZoneFile> zones, FleetZoneConfig fleetZone) {
 
   /** Maps messages to a request class; the first match applies. An empty type list matches all types. */
-  public record Match(int opcode, List<Integer> types, RequestClass type) {}
+  public record Match(int opcode, List<Integer> types, RequestClass requestClass) {}
 
   /** Assigns clients to a tenant by address. */
   record ClientPrefix(Prefix prefix, String tenant) {}
@@ -135,7 +139,7 @@
       new java.security.SecureRandom().nextBytes(random);
       return random;
     } else if (!text.matches("[0-9a-fA-F]{32}")) {
-      s.wrong("cookie_secret", "expected 32 hexadecimal figures");
+      s.wrong("cookie_secret", "expected 32 hexadecimal digits");
       return new byte[16];
     }
     return HexFormat.of().parseHex(text);
@@ -154,14 +158,14 @@
         types.add(type);
       }
       String name = m.text("class");
-      RequestClass type = settings.classes().stream().filter(c -> c.name().equals(name)).findFirst().orElse(null);
-      if (type == null) {
+      RequestClass requestClass = settings.classes().stream().filter(c -> c.name().equals(name)).findFirst().orElse(null);
+      if (requestClass == null) {
         m.wrong("class", "expected the name of a [[dns.class]], got \"" + name + "\"");
-      } else if (type.effect() != REQUIRED_EFFECTS.get(opcode)) {
+      } else if (requestClass.effect() != REQUIRED_EFFECTS.get(opcode)) {
         m.wrong("class", "expected a class whose effect is " + REQUIRED_EFFECTS.get(opcode).name().toLowerCase(Locale.ROOT)
             + " for this opcode, got \"" + name + "\"");
       } else {
-        matches.add(new Match(opcode, List.copyOf(types), type));
+        matches.add(new Match(opcode, List.copyOf(types), requestClass));
       }
     }
     // The default for each opcode is the first class with the effect that the opcode requires; without one it is not served.
--- a/dns/src/main/java/cloverpulley/dns/DnsServer.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsServer.java
@@ -170,7 +170,7 @@
     engine.addTransport(new Transport() {
       @Override
       public void drainUpstreams(LongPredicate from) {
-        client.withdraw(from);
+        client.drain(from);
       }
     });
     resolver = new Resolver(loop, clock, config, engine, client, counts, recorder, quotas);
--- a/dns/src/main/java/cloverpulley/dns/FleetZone.java
+++ b/dns/src/main/java/cloverpulley/dns/FleetZone.java
@@ -53,7 +53,7 @@
       return null;
     }
     published = current;
-    // Increases with each change, also across restarts, as changes don't come more than once a second for long.
+    // At least the Unix time, so that the serial also increases across restarts: changes don't come more than once a second for long.
     serial = Math.max(serial + 1, TimeUnit.MILLISECONDS.toSeconds(nowMillis));
     try {
       return build(ready, nowMillis);
--- a/dns/src/main/java/cloverpulley/dns/InFlightQuery.java
+++ b/dns/src/main/java/cloverpulley/dns/InFlightQuery.java
@@ -57,7 +57,7 @@
   }
 
   @Override
-  protected void respond(LocalReply verdict) {
+  protected void respond(LocalReply localReply) {
     resolver.removeInFlight(this);
     long now = resolver.clock.now();
     boolean deadlineReached = now >= info().deadline() - resolver.config.marginNanos();
@@ -68,7 +68,7 @@
       } else if (deadlineReached && resolver.deadline(q, info().requestClass()) > now + resolver.config.marginNanos()) {
         remaining.add(q); // It joined after the first query, so its deadline is later.
       } else {
-        resolver.fail(q, verdict);
+        resolver.fail(q, localReply);
       }
     }
     remaining.forEach(resolver::joinOrStart);
--- a/dns/src/main/java/cloverpulley/dns/PassThroughExchange.java
+++ b/dns/src/main/java/cloverpulley/dns/PassThroughExchange.java
@@ -8,8 +8,7 @@
 final class PassThroughExchange extends DnsExchange {
 
   private final Query query;
-  /** The key for duplicate detection; null over TCP, where clients don't retransmit, and for queries, which
-   * may be repeated. */
+  /** The key for duplicate detection; null over TCP, where clients don't retransmit, and for queries, which may run twice. */
   private final DuplicateRequestCache.Key key;
 
   PassThroughExchange(RequestInfo info, Resolver resolver, UpstreamQuery.Spec spec, Query query, DuplicateRequestCache.Key key) {
@@ -28,8 +27,8 @@
   }
 
   @Override
-  protected void respond(LocalReply verdict) {
-    reply(resolver.failureResponse(query, verdict));
+  protected void respond(LocalReply localReply) {
+    reply(resolver.failureResponse(query, localReply));
   }
 
   private void reply(byte[] octets) {
--- a/dns/src/main/java/cloverpulley/dns/Prefix.java
+++ b/dns/src/main/java/cloverpulley/dns/Prefix.java
@@ -41,7 +41,7 @@
     return true;
   }
 
-  /** A hash (FNV-1a) of the network that an address belongs to, by prefix length for its family. */
+  /** An FNV-1a hash of the network of an address: its first {@code bits4} (IPv4) or {@code bits6} (IPv6) bits. */
   static long networkKey(InetAddress address, int bits4, int bits6) {
     byte[] a = address.getAddress();
     int bits = a.length == 4 ? bits4 : bits6;
--- a/dns/src/main/java/cloverpulley/dns/Query.java
+++ b/dns/src/main/java/cloverpulley/dns/Query.java
@@ -41,7 +41,7 @@
   /** The cookie to return; null for none. */
   byte[] cookie;
   String tenant;
-  /** The reason code if the query failed; null if a server answered. */
+  /** The reason code if the query was rejected or failed; null otherwise. */
   String reason;
   private boolean answered;
 
--- a/dns/src/main/java/cloverpulley/dns/Resolver.java
+++ b/dns/src/main/java/cloverpulley/dns/Resolver.java
@@ -304,14 +304,14 @@
         startQuery(key, q, e, true);
       }
     } else if (shutdown.rejectsNew(q.arrivedAt) && !inFlight.containsKey(key)) {
-      fail(q, stoppingVerdict(q));
+      fail(q, stoppingReply(q));
     } else {
       joinOrStart(q);
     }
   }
 
   /** A safe-to-retry rejection: nothing has run, and a retry after the shutdown reaches the successor. */
-  private LocalReply stoppingVerdict(Query q) {
+  private LocalReply stoppingReply(Query q) {
     return new LocalReply(true, Reason.STOPPING, shutdown.remaining(q.arrivedAt));
   }
 
@@ -338,17 +338,17 @@
   }
 
   private InFlightQuery startQuery(Cache.Key key, Query q, Cache.Entry stale, boolean prefetch) {
-    RequestClass type = classOf(q);
-    if (type == null) {
+    RequestClass requestClass = classOf(q);
+    if (requestClass == null) {
       reply(q, q.empty(responseOptions, 0, Message.NOTIMP, NOT_SUPPORTED, "no class for it"));
       return null;
     }
     // AD in a query asks for the AD bit in the answer (RFC 6840, 5.7); whether a client gets the bit depends on its own query.
     int flags = q.message.flags() & (Message.RD | Message.CD) | Message.AD;
     UpstreamQuery.Spec spec = new UpstreamQuery.Spec(null, q.question(), flags, q.wantsDnssec(), false);
-    long deadline = prefetch ? clock.now() + type.deadlineNanos() : deadline(q, type);
+    long deadline = prefetch ? clock.now() + requestClass.deadlineNanos() : deadline(q, requestClass);
     InFlightQuery query = new InFlightQuery(
-        new Exchange.RequestInfo(type, q.tenant, affinityKey(q.question()), 0, false, deadline, 0, List.of()), this,
+        new Exchange.RequestInfo(requestClass, q.tenant, affinityKey(q.question()), 0, false, deadline, 0, List.of()), this,
         spec, key, stale, prefetch);
     inFlight.put(key, query);
     counts.flights++;
@@ -359,8 +359,8 @@
     return query;
   }
 
-  long deadline(Query q, RequestClass type) {
-    return q.arrivedAt + Math.max(type.deadlineNanos() / 2, type.deadlineNanos() - config.marginNanos());
+  long deadline(Query q, RequestClass requestClass) {
+    return q.arrivedAt + Math.max(requestClass.deadlineNanos() / 2, requestClass.deadlineNanos() - config.marginNanos());
   }
 
   /** The affinity key: queries for one name go to one server, which then has it cached. */
@@ -372,7 +372,7 @@
   private RequestClass classOf(Query q) {
     for (Match match : config.matches()) {
       if (match.opcode() == q.message.opcode() && (match.types().isEmpty() || match.types().contains(q.question().type()))) {
-        return match.type();
+        return match.requestClass();
       }
     }
     return null;
@@ -390,8 +390,8 @@
   // ---- Messages passed through unmodified ----------------------------------------------------------------
 
   private void passThrough(Query q) {
-    RequestClass type = classOf(q);
-    if (type == null || config.fleet() == null) {
+    RequestClass requestClass = classOf(q);
+    if (requestClass == null || config.fleet() == null) {
       reply(q, q.empty(responseOptions, 0, Message.NOTIMP, NOT_SUPPORTED, "no class for it"));
       return;
     }
@@ -401,7 +401,7 @@
         return;
       }
     }
-    boolean safe = type.effect() == Effect.SAFE;
+    boolean safe = requestClass.effect() == Effect.SAFE;
     DuplicateRequestCache.Key key = safe || q.client.isTcp() ? null : new DuplicateRequestCache.Key(q);
     if (key != null && duplicates.isKnown(key)) {
       counts.repeated++;
@@ -411,7 +411,7 @@
       }
       return;
     } else if (shutdown.rejectsNew(q.arrivedAt)) {
-      fail(q, stoppingVerdict(q)); // Only after the duplicate check: the original of a retransmission may have run or be in flight.
+      fail(q, stoppingReply(q)); // Only after the duplicate check: the original of a retransmission may have run or be in flight.
       return;
     } else if (key != null && !duplicates.tryAdd(key, q.arrivedAt)) {
       fail(q, new LocalReply(true, Reason.RECORD_FULL, NANOS_PER_SECOND));
@@ -420,7 +420,8 @@
     boolean tcp = !safe && config.unsafeOverTcp() || q.message.bytes().length > config.udpSize();
     UpstreamQuery.Spec spec = new UpstreamQuery.Spec(q.message.bytes(), q.question(), 0, false, tcp);
     PassThroughExchange exchange = new PassThroughExchange(
-        new Exchange.RequestInfo(type, q.tenant, affinityKey(q.question()), 0, false, deadline(q, type), 0, List.of()), this, spec, q, key);
+        new Exchange.RequestInfo(requestClass, q.tenant, affinityKey(q.question()), 0, false, deadline(q, requestClass), 0, List.of()), this,
+        spec, q, key);
     q.client.onPending(q, exchange);
     engine.accept(exchange);
   }
@@ -446,8 +447,8 @@
   }
 
   private void recordAs(Query q, String reasonCode, int kind) {
-    RequestClass type = q.question() == null ? null : classOf(q);
-    recorder.answered(0, null, type == null ? null : type.name(), q.tenant, reasonCode, kind, clock.now() - q.arrivedAt);
+    RequestClass requestClass = q.question() == null ? null : classOf(q);
+    recorder.answered(0, null, requestClass == null ? null : requestClass.name(), q.tenant, reasonCode, kind, clock.now() - q.arrivedAt);
   }
 
   /** Records a query that gets no answer because its client has disconnected or the rate limit dropped it. */
@@ -463,25 +464,25 @@
     reply(q, q.withRecords(responseOptions, e.template, 0, config.caching().staleTtl(), false, STALE_ANSWER, "no server answers"));
   }
 
-  void fail(Query q, LocalReply verdict) {
-    reply(q, failureResponse(q, verdict));
+  void fail(Query q, LocalReply localReply) {
+    reply(q, failureResponse(q, localReply));
   }
 
   /**
-   * An error response: REFUSED if a limit or quota rejects the query, SERVFAIL if no server answers it. The extended error text has the
-   * reason and, if the module gives one, the time after which to retry.
+   * An error response: REFUSED if a limit or quota rejects the query, SERVFAIL otherwise. The extended error text has the reason and, if the
+   * module gives one, the time after which to retry.
    */
-  byte[] failureResponse(Query q, LocalReply verdict) {
-    counts.end(verdict.reason());
-    String reasonCode = verdict.reason().code();
+  byte[] failureResponse(Query q, LocalReply localReply) {
+    counts.end(localReply.reason());
+    String reasonCode = localReply.reason().code();
     q.reason = reasonCode;
-    long millis = TimeUnit.NANOSECONDS.toMillis(verdict.retryAfterNanos());
+    long millis = TimeUnit.NANOSECONDS.toMillis(localReply.retryAfterNanos());
     String text = millis > 0 ? reasonCode + ", come back in " + millis + " ms" : reasonCode;
-    int rcode = switch (verdict.reason()) {
+    int rcode = switch (localReply.reason()) {
       case OVER_RATE, TABLE_FULL, RECORD_FULL, QUOTA -> Message.REFUSED;
       default -> Message.SERVFAIL;
     };
-    int code = switch (verdict.reason()) {
+    int code = switch (localReply.reason()) {
       case STOPPING -> NOT_READY;
       case NO_UPSTREAM, NO_ROOM, DEADLINE, ATTEMPTS, RETRY_BUDGET -> NO_REACHABLE_AUTHORITY;
       default -> OTHER;
--- a/dns/src/main/java/cloverpulley/dns/Warmup.java
+++ b/dns/src/main/java/cloverpulley/dns/Warmup.java
@@ -31,13 +31,13 @@
   private static final int WINDOW = 32;
   private static final int MAX_DATAGRAM = 4096;
   private static final int RECEIVE_TIMEOUT_MILLIS = 1000;
-  /** Every n-th query repeats a recent name, to exercise the cache. */
+  /** Every n-th query repeats an earlier name that is still cached, to exercise the cache. */
   private static final int REPEAT_EVERY = 4;
   private static final int TYPE_A = 1;
 
   private Warmup() {}
 
-  /** Sends {@code queries} queries and returns how many were answered. Failures are logged and don't prevent the start. */
+  /** Sends {@code queries} queries and returns how many were answered. Failures don't prevent the start. */
   public static int run(DnsConfig config, int queries) {
     if (queries == 0 || config.fleet() == null) {
       return 0;
@@ -50,8 +50,8 @@
       responderThread.start();
       Server server = new Server("warm-up", new InetSocketAddress(loopback, responder.getLocalPort()), config.settings().zone(), 0,
           State.READY, 1, 0);
-      try (DnsServer front = DnsServer.start(config.forWarmup(new FleetSource(null, null, new ServerList(0, true, List.of(server)))), null, 1)) {
-        client.connect(front.address());
+      try (DnsServer frontend = DnsServer.start(config.forWarmup(new FleetSource(null, null, new ServerList(0, true, List.of(server)))), null, 1)) {
+        client.connect(frontend.address());
         client.setSoTimeout(RECEIVE_TIMEOUT_MILLIS);
         return sendQueries(client, queries);
       }
--- a/dns/src/main/java/cloverpulley/dns/client/DnsClient.java
+++ b/dns/src/main/java/cloverpulley/dns/client/DnsClient.java
@@ -39,21 +39,21 @@
     this.config = config;
     flusher = new Flusher(loop);
     capabilities = new ServerCapabilities(config.capabilityTtlNanos());
-    long every = Math.max(TimeUnit.MILLISECONDS.toNanos(10), config.idleTimeoutNanos() / 4);
-    sweep = loop.scheduleWithFixedDelay(this::closeIdle, every, every, TimeUnit.NANOSECONDS);
+    long periodNanos = Math.max(TimeUnit.MILLISECONDS.toNanos(10), config.idleTimeoutNanos() / 4);
+    sweep = loop.scheduleWithFixedDelay(this::closeIdle, periodNanos, periodNanos, TimeUnit.NANOSECONDS);
   }
 
   /**
    * Sends a query to a server.
    *
-   * @param number the server's number; one that is used again after {@link #withdraw} is a new server
+   * @param number the server's number; one that is used again after {@link #drain} is a new server
    * @param timeoutNanos the timeout for all fallbacks together, including connects
    * @param callback called once, possibly before this method returns
    */
   public UpstreamQuery query(long number, InetSocketAddress address, UpstreamQuery.Spec spec, long timeoutNanos, UpstreamQuery.Callback callback) {
     ServerConnections server = servers.get(number);
     if (server != null && !server.address.equals(address)) {
-      withdraw(n -> n == number);
+      drain(n -> n == number);
       server = null;
     }
     if (server == null) {
@@ -67,9 +67,9 @@
   }
 
   /** Drains the matching servers: unsent queries complete as not sent, and connections close once nothing is pending on them. */
-  public void withdraw(LongPredicate from) {
+  public void drain(LongPredicate matcher) {
     for (ServerConnections server : List.copyOf(servers.values())) {
-      if (from.test(server.number)) {
+      if (matcher.test(server.number)) {
         servers.remove(server.number);
         draining.add(server);
         server.drain();
--- a/dns/src/main/java/cloverpulley/dns/client/ServerConnections.java
+++ b/dns/src/main/java/cloverpulley/dns/client/ServerConnections.java
@@ -17,7 +17,7 @@
   /** Sockets that get no new queries and wait for their last answers. */
   private final Set<UdpSocket> retired = new HashSet<>();
   private final List<TcpConnection> connections = new ArrayList<>();
-  /** Whether the server is draining or gone: nothing more is sent to it. */
+  /** Whether the server is draining or gone: it gets no new queries, and no fallbacks of queries that have run. */
   boolean draining;
 
   ServerConnections(DnsClient client, long number, InetSocketAddress address) {
--- a/dns/src/main/java/cloverpulley/dns/client/TcpConnection.java
+++ b/dns/src/main/java/cloverpulley/dns/client/TcpConnection.java
@@ -25,9 +25,9 @@
  */
 final class TcpConnection extends ChannelInboundHandlerAdapter {
 
-  /** Above the high mark, queries stay in the queue, where they can still be withdrawn, and not in the channel's buffer. */
+  /** Above the high mark, queries stay in the queue, where they can still be cancelled, and not in the channel's buffer. */
   private static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(4096, 16_384);
-  /** The time for writes that started before a drain to complete: well within the two seconds of rule 3. */
+  /** The time for writes that started before a drain to complete: well within the two seconds after which rule 3 allows no new queries. */
   private static final long DRAIN_WRITE_MILLIS = 1000;
 
   private final ServerConnections server;
@@ -38,7 +38,7 @@
   private boolean connected;
   private boolean closed;
   private boolean draining;
-  /** Queries that have not been abandoned. */
+  /** Queries that have neither completed nor been abandoned. */
   private int openQueries;
   private long usedAt;
   private int pendingWrites;
@@ -112,8 +112,8 @@
     }
   }
 
-  /** Abandons a query that no one waits for any more. */
-  void abandon(UpstreamQuery query) {
+  /** Releases a query that has completed or been abandoned. If it is unanswered, its id stays in use until the answer arrives. */
+  void release(UpstreamQuery query) {
     if (query.connection == this) {
       query.connection = null;
       openQueries--;
--- a/dns/src/main/java/cloverpulley/dns/client/UdpSocket.java
+++ b/dns/src/main/java/cloverpulley/dns/client/UdpSocket.java
@@ -35,7 +35,7 @@
   private int openQueries;
   private boolean retired;
 
-  /** Opens the socket, on the event loop; connecting a datagram socket doesn't block. */
+  /** Opens the socket. Must run on the event loop, which the waits don't block: a datagram socket connects at once. */
   UdpSocket(ServerConnections server) throws Exception {
     this.server = server;
     channel.config().setOption(ChannelOption.RECVBUF_ALLOCATOR,
@@ -87,8 +87,11 @@
     server.client.flusher.flushLater(channel);
   }
 
-  /** Removes a query. If it is unanswered, its id stays reserved so that an answer that still comes is recognized as late. */
-  void abandon(UpstreamQuery query, boolean answered) {
+  /**
+   * Releases a query that has completed or been abandoned. If it is unanswered, its id stays reserved, so that an answer that still comes
+   * is recognized as late.
+   */
+  void release(UpstreamQuery query, boolean answered) {
     if (query.socket == this) {
       query.socket = null;
       openQueries--;
--- a/dns/src/main/java/cloverpulley/dns/client/UpstreamQuery.java
+++ b/dns/src/main/java/cloverpulley/dns/client/UpstreamQuery.java
@@ -36,6 +36,7 @@
   private Question sentQuestion;
   private boolean useEdns;
   private int mismatches;
+  /** Whether an answer came that led to a fallback: the query has run. */
   private boolean answered;
   private boolean ended;
   /** The socket or connection on which the query is pending; at most one is set. */
@@ -85,10 +86,10 @@
     ended = true;
     timer.cancel(false);
     if (socket != null) {
-      socket.abandon(this, answer != null);
+      socket.release(this, answer != null);
     }
     if (connection != null) {
-      connection.abandon(this);
+      connection.release(this);
     }
     callback.onComplete(status, answer, reason);
   }
@@ -110,7 +111,7 @@
 
   private void startTcp() {
     if (socket != null) {
-      socket.abandon(this, answered);
+      socket.release(this, answered);
     }
     if (answered && server.draining) {
       end(Status.ERROR, null, "server is draining, fallback not attempted");
@@ -148,7 +149,7 @@
         && (noQuestion || sentQuestion.equals(m.question()));
   }
 
-  /** Handles a datagram from the server with the query's id; null if it is malformed. */
+  /** Handles a datagram from the server with the query's id; {@code m} is null if it is malformed. */
   void onDatagram(Message m, long now) {
     if (m == null || !isAnswer(m)) {
       onMismatch();
@@ -189,10 +190,10 @@
     useEdns = false;
     boolean tcp = connection != null;
     if (socket != null) {
-      socket.abandon(this, true);
+      socket.release(this, true);
     }
     if (connection != null) {
-      connection.abandon(this);
+      connection.release(this);
     }
     if (server.draining) {
       end(Status.ERROR, null, "server is draining, fallback not attempted");
--- a/dns/src/test/java/cloverpulley/dns/CacheTest.java
+++ b/dns/src/test/java/cloverpulley/dns/CacheTest.java
@@ -80,16 +80,16 @@
 
   @Test
   void concurrentQueriesForOneQuestionAreCoalesced() throws Exception {
-    List<Asked> held = java.util.Collections.synchronizedList(new ArrayList<>());
-    StandInDns server = rig.dns(held::add);
+    List<Asked> pending = java.util.Collections.synchronizedList(new ArrayList<>());
+    StandInDns server = rig.dns(pending::add);
     rig.start("upstream.attempt_ms = 15000", "", server);
     List<Rig.Udp> clients = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
       clients.add(udp().send(Rig.question(i, i % 2 == 0 ? "www.example." : "WWW.example.")));
     }
     Rig.await("all queries joined", () -> rig.server.onLoop(() -> rig.server.counts().joined) == 29);
-    Rig.await("server got the query", () -> held.size() == 1);
-    held.get(0).reply(held.get(0).address(60, "10.0.0.1"));
+    Rig.await("server got the query", () -> pending.size() == 1);
+    pending.get(0).reply(pending.get(0).address(60, "10.0.0.1"));
     for (int i = 0; i < 30; i++) {
       Message m = clients.get(i).answer();
       assertEquals(i, m.getHeader().getID());
@@ -110,7 +110,7 @@
     rig.start("upstream.attempt_ms = 15000", "", server);
     Rig.Udp first = udp().send(Rig.question(1, "www.example.", org.xbill.DNS.Type.MX));
     Rig.await("first query forwarded", () -> server.seen().size() == 1);
-    TimeUnit.MILLISECONDS.sleep(200); // A third of the first query's deadline, by which the second one's is later.
+    TimeUnit.MILLISECONDS.sleep(200); // A third of the first query's deadline; the second query's deadline is as much later.
     Rig.Udp second = udp().send(Rig.question(2, "www.example.", org.xbill.DNS.Type.MX));
     Rig.await("second query joined", () -> rig.server.onLoop(() -> rig.server.counts().joined) == 1);
     answering.set(true);
@@ -161,11 +161,11 @@
   /** With a slow server, clients get the stale answer after a while, and the in-flight query still refreshes the cache. */
   @Test
   void staleAnswerIsServedWhileTheServerIsSlow() throws Exception {
-    List<Asked> held = java.util.Collections.synchronizedList(new ArrayList<>());
+    List<Asked> pending = java.util.Collections.synchronizedList(new ArrayList<>());
     AtomicBoolean slow = new AtomicBoolean();
     StandInDns server = rig.dns(a -> {
       if (slow.get()) {
-        held.add(a);
+        pending.add(a);
       } else {
         a.reply(a.address(1, "10.0.0.1"));
       }
@@ -181,7 +181,7 @@
         throw new IllegalStateException(e);
       }
     });
-    held.get(0).reply(held.get(0).address(60, "10.0.0.2"));
+    pending.get(0).reply(pending.get(0).address(60, "10.0.0.2"));
     Rig.await("new answer cached", () -> {
       try {
         return Rig.text(client.ask(Rig.question(3, "www.example."))).equals("10.0.0.2");
--- a/dns/src/test/java/cloverpulley/dns/ConfigTest.java
+++ b/dns/src/test/java/cloverpulley/dns/ConfigTest.java
@@ -28,7 +28,7 @@
   @ParameterizedTest
   @CsvSource(delimiter = '|', value = {
     "udp_size = 100|dns.udp_size: expected a whole number from 512 to 4096",
-    "cookie_secret = \"xyz\"|dns.cookie_secret: expected 32 hexadecimal figures",
+    "cookie_secret = \"xyz\"|dns.cookie_secret: expected 32 hexadecimal digits",
     "limits.slip = -1|dns.limits.slip: expected a whole number",
     "upstream.ports = 0|dns.upstream.ports",
     "cache.prefetch_part = 2|dns.cache.prefetch_part",
@@ -51,7 +51,7 @@
   @Test
   void classesAreMatchedByOpcodeAndType() throws Exception {
     DnsConfig c = Rig.parse("", Rig.server("d", "127.0.0.1:53", "ready")).dns();
-    assertEquals(List.of("brief"), c.matches().stream().filter(m -> m.types().contains(15)).map(m -> m.type().name()).toList());
+    assertEquals(List.of("brief"), c.matches().stream().filter(m -> m.types().contains(15)).map(m -> m.requestClass().name()).toList());
     assertEquals(3, c.matches().stream().filter(m -> m.types().isEmpty()).count(), "one default per served opcode");
   }
 
--- a/dns/src/test/java/cloverpulley/dns/MessageTest.java
+++ b/dns/src/test/java/cloverpulley/dns/MessageTest.java
@@ -86,10 +86,10 @@
     assertEquals(names.get(0), m.getQuestion().getName().toString());
     assertEquals(type, m.getQuestion().getType());
     assertEquals(2, m.getOPT().getOptions().size());
-    Message back = Message.read(octets);
-    assertEquals(q, back.question());
-    assertArrayEquals(new byte[8], back.edns().cookie());
-    assertTrue(back.edns().dnssecOk());
+    Message parsed = Message.read(octets);
+    assertEquals(q, parsed.question());
+    assertArrayEquals(new byte[8], parsed.edns().cookie());
+    assertTrue(parsed.edns().dnssecOk());
   }
 
   /** Random octets either parse or throw MalformedException, and no other exception. */
--- a/dns/src/test/java/cloverpulley/dns/RestartTest.java
+++ b/dns/src/test/java/cloverpulley/dns/RestartTest.java
@@ -171,9 +171,9 @@
       Rig.await("query pending", () -> pending.size() == 1);
       CompletableFuture<Void> stopped = stopping(rig.server);
       Message m;
-      int asked = 0;
+      int sent = 0;
       do {
-        m = udp.ask(Rig.edns(Rig.question(asked & 0xFFFF, "u" + asked++ + ".example."), 1232, 0));
+        m = udp.ask(Rig.edns(Rig.question(sent & 0xFFFF, "u" + sent++ + ".example."), 1232, 0));
       } while (m.getRcode() == Rcode.NOERROR);
       assertEquals(Rcode.SERVFAIL, m.getRcode());
       assertEquals(NOT_READY, Rig.error(m));
--- a/dns/src/test/java/cloverpulley/dns/Rig.java
+++ b/dns/src/test/java/cloverpulley/dns/Rig.java
@@ -73,7 +73,7 @@
       """;
 
   /** A parsed operators' file. */
-  record ParsedConfig(DnsConfig dns, FleetSource shown) {
+  record ParsedConfig(DnsConfig dns, FleetSource published) {
     static ParsedConfig read(Section file) {
       var service = ServiceSection.read(file);
       return new ParsedConfig(DnsConfig.read(file.table("dns"), service), file.has("fleet") ? FleetSource.read(file.table("fleet")) : null);
@@ -92,7 +92,7 @@
   /** Starts a frontend. {@code dns} has lines of the [dns] section, {@code rest} further tables. */
   DnsServer start(String dns, String rest) throws BadFileException, IOException {
     ParsedConfig parsed = parse(dns, rest);
-    server = keep(DnsServer.start(parsed.dns, parsed.shown, 7));
+    server = keep(DnsServer.start(parsed.dns, parsed.published, 7));
     return server;
   }
 
@@ -105,7 +105,7 @@
   DnsServer startOnPort(InetSocketAddress address, String dns, String rest) throws BadFileException, IOException {
     ParsedConfig parsed = OperatorsFile.parse("test", "[dns]\nlisten = \"127.0.0.1:" + address.getPort() + "\"\n" + dns + "\n" + CLASSES + rest,
         ParsedConfig::read);
-    return keep(DnsServer.start(parsed.dns, parsed.shown, 8));
+    return keep(DnsServer.start(parsed.dns, parsed.published, 8));
   }
 
   static String servers(StandInDns... servers) {
--- a/dns/src/test/java/cloverpulley/dns/RulesTest.java
+++ b/dns/src/test/java/cloverpulley/dns/RulesTest.java
@@ -28,7 +28,10 @@
 import org.xbill.DNS.Type;
 import org.xbill.DNS.Update;
 
-/** The four balancing rules over DNS, measured at the servers. */
+/**
+ * The four balancing rules over DNS, measured at the servers: one answer to each query, no effect twice, nothing to drained servers, and no
+ * overload during slow start.
+ */
 @Timeout(value = 2 * Rig.TIMEOUT_S, unit = TimeUnit.SECONDS)
 class RulesTest {
 
@@ -81,7 +84,7 @@
     rig.server.pendingRequests();
   }
 
-  // ---- Rule 1 --------------------------------------------------------------------------------------------
+  // ---- Rule 1: one answer --------------------------------------------------------------------------------
 
   /** Whatever the servers do, each of a hundred clients gets exactly one answer, its own, and nothing stays pending. */
   @Test
@@ -117,7 +120,7 @@
     }
   }
 
-  // ---- Rule 2 --------------------------------------------------------------------------------------------
+  // ---- Rule 2: no effect twice ---------------------------------------------------------------------------
 
   /** When a server dies, in-flight queries are retried elsewhere and updates fail; no update is sent twice. */
   @Test
@@ -191,17 +194,17 @@
   @Test
   void retransmittedUpdateRunsOnce() throws Exception {
     UpdateLog updates = new UpdateLog();
-    List<Asked> held = new ArrayList<>();
+    List<Asked> pending = new ArrayList<>();
     rig.start("", "", rig.dns(a -> {
       updates.note(a);
-      held.add(a);
+      pending.add(a);
     }));
     Rig.Udp client = udp();
     byte[] octets = update(77, "h").toWire(65_535);
     client.send(octets).send(octets).send(octets);
     Rig.await("duplicates detected", () -> rig.server.onLoop(() -> rig.server.counts().repeated) == 2);
-    Rig.await("update received", () -> held.size() == 1);
-    held.get(0).reply(held.get(0).answer(Rcode.YXDOMAIN));
+    Rig.await("update received", () -> pending.size() == 1);
+    pending.get(0).reply(pending.get(0).answer(Rcode.YXDOMAIN));
     Message m = client.answer();
     assertEquals(Rcode.YXDOMAIN, m.getRcode(), "the server's response code");
     assertEquals(77, m.getHeader().getID());
@@ -246,7 +249,7 @@
     assertEquals(Rcode.NOERROR, m.getRcode());
   }
 
-  // ---- Rule 3 --------------------------------------------------------------------------------------------
+  // ---- Rule 3: nothing to drained servers ----------------------------------------------------------------
 
   /**
    * A server starts to drain after 50 queries on its connection, 20 of them unanswered. Each of the 50 clients gets exactly one answer, the
@@ -254,7 +257,7 @@
    */
   @Test
   void drainingServerGetsNoNewQueries() throws Exception {
-    List<Asked> held = java.util.Collections.synchronizedList(new ArrayList<>());
+    List<Asked> pending = java.util.Collections.synchronizedList(new ArrayList<>());
     AtomicInteger streamed = new AtomicInteger();
     StandInDns draining = rig.dns(a -> {
       if (!a.isTcp()) {
@@ -262,7 +265,7 @@
       } else if (streamed.incrementAndGet() <= 30) {
         a.reply(a.address(0, "10.0.0.1"));
       } else {
-        held.add(a);
+        pending.add(a);
       }
     });
     StandInDns other = rig.dns(StandInDns.addresses("10.0.0.2"));
@@ -271,7 +274,7 @@
     for (int i = 0; i < 50; i++) {
       clients.add(udp().send(Rig.question(i, "d" + i + ".example.")));
     }
-    Rig.await("20 queries pending at the server", () -> held.size() == 20);
+    Rig.await("20 queries pending at the server", () -> pending.size() == 20);
     assertEquals(1, draining.connections());
     List<ServerList.Server> now = members(draining, other);
     ServerList.Server d = now.get(0);
@@ -282,7 +285,7 @@
       assertEquals("10.0.0.2", Rig.text(udp().ask(Rig.question(i, "d" + i + ".example."))));
     }
     assertEquals(1, draining.connections(), "connection stays open for pending queries");
-    held.forEach(a -> a.reply(a.address(0, "10.0.0.1")));
+    pending.forEach(a -> a.reply(a.address(0, "10.0.0.1")));
     Map<String, Integer> answers = new HashMap<>();
     for (Rig.Udp client : clients) {
       answers.merge(Rig.text(client.answer()), 1, Integer::sum);
@@ -305,7 +308,7 @@
     });
     StandInDns other = rig.dns(a -> a.reply(a.answer(0)));
     rig.start("upstream.connections = 1\nupstream.pipelined = 10000\nupstream.drain_ms = 1500\nlimits.tcp_per_client = 1000", "", draining);
-    // Updates of 60 kB each: those beyond the socket buffers stay in the client's queue.
+    // Updates of 60 kB each: those beyond the socket buffers stay in the frontend's queue.
     List<Rig.Tcp> clients = new ArrayList<>();
     int count = 200;
     for (int i = 0; i < count; i++) {
@@ -330,7 +333,7 @@
     rig.awaitIdle();
   }
 
-  // ---- Rule 4 --------------------------------------------------------------------------------------------
+  // ---- Rule 4: no overload during slow start -------------------------------------------------------------
 
   /** A server in slow start gets its slow-start budget and not an equal share. */
   @Test
@@ -379,7 +382,7 @@
     assertTrue(!codes.contains(Rcode.NOERROR), codes.toString());
     rig.awaitIdle();
     unresponsive.set(0);
-    // Must be served again within the longest ejection time.
+    // Queries must be served again within the longest ejection time.
     CompletableFuture<Integer> recovered = CompletableFuture.supplyAsync(() -> {
       try (Rig.Udp client = new Rig.Udp(rig.server.address())) {
         for (int i = 0; ; i++) {
--- a/dns/src/test/java/cloverpulley/dns/UpstreamTest.java
+++ b/dns/src/test/java/cloverpulley/dns/UpstreamTest.java
@@ -177,9 +177,9 @@
 
   @Test
   void serverThatDoesNotPreserveCaseIsDetected() throws Exception {
-    Set<String> asked = new HashSet<>();
+    Set<String> queried = new HashSet<>();
     StandInDns server = rig.dns(a -> {
-      asked.add(a.message().getQuestion().getName().toString());
+      queried.add(a.message().getQuestion().getName().toString());
       Message m = a.address(60, "10.0.0.1");
       byte[] octets = m.toWire(65_535);
       for (int i = 13; octets[i] != 0; i++) {
@@ -191,7 +191,7 @@
     assertEquals("10.0.0.1", Rig.text(udp().ask(Rig.question(1, "firstoflongnames.example."))));
     for (int i = 0; i < 8; i++) {
       assertEquals("10.0.0.1", Rig.text(udp().ask(Rig.question(i, "nextoflongnames" + i + ".example."))));
-      assertTrue(asked.contains("nextoflongnames" + i + ".example."));
+      assertTrue(queried.contains("nextoflongnames" + i + ".example."));
     }
     assertEquals(1, count(c -> c.tcp), "one retry over TCP is enough");
   }
@@ -274,7 +274,7 @@
 
   @Test
   void fallsBackToPlainDnsForServersWithoutEdns() throws Exception {
-    StandInDns old = rig.dns(a -> {
+    StandInDns withoutEdns = rig.dns(a -> {
       if (a.message().getOPT() != null) {
         Message m = new Message(a.id());
         m.getHeader().setFlag(Flags.QR);
@@ -284,13 +284,13 @@
         a.reply(a.address(60, "10.0.0.1"));
       }
     });
-    rig.start("", "", old);
+    rig.start("", "", withoutEdns);
     for (int i = 0; i < 5; i++) {
       Message m = udp().ask(ednsQuestion(i, "o" + i + ".example."));
       assertEquals("10.0.0.1", Rig.text(m));
       assertTrue(m.getOPT() != null, "the frontend answers the client's EDNS itself");
     }
-    assertEquals(1, old.seen().stream().filter(Seen::edns).count(), "detected once");
+    assertEquals(1, withoutEdns.seen().stream().filter(Seen::edns).count(), "detected once");
   }
 
   @Test
@@ -316,7 +316,7 @@
 
   @Test
   void connectionWithInvalidResponsesIsClosed() throws Exception {
-    List<String> invalidResponses = List.of("id", "question", "octets", "cut");
+    List<String> invalidResponses = List.of("id", "question", "octets", "truncated");
     for (String kind : invalidResponses) {
       StandInDns server = rig.dns(a -> {
         if (!a.isTcp()) {
--- a/dns/src/test/java/cloverpulley/dns/ZonesTest.java
+++ b/dns/src/test/java/cloverpulley/dns/ZonesTest.java
@@ -172,9 +172,9 @@
 
   @Test
   void weightRisesDuringSlowStart() throws Exception {
-    DnsConfig.FleetZoneConfig names = new DnsConfig.FleetZoneConfig("fleet.test.", "_quote._tcp", 5, new InetSocketAddress("127.0.0.1", 53),
+    DnsConfig.FleetZoneConfig config = new DnsConfig.FleetZoneConfig("fleet.test.", "_quote._tcp", 5, new InetSocketAddress("127.0.0.1", 53),
         TimeUnit.SECONDS.toNanos(10), 0.3);
-    FleetZone zone = new FleetZone(names);
+    FleetZone zone = new FleetZone(config);
     long now = 1_800_000_000_000L;
     Server starting = server("c", 8001, State.READY, 1, now);
     assertEquals(30, zone.weight(starting, now));
