--- a/engine/src/main/java/cloverpulley/engine/Attempt.java
+++ b/engine/src/main/java/cloverpulley/engine/Attempt.java
@@ -1,6 +1,6 @@
 package cloverpulley.engine;
 
-/** One sending of a request: started by a front, and ended by it exactly once through {@link Engine#attemptEnded}. */
+/** One attempt to send a request to an upstream. A frontend starts it and ends it exactly once, through {@link Engine#attemptEnded}. */
 public final class Attempt {
 
   private final Exchange exchange;
@@ -8,14 +8,14 @@
   private final long upstream;
   private final long sentAt;
   private final long sendBy;
-  /** When the request had come whole, where that was after its sending began; else 0. */
-  long wholeAt;
-  /** How long its answer took to begin, where it is passed on while it comes; else -1. */
-  long begunAfter = -1;
-  CancelHandle sending;
+  /** Clock reading at which the request's body was complete, if that was after this attempt had started; else 0. */
+  long bodyEndedAt;
+  /** How long its answer took to start, if it is streamed to the client; else -1. */
+  long answerStartedAfterNanos = -1;
+  CancelHandle cancelHandle;
   boolean ended;
 
-  /** What a front does to stop waiting for an attempt; it still ends it, as called off or as never sent. */
+  /** Stops a frontend's attempt; the frontend still reports its end, as cancelled or as not sent. */
   public interface CancelHandle {
     void cancel();
   }
@@ -32,22 +32,22 @@
     return exchange;
   }
 
-  /** Its place among the request's attempts, from 0, those of earlier calls among them. */
+  /** Its index among the request's attempts, from 0, counting those of earlier calls. */
   public int number() {
     return number;
   }
 
-  /** The module's number of the upstream. */
+  /** The module's number for the upstream. */
   public long upstream() {
     return upstream;
   }
 
-  /** Clock reading by which its last byte has to have left, or it is not to be sent; 0 for whenever it can. */
+  /** Clock reading by which its last byte must have been written, or it must not be sent; 0 for no limit. */
   public long sendBy() {
     return sendBy;
   }
 
-  /** Clock reading, in nanoseconds, at which the module had it sent. */
+  /** Clock reading, in nanoseconds, at which the module sent it. */
   public long sentAt() {
     return sentAt;
   }
--- a/engine/src/main/java/cloverpulley/engine/Engine.java
+++ b/engine/src/main/java/cloverpulley/engine/Engine.java
@@ -50,135 +50,135 @@
 import java.util.logging.Logger;
 
 /**
- * Stands between the fronts and the decision module: words what happens on the first as the second's events, one at a time,
- * and carries out its actions in order. It decides nothing and knows no protocol. All fronts of a process share one: one
- * module, one fleet, one count of what is in flight. All of it runs on one loop.
+ * Connects the frontends to the decision module: turns what happens in the frontends into events, passes them to the module one at a time,
+ * and executes its actions in order. It makes no decisions and is independent of the protocol. All frontends of a process share one engine and
+ * so one module, one fleet and one count of requests in flight. Runs on a single event loop.
  */
 public final class Engine {
 
   private static final Logger LOG = Logger.getLogger(Engine.class.getName());
 
-  /** A request without an answer gets one so long after the time that the module knows: a last guard. */
-  private static final long GUARD_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
+  /** How long after its deadline the engine itself fails a request that the module has not ended: a last safeguard. */
+  private static final long DEADLINE_GRACE_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
 
   private final ScheduledExecutorService loop;
   private final Clock clock;
   private Settings settings;
-  private boolean retuned;
-  private final LongFunction<Balancer> modules;
+  private boolean settingsChanged;
+  private final LongFunction<Balancer> moduleFactory;
   private final Fleet fleet;
-  private final ListSource lists;
-  private final PeerSender peers;
-  private final EngineListener witness;
+  private final ListSource listSource;
+  private final PeerSender peerSender;
+  private final EngineListener listener;
   private final List<Transport> transports = new ArrayList<>(1);
   private final Map<String, Exchange> exchanges = new HashMap<>();
-  /** What has happened and the module has not been told; an entry is worded when its turn comes. */
+  /** Events that the module has not handled yet; each is built when its turn comes. */
   private final ArrayDeque<Supplier<Event>> queue = new ArrayDeque<>();
-  private Consumer<BalancerSnapshot> knowledgeTo = k -> { };
-  private boolean scheduled;
+  private Consumer<BalancerSnapshot> snapshotConsumer = k -> { };
+  private boolean drainScheduled;
   private Balancer module;
   private long generation;
-  private long taken;
+  private long acceptedRequests;
 
-  /** Where the module's questions for the list go. */
+  /** Receives the module's requests for the server list. */
   public interface ListSource {
     void watch(boolean on);
 
     void fetch();
   }
 
-  /** Where the module's messages to other balancers go; -1 is all of them. */
+  /** Sends the module's messages to other balancers; -1 addresses all of them. */
   public interface PeerSender {
     void send(int to, byte[] data);
   }
 
   /**
-   * Makes an engine; every method is then to be called on {@code loop}, which has one thread.
+   * Creates an engine; all its methods must be called on {@code loop}, which has one thread.
    *
-   * @param modules makes the n-th module of this process
+   * @param moduleFactory creates the n-th module of this process
    */
-  public Engine(ScheduledExecutorService loop, Clock clock, Settings settings, LongFunction<Balancer> modules, Fleet fleet,
-      ListSource lists, PeerSender peers) {
-    this(loop, clock, settings, modules, fleet, lists, peers, EngineListener.NO_OP);
+  public Engine(ScheduledExecutorService loop, Clock clock, Settings settings, LongFunction<Balancer> moduleFactory, Fleet fleet,
+      ListSource listSource, PeerSender peerSender) {
+    this(loop, clock, settings, moduleFactory, fleet, listSource, peerSender, EngineListener.NO_OP);
   }
 
-  /** The same, with somebody who is told of all that happens. */
-  public Engine(ScheduledExecutorService loop, Clock clock, Settings settings, LongFunction<Balancer> modules, Fleet fleet,
-      ListSource lists, PeerSender peers, EngineListener witness) {
-    this.witness = witness;
+  /** Creates an engine with a listener for everything that happens. */
+  public Engine(ScheduledExecutorService loop, Clock clock, Settings settings, LongFunction<Balancer> moduleFactory, Fleet fleet,
+      ListSource listSource, PeerSender peerSender, EngineListener listener) {
+    this.listener = listener;
     this.loop = loop;
     this.clock = clock;
     this.settings = settings;
-    this.modules = modules;
+    this.moduleFactory = moduleFactory;
     this.fleet = fleet;
-    this.lists = lists;
-    this.peers = peers;
-    module = modules.apply(generation);
+    this.listSource = listSource;
+    this.peerSender = peerSender;
+    module = moduleFactory.apply(generation);
   }
 
-  /** A front's way to the upstreams joins; the first that can probe does. */
+  /** Adds a frontend's transport to the upstreams; probes go to the first transport that supports them. */
   public void addTransport(Transport transport) {
     transports.add(transport);
   }
 
-  // ---- What happens --------------------------------------------------------------------------------------
+  // ---- Events --------------------------------------------------------------------------------------------
 
-  /** A client's request has come in whole. */
+  /** Accepts a client's request: enqueues it for the module and starts its deadline timer. */
   public void accept(Exchange x) {
-    x.id = "r" + taken;
-    x.number = ++taken;
+    x.id = "r" + acceptedRequests;
+    x.number = ++acceptedRequests;
     x.maxAttempts = settings.limits().maxAttempts();
     exchanges.put(x.id, x);
-    witness.requestAccepted(x);
+    listener.requestAccepted(x);
     Exchange.RequestInfo f = x.info();
     long due = f.answerBy() > 0 ? Math.min(f.answerBy(), f.deadline()) : f.deadline();
-    guard(x, due);
+    scheduleExpiry(x, due);
     enqueue(() -> x.isEnded() ? null : new Request(x.id, f.requestClass().name(), f.tenant(), f.key(), f.deadline(), f.hintNanos(),
         f.retry(), f.answerBy(), f.priorAttempts()));
   }
 
-  /** The client has gone, or has been answered by its front without the module. */
+  /** The client has disconnected, or its frontend has answered it without the module. */
   public void clientGone(Exchange x) {
     if (x.id != null) {
-      finish(x, EngineListener.Completion.GONE, null);
+      reportEnd(x, EngineListener.Completion.GONE, null);
     }
     x.end();
-    enqueue(() -> known(x) ? new ClientGone(x.id) : null);
+    enqueue(() -> isTracked(x) ? new ClientGone(x.id) : null);
   }
 
-  private void overdue(Exchange x) {
+  private void expire(Exchange x) {
     if (!x.isEnded()) {
-      finish(x, EngineListener.Completion.FAILED, Reason.DEADLINE);
+      reportEnd(x, EngineListener.Completion.FAILED, Reason.DEADLINE);
       x.end();
       x.respond(LocalReply.failed(Reason.DEADLINE));
       clientGone(x);
     }
   }
 
-  /** A source of the list has said something; with FAILED it has not, and the list is unused. */
+  /** A source has reported a list or changes to it; with FAILED it could not be reached, and the list is ignored. */
   public void serverListUpdated(ListKind kind, ServerList list) {
     if (kind == ListKind.FAILED) {
-      witness.serverListUpdated(kind, ServerList.EMPTY, List.of());
+      listener.serverListUpdated(kind, ServerList.EMPTY, List.of());
       enqueue(() -> new EndpointUpdate(kind, List.of()));
       return;
     }
-    EndpointUpdate news = fleet.update(kind, list);
-    if (witness != EngineListener.NO_OP) {
-      List<EngineListener.NumberedServer> told = new ArrayList<>(news.endpoints().size());
-      for (int i = 0; i < news.endpoints().size(); i++) {
-        told.add(new EngineListener.NumberedServer(news.endpoints().get(i).upstream(), list.members().get(i)));
+    EndpointUpdate update = fleet.update(kind, list);
+    if (listener != EngineListener.NO_OP) {
+      List<EngineListener.NumberedServer> numbered = new ArrayList<>(update.endpoints().size());
+      for (int i = 0; i < update.endpoints().size(); i++) {
+        numbered.add(new EngineListener.NumberedServer(update.endpoints().get(i).upstream(), list.members().get(i)));
       }
-      witness.serverListUpdated(kind, list, told);
+      listener.serverListUpdated(kind, list, numbered);
     }
-    enqueue(() -> news);
-    // After the news, so that the module knows why what was still connecting comes back unsent.
+    enqueue(() -> update);
+    // After the update, so that the module knows why attempts that were still connecting end as not sent.
     transports.forEach(t -> t.drainUpstreams(upstream -> !fleet.isReady(upstream)));
   }
 
   /**
-   * An operator takes an upstream out, listed or not: nothing new goes to it, and what is not sent yet is withdrawn.
+   * Takes an upstream administratively offline, listed or not: it gets no new requests, and attempts that are not sent yet are cancelled.
    *
-   * @param forNanos how long it has been out already, where that was told elsewhere
+   * @param forNanos how long it has been offline already, where another process took it offline
    */
   public void setOffline(String id, long forNanos) {
     if (!fleet.offline().contains(id)) {
@@ -188,7 +188,7 @@
     }
   }
 
-  /** An operator calls an upstream back; nothing where it was not out. */
+  /** Brings an upstream back online; no effect if it was not offline. */
   public void setOnline(String id) {
     Long upstream = fleet.setOnline(id);
     if (upstream != null) {
@@ -196,45 +196,45 @@
     }
   }
 
-  /** Asks the module what it knows, for a successor; told in the module's turn. */
-  public void requestSnapshot(Consumer<BalancerSnapshot> to) {
-    knowledgeTo = to;
+  /** Requests a snapshot of the module's state for a successor; the consumer gets it once the module has handled the event. */
+  public void requestSnapshot(Consumer<BalancerSnapshot> consumer) {
+    snapshotConsumer = consumer;
     enqueue(SnapshotRequested::new);
   }
 
-  /** What a predecessor's module knew; after the first list. */
-  public void restoreSnapshot(BalancerSnapshot knowledge) {
-    enqueue(() -> new SnapshotRestored(knowledge));
+  /** Restores the state of a predecessor's module; to be called after the first list. */
+  public void restoreSnapshot(BalancerSnapshot snapshot) {
+    enqueue(() -> new SnapshotRestored(snapshot));
   }
 
-  /** Other settings hold for requests that are taken from here on; those in hand keep theirs. */
-  public void updateSettings(Settings to) {
-    settings = to;
-    retuned = true;
-    enqueue(() -> new SettingsChanged(to));
+  /** Applies new settings to requests accepted from now on; pending requests keep the old ones. */
+  public void updateSettings(Settings newSettings) {
+    settings = newSettings;
+    settingsChanged = true;
+    enqueue(() -> new SettingsChanged(newSettings));
   }
 
-  /** So many processes serve as this balancer, this one among them. */
+  /** Sets the number of processes that serve as this balancer, including this one. */
   public void setProcessCount(int processes) {
     enqueue(() -> new ProcessCountChanged(processes));
   }
 
-  /** Another balancer has sent a message. */
+  /** A message from another balancer has arrived. */
   public void peerMessage(int from, byte[] data) {
     enqueue(() -> new PeerMessage(from, data));
   }
 
-  /** Whether a request that came now could be served. */
+  /** Whether any upstream could serve a new request. */
   public boolean canServe() {
     return fleet.hasReady();
   }
 
-  /** Requests in hand: those owed an answer, and those with an attempt still out. */
+  /** Requests that have no answer yet or still have an attempt in flight. */
   public int pendingRequests() {
     return exchanges.size();
   }
 
-  /** Attempts that have not ended. */
+  /** Attempts in flight. */
   public int inFlightAttempts() {
     int attempts = 0;
     for (Exchange x : exchanges.values()) {
@@ -243,11 +243,11 @@
     return attempts;
   }
 
-  /** Answers all requests in hand, without a promise. */
+  /** Fails all unanswered requests with STOPPING; whether they have run is left open. */
   public void failAll() {
     for (Exchange x : List.copyOf(exchanges.values())) {
       if (!x.isEnded()) {
-        finish(x, EngineListener.Completion.FAILED, Reason.STOPPING);
+        reportEnd(x, EngineListener.Completion.FAILED, Reason.STOPPING);
         x.end();
         x.respond(LocalReply.failed(Reason.STOPPING));
         clientGone(x);
@@ -256,127 +256,128 @@
   }
 
   /**
-   * An attempt has ended; a second word on the same one is ignored.
+   * An attempt has ended; a second call for the same attempt is ignored.
    *
-   * @param load the upstream's report, empty where none came
-   * @param inTurn run when its turn to be told has come: hands over what an upstream served, and ends the exchange where it
-   *     is the final answer
+   * @param load the upstream's load report, empty if it sent none
+   * @param whenProcessed runs when the event's turn comes: passes the upstream's answer on, and ends the exchange if it is the
+   *     final one
    */
-  public void attemptEnded(Attempt attempt, Status status, Map<String, Double> load, Runnable inTurn) {
+  public void attemptEnded(Attempt attempt, Status status, Map<String, Double> load, Runnable whenProcessed) {
     if (attempt.ended) {
       return;
     }
     attempt.ended = true;
     Exchange x = attempt.exchange();
-    long latency = attempt.begunAfter >= 0 ? attempt.begunAfter : latency(attempt);
-    witness.attemptEnded(attempt, status, latency);
+    long latency = attempt.answerStartedAfterNanos >= 0 ? attempt.answerStartedAfterNanos : latency(attempt);
+    listener.attemptEnded(attempt, status, latency);
     enqueue(() -> {
       x.outstanding--;
-      inTurn.run();
+      whenProcessed.run();
       if (x.isEnded()) {
-        // By its front, in this turn or before it: an end that was told already stays.
-        boolean broke = x.passing == attempt && status != Status.SERVED;
-        finish(x, broke ? EngineListener.Completion.FAILED : EngineListener.Completion.SERVED, broke ? Reason.MAY_HAVE_RUN : null);
+        // Ended by its frontend, in this turn or earlier; an end that has been reported already is not replaced.
+        boolean streamBroke = x.streamingAttempt == attempt && status != Status.SERVED;
+        reportEnd(x, streamBroke ? EngineListener.Completion.FAILED : EngineListener.Completion.SERVED, streamBroke ? Reason.MAY_HAVE_RUN : null);
       }
-      return known(x) ? new Outcome(x.id, attempt.number(), attempt.upstream(), status, latency, x.isEnded(), load) : null;
+      return isTracked(x) ? new Outcome(x.id, attempt.number(), attempt.upstream(), status, latency, x.isEnded(), load) : null;
     });
   }
 
   private long latency(Attempt attempt) {
-    return clock.now() - Math.max(attempt.sentAt(), attempt.wholeAt);
+    return clock.now() - Math.max(attempt.sentAt(), attempt.bodyEndedAt);
   }
 
   /**
-   * An attempt's answer has begun and is to be passed on while it comes: from here on the request is this attempt's, without a
-   * deadline, and ends with it. False where the request has its end or another attempt's answer: then nothing may be passed on.
+   * An attempt's answer has started and is to be streamed to the client: from here on the request belongs to this attempt, has no
+   * deadline and ends with it. Returns false if the request has ended or streams another attempt's answer: nothing may be streamed then.
    */
   public boolean answerStarted(Attempt attempt) {
     Exchange x = attempt.exchange();
-    if (attempt.ended || x.isEnded() || x.passing != null || !known(x)) {
+    if (attempt.ended || x.isEnded() || x.streamingAttempt != null || !isTracked(x)) {
       return false;
     }
-    x.passing = attempt;
-    x.guard.cancel(false);
-    attempt.begunAfter = latency(attempt);
-    enqueue(() -> known(x) && !x.isEnded() ? new AnswerStarted(x.id, attempt.number(), attempt.upstream(), attempt.begunAfter) : null);
+    x.streamingAttempt = attempt;
+    x.deadlineTimer.cancel(false);
+    attempt.answerStartedAfterNanos = latency(attempt);
+    enqueue(() -> isTracked(x) && !x.isEnded()
+        ? new AnswerStarted(x.id, attempt.number(), attempt.upstream(), attempt.answerStartedAfterNanos) : null);
     return true;
   }
 
-  /** The body of a request that was taken before it was whole has come; {@code deadline} is when an answer is of no more use. */
+  /** The body of a request that was accepted before it was complete has arrived; {@code deadline} is when an answer is of no more use. */
   public void bodyEnded(Exchange x, long deadline) {
-    if (x.isEnded() || !known(x)) {
+    if (x.isEnded() || !isTracked(x)) {
       return;
     }
     x.deadline = deadline;
-    x.attempts.forEach(a -> a.wholeAt = clock.now());
-    if (x.passing == null) {
-      x.guard.cancel(false);
-      guard(x, deadline);
+    x.attempts.forEach(a -> a.bodyEndedAt = clock.now());
+    if (x.streamingAttempt == null) {
+      x.deadlineTimer.cancel(false);
+      scheduleExpiry(x, deadline);
     }
-    enqueue(() -> known(x) ? new BodyEnded(x.id, deadline) : null);
+    enqueue(() -> isTracked(x) ? new BodyEnded(x.id, deadline) : null);
   }
 
-  /** The beginning of a request's body is not kept any more. */
+  /** The buffered start of a request's body has been discarded, so that the request can't be sent again. */
   public void bodyDiscarded(Exchange x) {
-    enqueue(() -> known(x) ? new BodyDiscarded(x.id) : null);
+    enqueue(() -> isTracked(x) ? new BodyDiscarded(x.id) : null);
   }
 
-  private void guard(Exchange x, long due) {
-    x.guard = loop.schedule(() -> overdue(x), due + GUARD_NANOS - clock.now(), TimeUnit.NANOSECONDS);
+  private void scheduleExpiry(Exchange x, long due) {
+    x.deadlineTimer = loop.schedule(() -> expire(x), due + DEADLINE_GRACE_NANOS - clock.now(), TimeUnit.NANOSECONDS);
   }
 
   /**
-   * Events are told only once all sockets that had something to say have been read: actions then don't go to a
-   * connection whose end is known already, and an action never re-enters the module.
+   * The queue is processed only after all readable sockets have been read: actions then don't go to a connection that is already
+   * known to be closed, and an action never re-enters the module.
    */
   private void enqueue(Supplier<Event> event) {
     queue.add(event);
-    if (!scheduled) {
-      scheduled = true;
-      loop.execute(this::tell);
+    if (!drainScheduled) {
+      drainScheduled = true;
+      loop.execute(this::processQueue);
     }
   }
 
-  private void tell() {
-    scheduled = false;
+  private void processQueue() {
+    drainScheduled = false;
     for (Supplier<Event> next = queue.poll(); next != null; next = queue.poll()) {
-      Event event = worded(next);
+      Event event = buildEvent(next);
       if (event == null) {
         continue;
       }
       try {
         module.handle(clock.now(), event, this::perform);
       } catch (RuntimeException e) {
-        LOG.log(Level.SEVERE, "module failed at " + event.getClass().getSimpleName(), e);
-        restart(event);
+        LOG.log(Level.SEVERE, "module failed to handle " + event.getClass().getSimpleName(), e);
+        replaceModule(event);
       }
       if (event instanceof Outcome o) {
-        forget(exchanges.get(o.id()));
+        removeIfDone(exchanges.get(o.id()));
       } else if (event instanceof ClientGone g) {
-        forget(exchanges.get(g.id()));
+        removeIfDone(exchanges.get(g.id()));
       }
     }
   }
 
-  /** The event as it is worded in its turn; null for none. What fails there is one event's matter, and not that of those behind it. */
-  private static Event worded(Supplier<Event> event) {
+  /** Builds a queued event; null for none. A failure affects this event only, and not the ones queued behind it. */
+  private static Event buildEvent(Supplier<Event> event) {
     try {
       return event.get();
     } catch (RuntimeException e) {
-      LOG.log(Level.SEVERE, "an event was lost", e);
+      LOG.log(Level.SEVERE, "failed to build an event; it is dropped", e);
       return null;
     }
   }
 
-  /** A module that threw is in an unknown state: what it held is answered, and a new one starts from the list. */
-  private void restart(Event cause) {
-    if (cause instanceof SettingsChanged || cause instanceof EndpointUpdate news && news.kind() == ListKind.CACHED) {
-      LOG.severe("a module can't even start: the process ends");
+  /** A module that threw is in an unknown state: its requests are failed, and a new module starts from the cached list. */
+  private void replaceModule(Event cause) {
+    if (cause instanceof SettingsChanged || cause instanceof EndpointUpdate update && update.kind() == ListKind.CACHED) {
+      LOG.severe("module failed while starting, exiting");
       failAll();
       loop.execute(() -> Runtime.getRuntime().halt(1));
       return;
     }
-    witness.moduleReplaced(cause.getClass().getSimpleName());
+    listener.moduleReplaced(cause.getClass().getSimpleName());
     List<Exchange> all = List.copyOf(exchanges.values());
     for (Exchange x : all) {
       x.attempts.forEach(Engine::cancel);
@@ -385,39 +386,39 @@
     exchanges.clear();
     all.forEach(Exchange::onRemoved);
     queue.clear();
-    module = modules.apply(++generation);
-    if (retuned) {
+    module = moduleFactory.apply(++generation);
+    if (settingsChanged) {
       Settings now = settings;
-      enqueue(() -> new SettingsChanged(now)); // Before the list: it was made with those of the start.
+      enqueue(() -> new SettingsChanged(now)); // Before the list: the factory uses the settings of the process start.
     }
-    EndpointUpdate held = fleet.cachedUpdate();
-    enqueue(() -> held);
+    EndpointUpdate currentList = fleet.cachedUpdate();
+    enqueue(() -> currentList);
     fleet.offline().forEach(id -> {
       long upstream = fleet.setOffline(id);
       enqueue(() -> new UpstreamSetOffline(upstream, 0));
     });
   }
 
-  /** Tells of a request's end, the first time. */
-  private void finish(Exchange x, EngineListener.Completion end, Reason reason) {
-    if (!x.told) {
-      x.told = true;
-      witness.requestEnded(x, end, reason);
+  /** Reports a request's end to the listener, once. */
+  private void reportEnd(Exchange x, EngineListener.Completion end, Reason reason) {
+    if (!x.endReported) {
+      x.endReported = true;
+      listener.requestEnded(x, end, reason);
     }
   }
 
-  private boolean known(Exchange x) {
+  private boolean isTracked(Exchange x) {
     return exchanges.get(x.id) == x;
   }
 
-  private void forget(Exchange x) {
+  private void removeIfDone(Exchange x) {
     if (x != null && x.isEnded() && x.outstanding == 0) {
       exchanges.remove(x.id);
       x.onRemoved();
     }
   }
 
-  // ---- What the module asks for --------------------------------------------------------------------------
+  // ---- Actions -------------------------------------------------------------------------------------------
 
   private void perform(Action action) {
     if (action instanceof Send a) {
@@ -432,48 +433,48 @@
     } else if (action instanceof Fail a) {
       end(a.id(), LocalReply.failed(a.reason()));
     } else if (action instanceof SetTimer a) {
-      long made = generation;
-      loop.schedule(() -> enqueue(() -> made == generation ? new TimerFired(a.token()) : null),
+      long moduleGeneration = generation;
+      loop.schedule(() -> enqueue(() -> moduleGeneration == generation ? new TimerFired(a.token()) : null),
           a.atNanos() - clock.now(), TimeUnit.NANOSECONDS);
     } else if (action instanceof Watch a) {
-      lists.watch(a.on());
+      listSource.watch(a.on());
     } else if (action instanceof FetchEndpoints) {
-      lists.fetch();
+      listSource.fetch();
     } else if (action instanceof Probe a) {
       probe(a.upstream());
     } else if (action instanceof CloseIdle a) {
       transports.forEach(t -> t.closeIdle(a.upstream()));
     } else if (action instanceof SendToPeer a) {
-      peers.send(a.to(), a.data());
+      peerSender.send(a.to(), a.data());
     } else if (action instanceof PublishSnapshot a) {
-      knowledgeTo.accept(a.snapshot());
+      snapshotConsumer.accept(a.snapshot());
     } else if (action instanceof Balancer.Log a) {
       LOG.info(a.text());
     }
   }
 
   private static void cancel(Attempt attempt) {
-    if (attempt.sending != null && !attempt.ended) {
-      attempt.sending.cancel();
+    if (attempt.cancelHandle != null && !attempt.ended) {
+      attempt.cancelHandle.cancel();
     }
   }
 
   private Exchange exchange(String id) {
     Exchange x = exchanges.get(id);
     if (x == null) {
-      throw new IllegalStateException("request " + id + " is over");
+      throw new IllegalStateException("request " + id + " has already ended");
     }
     return x;
   }
 
-  private void end(String id, LocalReply verdict) {
+  private void end(String id, LocalReply reply) {
     Exchange x = exchanges.get(id);
     if (x != null && !x.isEnded()) {
-      finish(x, verdict.rejected() ? EngineListener.Completion.REJECTED : EngineListener.Completion.FAILED, verdict.reason());
+      reportEnd(x, reply.rejected() ? EngineListener.Completion.REJECTED : EngineListener.Completion.FAILED, reply.reason());
       x.end();
-      x.respond(verdict);
+      x.respond(reply);
     }
-    forget(x);
+    removeIfDone(x);
   }
 
   private void send(Exchange x, Send send) {
@@ -482,9 +483,9 @@
     Attempt attempt = new Attempt(x, number, send.upstream(), now, send.sendByNanos());
     x.attempts.add(attempt);
     x.outstanding++;
-    witness.attemptSent(attempt);
+    listener.attemptSent(attempt);
     if (x.info().answerBy() > 0) {
-      x.guard.cancel(false); // The sending is the answer; its own time-out bounds it from here on.
+      x.deadlineTimer.cancel(false); // Sending it is the answer; from here on the attempt's own timeout bounds it.
     }
     long left = x.deadline - now;
     long timeout = send.timeoutNanos() == 0 ? left : Math.min(left, send.timeoutNanos());
@@ -494,7 +495,7 @@
     } else if (address == null) {
       attemptEnded(attempt, Status.CONNECT_FAILED, Map.of(), () -> { });
     } else {
-      attempt.sending = x.startAttempt(attempt, address, timeout);
+      attempt.cancelHandle = x.startAttempt(attempt, address, timeout);
     }
   }
 
--- a/engine/src/main/java/cloverpulley/engine/Exchange.java
+++ b/engine/src/main/java/cloverpulley/engine/Exchange.java
@@ -8,21 +8,21 @@
 import java.util.concurrent.Future;
 
 /**
- * A request in hand, from when a front takes it until it is answered and its last attempt has ended. Each front brings its
- * own kind, which knows how to start an attempt and how to give the final answer. All of it runs on the engine's loop.
+ * A pending request, from when a frontend accepts it until it is answered and its last attempt has ended. Each frontend has its own
+ * subclass, which starts attempts and sends the final answer. Used on the engine's loop only.
  */
 public abstract class Exchange {
 
   /**
-   * What the module is told of a request.
+   * The properties of a request that the module decides by.
    *
    * @param tenant null for none
    * @param key null for none
-   * @param hintNanos a guess at the work; 0 for none
-   * @param retry whether the client says that it asked before
+   * @param hintNanos estimate of the work; 0 for none
+   * @param retry whether the client marked the request as a retry
    * @param deadline clock reading at which an answer is of no more use
-   * @param answerBy clock reading by which the module has to have sent it on or ended it; 0 for the deadline alone
-   * @param priorAttempts attempts of earlier calls for the same request, the oldest first
+   * @param answerBy clock reading by which the module must have forwarded or ended it; 0 if only the deadline applies
+   * @param priorAttempts attempts made by earlier calls for the same request, oldest first
    */
   public record RequestInfo(RequestClass requestClass, String tenant, String key, long hintNanos, boolean retry, long deadline,
       long answerBy, List<PriorAttempt> priorAttempts) {}
@@ -31,16 +31,16 @@
   final List<Attempt> attempts = new ArrayList<>(1);
   String id;
   long number;
-  /** Whether its end has been told to the engine's witness. */
-  boolean told;
-  Future<?> guard;
+  /** Whether its end has been reported to the engine's listener. */
+  boolean endReported;
+  Future<?> deadlineTimer;
   int outstanding;
-  /** As the settings had it when it was taken. */
+  /** From the settings in force when it was accepted. */
   int maxAttempts;
-  /** Clock reading at which an answer is of no more use; that of the request info until the body has come whole. */
+  /** Clock reading at which an answer is of no more use; replaced once a body that is still arriving is complete. */
   long deadline;
-  /** The attempt whose answer is passed on while it comes; null for none. */
-  Attempt passing;
+  /** The attempt whose answer is being streamed to the client; null for none. */
+  Attempt streamingAttempt;
   private boolean ended;
 
   protected Exchange(RequestInfo info) {
@@ -48,60 +48,59 @@
     deadline = info.deadline();
   }
 
-  /** Whether an answer is passed on while it comes: there will be no other. */
+  /** Whether an answer is being streamed to the client: no other can follow. */
   public final boolean isStreaming() {
-    return passing != null;
+    return streamingAttempt != null;
   }
 
   public final RequestInfo info() {
     return info;
   }
 
-  /** The engine's name for it, in records; null before it is taken. */
+  /** Its id within the engine; null before it is accepted. */
   public final String id() {
     return id;
   }
 
-  /** The engine's number for it, from 1; 0 before it is taken. */
+  /** Its number within the engine, from 1; 0 before it is accepted. */
   public final long number() {
     return number;
   }
 
-  /** What its caller calls it; null where it names none. */
+  /** The id that the client gave the request; null if it gave none. */
   public String clientRequestId() {
     return null;
   }
 
-  /** Whether it has its final answer, or the client has gone. */
+  /** Whether it has its final answer or the client has disconnected. */
   public final boolean isEnded() {
     return ended;
   }
 
-  /** Marks it as ended: the final answer is given, or nobody waits for one. What it kept for sending may be let go. */
+  /** Marks it as ended: the final answer has been sent, or nobody waits for one. Resources kept for sending are released. */
   public final void end() {
     if (!ended) {
       ended = true;
-      if (guard != null) {
-        guard.cancel(false);
+      if (deadlineTimer != null) {
+        deadlineTimer.cancel(false);
       }
       onEnded();
     }
   }
 
   /**
-   * Starts an attempt. Whatever becomes of it is told once through {@link Engine#attemptEnded}, which may be called from in
-   * here.
+   * Starts an attempt. Its end is reported once, through {@link Engine#attemptEnded}, which may be called from within this method.
    *
-   * @param timeoutNanos how long to wait for its end, connecting included
+   * @param timeoutNanos how long to wait for its end, including the time to connect
    */
   protected abstract Attempt.CancelHandle startAttempt(Attempt attempt, SocketAddress address, long timeoutNanos);
 
-  /** Gives the final answer to the client; called once, and never after {@link #end}. */
-  protected abstract void respond(LocalReply verdict);
+  /** Sends the client a final answer of the balancer's own; called at most once, and not if the frontend has ended the request itself. */
+  protected abstract void respond(LocalReply reply);
 
-  /** It has ended: nothing will be sent for it any more. */
+  /** Called when it ends: nothing will be sent for it any more. */
   protected void onEnded() {}
 
-  /** Nothing is left of it in the engine: its last attempt has ended as well. */
+  /** Called when the engine drops it: its last attempt has ended as well. */
   protected void onRemoved() {}
 }
