--- a/balancer/src/test/java/cloverpulley/JarIT.java
+++ b/balancer/src/test/java/cloverpulley/JarIT.java
@@ -141,7 +141,7 @@
     Process process = builder.start();
     try {
       awaitLine(process, "serves at");
-      assertEquals(!byRun, text("err").contains("SIGHUP can't be heard"), text("err"));
+      assertEquals(!byRun, text("err").contains("SIGHUP is ignored"), text("err"));
       if (byRun) {
         Files.writeString(folder.resolve("config"), config.replace("127.0.0.1:8500", "127.0.0.1:8501"));
         hangUp(process);
--- a/engine/src/main/java/cloverpulley/engine/CompositeEngineListener.java
+++ b/engine/src/main/java/cloverpulley/engine/CompositeEngineListener.java
@@ -5,7 +5,7 @@
 import cloverpulley.Reason;
 import java.util.List;
 
-/** Two witnesses of one engine, told in turn. */
+/** Notifies two listeners in turn. */
 public record CompositeEngineListener(EngineListener first, EngineListener second) implements EngineListener {
 
   @Override
--- a/engine/src/main/java/cloverpulley/engine/Engine.java
+++ b/engine/src/main/java/cloverpulley/engine/Engine.java
@@ -372,7 +372,7 @@
   /** A module that threw is in an unknown state: its requests are failed, and a new module starts from the cached list. */
   private void replaceModule(Event cause) {
     if (cause instanceof SettingsChanged || cause instanceof EndpointUpdate update && update.kind() == ListKind.CACHED) {
-      LOG.severe("module failed while starting, exiting");
+      LOG.severe("module failed to handle its settings or its initial list, exiting");
       failAll();
       loop.execute(() -> Runtime.getRuntime().halt(1));
       return;
@@ -502,14 +502,14 @@
   private void probe(long upstream) {
     long sentAt = clock.now();
     SocketAddress address = fleet.address(upstream);
-    Transport.ProbeCallback done = (status, load) -> {
+    Transport.ProbeCallback callback = (status, load) -> {
       long latency = clock.now() - sentAt;
       enqueue(() -> new ProbeResult(upstream, status, latency, load));
     };
     if (address == null) {
-      done.probeEnded(Status.CONNECT_FAILED, Map.of());
-    } else if (transports.stream().noneMatch(t -> t.probe(upstream, address, done))) {
-      done.probeEnded(Status.NOT_SENT, Map.of());
+      callback.probeEnded(Status.CONNECT_FAILED, Map.of());
+    } else if (transports.stream().noneMatch(t -> t.probe(upstream, address, callback))) {
+      callback.probeEnded(Status.NOT_SENT, Map.of());
     }
   }
 }
--- a/engine/src/main/java/cloverpulley/engine/EngineListener.java
+++ b/engine/src/main/java/cloverpulley/engine/EngineListener.java
@@ -6,12 +6,11 @@
 import java.util.List;
 
 /**
- * Told of what the engine does, each thing once, at the one place where it happens, on the engine's loop. It must not block: the loop
- * waits for it.
+ * Receives each of the engine's events once, synchronously on the engine's loop. It must not block: the loop waits for it.
  */
 public interface EngineListener {
 
-  /** Sees nothing. */
+  /** Ignores all events. */
   EngineListener NO_OP = new EngineListener() {
     @Override
     public void requestAccepted(Exchange x) {}
@@ -32,27 +31,27 @@
     public void moduleReplaced(String event) {}
   };
 
-  /** How a request ended: by an upstream's answer, by a refusal, by a failure, or its client left. */
+  /** How a request ended: by an upstream's answer, a rejection, a failure, or because its client disconnected. The ordinals are recorded. */
   enum Completion { SERVED, REJECTED, FAILED, GONE }
 
-  /** A server of a list, with the module's number of it. */
+  /** A server of a list, with the module's number for it. */
   record NumberedServer(long upstream, ServerList.Server server) {}
 
-  /** A request has come in. */
+  /** A request has been accepted. */
   void requestAccepted(Exchange x);
 
-  /** An attempt has gone to a front to be sent. */
+  /** An attempt is about to be passed to its frontend. */
   void attemptSent(Attempt attempt);
 
-  /** It has ended; told for each one that was told as sent. */
+  /** An attempt has ended; follows each {@link #attemptSent}. */
   void attemptEnded(Attempt attempt, Status status, long latencyNanos);
 
-  /** A request has its one end; {@code reason} is null for SERVED and GONE. */
+  /** A request has ended, once for each; {@code reason} is null for SERVED and GONE. */
   void requestEnded(Exchange x, Completion end, Reason reason);
 
-  /** A source has spoken; the servers are those of which this was news, none where it was not believed or failed. */
+  /** A source has reported a list; {@code servers} are the entries that were applied, none if the list was implausible or the source failed. */
   void serverListUpdated(ListKind kind, ServerList list, List<NumberedServer> servers);
 
-  /** The module failed at an event and was replaced. */
+  /** The module failed to handle an event and was replaced. */
   void moduleReplaced(String event);
 }
--- a/engine/src/main/java/cloverpulley/engine/Fleet.java
+++ b/engine/src/main/java/cloverpulley/engine/Fleet.java
@@ -15,112 +15,112 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-/** The upstreams as discovery last named them: the module's numbers, addresses and states. */
+/** The upstreams of the current server list, with the module's numbers for them, their addresses and their states. */
 public final class Fleet {
 
-  /** Names that are remembered after they left the list. Guards the memory where names are ever new. */
+  /** Names that are remembered, including those that have left the list. Bounds the memory if every name that is listed is a new one. */
   public static final int MAX_NAMES = 20_000;
 
-  /** How long after its start a server may be listed: a start that is said to lie further back than this when it is heard did not. */
-  private static final long MAX_LISTED_LATE_NANOS = TimeUnit.SECONDS.toNanos(2);
+  /** The longest delay assumed between a server's start and its listing: a new start that is reported as earlier than this is moved up to it. */
+  private static final long MAX_LISTING_DELAY_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-  /** The start of a server as the list words it, and its reading of this process's clock; 0 for long ago. */
-  private record Start(long upSinceMillis, long atNanos) {}
+  /** The start of a server as the list reports it, and as a reading of this process's clock; 0 for long ago. */
+  private record Start(long upSinceMillis, long clockNanos) {}
 
   private final Clock clock;
   private final Map<String, Long> numbers = new HashMap<>();
   private final Map<Long, Server> servers = new LinkedHashMap<>();
-  /** What operators took out, by name, with its number; listed or not. */
-  private final Map<String, Long> out = new HashMap<>();
-  /** Names that were ever listed, the one listed last at the end, with their starts. */
+  /** Numbers of the upstreams that are administratively offline, by name; listed or not. */
+  private final Map<String, Long> offlineNumbers = new HashMap<>();
+  /** Names that were ever listed with their starts, the most recently listed last. */
   private final Map<String, Start> everListed = new LinkedHashMap<>();
-  /** A source has said what there is: from here on a start that was not heard before has just happened. */
-  private boolean sourceHeard;
+  /** Whether a source has reported a list: from then on a start that has not been reported before is a recent one. */
+  private boolean sourceSeen;
   private long revision;
 
   public Fleet(Clock clock) {
     this.clock = clock;
   }
 
-  /** The version of the list that is held. */
+  /** The version of the current list. */
   public long revision() {
     return revision;
   }
 
-  /** Where an upstream listens; null for one that is not on the list. */
+  /** The address of an upstream; null if it is not on the list. */
   public SocketAddress address(long upstream) {
     Server server = servers.get(upstream);
     return server == null ? null : server.address();
   }
 
-  /** What the list says of an upstream; null for one that is not on it. */
+  /** The list's entry for an upstream; null if it is not on the list. */
   public Server server(long upstream) {
     return servers.get(upstream);
   }
 
-  /** The list as it is held, with its version. */
+  /** The current list, with its version. */
   public ServerList list() {
     return new ServerList(revision, true, List.copyOf(servers.values()));
   }
 
-  /** Whether anything new may go to an upstream: the list says so, and no operator took it out. */
+  /** Whether an upstream may get new requests: it is listed as ready and not administratively offline. */
   public boolean isReady(long upstream) {
     Server server = servers.get(upstream);
-    return server != null && server.state() == State.READY && !out.containsKey(server.id());
+    return server != null && server.state() == State.READY && !offlineNumbers.containsKey(server.id());
   }
 
   public boolean hasReady() {
     return servers.keySet().stream().anyMatch(this::isReady);
   }
 
-  /** Whether a list ever held this name, here or at a predecessor. */
+  /** Whether a list ever contained this name, in this process or in a predecessor. */
   public boolean wasListed(String id) {
     return everListed.containsKey(id);
   }
 
-  /** Names that were ever listed, the one listed first in front; {@link #MAX_NAMES} at most. */
+  /** Names that were ever listed, the least recently listed first; {@link #MAX_NAMES} at most. */
   public List<String> namesEverListed() {
     return List.copyOf(everListed.keySet());
   }
 
-  /** These were listed at a predecessor. */
+  /** Adds names that were listed in a predecessor. */
   public void addPreviouslyListed(Collection<String> names) {
-    names.stream().filter(name -> !everListed.containsKey(name)).forEach(name -> remember(name, new Start(0, 0)));
+    names.stream().filter(name -> !everListed.containsKey(name)).forEach(name -> rememberListed(name, new Start(0, 0)));
   }
 
-  /** A predecessor knew that this server, as it lists it, started so many nanoseconds ago; a negative age is long ago. */
+  /** Takes over from a predecessor that a server, as listed there, started {@code agoNanos} nanoseconds ago; negative for long ago. */
   public void recordStart(Server server, long agoNanos) {
-    remember(server.id(), new Start(server.upSinceMillis(), agoNanos < 0 ? 0 : clock.now() - agoNanos));
+    rememberListed(server.id(), new Start(server.upSinceMillis(), agoNanos < 0 ? 0 : clock.now() - agoNanos));
   }
 
-  /** The module's number of a name, which every process gives it alike. */
+  /** The module's number for a name; it is the same in every process. */
   public long numberOf(String id) {
-    return numbers.computeIfAbsent(id, this::number);
+    return numbers.computeIfAbsent(id, this::assignNumber);
   }
 
-  /** How many nanoseconds ago an upstream started; negative for long ago, or one that is not listed. */
+  /** How many nanoseconds ago an upstream started; negative if that was long ago or it is not listed. */
   public long ageNanos(long upstream) {
     Server server = servers.get(upstream);
     Start start = server == null ? null : everListed.get(server.id());
-    return start == null || start.atNanos == 0 ? -1 : clock.now() - start.atNanos;
+    return start == null || start.clockNanos == 0 ? -1 : clock.now() - start.clockNanos;
   }
 
-  /** What operators took out. */
+  /** The names of the upstreams that are administratively offline. */
   public Set<String> offline() {
-    return Set.copyOf(out.keySet());
+    return Set.copyOf(offlineNumbers.keySet());
   }
 
-  /** An operator takes an upstream out; its number. */
+  /** Takes an upstream administratively offline; returns its number. */
   long setOffline(String id) {
-    return out.computeIfAbsent(id, i -> numbers.computeIfAbsent(i, this::number));
+    return offlineNumbers.computeIfAbsent(id, i -> numbers.computeIfAbsent(i, this::assignNumber));
   }
 
-  /** An operator calls an upstream back; its number, or null where it was not out. */
+  /** Brings an upstream back online; returns its number, or null if it was not offline. */
   Long setOnline(String id) {
-    return out.remove(id);
+    return offlineNumbers.remove(id);
   }
 
-  private void remember(String id, Start start) {
+  private void rememberListed(String id, Start start) {
     if (everListed.remove(id) == null && everListed.size() >= MAX_NAMES) {
       everListed.remove(everListed.keySet().iterator().next());
     }
@@ -128,25 +128,25 @@
   }
 
   /**
-   * When a server started. What counts is that the list words its start otherwise than before, and when that was heard: the wall clock of this process
-   * or of the source may have been stepped. Only where nothing was heard before does the wall clock tell.
+   * Determines when a server started. A new start is recognized by a changed start time in the list, and dated by when the change arrived: the wall
+   * clock of this process or of the source may have been stepped. The wall clock decides only as long as no source has reported a list.
    */
-  private Start start(Server server) {
-    Start before = everListed.get(server.id());
-    if (before != null && (server.state() == State.GONE || before.upSinceMillis == server.upSinceMillis())) {
-      return before;
+  private Start startOf(Server server) {
+    Start previous = everListed.get(server.id());
+    if (previous != null && (server.state() == State.GONE || previous.upSinceMillis == server.upSinceMillis())) {
+      return previous;
     }
     if (server.upSinceMillis() <= 0) {
       return new Start(0, 0);
     }
     long now = clock.now();
-    long worded = Math.min(now, clock.atUnixMillis(server.upSinceMillis()));
-    return new Start(server.upSinceMillis(), sourceHeard ? Math.max(worded, now - MAX_LISTED_LATE_NANOS) : worded);
+    long reportedStart = Math.min(now, clock.atUnixMillis(server.upSinceMillis()));
+    return new Start(server.upSinceMillis(), sourceSeen ? Math.max(reportedStart, now - MAX_LISTING_DELAY_NANOS) : reportedStart);
   }
 
-  /** Takes in a list, or changes to it, and words it for the module: as no change where it is not to be believed. */
+  /** Applies a list, or changes to it, and returns the update for the module; an empty one if the list is not plausible. */
   public EndpointUpdate update(ListKind kind, ServerList list) {
-    if (!isNews(kind, list)) {
+    if (!isPlausible(kind, list)) {
       return new EndpointUpdate(ListKind.DELTA, List.of());
     }
     revision = list.revision();
@@ -156,39 +156,39 @@
     List<Endpoint> entries = new ArrayList<>();
     for (Server server : list.members()) {
       long number = numberOf(server.id());
-      remember(server.id(), start(server));
-      entries.add(listed(number, server));
+      rememberListed(server.id(), startOf(server));
+      entries.add(toEndpoint(number, server));
       if (server.state() == State.GONE) {
         servers.remove(number);
       } else {
         servers.put(number, server);
       }
     }
-    sourceHeard |= kind != ListKind.CACHED;
-    // A name that left gets its number again should it come back; nothing is kept of it meanwhile.
-    numbers.values().removeIf(n -> !servers.containsKey(n) && !out.containsValue(n));
+    sourceSeen |= kind != ListKind.CACHED;
+    // A name that has left gets the same number if it returns, so nothing need be kept in the meantime.
+    numbers.values().removeIf(n -> !servers.containsKey(n) && !offlineNumbers.containsValue(n));
     return new EndpointUpdate(kind, entries);
   }
 
   /**
-   * Guards against a discovery that lags or has just lost its own list: an older version would bring back what has gone,
-   * and an empty list would take the service away. Version 0 is that of a list that names none.
+   * Guards against a discovery service that lags or has just lost its own list: an older version would bring back removed upstreams,
+   * and an empty list would take the service down. Version 0 stands for a list without a version.
    */
-  private boolean isNews(ListKind kind, ServerList list) {
-    boolean older = list.revision() > 0 && list.revision() < revision;
-    boolean empties = kind != ListKind.DELTA && list.members().isEmpty() && !servers.isEmpty();
-    return !older && !empties;
+  private boolean isPlausible(ListKind kind, ServerList list) {
+    boolean isOlder = list.revision() > 0 && list.revision() < revision;
+    boolean isEmptied = kind != ListKind.DELTA && list.members().isEmpty() && !servers.isEmpty();
+    return !isOlder && !isEmptied;
   }
 
-  /** The list as it is held, for a module that starts anew. */
+  /** The current list, for a new module. */
   public EndpointUpdate cachedUpdate() {
     List<Endpoint> entries = new ArrayList<>();
-    servers.forEach((number, server) -> entries.add(listed(number, server)));
+    servers.forEach((number, server) -> entries.add(toEndpoint(number, server)));
     return new EndpointUpdate(ListKind.CACHED, entries);
   }
 
-  /** FNV-1a of the name: every balancer, and each after a restart, has to place the same keys alike. */
-  private long number(String id) {
+  /** FNV-1a of the name: all balancers, also after a restart, must place the same keys on the same upstreams. */
+  private long assignNumber(String id) {
     long hash = 0xcbf29ce484222325L;
     for (int i = 0; i < id.length(); i++) {
       hash = (hash ^ id.charAt(i)) * 0x100000001b3L;
@@ -199,7 +199,7 @@
     return hash;
   }
 
-  private Endpoint listed(long number, Server s) {
-    return new Endpoint(number, s.zone(), s.cell(), s.state(), everListed.get(s.id()).atNanos, s.size());
+  private Endpoint toEndpoint(long number, Server s) {
+    return new Endpoint(number, s.zone(), s.cell(), s.state(), everListed.get(s.id()).clockNanos, s.size());
   }
 }
--- a/engine/src/main/java/cloverpulley/engine/LoadReport.java
+++ b/engine/src/main/java/cloverpulley/engine/LoadReport.java
@@ -3,33 +3,33 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The load report that an upstream's answer may carry. */
+/** Parses the load report that an upstream's answer may carry in a header. */
 public final class LoadReport {
 
   public static final String HEADER = "Endpoint-Load-Metrics";
-  private static final String TEXT_FORM = "TEXT ";
+  private static final String TEXT_PREFIX = "TEXT ";
 
   private LoadReport() {}
 
-  /** The figures by name of the header's value; empty where none came (null), and anything that is not a figure is skipped. */
-  public static Map<String, Double> parse(String text) {
-    if (text == null || !text.startsWith(TEXT_FORM)) {
+  /** The metrics in the header's value by name; empty for null, and whatever is not a finite number is skipped. */
+  public static Map<String, Double> parse(String header) {
+    if (header == null || !header.startsWith(TEXT_PREFIX)) {
       return Map.of();
     }
-    Map<String, Double> figures = new LinkedHashMap<>();
-    for (String part : text.substring(TEXT_FORM.length()).split(",")) {
+    Map<String, Double> metrics = new LinkedHashMap<>();
+    for (String part : header.substring(TEXT_PREFIX.length()).split(",")) {
       int equals = part.indexOf('=');
       try {
         if (equals > 0) {
-          double figure = Double.parseDouble(part.substring(equals + 1).trim());
-          if (Double.isFinite(figure)) {
-            figures.put(part.substring(0, equals).trim(), figure);
+          double value = Double.parseDouble(part.substring(equals + 1).trim());
+          if (Double.isFinite(value)) {
+            metrics.put(part.substring(0, equals).trim(), value);
           }
         }
       } catch (NumberFormatException e) {
-        // A report is a hint: one odd figure does not void the others, let alone the answer.
+        // A report is a hint: one malformed metric invalidates neither the others nor the answer.
       }
     }
-    return figures;
+    return metrics;
   }
 }
--- a/engine/src/main/java/cloverpulley/engine/LocalReply.java
+++ b/engine/src/main/java/cloverpulley/engine/LocalReply.java
@@ -3,9 +3,10 @@
 import cloverpulley.Reason;
 
 /**
- * A final answer other than an upstream's. A refusal says that trying again is harmless; a failure promises nothing.
+ * A final answer that the balancer gives itself. A rejection states that the request has not run, so that retrying it is safe; a failure
+ * makes no such promise.
  *
- * @param retryAfterNanos when to come back; 0 for no advice
+ * @param retryAfterNanos how long the client should wait before it retries; 0 for no advice
  */
 public record LocalReply(boolean rejected, Reason reason, long retryAfterNanos) {
 
--- a/engine/src/main/java/cloverpulley/engine/ServerList.java
+++ b/engine/src/main/java/cloverpulley/engine/ServerList.java
@@ -7,8 +7,8 @@
 /**
  * A list of upstreams, or changes to one.
  *
- * @param revision its version, which only grows; 0 where the source has none
- * @param complete whether it is the whole list
+ * @param revision its version, which only increases; 0 if the source has no versions
+ * @param complete whether it is the whole list rather than changes
  */
 public record ServerList(long revision, boolean complete, List<Server> members) {
 
@@ -17,7 +17,7 @@
   /**
    * One upstream.
    *
-   * @param cell the group of upstreams that drop one another's repeats
+   * @param cell the group of upstreams that deduplicate each other's requests
    * @param upSinceMillis Unix time of its start in milliseconds; 0 for long ago
    */
   public record Server(String id, SocketAddress address, String zone, int cell, State state, double size,
--- a/engine/src/main/java/cloverpulley/engine/Signals.java
+++ b/engine/src/main/java/cloverpulley/engine/Signals.java
@@ -4,21 +4,21 @@
 import sun.misc.Signal;
 import sun.misc.SignalHandler;
 
-/** What the process is told from outside by signals. */
+/** Handlers for operating system signals. */
 public final class Signals {
 
   private Signals() {}
 
   /**
-   * Runs a task at each signal of this name. Guards against who starts the program with the signal ignored, as nohup and some init scripts
-   * do: the virtual machine then leaves it so without a word, and whoever sends it believes that it was heard.
+   * Runs a task at each signal of this name. Reports if the program was started with the signal ignored, as nohup and some init scripts
+   * do: the JVM then silently leaves it ignored, and whoever sends it would believe that it was handled.
    *
    * @param name such as HUP
-   * @param complaint told one line where the signal can't be heard
+   * @param warning receives one line if the signal is ignored
    */
-  public static void handle(String name, Runnable task, Consumer<String> complaint) {
+  public static void handle(String name, Runnable task, Consumer<String> warning) {
     if (Signal.handle(new Signal(name), signal -> task.run()) == SignalHandler.SIG_IGN) {
-      complaint.accept("SIG" + name + " can't be heard: whoever started this process has it ignored (nohup does)");
+      warning.accept("SIG" + name + " is ignored: the process was started with it ignored, as by nohup");
     }
   }
 }
--- a/engine/src/main/java/cloverpulley/engine/SocketBudget.java
+++ b/engine/src/main/java/cloverpulley/engine/SocketBudget.java
@@ -1,50 +1,50 @@
 package cloverpulley.engine;
 
-/** Counts the open sockets against what the process may hold. */
+/** Counts the open sockets against the process's limit on file descriptors. */
 public final class SocketBudget {
 
-  /** Descriptors of the process itself: jar, standard streams, selector, listeners, discovery before and after a move. */
-  private static final int OWN = 24;
+  /** Descriptors of the process itself: jar, standard streams, selector, listeners, discovery connections before and after an address change. */
+  private static final int OWN_DESCRIPTORS = 24;
   /**
-   * Kept free: up to 16 connections are accepted before any is closed for them, and a closed one keeps its descriptor until
-   * the next look at all sockets. Without one the acceptor would rest for a second.
+   * Descriptors kept free: up to 16 connections are accepted before any is closed to make room, and a closed one keeps its descriptor
+   * until the next select. With no free descriptor the acceptor would pause for a second.
    */
-  private static final int SPARE = 32;
-  /** The part of the rest that clients may hold while others could go: each request needs one more to an upstream. */
-  private static final double CLIENT_PART = 0.5;
+  private static final int SPARE_DESCRIPTORS = 32;
+  /** The share of the rest that clients may hold while others could be closed: each request needs one more socket, to an upstream. */
+  private static final double CLIENT_RATIO = 0.5;
 
-  private final int all;
+  private final int processLimit;
   private int limit;
-  private int most;
+  private int maxOpen;
   private volatile int open;
 
   public SocketBudget(int limit) {
-    all = limit;
+    processLimit = limit;
     setUsedElsewhere(0);
   }
 
-  /** Another process that shares the limit holds so many; 0 for none. */
+  /** Sets how many descriptors other processes that share the limit hold; 0 for none. */
   public void setUsedElsewhere(int descriptors) {
-    limit = all - descriptors;
-    most = limit - OWN - SPARE;
+    limit = processLimit - descriptors;
+    maxOpen = limit - OWN_DESCRIPTORS - SPARE_DESCRIPTORS;
   }
 
-  /** What this process holds, its own beside sockets included. May be asked from any thread. */
+  /** Descriptors that this process holds, including those that are not sockets. Safe to call from any thread. */
   public int used() {
-    return open + OWN;
+    return open + OWN_DESCRIPTORS;
   }
 
   /** Whether another process shares the limit. */
   public boolean isShared() {
-    return limit < all;
+    return limit < processLimit;
   }
 
-  /** Whether it holds more than so much of all. */
-  public boolean isAbove(double part) {
-    return used() > all * part;
+  /** Whether this process holds more than the given share of the limit. */
+  public boolean isAbove(double ratio) {
+    return used() > processLimit * ratio;
   }
 
-  /** One more is open; each is to be told closed once. */
+  /** One more socket is open; each must be reported as {@link #closed} once. */
   public void opened() {
     open++;
   }
@@ -53,18 +53,18 @@
     open--;
   }
 
-  /** Whether one more may be opened. */
+  /** Whether one more socket may be opened. */
   public boolean hasCapacity() {
-    return open < most;
+    return open < maxOpen;
   }
 
-  /** Whether the spare ones are nearly gone as well. */
+  /** Whether half of the spare descriptors are in use as well. */
   public boolean isNearlyExhausted() {
-    return open > limit - OWN - SPARE / 2;
+    return open > limit - OWN_DESCRIPTORS - SPARE_DESCRIPTORS / 2;
   }
 
-  /** How many connections of clients may be kept. */
+  /** How many client connections may be kept; the same while another process shares the limit, as clients of this one can't be moved there. */
   public int maxClientConnections() {
-    return (int) ((all - OWN - SPARE) * CLIENT_PART); // Also beside another process: who comes here could not be moved there.
+    return (int) ((processLimit - OWN_DESCRIPTORS - SPARE_DESCRIPTORS) * CLIENT_RATIO);
   }
 }
--- a/engine/src/main/java/cloverpulley/engine/Transport.java
+++ b/engine/src/main/java/cloverpulley/engine/Transport.java
@@ -5,22 +5,22 @@
 import java.util.Map;
 import java.util.function.LongPredicate;
 
-/** A front's way to the upstreams, as far as it is no single request's. Called on the engine's loop. */
+/** A frontend's connections to the upstreams, apart from those of single requests. Called on the engine's loop. */
 public interface Transport {
 
-  /** Told how a probe ended, once. */
+  /** Receives the result of a probe, once. */
   interface ProbeCallback {
     void probeEnded(Status status, Map<String, Double> load);
   }
 
-  /** These upstreams drain or are gone: nothing idle is used again, and attempts not yet sent end as never sent. */
-  void drainUpstreams(LongPredicate from);
+  /** Drains upstreams: their idle connections are not used again, and attempts that are not sent yet end as not sent. */
+  void drainUpstreams(LongPredicate upstreams);
 
   /** Closes idle connections to an upstream. */
   default void closeIdle(long upstream) {}
 
-  /** Starts a probe; false where this front can't. */
-  default boolean probe(long upstream, SocketAddress address, ProbeCallback done) {
+  /** Starts a probe; returns false if this frontend does not support probes. */
+  default boolean probe(long upstream, SocketAddress address, ProbeCallback callback) {
     return false;
   }
 }
