--- a/discovery/src/main/java/cloverpulley/discovery/Discovery.java
+++ b/discovery/src/main/java/cloverpulley/discovery/Discovery.java
@@ -33,79 +33,80 @@
 import java.util.function.LongSupplier;
 import java.util.logging.Logger;
 
-/** Asks discovery for the list of upstreams, once or as a watch on its changes, and says when that fails. */
+/** Fetches the list of upstreams from the discovery service, once or as a watch for changes, and reports failures. */
 public final class Discovery implements Engine.ListSource {
 
   private static final Logger LOG = Logger.getLogger(Discovery.class.getName());
 
-  private static final String LIST = "/v1/servers";
+  private static final String LIST_PATH = "/v1/servers";
   /**
-   * After this long without a byte a watch has failed. Discovery writes a line every 2 s; what it should have told counts as told 6 s
-   * later. Within those a silent watch has to be noticed, a successor that hangs as well, and the one after that answered.
+   * A watch that receives no byte for this long has failed. Discovery writes a line every 2 s, and a change counts as known 6 s after discovery
+   * should have reported it. Those 6 s must suffice to detect a silent watch and a replacement that hangs, and to get an answer to the next one.
    */
-  private static final long SILENCE_MILLIS = 2750;
-  /** A call that waits its turn is answered, or failed, 2 s after it came: its first byte has the time of a watch's. */
-  private static final long TURN_MILLIS = SILENCE_MILLIS;
-  /** An agent on the same machine answers at once, and a connection comes up in no more. Guards the 6 s from a successor that hangs too. */
-  private static final long AT_ONCE_MILLIS = 1200;
-  /** Silence is judged once more after what has come is read: it may have been this process that stood still. */
-  private static final long LOOK_AGAIN_MILLIS = 50;
-  /** The longest answer read: a list of thousands of upstreams. */
-  private static final int MOST_BYTES = 1 << 20;
+  private static final long SILENCE_TIMEOUT_MILLIS = 2750;
+  /** A service whose callers queue answers or fails a call within 2 s of its arrival, so the first byte gets the same time as a watch's bytes. */
+  private static final long QUEUED_CALL_TIMEOUT_MILLIS = SILENCE_TIMEOUT_MILLIS;
+  /** Timeout for connecting, and for an agent on the same machine, which answers at once. Keeps a replacement that hangs too within the 6 s. */
+  private static final long SHORT_TIMEOUT_MILLIS = 1200;
+  /** A timeout is confirmed after this delay, once pending input has been read: it may have been this process that was stalled. */
+  private static final long RECHECK_MILLIS = 50;
+  /** The longest JSON object read: enough for a list of thousands of upstreams. */
+  private static final int MAX_OBJECT_BYTES = 1 << 20;
 
   private final Bootstrap bootstrap;
   private final LongSupplier revision;
-  private final BiConsumer<ListKind, ServerList> news;
+  private final BiConsumer<ListKind, ServerList> listConsumer;
   private final JsonFactory json = new JsonFactory();
   private InetSocketAddress address;
-  private final long firstMillis;
-  private Stream watch;
-  private Stream fetch;
-  /** Whether a watch is wanted, also while none stands because the last one failed. */
-  private boolean watching;
+  private final long firstByteTimeoutMillis;
+  private Call watch;
+  private Call fetch;
+  /** Whether a watch is wanted, even while none is open because the last one failed. */
+  private boolean watchWanted;
+  /** Whether the last call failed: only the first failure in a row is logged. */
   private boolean failing;
 
-  /** {@code revision} is the version of the list held; {@code news} is told of every answer, and of failures. */
+  /** {@code revision} supplies the version of the current list; {@code listConsumer} receives each list and each failure. */
   public Discovery(Bootstrap bootstrap, InetSocketAddress address, LongSupplier revision,
-      BiConsumer<ListKind, ServerList> news) {
-    this(bootstrap, address, false, revision, news);
+      BiConsumer<ListKind, ServerList> listConsumer) {
+    this(bootstrap, address, false, revision, listConsumer);
   }
 
-  /** The same; {@code agent} tells whether it is one on this machine, which answers at once, and not a service whose callers wait their turn. */
+  /** As above; {@code agent} is true for an agent on this machine, which answers at once, and false for a service whose callers queue. */
   public Discovery(Bootstrap bootstrap, InetSocketAddress address, boolean agent, LongSupplier revision,
-      BiConsumer<ListKind, ServerList> news) {
+      BiConsumer<ListKind, ServerList> listConsumer) {
     this.bootstrap = bootstrap;
-    this.firstMillis = agent ? AT_ONCE_MILLIS : TURN_MILLIS;
+    this.firstByteTimeoutMillis = agent ? SHORT_TIMEOUT_MILLIS : QUEUED_CALL_TIMEOUT_MILLIS;
     this.address = address;
     this.revision = revision;
-    this.news = news;
+    this.listConsumer = listConsumer;
   }
 
-  /** Discovery has another address: what is watched is watched there from now on, and the old connection ends. */
-  public void setAddress(InetSocketAddress to) {
-    if (!to.equals(address)) {
-      address = to;
-      watch(watching);
-      if (fetch != null && !fetch.over) {
-        fetch(); // What the old address has still to say of it is old news.
+  /** Moves to a new address of the discovery service: a watch is opened there and the old connection is closed. */
+  public void setAddress(InetSocketAddress newAddress) {
+    if (!newAddress.equals(address)) {
+      address = newAddress;
+      watch(watchWanted);
+      if (fetch != null && !fetch.closed) {
+        fetch(); // An answer from the old address would be out of date.
       }
     }
   }
 
-  /** From a watch's last word until a successor that does not come up is given up as well, without what passes before it is asked for. */
-  static long replacedMillis() {
-    return SILENCE_MILLIS + LOOK_AGAIN_MILLIS + AT_ONCE_MILLIS + LOOK_AGAIN_MILLIS;
+  /** The longest time from a watch's last byte until a replacement that hangs is abandoned too, without the time until the module asks for it. */
+  static long maxReplacementMillis() {
+    return SILENCE_TIMEOUT_MILLIS + RECHECK_MILLIS + SHORT_TIMEOUT_MILLIS + RECHECK_MILLIS;
   }
 
   @Override
   public void watch(boolean on) {
-    watching = on;
+    watchWanted = on;
     if (watch != null) {
       watch.stop();
       watch = null;
     }
     if (on) {
-      watch = new Stream(LIST + "?follow=1&since=" + revision.getAsLong(), true);
+      watch = new Call(LIST_PATH + "?follow=1&since=" + revision.getAsLong(), true);
       watch.open();
     }
   }
@@ -115,44 +116,44 @@
     if (fetch != null) {
       fetch.stop();
     }
-    fetch = new Stream(LIST, false);
+    fetch = new Call(LIST_PATH, false);
     fetch.open();
   }
 
-  /** One call. */
-  private final class Stream extends SimpleChannelInboundHandler<HttpObject> {
+  /** One HTTP call to the discovery service. */
+  private final class Call extends SimpleChannelInboundHandler<HttpObject> {
 
     private final String uri;
-    private final boolean lasting;
-    private final ObjectReader objects = new ObjectReader(MOST_BYTES);
+    private final boolean isWatch;
+    private final ObjectReader objects = new ObjectReader(MAX_OBJECT_BYTES);
     private Channel channel;
-    private Future<?> check;
-    private boolean over;
+    private Future<?> timeout;
+    private boolean closed;
 
-    Stream(String uri, boolean lasting) {
+    Call(String uri, boolean isWatch) {
       this.uri = uri;
-      this.lasting = lasting;
+      this.isWatch = isWatch;
     }
 
     void open() {
       ChannelFuture connect = bootstrap.clone().handler(new ChannelInitializer<Channel>() {
         @Override
-        protected void initChannel(Channel made) {
-          made.pipeline().addLast(new HttpClientCodec(), Stream.this);
+        protected void initChannel(Channel created) {
+          created.pipeline().addLast(new HttpClientCodec(), Call.this);
         }
       }).connect(address);
       if (connect.isDone() && !connect.isSuccess()) {
-        // Guards the list from a call without even a socket: it would be told of on another thread, and its channel can't be closed.
+        // No socket could be created: the listener would run on another thread, and the channel can't be closed.
         bootstrap.config().group().next().execute(() -> fail("can't connect: " + connect.cause()));
         return;
       }
       channel = connect.channel();
-      within(AT_ONCE_MILLIS, "can't connect in time");
+      restartTimeout(SHORT_TIMEOUT_MILLIS, "can't connect in time");
       connect.addListener(f -> {
-        if (over) {
-          channel.close(); // It was stopped while it came up.
+        if (closed) {
+          channel.close(); // The call was stopped while it was connecting.
         } else if (f.isSuccess()) {
-          within(firstMillis, "no answer");
+          restartTimeout(firstByteTimeoutMillis, "no answer");
           HttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, uri);
           request.headers().set(HttpHeaderNames.HOST, address.getAddress().getHostAddress() + ":" + address.getPort());
           channel.writeAndFlush(request);
@@ -163,32 +164,32 @@
     }
 
     void stop() {
-      over = true;
+      closed = true;
       if (channel != null) {
-        check.cancel(false);
+        timeout.cancel(false);
         channel.close();
       }
     }
 
-    private void fail(String why) {
-      if (!over) {
+    private void fail(String reason) {
+      if (!closed) {
         stop();
         if (!failing) {
-          LOG.warning("discovery fails: " + why);
+          LOG.warning("discovery fails: " + reason);
           failing = true;
         }
-        news.accept(ListKind.FAILED, ServerList.EMPTY);
+        listConsumer.accept(ListKind.FAILED, ServerList.EMPTY);
       }
     }
 
-    /** Guards against a call that is dead without a word, or never comes to an end: TCP alone would never tell. */
-    private void within(long millis, String otherwise) {
-      if (check != null) {
-        check.cancel(false);
+    /** Guards against a peer that hangs or never finishes its answer, which TCP alone would not report. */
+    private void restartTimeout(long millis, String reason) {
+      if (timeout != null) {
+        timeout.cancel(false);
       }
       ScheduledExecutorService loop = bootstrap.config().group().next();
-      check = loop.schedule(() -> {
-        check = loop.schedule(() -> fail(otherwise), LOOK_AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+      timeout = loop.schedule(() -> {
+        timeout = loop.schedule(() -> fail(reason), RECHECK_MILLIS, TimeUnit.MILLISECONDS);
       }, millis, TimeUnit.MILLISECONDS);
     }
 
@@ -199,7 +200,7 @@
       } else if (!message.decoderResult().isSuccess()) {
         fail("malformed answer");
       } else if (message instanceof HttpResponse) {
-        within(SILENCE_MILLIS, "silent"); // A watch on which nothing has changed says nothing else for 2 s.
+        restartTimeout(SILENCE_TIMEOUT_MILLIS, "silent"); // A watch without changes sends nothing else for 2 s.
       } else if (message instanceof HttpContent content) {
         read(content.content());
         if (message instanceof LastHttpContent) {
@@ -209,8 +210,8 @@
     }
 
     private void read(ByteBuf bytes) {
-      boolean inside = objects.isInside();
-      while (!over && bytes.isReadable()) {
+      boolean insideObject = objects.isInside();
+      while (!closed && bytes.isReadable()) {
         String object;
         try {
           object = objects.add(bytes.readByte());
@@ -219,24 +220,24 @@
           return;
         }
         if (object != null) {
-          inside = false;
-          tell(object);
+          insideObject = false;
+          deliver(object);
         }
       }
-      // Within an object its end alone counts as a word: a few bytes now and then would never come to one.
-      if (!over && !(inside && objects.isInside())) {
-        within(SILENCE_MILLIS, "silent");
+      // Within an object only its end restarts the timeout: an object that trickles in a few bytes at a time might never end.
+      if (!closed && !(insideObject && objects.isInside())) {
+        restartTimeout(SILENCE_TIMEOUT_MILLIS, "silent");
       }
     }
 
     private void end() {
-      if (!over && !lasting && objects.count() == 1 && !objects.isInside()) {
+      if (!closed && !isWatch && objects.count() == 1 && !objects.isInside()) {
         stop();
       }
-      fail(lasting ? "watch ended" : "no list, or more than one");
+      fail(isWatch ? "watch ended" : "no list, or more than one");
     }
 
-    private void tell(String text) {
+    private void deliver(String text) {
       ServerList list;
       try {
         list = ListDecoder.list(Fields.parse(json, "list", text));
@@ -248,7 +249,7 @@
         LOG.info("discovery answers again");
         failing = false;
       }
-      news.accept(list.complete() ? ListKind.FULL : ListKind.DELTA, list);
+      listConsumer.accept(list.complete() ? ListKind.FULL : ListKind.DELTA, list);
     }
 
     @Override
--- a/discovery/src/main/java/cloverpulley/discovery/ListDecoder.java
+++ b/discovery/src/main/java/cloverpulley/discovery/ListDecoder.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads lists of upstreams in discovery's form. */
+/** Decodes server lists in the discovery service's JSON format. */
 public final class ListDecoder {
 
   private static final Map<String, State> PHASE =
@@ -30,7 +30,7 @@
     return new ServerList(f.integer("revision", 0), f.bool("complete", false), members);
   }
 
-  /** An address in figures, such as 10.0.0.4:8000 or [::1]:8000; there is no DNS. */
+  /** Parses a numeric address such as 10.0.0.4:8000 or [::1]:8000; names are not resolved. */
   public static InetSocketAddress address(String name, String text) {
     int colon = text.lastIndexOf(':');
     byte[] host = colon < 0 ? null : NetUtil.createByteArrayFromIpAddressString(text.substring(0, colon));
@@ -39,7 +39,7 @@
         return new InetSocketAddress(InetAddress.getByAddress(host), Integer.parseInt(text.substring(colon + 1)));
       }
     } catch (IOException | IllegalArgumentException e) {
-      // Worded below, like an address without a port.
+      // Reported below, like an address without a port.
     }
     throw new WireException("field " + name + ": expected an address and a port, got \"" + text + "\"");
   }
--- a/discovery/src/main/java/cloverpulley/discovery/ObjectReader.java
+++ b/discovery/src/main/java/cloverpulley/discovery/ObjectReader.java
@@ -5,60 +5,60 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Finds the JSON objects (RFC 8259) in a stream of octets by their braces, wherever their lines end: lists may come indented, and the last
- * may be whole without a line's end behind it. What is inside of an object is for a parser to judge.
+ * Splits a byte stream into JSON objects (RFC 8259) by their braces, regardless of line breaks: lists may be indented, and the last one may
+ * lack a newline. The contents of an object are left to a JSON parser.
  */
 final class ObjectReader {
 
-  private final int most;
+  private final int maxBytes;
   private final ByteArrayOutputStream object = new ByteArrayOutputStream();
   private int depth;
-  private boolean quoted;
+  private boolean insideString;
   private boolean escaped;
   private long count;
 
-  /** {@code most} octets an object may have at most. */
-  ObjectReader(int most) {
-    this.most = most;
+  /** {@code maxBytes} is the maximum length of an object. */
+  ObjectReader(int maxBytes) {
+    this.maxBytes = maxBytes;
   }
 
   /**
-   * Takes the next octet; the object whose last one it is, or null. Throws a {@link WireException} for what begins no object, and for an
-   * object that is too long.
+   * Adds the next byte; returns the object that it completes, or null. Throws a {@link WireException} for a byte that starts no object, and for
+   * an object that is too long.
    */
-  String add(byte octet) {
-    if (depth == 0 && octet != '{') {
-      if (octet != ' ' && octet != '\n' && octet != '\r' && octet != '\t') {
+  String add(byte next) {
+    if (depth == 0 && next != '{') {
+      if (next != ' ' && next != '\n' && next != '\r' && next != '\t') {
         throw new WireException("malformed answer: expected an object");
       }
       return null;
     }
-    object.write(octet);
-    if (object.size() > most) {
+    object.write(next);
+    if (object.size() > maxBytes) {
       throw new WireException("answer too long");
     }
-    if (quoted) {
-      quoted = escaped || octet != '"';
-      escaped = !escaped && octet == '\\';
-    } else if (octet == '"') {
-      quoted = true;
-    } else if (octet == '{') {
+    if (insideString) {
+      insideString = escaped || next != '"';
+      escaped = !escaped && next == '\\';
+    } else if (next == '"') {
+      insideString = true;
+    } else if (next == '{') {
       depth++;
-    } else if (octet == '}' && --depth == 0) {
+    } else if (next == '}' && --depth == 0) {
       count++;
-      String whole = object.toString(StandardCharsets.UTF_8);
+      String json = object.toString(StandardCharsets.UTF_8);
       object.reset();
-      return whole;
+      return json;
     }
     return null;
   }
 
-  /** Whether an object has begun that is not whole. */
+  /** Whether an object has started and is not complete. */
   boolean isInside() {
     return depth > 0;
   }
 
-  /** Objects that were whole so far. */
+  /** Objects completed so far. */
   long count() {
     return count;
   }
--- a/discovery/src/test/java/cloverpulley/discovery/NoSocketTest.java
+++ b/discovery/src/test/java/cloverpulley/discovery/NoSocketTest.java
@@ -25,44 +25,44 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A watch for which there is not even a socket, as where descriptors have run out for a moment. */
+/** A watch for which no socket can be created, as when file descriptors run out for a moment. */
 @Timeout(30)
 class NoSocketTest {
 
-  /** It fails, told on the loop, and the one after it is a watch: else the list would be quiet for ever. */
+  /** The failure must be reported on the event loop, and a new watch must work afterwards; else the list would never be updated again. */
   @Test
-  void aWatchWithoutASocketHasFailedAndCanBeOpenedAnew() throws Exception {
+  void aWatchWithoutASocketFailsAndCanBeReopened() throws Exception {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     try (ServerSocket service = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       EventLoop loop = group.next();
-      AtomicBoolean out = new AtomicBoolean(true);
+      AtomicBoolean noDescriptors = new AtomicBoolean(true);
       Bootstrap bootstrap = new Bootstrap().group(group).channelFactory(() -> {
-        if (out.get()) {
-          throw new ChannelException("on purpose: no descriptor is left");
+        if (noDescriptors.get()) {
+          throw new ChannelException("simulated: out of file descriptors");
         }
         return new NioSocketChannel();
       });
-      BlockingQueue<String> told = new LinkedBlockingQueue<>();
+      BlockingQueue<String> events = new LinkedBlockingQueue<>();
       AtomicReference<Discovery> discovery = new AtomicReference<>();
       discovery.set(new Discovery(bootstrap, (InetSocketAddress) service.getLocalSocketAddress(), () -> 1, (kind, list) -> {
-        told.add(kind + (loop.inEventLoop() ? "" : " on another thread"));
+        events.add(kind + (loop.inEventLoop() ? "" : " on another thread"));
         if (kind == ListKind.FAILED) {
-          out.set(false);
+          noDescriptors.set(false);
           discovery.get().watch(true);
         }
       }));
       loop.execute(() -> discovery.get().watch(true));
-      assertEquals("FAILED", told.poll(10, TimeUnit.SECONDS));
+      assertEquals("FAILED", events.poll(10, TimeUnit.SECONDS));
       try (Socket watch = service.accept()) {
         watch.getOutputStream().write(("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2c\r\n{\"revision\":2,\"complete\":true,\"members\":[]}\n\r\n")
             .getBytes(StandardCharsets.US_ASCII));
-        assertEquals("FULL", told.poll(10, TimeUnit.SECONDS));
+        assertEquals("FULL", events.poll(10, TimeUnit.SECONDS));
         loop.execute(() -> discovery.get().watch(false));
         InputStream in = watch.getInputStream();
         while (in.read() >= 0) {
-          // Its request, then its end.
+          // Reads the request, then the end of the stream.
         }
-        assertTrue(told.isEmpty(), told::toString);
+        assertTrue(events.isEmpty(), events::toString);
       }
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
--- a/discovery/src/test/java/cloverpulley/discovery/ObjectReaderTest.java
+++ b/discovery/src/test/java/cloverpulley/discovery/ObjectReaderTest.java
@@ -13,13 +13,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Objects in a stream, wherever its lines end. */
+/** JSON objects are split correctly regardless of line breaks. */
 class ObjectReaderTest {
 
   private static List<String> objects(ObjectReader reader, String text) {
     List<String> found = new ArrayList<>();
-    for (byte octet : text.getBytes(StandardCharsets.UTF_8)) {
-      String object = reader.add(octet);
+    for (byte next : text.getBytes(StandardCharsets.UTF_8)) {
+      String object = reader.add(next);
       if (object != null) {
         found.add(object);
       }
@@ -41,22 +41,22 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"x", "[", "}", "{}]", "\"a\"", "\u00a0"})
-  void whatIsOutsideOfAnObjectIsNoAnswer(String text) {
+  void textOutsideOfAnObjectIsRejected(String text) {
     assertThrows(WireException.class, () -> objects(new ObjectReader(1000), text));
   }
 
   @Test
-  void anObjectWithoutEndIsCutOff() {
+  void anObjectThatIsTooLongIsRejected() {
     assertThrows(WireException.class, () -> objects(new ObjectReader(10), "{\"aaaaaaaaaa"));
   }
 
   /**
-   * What a silent watch misses counts as told 6 s after its last word. Waits of those who ask again: a module's first two are 0.5 s and 1 s
-   * at most, an agent's caller waits 0.2 s.
+   * A change that a silent watch misses counts as known 6 s after its last byte. Retry delays: the module's first two are at most 0.5 s and
+   * 1 s, a caller of an agent waits 0.2 s.
    */
   @Test
-  void aSilentWatchAndASuccessorThatHangsAreReplacedWithinSixSeconds() {
-    assertTrue(Discovery.replacedMillis() + 500 + 1000 < 6000);
-    assertTrue(Discovery.replacedMillis() + 200 + 200 < 5000, "an agent tells at once, with room for a start of its own");
+  void aSilentWatchAndAHangingReplacementAreReplacedWithinSixSeconds() {
+    assertTrue(Discovery.maxReplacementMillis() + 500 + 1000 < 6000);
+    assertTrue(Discovery.maxReplacementMillis() + 200 + 200 < 5000, "an agent answers at once, and there is time for it to restart");
   }
 }
