--- a/wire/src/main/java/cloverpulley/wire/Fields.java
+++ b/wire/src/main/java/cloverpulley/wire/Fields.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A JSON object with checked access to its fields. */
+/** A JSON object with type-checked access to its fields; a wrong or missing value throws a {@link WireException}. */
 public final class Fields {
 
   private final String path;
@@ -20,7 +20,7 @@
     this.values = values;
   }
 
-  /** The one object that a text holds; {@code name} is what messages call it. */
+  /** Parses a text that holds exactly one object; {@code name} stands for it in error messages. */
   public static Fields parse(JsonFactory json, String name, String text) throws IOException {
     try (JsonParser parser = json.createParser(text)) {
       if (parser.nextToken() == null) {
@@ -34,7 +34,7 @@
     }
   }
 
-  /** Reads the value that the parser's current token starts. */
+  /** Reads the value that starts at the parser's current token. */
   private static Object read(JsonParser in) throws IOException {
     JsonToken token = in.currentToken();
     switch (token) {
@@ -75,21 +75,21 @@
     }
   }
 
-  /** Casts a value to an object, or says what was expected. */
+  /** Casts a value to an object, or throws with what was expected. */
   public static Fields object(String path, Object value) {
     if (value instanceof Map<?, ?> map) {
       return new Fields(path, map);
     }
-    throw bad(path, "an object", value);
+    throw invalid(path, "an object", value);
   }
 
-  private static WireException bad(String path, String expected, Object value) {
+  private static WireException invalid(String path, String expected, Object value) {
     return new WireException("field " + path + ": expected " + expected + ", got "
         + (value == null ? "nothing" : value instanceof String ? "\"" + value + "\"" : value.toString()));
   }
 
-  private WireException bad(String name, String expected) {
-    return bad(path + "." + name, expected, values.get(name));
+  private WireException invalid(String name, String expected) {
+    return invalid(path + "." + name, expected, values.get(name));
   }
 
   public Map<?, ?> values() {
@@ -104,68 +104,68 @@
     return values.get(name) != null;
   }
 
-  /** A whole number that has to be there. */
+  /** A required integer. */
   public long integer(String name) {
     if (values.get(name) instanceof Long number) {
       return number;
     }
-    throw bad(name, "a whole number");
+    throw invalid(name, "a whole number");
   }
 
-  public long integer(String name, long absent) {
-    return has(name) ? integer(name) : absent;
+  public long integer(String name, long defaultValue) {
+    return has(name) ? integer(name) : defaultValue;
   }
 
-  /** A whole number that fits 32 bits. */
-  public int int32(String name, int absent) {
-    long number = integer(name, absent);
+  /** An optional integer that fits 32 bits. */
+  public int int32(String name, int defaultValue) {
+    long number = integer(name, defaultValue);
     if (number != (int) number) {
-      throw bad(name, "a whole number of at most 32 bits");
+      throw invalid(name, "a whole number of at most 32 bits");
     }
     return (int) number;
   }
 
-  public double number(String name, double absent) {
+  public double number(String name, double defaultValue) {
     if (!has(name)) {
-      return absent;
+      return defaultValue;
     }
     if (values.get(name) instanceof Number number) {
       return number.doubleValue();
     }
-    throw bad(name, "a number");
+    throw invalid(name, "a number");
   }
 
   public boolean bool(String name) {
     if (values.get(name) instanceof Boolean flag) {
       return flag;
     }
-    throw bad(name, "true or false");
+    throw invalid(name, "true or false");
   }
 
-  public boolean bool(String name, boolean absent) {
-    return has(name) ? bool(name) : absent;
+  public boolean bool(String name, boolean defaultValue) {
+    return has(name) ? bool(name) : defaultValue;
   }
 
   public String text(String name) {
     if (values.get(name) instanceof String text) {
       return text;
     }
-    throw bad(name, "a text");
+    throw invalid(name, "a text");
   }
 
-  public String text(String name, String absent) {
-    return has(name) ? text(name) : absent;
+  public String text(String name, String defaultValue) {
+    return has(name) ? text(name) : defaultValue;
   }
 
-  /** A nested object; an empty one where it is absent. */
+  /** A nested object; an empty one if the field is absent. */
   public Fields nested(String name) {
     return has(name) ? object(path + "." + name, values.get(name)) : new Fields(path + "." + name, Map.of());
   }
 
-  /** An array of objects that has to be there. */
+  /** A required array of objects. */
   public List<Fields> objects(String name) {
     if (!(values.get(name) instanceof List<?> list)) {
-      throw bad(name, "an array");
+      throw invalid(name, "an array");
     }
     List<Fields> out = new ArrayList<>(list.size());
     for (int i = 0; i < list.size(); i++) {
@@ -174,35 +174,35 @@
     return out;
   }
 
-  /** An array of texts that has to be there. */
+  /** A required array of strings. */
   public List<String> texts(String name) {
     if (!(values.get(name) instanceof List<?> list)) {
-      throw bad(name, "an array");
+      throw invalid(name, "an array");
     }
     List<String> out = new ArrayList<>(list.size());
     for (Object value : list) {
       if (!(value instanceof String text)) {
-        throw bad(path + "." + name, "texts", value);
+        throw invalid(path + "." + name, "texts", value);
       }
       out.add(text);
     }
     return out;
   }
 
-  /** One of the words; the table maps the wire's words to the module's. */
-  public <T> T oneOf(String name, Map<String, T> words) {
-    T word = words.get(text(name));
-    if (word == null) {
-      throw bad(name, "one of " + new java.util.TreeSet<>(words.keySet()));
+  /** One of a fixed set of strings; the map translates those on the wire to the module's values. */
+  public <T> T oneOf(String name, Map<String, T> choices) {
+    T choice = choices.get(text(name));
+    if (choice == null) {
+      throw invalid(name, "one of " + new java.util.TreeSet<>(choices.keySet()));
     }
-    return word;
+    return choice;
   }
 
-  public <T> T oneOf(String name, Map<String, T> words, T absent) {
-    return has(name) ? oneOf(name, words) : absent;
+  public <T> T oneOf(String name, Map<String, T> choices, T defaultValue) {
+    return has(name) ? oneOf(name, choices) : defaultValue;
   }
 
-  /** A load report: its numbers by name, anything else skipped; empty where none came. */
+  /** A load report: its numbers by name; other values are skipped. Empty if the field is absent. */
   public Map<String, Double> load(String name) {
     if (!has(name)) {
       return Map.of();
--- a/wire/src/main/java/cloverpulley/wire/SettingsDecoder.java
+++ b/wire/src/main/java/cloverpulley/wire/SettingsDecoder.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Translates the settings, which the simulator and a real balancer are handed alike, into the module's. */
+/** Decodes the settings, which the simulator and a real balancer receive in the same format, into the module's. */
 public final class SettingsDecoder {
 
   private static final Map<String, Effect> EFFECT =
@@ -26,7 +26,7 @@
 
   private SettingsDecoder() {}
 
-  /** The settings; unknown keys are skipped, absent ones get the defaults written here. */
+  /** Decodes the settings; unknown keys are skipped, absent ones get the defaults given here. */
   public static Settings settings(Fields f) {
     List<RequestClass> classes = new ArrayList<>();
     for (Fields c : f.objects("categories")) {
@@ -53,9 +53,9 @@
         c.number("cold-from", 0.1), c.integer("warm-within-ns", 30_000_000_000L), c.number("fall-multiple", 1),
         c.integer("overload-for-ns", 1_000_000_000L));
     Fields p = f.nested("prices");
-    Penalties prices = new Penalties(p.number("cross-zone", 0), p.number("waste", 0), p.number("late-fail", 0));
+    Penalties penalties = new Penalties(p.number("cross-zone", 0), p.number("waste", 0), p.number("late-fail", 0));
     return new Settings(f.int32("me", 0), f.int32("group-size", 1), f.text("zone", ""), classes,
-        tenants, limits, contract, prices, onRequest, f.oneOf("weight-kind", WEIGHTS, WeightKind.NONE),
+        tenants, limits, contract, penalties, onRequest, f.oneOf("weight-kind", WEIGHTS, WeightKind.NONE),
         f.number("over-share-worth", 1), f.nested("domain").bool("warm-keys", false),
         f.integer("resolution-ns", 1_000_000L));
   }
--- a/wire/src/main/java/cloverpulley/wire/WireException.java
+++ b/wire/src/main/java/cloverpulley/wire/WireException.java
@@ -1,6 +1,6 @@
 package cloverpulley.wire;
 
-/** Malformed input; the message says what was wrong and, once known, on which line. */
+/** Malformed input; the message states what is wrong and, where it is known, in which line. */
 public final class WireException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
