--- a/handover/src/main/java/cloverpulley/handover/HandoverSnapshot.java
+++ b/handover/src/main/java/cloverpulley/handover/HandoverSnapshot.java
@@ -21,40 +21,40 @@
 import java.util.zip.CRC32C;
 
 /**
- * What a process hands over to the one that runs beside it, and its encoding: a magic number, the version, when it was written, the length and
- * a checksum, then the list, the names and, while the other starts, what the decision module knows.
+ * The state that a process hands over to another process of the same balancer, and its encoding: a magic number, the version, the time of
+ * writing, the length and a checksum, then the server list, the names and, while the other process is starting, the decision module's state.
  *
- * <p>The time of writing is a reading of the machine's monotonic clock, in milliseconds: a step of the wall clock makes no snapshot old.
+ * <p>The time of writing is a reading of the machine's monotonic clock, in milliseconds, so that a step of the wall clock does not age a snapshot.
  *
- * @param list the list as held
- * @param names that were ever listed, the one listed last at the end
- * @param balancerSnapshot null where it is left out
+ * @param list the current server list
+ * @param names that were ever listed, the most recently listed last
+ * @param balancerSnapshot the decision module's state; null if it is left out
  */
 public record HandoverSnapshot(ServerList list, List<String> names, BalancerSnapshot balancerSnapshot) {
 
   private static final int MAGIC = 0x41534844;
   private static final int VERSION = 2;
-  /** The release before wrote wall-clock time into the header, which says nothing. */
+  /** Written by the previous release, with wall-clock time in the header: the age is not checked. */
   private static final int WALL_CLOCK_VERSION = 1;
   private static final int HEADER_BYTES = 2 * Integer.BYTES + Long.BYTES + 2 * Integer.BYTES;
-  /** The longest encoding, which bounds what is read; and the parts in it. */
+  /** The maximum length of an encoding, which bounds what is read; the maximum counts of its parts follow. */
   public static final int MAX_BYTES = 4 << 20;
   private static final int MAX_NAMES = 20_000;
   private static final int MAX_SERVERS = 10_000;
-  /** One that is older was not written for this process. */
+  /** An older snapshot was not written for this process. */
   private static final long MAX_AGE_MILLIS = 10_000;
-  private static final int TEXT_OVERHEAD_BYTES = 2;
+  private static final int STRING_OVERHEAD_BYTES = 2;
 
-  /** Why an encoding can't be used. */
+  /** An encoding can't be used; the message gives the reason. */
   public static final class UnusableSnapshotException extends IOException {
     private static final long serialVersionUID = 1;
 
-    UnusableSnapshotException(String why) {
-      super(why);
+    UnusableSnapshotException(String reason) {
+      super(reason);
     }
   }
 
-  /** Its encoding; names are left out, those listed first, where it would be too long. */
+  /** Encodes the snapshot; the least recently listed names are left out if it would be too long. */
   public byte[] encode(long monotonicMillis) {
     ByteArrayOutputStream body = new ByteArrayOutputStream();
     try (DataOutputStream out = new DataOutputStream(body)) {
@@ -76,9 +76,9 @@
       if (balancerSnapshot != null) {
         write(out, balancerSnapshot);
       }
-      List<String> kept = lastThatFit(MAX_BYTES / 2);
-      out.writeInt(kept.size());
-      for (String name : kept) {
+      List<String> includedNames = newestNamesThatFit(MAX_BYTES / 2);
+      out.writeInt(includedNames.size());
+      for (String name : includedNames) {
         out.writeUTF(name);
       }
     } catch (IOException e) {
@@ -91,12 +91,12 @@
         .putInt((int) sum.getValue()).put(content).array();
   }
 
-  private List<String> lastThatFit(int bytes) {
+  private List<String> newestNamesThatFit(int bytes) {
     int from = names.size();
-    int left = bytes;
+    int remainingBytes = bytes;
     while (from > 0 && names.size() - from < MAX_NAMES) {
-      left -= TEXT_OVERHEAD_BYTES + 3 * names.get(from - 1).length();
-      if (left < 0) {
+      remainingBytes -= STRING_OVERHEAD_BYTES + 3 * names.get(from - 1).length();
+      if (remainingBytes < 0) {
         break;
       }
       from--;
@@ -104,9 +104,9 @@
     return names.subList(from, names.size());
   }
 
-  private static void write(DataOutputStream out, BalancerSnapshot k) throws IOException {
-    out.writeInt(k.upstreams().size());
-    for (UpstreamSnapshot u : k.upstreams()) {
+  private static void write(DataOutputStream out, BalancerSnapshot snapshot) throws IOException {
+    out.writeInt(snapshot.upstreams().size());
+    for (UpstreamSnapshot u : snapshot.upstreams()) {
       out.writeLong(u.upstream());
       out.writeLong(u.ageNanos());
       out.writeBoolean(u.startEstimated());
@@ -119,41 +119,44 @@
       out.writeLong(u.servingNanos());
       write(out, u.window());
     }
-    out.writeInt(k.windows().size());
-    for (Map.Entry<String, double[]> w : k.windows().entrySet()) {
+    out.writeInt(snapshot.windows().size());
+    for (Map.Entry<String, double[]> w : snapshot.windows().entrySet()) {
       out.writeUTF(w.getKey());
       write(out, w.getValue());
     }
-    write(out, k.fleet());
-    write(out, new double[] {k.baselineInFlight(), k.baselineSendRate(), k.meanHint(), k.referenceWeight(), k.retryTokens()});
+    write(out, snapshot.fleet());
+    write(out, new double[] {snapshot.baselineInFlight(), snapshot.baselineSendRate(), snapshot.meanHint(), snapshot.referenceWeight(), snapshot.retryTokens()});
   }
 
-  private static void write(DataOutputStream out, double[] figures) throws IOException {
-    for (double figure : figures) {
-      out.writeDouble(figure);
+  private static void write(DataOutputStream out, double[] values) throws IOException {
+    for (double value : values) {
+      out.writeDouble(value);
     }
   }
 
-  /** Reads an encoding; throws {@link UnusableSnapshotException} for one that is cut, corrupt, too old, of the future or of an unknown version. */
+  /**
+   * Decodes a snapshot; throws {@link UnusableSnapshotException} if it is truncated, corrupt, too old, from the future or of an unknown
+   * version.
+   */
   public static HandoverSnapshot decode(byte[] bytes, long monotonicMillis) throws UnusableSnapshotException {
     if (bytes.length < HEADER_BYTES) {
-      throw new UnusableSnapshotException("cut in its header");
+      throw new UnusableSnapshotException("truncated header");
     }
-    ByteBuffer head = ByteBuffer.wrap(bytes);
-    if (head.getInt() != MAGIC) {
-      throw new UnusableSnapshotException("not what this program writes");
+    ByteBuffer header = ByteBuffer.wrap(bytes);
+    if (header.getInt() != MAGIC) {
+      throw new UnusableSnapshotException("wrong magic number");
     }
-    int version = head.getInt();
+    int version = header.getInt();
     if (version != VERSION && version != WALL_CLOCK_VERSION) {
-      throw new UnusableSnapshotException("of version " + version);
+      throw new UnusableSnapshotException("unsupported version " + version);
     }
-    long age = monotonicMillis - head.getLong();
-    int length = head.getInt();
-    int told = head.getInt();
+    long age = monotonicMillis - header.getLong();
+    int length = header.getInt();
+    int checksum = header.getInt();
     CRC32C sum = new CRC32C();
     sum.update(bytes, HEADER_BYTES, bytes.length - HEADER_BYTES);
-    if (length != bytes.length - HEADER_BYTES || told != (int) sum.getValue()) {
-      throw new UnusableSnapshotException("cut or spoilt");
+    if (length != bytes.length - HEADER_BYTES || checksum != (int) sum.getValue()) {
+      throw new UnusableSnapshotException("truncated or corrupt");
     }
     if (version == VERSION && Math.abs(age) > MAX_AGE_MILLIS) {
       throw new UnusableSnapshotException(age + " ms old");
@@ -161,13 +164,13 @@
     try (DataInputStream in = new DataInputStream(new ByteArrayInputStream(bytes, HEADER_BYTES, length))) {
       HandoverSnapshot snapshot = decode(in);
       if (in.read() >= 0) {
-        throw new UnusableSnapshotException("longer than it says");
+        throw new UnusableSnapshotException("trailing bytes");
       }
       return snapshot;
     } catch (UnusableSnapshotException e) {
       throw e;
     } catch (IOException | RuntimeException e) {
-      throw new UnusableSnapshotException("not understood: " + e);
+      throw new UnusableSnapshotException("can't be decoded: " + e);
     }
   }
 
@@ -181,7 +184,7 @@
       InetSocketAddress address = new InetSocketAddress(InetAddress.getByAddress(host), in.readInt());
       members.add(new Server(id, address, in.readUTF(), in.readInt(), State.values()[in.readByte()], in.readDouble(), in.readLong()));
     }
-    BalancerSnapshot balancerSnapshot = in.readBoolean() ? balancerSnapshot(in) : null;
+    BalancerSnapshot balancerSnapshot = in.readBoolean() ? decodeBalancerSnapshot(in) : null;
     count = count(in, MAX_NAMES);
     List<String> names = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
@@ -190,46 +193,46 @@
     return new HandoverSnapshot(new ServerList(revision, true, members), names, balancerSnapshot);
   }
 
-  private static BalancerSnapshot balancerSnapshot(DataInputStream in) throws IOException {
+  private static BalancerSnapshot decodeBalancerSnapshot(DataInputStream in) throws IOException {
     int count = count(in, MAX_SERVERS);
     List<UpstreamSnapshot> upstreams = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
-      upstreams.add(new UpstreamSnapshot(in.readLong(), in.readLong(), in.readBoolean(), in.readLong(), figure(in), figure(in), in.readInt(),
-          in.readInt(), in.readLong(), in.readLong(), figures(in, BalancerSnapshot.METRICS)));
+      upstreams.add(new UpstreamSnapshot(in.readLong(), in.readLong(), in.readBoolean(), in.readLong(), finiteDouble(in), finiteDouble(in),
+          in.readInt(), in.readInt(), in.readLong(), in.readLong(), finiteDoubles(in, BalancerSnapshot.METRICS)));
     }
     count = count(in, BalancerSnapshot.MAX_WINDOWS);
     Map<String, double[]> windows = new LinkedHashMap<>();
     for (int i = 0; i < count; i++) {
-      windows.put(in.readUTF(), figures(in, BalancerSnapshot.METRICS));
+      windows.put(in.readUTF(), finiteDoubles(in, BalancerSnapshot.METRICS));
     }
-    double[] fleet = figures(in, BalancerSnapshot.METRICS);
-    return new BalancerSnapshot(upstreams, windows, fleet, figure(in), figure(in), figure(in), figure(in), figure(in));
+    double[] fleet = finiteDoubles(in, BalancerSnapshot.METRICS);
+    return new BalancerSnapshot(upstreams, windows, fleet, finiteDouble(in), finiteDouble(in), finiteDouble(in), finiteDouble(in), finiteDouble(in));
   }
 
-  private static double[] figures(DataInputStream in, int count) throws IOException {
-    double[] figures = new double[count];
+  private static double[] finiteDoubles(DataInputStream in, int count) throws IOException {
+    double[] values = new double[count];
     for (int i = 0; i < count; i++) {
-      figures[i] = figure(in);
+      values[i] = finiteDouble(in);
     }
-    return figures;
+    return values;
   }
 
-  /** Guards the module: one figure that is none spreads to every decision. */
-  private static double figure(DataInputStream in) throws IOException {
-    double figure = in.readDouble();
-    if (!Double.isFinite(figure)) {
-      throw new IOException("a figure that is none");
+  /** Protects the module: a single NaN or infinity would spread to every decision. */
+  private static double finiteDouble(DataInputStream in) throws IOException {
+    double value = in.readDouble();
+    if (!Double.isFinite(value)) {
+      throw new IOException("a value that is not finite");
     }
-    return figure;
+    return value;
   }
 
-  private static int count(DataInputStream in, int most) throws IOException {
-    return count(in.readInt(), most);
+  private static int count(DataInputStream in, int max) throws IOException {
+    return count(in.readInt(), max);
   }
 
-  private static int count(int count, int most) throws IOException {
-    if (count < 0 || count > most) {
-      throw new IOException(count + " of at most " + most);
+  private static int count(int count, int max) throws IOException {
+    if (count < 0 || count > max) {
+      throw new IOException(count + " entries, at most " + max);
     }
     return count;
   }
--- a/handover/src/main/java/cloverpulley/handover/OfflineUpstreams.java
+++ b/handover/src/main/java/cloverpulley/handover/OfflineUpstreams.java
@@ -17,30 +17,30 @@
 import java.util.stream.Stream;
 
 /**
- * The upstreams that operators took offline, held in memory and shared with the other processes of the balancer through a folder.
+ * The upstreams that operators have taken offline, kept in memory and shared with the other processes of the balancer through a folder.
  *
- * <p>Each change is an empty file whose name says what it is, of which upstream and when: the later change wins, whichever process it came to. Memory
- * is the truth of this process. A file that is missing says nothing, and is written again at the next {@link #synchronize}: only a later change to
- * online ends what was promised. Times are readings of the machine's monotonic clock. Not thread-safe: one thread at a time.
+ * <p>Each change is an empty file whose name holds the kind of change, the upstream and the time; the latest change wins, whichever process made it.
+ * The state in memory is authoritative for this process. A missing file means nothing and is written again by the next {@link #synchronize}: only
+ * a later change to online brings an upstream back. Times are readings of the machine's monotonic clock. Not thread-safe.
  */
 public final class OfflineUpstreams {
 
-  /** The longest name, in bytes of UTF-8: written in hexadecimal it fits a file's name. */
+  /** The maximum length of a name, in bytes of UTF-8: its hexadecimal form must fit into a file name. */
   public static final int MAX_NAME_BYTES = 100;
-  /** The most upstreams that are offline at one time, and the most changes to online that are remembered. */
+  /** The maximum number of upstreams offline at one time, and of changes to online that are remembered. */
   public static final int MAX_OFFLINE = 4096;
   private static final int MAX_ONLINE = 1024;
   private static final String OFFLINE_PREFIX = "offline-";
   private static final String ONLINE_PREFIX = "online-";
-  /** Files of the releases before, whose presence alone meant offline. */
-  private static final String RELEASED_PREFIX = "out-";
-  /** Digits of a time in a file's name. */
+  /** Files of earlier releases, whose mere presence meant offline. */
+  private static final String LEGACY_PREFIX = "out-";
+  /** Digits of the time in a file name. */
   private static final int TIME_DIGITS = 19;
 
   /** The last change of an upstream. */
   private record Change(boolean offline, long atNanos) {
 
-    /** Of two at the same time offline wins: the safe direction. */
+    /** Of two changes at the same time offline wins, which is the safe choice. */
     boolean isAfter(Change other) {
       return other == null || atNanos > other.atNanos || atNanos == other.atNanos && offline && !other.offline;
     }
@@ -50,7 +50,7 @@
   private final LongSupplier clock;
   private final Map<String, Change> changes = new LinkedHashMap<>();
 
-  /** {@code folder} may be null: then nothing is shared. */
+  /** {@code folder} may be null; nothing is shared then. */
   public OfflineUpstreams(Path folder) {
     this(folder, System::nanoTime);
   }
@@ -60,13 +60,13 @@
     this.clock = clock;
   }
 
-  /** Whether a name can be kept. */
+  /** Whether a name can be stored. */
   public static boolean isValidName(String id) {
     byte[] bytes = id.getBytes(StandardCharsets.UTF_8);
     return bytes.length > 0 && bytes.length <= MAX_NAME_BYTES;
   }
 
-  /** Takes an upstream offline; one that is offline already stays so since when it was. False where there is no room for more. */
+  /** Takes an upstream offline; one that is already offline keeps its time. Returns false if the maximum number is offline. */
   public boolean setOffline(String id) {
     if (isOffline(id)) {
       return true;
@@ -78,7 +78,7 @@
     return true;
   }
 
-  /** Puts an upstream online again. */
+  /** Brings an upstream back online. */
   public void setOnline(String id) {
     if (isOffline(id)) {
       change(id, false);
@@ -94,16 +94,16 @@
     Change before = changes.remove(id);
     long now = clock.getAsLong();
     changes.put(id, new Change(offline, before == null ? now : Math.max(now, before.atNanos + 1)));
-    forgetOldest();
+    removeOldestOnline();
   }
 
-  /** Forgets the oldest changes to online beyond what is remembered. */
-  private void forgetOldest() {
+  /** Removes the oldest changes to online beyond {@link #MAX_ONLINE}. */
+  private void removeOldestOnline() {
     List<String> online = changes.entrySet().stream().filter(e -> !e.getValue().offline).map(Map.Entry::getKey).toList();
     online.subList(0, Math.max(0, online.size() - MAX_ONLINE)).forEach(changes::remove);
   }
 
-  /** All that are offline, with how long they have been so, in nanoseconds. */
+  /** The upstreams that are offline, each with how long it has been offline, in nanoseconds. */
   public Map<String, Long> offline() {
     long now = clock.getAsLong();
     Map<String, Long> offline = new LinkedHashMap<>();
@@ -116,8 +116,8 @@
   }
 
   /**
-   * Takes in the changes of other processes and publishes those that the folder lacks. Throws where the folder can't be used; what was taken in
-   * until then stays, and the rest is made good by the next call.
+   * Applies the changes of other processes and publishes those that the folder lacks. Throws if the folder can't be used; changes applied
+   * until then stay, and the next call does the rest.
    */
   public void synchronize() throws IOException {
     if (folder == null) {
@@ -131,7 +131,7 @@
     Set<Path> current = new HashSet<>();
     List<Path> stale = new ArrayList<>();
     for (Path file : files) {
-      takeIn(file);
+      applyFile(file);
     }
     changes.forEach((id, change) -> current.add(file(id, change)));
     for (Path file : files) {
@@ -148,13 +148,13 @@
     }
   }
 
-  private void takeIn(Path file) {
+  private void applyFile(Path file) {
     String id = id(file);
     Change change = change(file);
     if (id != null && change != null && change.isAfter(changes.get(id))) {
       changes.remove(id);
       changes.put(id, change);
-      forgetOldest();
+      removeOldestOnline();
     }
   }
 
@@ -162,10 +162,10 @@
     return id(file) != null && change(file) != null;
   }
 
-  /** The change that a file stands for; null for a file of another kind. */
+  /** The change that a file represents; null for an unrelated file. */
   private static Change change(Path file) {
     String name = file.getFileName().toString();
-    if (name.startsWith(RELEASED_PREFIX)) {
+    if (name.startsWith(LEGACY_PREFIX)) {
       return new Change(true, 0);
     }
     int at = name.lastIndexOf('-');
@@ -179,7 +179,7 @@
     }
   }
 
-  /** The upstream that a file speaks of; null for a file of another kind. */
+  /** The upstream that a file is about; null for an unrelated file. */
   private static String id(Path file) {
     String[] parts = file.getFileName().toString().split("-", -1);
     if (parts.length < 2 || parts.length > 3) {
--- a/handover/src/main/java/cloverpulley/handover/ProcessRegistry.java
+++ b/handover/src/main/java/cloverpulley/handover/ProcessRegistry.java
@@ -23,16 +23,16 @@
 import java.util.stream.Stream;
 
 /**
- * The processes of one balancer that share a folder. Each has a file there and holds a lock on it for as long as it lives; the system releases the lock
- * with the process, so that a reused process id or a stale file is never taken for a live process.
+ * The processes of one balancer that share a folder. Each has a file there and holds a lock on it while it runs; the system releases the lock when
+ * the process ends, so that a reused process id or a stale file is never mistaken for a live process.
  *
- * <p>The folder is evidence, not the truth: it may be emptied, removed or fail at any time. A process whose file is gone publishes it again at the next
+ * <p>The folder is not authoritative: it may be emptied, removed or fail at any time. A process whose file is gone publishes it again at the next
  * {@link #refresh}, and a file that vanishes does not mean that its process has ended. Processes are ordered by the machine's monotonic clock, never by
- * wall-clock time. Not thread-safe: one thread at a time.
+ * wall-clock time. Not thread-safe.
  */
 public final class ProcessRegistry implements AutoCloseable {
 
-  /** What a process is doing. */
+  /** The state of a process. Stored by ordinal. */
   public enum Lifecycle { STARTING, SERVING, LEAVING }
 
   /**
@@ -44,7 +44,7 @@
    */
   public record PeerProcess(String name, boolean startedLater, Lifecycle lifecycle, int descriptors) {}
 
-  /** A snapshot file of another process, and its modification time, which serves to tell one version from the next only. */
+  /** A snapshot file of another process, and its modification time, which serves only to detect a new version. */
   public record Snapshot(String from, long modifiedNanos, byte[] bytes) {}
 
   private record Sighting(PeerProcess peer, long atNanos) {}
@@ -53,12 +53,12 @@
   private static final String JOINING_PREFIX = "joins-";
   private static final String SNAPSHOT_PREFIX = "left-";
   private static final String NEW_SNAPSHOT_PREFIX = "new-";
-  /** Files looked at in one scan: more are not this program's doing. */
+  /** The maximum number of files examined in one scan; this program never creates more. */
   private static final int MAX_FILES = 64;
   private static final int RECORD_BYTES = 1 + Integer.BYTES;
   /** Added to readings of the monotonic clock in names, so that they sort after those of releases that used wall-clock time. */
   private static final long NAME_EPOCH = 1_000_000_000_000_000_000L;
-  /** How long a process whose file vanished still counts as alive: it publishes the file again well within. */
+  /** How long a process whose file has vanished still counts as alive; a live one publishes its file again well within this time. */
   private static final long VANISHED_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
   private final Path folder;
@@ -76,21 +76,21 @@
   }
 
   /**
-   * Makes the registry of this process without touching the folder; {@link #refresh} joins.
+   * Creates the registry of this process without accessing the folder; {@link #refresh} joins.
    *
    * @param monotonicNanos reading of the machine's monotonic clock at the start of this process: the later process is the successor
-   * @param processId tells apart processes that started at the same reading
+   * @param processId distinguishes processes that started at the same reading
    */
   public static ProcessRegistry of(Path folder, long monotonicNanos, long processId) {
     return of(folder, monotonicNanos, processId, System::nanoTime);
   }
 
-  /** The same with a clock of its own, in nanoseconds, that does not go back. */
+  /** As above, with the given monotonic clock, in nanoseconds. */
   static ProcessRegistry of(Path folder, long monotonicNanos, long processId, LongSupplier clock) {
     return new ProcessRegistry(folder, String.format("%s%019d-%019d", PROCESS_PREFIX, NAME_EPOCH + monotonicNanos, processId), clock);
   }
 
-  /** Publishes what this process is doing, joining first where it has no file (any more), and returns the other live processes. */
+  /** Publishes the state of this process, joining first if it has no file (any more), and returns the other live processes. */
   public List<PeerProcess> refresh(Lifecycle lifecycle, int descriptors) throws IOException {
     ByteBuffer bytes = ByteBuffer.allocate(RECORD_BYTES).put((byte) lifecycle.ordinal()).putInt(descriptors).flip();
     if (isPublished()) {
@@ -101,7 +101,7 @@
     return peers();
   }
 
-  /** Whether the file under this process's name is the one that it holds. */
+  /** Whether the file under this process's name is the one that it has locked. */
   private boolean isPublished() throws IOException {
     if (channel == null) {
       return false;
@@ -115,12 +115,12 @@
 
   private void join(ByteBuffer record) throws IOException {
     Files.createDirectories(folder);
-    // Renamed into place once locked and written: a scan in between would take it for the file of a dead process.
+    // Renamed into place once it is locked and written: a scan in between would mistake it for the file of a dead process.
     Path joining = folder.resolve(JOINING_PREFIX + name);
     FileChannel opened = FileChannel.open(joining, StandardOpenOption.CREATE, StandardOpenOption.READ, StandardOpenOption.WRITE);
     try {
       if (opened.tryLock() == null) {
-        throw new IOException("no lock on " + joining);
+        throw new IOException("can't lock " + joining);
       }
       opened.write(record, 0);
       Object key = Files.readAttributes(joining, BasicFileAttributes.class).fileKey();
@@ -161,7 +161,7 @@
           dead.add(peer);
         }
       } catch (NoSuchFileException e) {
-        continue; // It vanished in this moment.
+        continue; // It was removed after the folder was listed.
       }
     }
     for (String peer : dead) {
@@ -186,7 +186,7 @@
     try (FileLock lock = file.tryLock()) {
       return lock == null;
     } catch (OverlappingFileLockException e) {
-      return true; // By this very process, which tests have two balancers in.
+      return true; // Locked by this very process: tests run two balancers in one process.
     }
   }
 
@@ -194,25 +194,25 @@
     ByteBuffer bytes = ByteBuffer.allocate(RECORD_BYTES);
     int length = from.read(bytes, 0);
     Lifecycle[] all = Lifecycle.values();
-    // One that was cut or half written is starting.
+    // A truncated or half-written record counts as starting.
     boolean whole = length == RECORD_BYTES && bytes.get(0) >= 0 && bytes.get(0) < all.length;
     return new PeerProcess(peer, peer.compareTo(name) > 0, whole ? all[bytes.get(0)] : Lifecycle.STARTING,
         whole ? Math.max(0, bytes.getInt(1)) : 0);
   }
 
-  /** Publishes a snapshot for the others in place of the one before: whole or not at all, whenever this process ends. */
+  /** Publishes a snapshot for the other processes and replaces the previous one atomically, even if this process is killed. */
   public void publishSnapshot(byte[] bytes) throws IOException {
     Path written = folder.resolve(NEW_SNAPSHOT_PREFIX + name);
     Files.write(written, bytes);
     Files.move(written, snapshotOf(name), StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
   }
 
-  /** Whether the snapshot that this process published last is still there. */
+  /** Whether the snapshot that this process published last still exists. */
   public boolean hasSnapshot() {
     return Files.exists(snapshotOf(name));
   }
 
-  /** The snapshot of another process; {@code seen} itself where it has not changed since, null for none. */
+  /** The snapshot of another process; {@code seen} itself if it has not changed since, null for none. */
   public Snapshot snapshot(PeerProcess peer, Snapshot seen, int maxBytes) throws IOException {
     Path file = snapshotOf(peer.name());
     try {
@@ -236,7 +236,7 @@
     return folder.resolve(SNAPSHOT_PREFIX + process);
   }
 
-  /** Leaves: removes this process's files and releases its lock, also where the folder can't be written. */
+  /** Leaves the registry: removes this process's files and releases its lock, even if the folder can't be written. */
   @Override
   public void close() throws IOException {
     try {
--- a/handover/src/test/java/cloverpulley/handover/HandoverSnapshotTest.java
+++ b/handover/src/test/java/cloverpulley/handover/HandoverSnapshotTest.java
@@ -28,29 +28,29 @@
 class HandoverSnapshotTest {
 
   private static final long AT = 1_800_000_000_000L;
-  private static final double[] FIGURES = {1, 2, 3, 4.5, 5};
+  private static final double[] VALUES = {1, 2, 3, 4.5, 5};
 
   private static HandoverSnapshot snapshot(double retryTokens) {
     List<Server> servers = List.of(
         new Server("s-1", new InetSocketAddress("127.0.0.1", 8001), "a", 3, State.READY, 1.5, 17),
         new Server("s-2", new InetSocketAddress("::1", 8002), "b", 4, State.DRAINING, 1, 0));
-    BalancerSnapshot knowledge = new BalancerSnapshot(List.of(new UpstreamSnapshot(7, -1, false, 0, 0.5, 1.25, 1, 2, 3, 4, FIGURES),
-        new UpstreamSnapshot(8, 99, true, 50, 0, 1, 0, 0, 0, -1, FIGURES)), Map.of("c t k", FIGURES), FIGURES, 2, 3, 4, 5, retryTokens);
-    return new HandoverSnapshot(new ServerList(41, true, servers), List.of("s-0", "s-1", "s-2"), knowledge);
+    BalancerSnapshot balancerSnapshot = new BalancerSnapshot(List.of(new UpstreamSnapshot(7, -1, false, 0, 0.5, 1.25, 1, 2, 3, 4, VALUES),
+        new UpstreamSnapshot(8, 99, true, 50, 0, 1, 0, 0, 0, -1, VALUES)), Map.of("c t k", VALUES), VALUES, 2, 3, 4, 5, retryTokens);
+    return new HandoverSnapshot(new ServerList(41, true, servers), List.of("s-0", "s-1", "s-2"), balancerSnapshot);
   }
 
   @Test
-  void whatIsLeftIsReadAsItWas() throws UnusableSnapshotException {
-    HandoverSnapshot left = snapshot(6);
-    HandoverSnapshot read = HandoverSnapshot.decode(left.encode(AT), AT + 500);
-    assertEquals(left.list(), read.list());
-    assertEquals(left.names(), read.names());
-    assertArrayEquals(left.encode(AT), read.encode(AT));
-    assertNull(HandoverSnapshot.decode(new HandoverSnapshot(left.list(), List.of(), null).encode(AT), AT).balancerSnapshot());
+  void decodingRestoresTheSnapshot() throws UnusableSnapshotException {
+    HandoverSnapshot original = snapshot(6);
+    HandoverSnapshot decoded = HandoverSnapshot.decode(original.encode(AT), AT + 500);
+    assertEquals(original.list(), decoded.list());
+    assertEquals(original.names(), decoded.names());
+    assertArrayEquals(original.encode(AT), decoded.encode(AT));
+    assertNull(HandoverSnapshot.decode(new HandoverSnapshot(original.list(), List.of(), null).encode(AT), AT).balancerSnapshot());
   }
 
   @Test
-  void cutAtAnyOctetItIsNotUsed() {
+  void aSnapshotTruncatedAtAnyByteIsRejected() {
     byte[] whole = snapshot(6).encode(AT);
     for (int i = 0; i < whole.length; i++) {
       byte[] cut = Arrays.copyOf(whole, i);
@@ -59,43 +59,43 @@
     assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(Arrays.copyOf(whole, whole.length + 1), AT));
   }
 
-  /** But for the time it was written, which is judged by itself, a spoilt octet anywhere is seen. */
+  /** A corrupt byte is detected anywhere but in the time of writing, which is checked separately. */
   @Test
-  void spoiltInAnyOctetItIsNotUsed() {
+  void aSnapshotWithAnyCorruptByteIsRejected() {
     byte[] whole = snapshot(6).encode(AT);
     for (int i = 0; i < whole.length; i++) {
-      byte[] spoilt = whole.clone();
-      spoilt[i] ^= 0x40;
+      byte[] corrupt = whole.clone();
+      corrupt[i] ^= 0x40;
       if (i < 8 || i > 15) {
-        assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(spoilt, AT), "octet " + i);
+        assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(corrupt, AT), "byte " + i);
       }
     }
   }
 
   @Test
-  void theReleasedVersionIsReadWhateverItsWallClockSays() throws UnusableSnapshotException {
+  void thePreviousVersionIsReadWhateverItsWallClockTime() throws UnusableSnapshotException {
     byte[] whole = snapshot(6).encode(AT);
     ByteBuffer.wrap(whole).putInt(4, 1);
     assertEquals(snapshot(6).list(), HandoverSnapshot.decode(whole, 5).list());
   }
 
   @Test
-  void anotherDaysIsNotUsedNorAFutureVersions() {
+  void anOldSnapshotOrAFutureVersionIsRejected() {
     byte[] whole = snapshot(6).encode(AT);
     assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(whole, AT + 3L * 86_400_000));
     assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(whole, AT - 60_000));
     ByteBuffer.wrap(whole).putInt(4, 3);
-    assertEquals("of version 3", assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(whole, AT)).getMessage());
+    assertEquals("unsupported version 3", assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(whole, AT)).getMessage());
   }
 
-  /** A checksum proves that it came whole, not that it makes sense. */
+  /** The checksum proves that a snapshot is complete, not that its values are valid. */
   @Test
-  void aFigureThatIsNoneIsNotUsed() {
+  void aValueThatIsNotFiniteIsRejected() {
     assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(snapshot(Double.NaN).encode(AT), AT));
   }
 
   @Test
-  void noOctetsDoMoreThanFail() {
+  void randomBytesAreRejected() {
     long seed = 20261201;
     Random random = new Random(seed);
     for (int i = 0; i < 2000; i++) {
@@ -105,17 +105,17 @@
     }
   }
 
-  /** Of names without end those listed last are left. */
+  /** If there are too many names, the most recently listed are kept. */
   @Test
-  void itsLengthIsBounded() throws UnusableSnapshotException {
+  void theEncodedLengthIsBounded() throws UnusableSnapshotException {
     List<String> names = Collections.nCopies(15_000, "n".repeat(100));
-    HandoverSnapshot left = new HandoverSnapshot(ServerList.EMPTY, names, null);
-    assertTrue(left.encode(AT).length <= HandoverSnapshot.MAX_BYTES);
-    assertTrue(HandoverSnapshot.decode(left.encode(AT), AT).names().size() > 5000);
+    HandoverSnapshot original = new HandoverSnapshot(ServerList.EMPTY, names, null);
+    assertTrue(original.encode(AT).length <= HandoverSnapshot.MAX_BYTES);
+    assertTrue(HandoverSnapshot.decode(original.encode(AT), AT).names().size() > 5000);
   }
 
   @Test
-  void theOthersSeeTheSnapshotPublishedLast(@TempDir Path folder) throws Exception {
+  void otherProcessesSeeTheLatestSnapshot(@TempDir Path folder) throws Exception {
     try (ProcessRegistry first = ProcessRegistry.of(folder, 1, 1); ProcessRegistry second = ProcessRegistry.of(folder, 2, 2)) {
       first.refresh(Lifecycle.SERVING, 0);
       PeerProcess peer = second.refresh(Lifecycle.STARTING, 0).get(0);
--- a/handover/src/test/java/cloverpulley/handover/OfflineUpstreamsTest.java
+++ b/handover/src/test/java/cloverpulley/handover/OfflineUpstreamsTest.java
@@ -19,15 +19,15 @@
   @TempDir
   private Path folder;
   private final AtomicLong clock = new AtomicLong(1000);
-  private OfflineUpstreams here;
-  private OfflineUpstreams there;
+  private OfflineUpstreams first;
+  private OfflineUpstreams second;
 
-  private void two() {
-    here = new OfflineUpstreams(folder, clock::incrementAndGet);
-    there = new OfflineUpstreams(folder, clock::incrementAndGet);
+  private void createBoth() {
+    first = new OfflineUpstreams(folder, clock::incrementAndGet);
+    second = new OfflineUpstreams(folder, clock::incrementAndGet);
   }
 
-  private void empty() throws IOException {
+  private void clear() throws IOException {
     try (Stream<Path> files = Files.list(folder)) {
       for (Path file : files.toList()) {
         Files.delete(file);
@@ -35,62 +35,62 @@
     }
   }
 
-  private void exchange() throws IOException {
-    here.synchronize();
-    there.synchronize();
-    here.synchronize();
+  private void synchronizeBoth() throws IOException {
+    first.synchronize();
+    second.synchronize();
+    first.synchronize();
   }
 
   @Test
-  void theLastChangeCountsWhicheverProcessItCameTo() throws IOException {
-    two();
-    assertTrue(here.setOffline("s-1") && here.setOffline("../../x y/ü") && there.setOffline("s-2") && there.setOffline("s-1"));
-    exchange();
-    assertEquals(Set.of("s-1", "s-2", "../../x y/ü"), there.offline().keySet());
-    assertEquals(there.offline().keySet(), here.offline().keySet());
-    there.setOnline("s-1");
-    there.setOnline("s-1");
-    there.setOnline("s-never");
-    exchange();
-    assertEquals(Set.of("s-2", "../../x y/ü"), here.offline().keySet());
-    here.setOffline("s-1");
-    exchange();
-    assertTrue(there.offline().containsKey("s-1"));
+  void theLatestChangeWinsWhicheverProcessMadeIt() throws IOException {
+    createBoth();
+    assertTrue(first.setOffline("s-1") && first.setOffline("../../x y/ü") && second.setOffline("s-2") && second.setOffline("s-1"));
+    synchronizeBoth();
+    assertEquals(Set.of("s-1", "s-2", "../../x y/ü"), second.offline().keySet());
+    assertEquals(second.offline().keySet(), first.offline().keySet());
+    second.setOnline("s-1");
+    second.setOnline("s-1");
+    second.setOnline("s-never");
+    synchronizeBoth();
+    assertEquals(Set.of("s-2", "../../x y/ü"), first.offline().keySet());
+    first.setOffline("s-1");
+    synchronizeBoth();
+    assertTrue(second.offline().containsKey("s-1"));
   }
 
   @Test
   void anEmptiedFolderPutsNothingOnline() throws IOException {
-    two();
-    here.setOffline("s-1");
-    here.synchronize();
-    empty();
-    here.synchronize();
-    assertEquals(Set.of("s-1"), here.offline().keySet());
-    there.synchronize();
-    assertEquals(Set.of("s-1"), there.offline().keySet(), "the promise was not published again");
+    createBoth();
+    first.setOffline("s-1");
+    first.synchronize();
+    clear();
+    first.synchronize();
+    assertEquals(Set.of("s-1"), first.offline().keySet());
+    second.synchronize();
+    assertEquals(Set.of("s-1"), second.offline().keySet(), "the change was not published again");
     Files.delete(Files.list(folder).findFirst().get());
     Files.delete(folder);
-    exchange();
-    assertEquals(Set.of("s-1"), there.offline().keySet());
+    synchronizeBoth();
+    assertEquals(Set.of("s-1"), second.offline().keySet());
   }
 
   @Test
   void aChangeToOnlineIsNotUndoneByAProcessThatMissedIt() throws IOException {
-    two();
-    here.setOffline("s-1");
-    exchange();
-    there.setOnline("s-1");
-    there.synchronize();
-    empty();
-    here.synchronize();
-    exchange();
-    assertEquals(Set.of(), here.offline().keySet());
-    assertEquals(Set.of(), there.offline().keySet());
+    createBoth();
+    first.setOffline("s-1");
+    synchronizeBoth();
+    second.setOnline("s-1");
+    second.synchronize();
+    clear();
+    first.synchronize();
+    synchronizeBoth();
+    assertEquals(Set.of(), first.offline().keySet());
+    assertEquals(Set.of(), second.offline().keySet());
   }
 
   @Test
-  void aFolderThatFailsKeepsWhatWasPromised() throws IOException {
-    two();
+  void aFolderThatFailsLosesNoChange() throws IOException {
+    createBoth();
     Path file = Files.createFile(folder.resolve("file"));
     OfflineUpstreams failing = new OfflineUpstreams(file, clock::incrementAndGet);
     failing.setOffline("s-1");
@@ -103,42 +103,42 @@
     assertEquals(Set.of("s-1"), successor.offline().keySet());
   }
 
-  /** Its time is that of the first call, whoever asks again. */
+  /** A repeated call does not restart the time. */
   @Test
-  void itIsOfflineSinceTheFirstCall() {
-    two();
-    here.setOffline("s-1");
-    long before = here.offline().get("s-1");
+  void theOfflineTimeStartsAtTheFirstCall() {
+    createBoth();
+    first.setOffline("s-1");
+    long before = first.offline().get("s-1");
     clock.addAndGet(500);
-    here.setOffline("s-1");
-    assertTrue(here.offline().get("s-1") >= before + 500);
+    first.setOffline("s-1");
+    assertTrue(first.offline().get("s-1") >= before + 500);
   }
 
   @Test
-  void theReleaseBeforeNamedItsFilesOtherwise() throws IOException {
-    two();
+  void filesOfThePreviousReleaseAreUnderstood() throws IOException {
+    createBoth();
     Files.createFile(folder.resolve("out-732d31"));
-    here.synchronize();
-    assertEquals(Set.of("s-1"), here.offline().keySet());
-    here.setOnline("s-1");
-    exchange();
-    assertEquals(Set.of(), there.offline().keySet());
+    first.synchronize();
+    assertEquals(Set.of("s-1"), first.offline().keySet());
+    first.setOnline("s-1");
+    synchronizeBoth();
+    assertEquals(Set.of(), second.offline().keySet());
   }
 
   @Test
-  void whatThisProgramDidNotMakeIsPassedOver() throws IOException {
-    two();
+  void unrelatedFilesAreIgnored() throws IOException {
+    createBoth();
     for (String name : new String[] {"out-zz", "out-ff", "other", "offline-732d31-x", "online--0000000000000000001", "offline-732d31-1"}) {
       Files.createFile(folder.resolve(name));
     }
-    here.setOffline("s-2");
-    exchange();
-    assertEquals(Set.of("s-2"), there.offline().keySet());
+    first.setOffline("s-2");
+    synchronizeBoth();
+    assertEquals(Set.of("s-2"), second.offline().keySet());
     assertTrue(Files.exists(folder.resolve("other")));
     assertTrue(OfflineUpstreams.isValidName("a".repeat(OfflineUpstreams.MAX_NAME_BYTES)));
-    here.setOffline("a".repeat(OfflineUpstreams.MAX_NAME_BYTES));
-    exchange();
-    assertEquals(2, there.offline().size());
+    first.setOffline("a".repeat(OfflineUpstreams.MAX_NAME_BYTES));
+    synchronizeBoth();
+    assertEquals(2, second.offline().size());
     assertFalse(OfflineUpstreams.isValidName("ü".repeat(OfflineUpstreams.MAX_NAME_BYTES)) || OfflineUpstreams.isValidName(""));
   }
 }
--- a/handover/src/test/java/cloverpulley/handover/ProcessRegistryTest.java
+++ b/handover/src/test/java/cloverpulley/handover/ProcessRegistryTest.java
@@ -28,7 +28,7 @@
   @TempDir
   private Path folder;
 
-  private static void empty(Path folder) throws IOException {
+  private static void clear(Path folder) throws IOException {
     try (Stream<Path> files = Files.walk(folder)) {
       for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
         Files.delete(file);
@@ -56,27 +56,27 @@
   void aProcessWhoseFolderWasEmptiedPublishesItselfAgain() throws IOException {
     try (ProcessRegistry old = ProcessRegistry.of(folder.resolve("shared"), 1000, 7); ProcessRegistry fresh = ProcessRegistry.of(folder.resolve("shared"), 1001, 3)) {
       old.refresh(Lifecycle.SERVING, 5);
-      empty(folder.resolve("shared"));
-      assertEquals(List.of(), fresh.refresh(Lifecycle.STARTING, 0), "nobody is there before the old one looks again");
+      clear(folder.resolve("shared"));
+      assertEquals(List.of(), fresh.refresh(Lifecycle.STARTING, 0), "the old process is not visible before its next refresh");
       assertEquals(List.of(new PeerProcess(SECOND, true, Lifecycle.STARTING, 0)), old.refresh(Lifecycle.SERVING, 6));
       assertEquals(List.of(new PeerProcess(FIRST, false, Lifecycle.SERVING, 6)), fresh.refresh(Lifecycle.STARTING, 0));
-      empty(folder.resolve("shared"));
+      clear(folder.resolve("shared"));
       Files.createDirectories(folder.resolve("shared"));
       Files.write(folder.resolve("shared").resolve(FIRST), new byte[] {1, 0, 0, 0, 9});
       old.refresh(Lifecycle.SERVING, 6);
-      assertEquals(List.of(new PeerProcess(FIRST, false, Lifecycle.SERVING, 6)), fresh.refresh(Lifecycle.STARTING, 0), "a copy of its file was not its file");
+      assertEquals(List.of(new PeerProcess(FIRST, false, Lifecycle.SERVING, 6)), fresh.refresh(Lifecycle.STARTING, 0), "a copy of its file was taken for its own");
     }
   }
 
   @Test
-  void aFileThatVanishedIsNotTakenForTheEndOfItsProcess() throws IOException {
+  void aVanishedFileDoesNotMeanThatItsProcessHasEnded() throws IOException {
     AtomicLong clock = new AtomicLong();
     try (ProcessRegistry old = ProcessRegistry.of(folder, 1000, 7, clock::get); ProcessRegistry fresh = ProcessRegistry.of(folder, 1001, 3)) {
       old.refresh(Lifecycle.SERVING, 5);
       fresh.refresh(Lifecycle.SERVING, 0);
       List<PeerProcess> successor = List.of(new PeerProcess(SECOND, true, Lifecycle.SERVING, 0));
       assertEquals(successor, old.refresh(Lifecycle.SERVING, 5));
-      empty(folder);
+      clear(folder);
       clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(300));
       assertEquals(successor, old.refresh(Lifecycle.SERVING, 5));
       clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(300));
@@ -96,14 +96,14 @@
     }
   }
 
-  /** A process joins while another looks, again and again: it is never taken for a dead one, nor kept from its lock. */
+  /** Processes join while another one keeps scanning: a joining process must not be taken for dead, nor be kept from locking its file. */
   @Test
   void aProcessThatJoinsWhileAnotherScansIsSeen() throws Exception {
     try (ProcessRegistry first = ProcessRegistry.of(folder, 1000, 7)) {
-      AtomicBoolean over = new AtomicBoolean();
+      AtomicBoolean stopped = new AtomicBoolean();
       CompletableFuture<Void> scans = CompletableFuture.runAsync(() -> {
         try (ProcessRegistry scanning = ProcessRegistry.of(folder, 1000, 8)) {
-          while (!over.get()) {
+          while (!stopped.get()) {
             scanning.refresh(Lifecycle.SERVING, 0);
           }
         } catch (IOException e) {
@@ -120,25 +120,25 @@
           }
         }
       } finally {
-        over.set(true);
+        stopped.set(true);
       }
       scans.get();
     }
   }
 
-  /** A killed process leaves its file, on which nobody holds a lock; a file may also be cut, or be somebody else's. */
+  /** A killed process leaves its file without a lock; a file may also be truncated, or be unrelated. */
   @Test
-  void theDeadAreNotTakenForAlive() throws IOException {
+  void deadProcessesAreNotTakenForAlive() throws IOException {
     try (ProcessRegistry me = ProcessRegistry.of(folder, 1000, 7)) {
       Path dead = Files.write(folder.resolve("process-9-9"), new byte[] {1, 0, 0, 0, 9});
       Path halfWritten = Files.write(folder.resolve("new-process-9-9"), new byte[] {1});
       Files.write(folder.resolve("something"), new byte[] {1});
       assertEquals(List.of(), me.refresh(Lifecycle.SERVING, 0));
-      assertFalse(Files.exists(dead) || Files.exists(halfWritten), "what a dead process left stays");
+      assertFalse(Files.exists(dead) || Files.exists(halfWritten), "files of a dead process remain");
       assertTrue(Files.exists(folder.resolve("something")));
     }
-    try (Stream<Path> left = Files.list(folder)) {
-      assertEquals(List.of(folder.resolve("something")), left.toList());
+    try (Stream<Path> remaining = Files.list(folder)) {
+      assertEquals(List.of(folder.resolve("something")), remaining.toList());
     }
   }
 }
