--- a/balancer/src/main/java/cloverpulley/drill/Decoder.java
+++ b/balancer/src/main/java/cloverpulley/drill/Decoder.java
@@ -20,7 +20,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Translates the wire's events into the module's. */
+/** Decodes the simulator's events into the module's. */
 final class Decoder {
 
   private static final Map<String, Status> STATUS = Map.of("served", Status.SERVED, "server_error", Status.ERROR,
@@ -33,7 +33,7 @@
 
   private Decoder() {}
 
-  /** An event by its wire name; start and stop of an instance are not among these. */
+  /** Decodes an event by its name on the wire, except for those that start and stop an instance. */
   static Event event(String name, Fields f) {
     return switch (name) {
       case "Topology" -> topology(f);
@@ -52,9 +52,9 @@
     };
   }
 
-  /** Sites without tenants leave the field out or write 0. */
+  /** The tenant; null for installations without tenants, which omit the field or write 0. */
   private static String tenant(Fields f) {
-    return f.values().get("user-group") instanceof Long none && none == 0 ? null : f.text("user-group", null);
+    return f.values().get("user-group") instanceof Long number && number == 0 ? null : f.text("user-group", null);
   }
 
   private static byte[] bytes(Fields f) {
--- a/balancer/src/main/java/cloverpulley/drill/Encoder.java
+++ b/balancer/src/main/java/cloverpulley/drill/Encoder.java
@@ -16,59 +16,59 @@
 import java.io.IOException;
 import java.util.Base64;
 
-/** Writes the module's actions in the wire's words. */
+/** Encodes the module's actions in the simulator's JSON format. */
 final class Encoder {
 
   private Encoder() {}
 
-  /** Writes one action as an object with a single key. */
+  /** Writes an action as an object with a single key. */
   static void write(JsonGenerator out, Action action) throws IOException {
     if (action instanceof Send a) {
-      open(out, "Deliver");
+      startObject(out, "Deliver");
       out.writeStringField("rid", a.id());
       out.writeNumberField("patience-ns", a.timeoutNanos());
       out.writeNumberField("upstream", a.upstream());
     } else if (action instanceof Cancel a) {
-      open(out, "AbortAttempt");
+      startObject(out, "AbortAttempt");
       out.writeStringField("rid", a.id());
       out.writeNumberField("go", a.attempt());
     } else if (action instanceof Reject a) {
-      open(out, "Decline");
+      startObject(out, "Decline");
       out.writeStringField("rid", a.id());
       out.writeNumberField("not-before-for-ns", a.retryAfterNanos());
     } else if (action instanceof Fail a) {
-      open(out, "DropRequest");
+      startObject(out, "DropRequest");
       out.writeStringField("rid", a.id());
     } else if (action instanceof SetTimer a) {
-      open(out, "SetTimer");
+      startObject(out, "SetTimer");
       out.writeStringField("handle", a.token());
       out.writeNumberField("fire-at-ns", a.atNanos());
     } else if (action instanceof Watch a) {
-      open(out, "Observe");
+      startObject(out, "Observe");
       out.writeBooleanField("enable", a.on());
     } else if (action instanceof FetchEndpoints) {
-      open(out, "Resolve");
+      startObject(out, "Resolve");
     } else if (action instanceof Probe a) {
-      open(out, "SoundOut");
+      startObject(out, "SoundOut");
       out.writeNumberField("upstream", a.upstream());
     } else if (action instanceof CloseIdle a) {
-      open(out, "Release");
+      startObject(out, "Release");
       out.writeNumberField("upstream", a.upstream());
     } else if (action instanceof SendToPeer a) {
-      open(out, "BroadcastTo");
+      startObject(out, "BroadcastTo");
       out.writeNumberField("recipient", a.to());
       out.writeStringField("octets", Base64.getEncoder().encodeToString(a.data()));
     } else if (action instanceof Log a) {
-      open(out, "Emit");
+      startObject(out, "Emit");
       out.writeStringField("note-text", a.text());
     }
     out.writeEndObject();
     out.writeEndObject();
   }
 
-  /** Writes the report that an instance's decision code has failed. */
+  /** Reports that a module instance threw an exception. */
   static void writeFault(JsonGenerator out, RuntimeException e) throws IOException {
-    open(out, "Fault");
+    startObject(out, "Fault");
     StackTraceElement[] trace = e.getStackTrace();
     out.writeStringField("note-text", e.getClass().getName() + ": " + e.getMessage() + " at "
         + (trace.length == 0 ? "unknown place" : trace[0].toString()));
@@ -76,7 +76,7 @@
     out.writeEndObject();
   }
 
-  private static void open(JsonGenerator out, String name) throws IOException {
+  private static void startObject(JsonGenerator out, String name) throws IOException {
     out.writeStartObject();
     out.writeObjectFieldStart(name);
   }
--- a/balancer/src/main/java/cloverpulley/drill/Link.java
+++ b/balancer/src/main/java/cloverpulley/drill/Link.java
@@ -18,7 +18,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The conversation: a batch of events a line in, a line of actions out; one module instance for each balancer. */
+/** Serves the simulator: reads one batch of events per line and writes one line of actions; one module instance per balancer. */
 final class Link {
 
   private final JsonFactory json = new JsonFactory();
@@ -31,7 +31,7 @@
     this.out = out;
   }
 
-  /** Answers batches until the input ends. */
+  /** Processes batches until the input ends. */
   void run() throws IOException {
     long line = 0;
     ByteArrayOutputStream reply = new ByteArrayOutputStream(1 << 16);
@@ -39,7 +39,7 @@
       line++;
       reply.reset();
       try (JsonGenerator generator = json.createGenerator(reply)) {
-        answer(Fields.parse(json, "batch", text), generator);
+        process(Fields.parse(json, "batch", text), generator);
       } catch (JsonProcessingException e) {
         throw new WireException("line " + line + ": not JSON: " + e.getOriginalMessage());
       } catch (WireException | IllegalArgumentException e) {
@@ -51,7 +51,7 @@
     }
   }
 
-  private void answer(Fields batch, JsonGenerator generator) throws IOException {
+  private void process(Fields batch, JsonGenerator generator) throws IOException {
     long now = batch.integer("clock-ns");
     generator.writeStartObject();
     generator.writeArrayFieldStart("groups");
--- a/balancer/src/main/java/cloverpulley/drill/Main.java
+++ b/balancer/src/main/java/cloverpulley/drill/Main.java
@@ -5,12 +5,12 @@
 import java.io.InputStream;
 import java.io.PrintStream;
 
-/** Entry point of the wire adapter. */
+/** Entry point of the simulator adapter. */
 public final class Main {
 
   private Main() {}
 
-  /** Answers events until the input ends; the exit status is then 0, and 1 for malformed input. */
+  /** Processes events until the input ends. Returns the exit status: 0, or 1 for malformed input. */
   public static int run(InputStream in, PrintStream out, PrintStream err) throws IOException {
     try {
       new Link(in, out).run();
--- a/handover/src/main/java/cloverpulley/handover/HandoverSnapshot.java
+++ b/handover/src/main/java/cloverpulley/handover/HandoverSnapshot.java
@@ -125,7 +125,8 @@
       write(out, w.getValue());
     }
     write(out, snapshot.fleet());
-    write(out, new double[] {snapshot.baselineInFlight(), snapshot.baselineSendRate(), snapshot.meanHint(), snapshot.referenceWeight(), snapshot.retryTokens()});
+    write(out, new double[] {snapshot.baselineInFlight(), snapshot.baselineSendRate(), snapshot.meanHint(),
+        snapshot.referenceWeight(), snapshot.retryTokens()});
   }
 
   private static void write(DataOutputStream out, double[] values) throws IOException {
--- a/handover/src/main/java/cloverpulley/handover/ProcessRegistry.java
+++ b/handover/src/main/java/cloverpulley/handover/ProcessRegistry.java
@@ -27,8 +27,8 @@
  * the process ends, so that a reused process id or a stale file is never mistaken for a live process.
  *
  * <p>The folder is not authoritative: it may be emptied, removed or fail at any time. A process whose file is gone publishes it again at the next
- * {@link #refresh}, and a file that vanishes does not mean that its process has ended. Processes are ordered by the machine's monotonic clock, never by
- * wall-clock time. Not thread-safe.
+ * {@link #refresh}, and a file that vanishes does not mean that its process has ended. Processes are ordered by the machine's monotonic clock, never
+ * by wall-clock time. Not thread-safe.
  */
 public final class ProcessRegistry implements AutoCloseable {
 
--- a/handover/src/test/java/cloverpulley/handover/ProcessRegistryTest.java
+++ b/handover/src/test/java/cloverpulley/handover/ProcessRegistryTest.java
@@ -54,7 +54,8 @@
 
   @Test
   void aProcessWhoseFolderWasEmptiedPublishesItselfAgain() throws IOException {
-    try (ProcessRegistry old = ProcessRegistry.of(folder.resolve("shared"), 1000, 7); ProcessRegistry fresh = ProcessRegistry.of(folder.resolve("shared"), 1001, 3)) {
+    try (ProcessRegistry old = ProcessRegistry.of(folder.resolve("shared"), 1000, 7);
+        ProcessRegistry fresh = ProcessRegistry.of(folder.resolve("shared"), 1001, 3)) {
       old.refresh(Lifecycle.SERVING, 5);
       clear(folder.resolve("shared"));
       assertEquals(List.of(), fresh.refresh(Lifecycle.STARTING, 0), "the old process is not visible before its next refresh");
@@ -64,7 +65,8 @@
       Files.createDirectories(folder.resolve("shared"));
       Files.write(folder.resolve("shared").resolve(FIRST), new byte[] {1, 0, 0, 0, 9});
       old.refresh(Lifecycle.SERVING, 6);
-      assertEquals(List.of(new PeerProcess(FIRST, false, Lifecycle.SERVING, 6)), fresh.refresh(Lifecycle.STARTING, 0), "a copy of its file was taken for its own");
+      assertEquals(List.of(new PeerProcess(FIRST, false, Lifecycle.SERVING, 6)), fresh.refresh(Lifecycle.STARTING, 0),
+          "a copy of its file was taken for its own");
     }
   }
 
