--- a/balancer/src/main/java/cloverpulley/drill/Main.java
+++ b/balancer/src/main/java/cloverpulley/drill/Main.java
@@ -13,7 +13,7 @@
   /** Processes events until the input ends. Returns the exit status: 0, or 1 for malformed input. */
   public static int run(InputStream in, PrintStream out, PrintStream err) throws IOException {
     try {
-      new Link(in, out).run();
+      new SimulatorAdapter(in, out).run();
       return 0;
     } catch (WireException e) {
       err.println(e.getMessage());
--- a/balancer/src/main/java/cloverpulley/drill/Link.java
+++ b/balancer/src/main/java/cloverpulley/drill/SimulatorAdapter.java
@@ -19,14 +19,14 @@
 import java.util.Map;
 
 /** Serves the simulator: reads one batch of events per line and writes one line of actions; one module instance per balancer. */
-final class Link {
+final class SimulatorAdapter {
 
   private final JsonFactory json = new JsonFactory();
   private final BufferedReader in;
   private final OutputStream out;
   private final Map<Long, Balancer> instances = new HashMap<>();
 
-  Link(InputStream in, OutputStream out) {
+  SimulatorAdapter(InputStream in, OutputStream out) {
     this.in = new BufferedReader(new InputStreamReader(in, StandardCharsets.UTF_8), 1 << 16);
     this.out = out;
   }
--- a/balancer/src/test/java/cloverpulley/drill/LinkTest.java
+++ b/balancer/src/test/java/cloverpulley/drill/SimulatorAdapterTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /** The wire: conversations byte for byte, every action, and each kind of malformed input. */
-class LinkTest {
+class SimulatorAdapterTest {
 
   private static final String CLASS = "{\"name\":\"c\",\"aim-ns\":400000000,\"deadline-ns\":2000000000,"
       + "\"effect\":\"idempotent\",\"unknown\":[1,{}]}";
@@ -32,7 +32,7 @@
   private static String talk(String... lines) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     String text = String.join("\n", lines) + "\n";
-    new Link(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), out).run();
+    new SimulatorAdapter(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), out).run();
     return out.toString(StandardCharsets.UTF_8);
   }
 
