--- a/balancer/src/test/java/cloverpulley/JarIT.java
+++ b/balancer/src/test/java/cloverpulley/JarIT.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The packaged jar as it is shipped, in a process of its own. */
+/** Runs the packaged jar in a separate process. */
 class JarIT {
 
   @TempDir
@@ -38,7 +38,7 @@
     Files.writeString(folder.resolve("in"), input);
     Process process = new ProcessBuilder(command).redirectInput(file("in")).redirectOutput(file("out"))
         .redirectError(file("err")).start();
-    assertTrue(process.waitFor(1, TimeUnit.MINUTES), "ends when its input ends");
+    assertTrue(process.waitFor(1, TimeUnit.MINUTES), "did not end at the end of its input");
     return process.exitValue();
   }
 
@@ -51,7 +51,7 @@
   }
 
   @Test
-  void aRequestIsSentOn() throws IOException, InterruptedException {
+  void aRequestIsForwarded() throws IOException, InterruptedException {
     String start = "{\"clock-ns\":1000,\"groups\":[{\"balancer\":0,\"msgs\":[{\"Provision\":{\"seed\":1,\"boot-info\":"
         + "{\"categories\":[{\"name\":\"c\",\"aim-ns\":400000000,\"deadline-ns\":2000000000,"
         + "\"effect\":\"idempotent\"}]}}},{\"Topology\":{\"kind\":\"C\",\"stamp\":1,\"entries\":[{\"upstream\":7,"
@@ -63,9 +63,9 @@
     assertEquals("", text("err"));
   }
 
-  /** Guards the platform's start and memory: what only other fronts need is not in its jar. */
+  /** Classes and dependencies that only other frontends need would slow down the balancer's start and use memory: they are not in its jar. */
   @Test
-  void thePlatformsJarIsLean() throws IOException {
+  void theJarHoldsNothingOfOtherFrontends() throws IOException {
     try (JarFile jar = new JarFile(System.getProperty("jar"))) {
       List<String> names = jar.stream().map(JarEntry::getName).toList();
       for (String other : List.of("cloverpulley/repeats/", "cloverpulley/names/", "cloverpulley/dns/",
@@ -99,7 +99,7 @@
         assertTrue(new BufferedReader(new InputStreamReader(client.getInputStream(), StandardCharsets.US_ASCII))
             .readLine().startsWith("HTTP/1.1 400 "));
         process.destroy();
-        assertTrue(process.waitFor(1, TimeUnit.MINUTES), "an idle client does not hold it up");
+        assertTrue(process.waitFor(1, TimeUnit.MINUTES), "an idle client delays the shutdown");
       }
       assertEquals(0, process.exitValue(), text("err"));
       assertTrue(text("err").contains("stopped"), text("err"));
@@ -108,15 +108,18 @@
     }
   }
 
-  /** Before, it went on to take clients in, whom the SIGKILL that follows then found: the file that it reads comes to no end here. */
+  /**
+   * Guards against a SIGTERM during startup that is ignored: clients accepted afterwards would be cut off by the SIGKILL that follows. Reading
+   * the configuration blocks here.
+   */
   @Test
-  void sigtermBeforeClientsAreHeardEndsItAtOnce() throws IOException, InterruptedException {
+  void sigtermDuringStartupEndsTheProcessAtOnce() throws IOException, InterruptedException {
     assertEquals(0, new ProcessBuilder("mkfifo", file("config").getPath()).start().waitFor());
     ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-jar",
         System.getProperty("jar"), "serve").redirectError(file("err"));
     builder.environment().put("ROUTER_CONFIG", file("config").getPath());
     Process process = builder.start();
-    try (FileOutputStream opened = new FileOutputStream(file("config"))) { // Once it is read.
+    try (FileOutputStream opened = new FileOutputStream(file("config"))) { // Blocks until the process opens it for reading.
       process.destroy();
       assertTrue(process.waitFor(1, TimeUnit.MINUTES), text("err"));
       assertEquals(0, process.exitValue(), text("err"));
@@ -126,10 +129,10 @@
     }
   }
 
-  /** Before, the virtual machine left SIGHUP ignored without a word, and new settings were never taken. */
+  /** A JVM started with SIGHUP ignored silently leaves it so, and would never reload: the run command resets it, else it is reported. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void sighupThatCameInIgnoredIsHeardOrSaidNotToBe(boolean byRun) throws IOException, InterruptedException {
+  void anInheritedIgnoredSighupIsResetOrReported(boolean byRun) throws IOException, InterruptedException {
     String config = Files.readString(Path.of("deploy/example.json"));
     Files.writeString(folder.resolve("config"), config);
     Matcher run = Pattern.compile("(?m)^run = '''(.*)'''$").matcher(Files.readString(Path.of("deploy/balancer.toml")));
@@ -155,9 +158,9 @@
     }
   }
 
-  /** Guards against SIGHUP, which ends a virtual machine that does not handle it. */
+  /** SIGHUP ends a JVM that does not handle it. */
   @Test
-  void sighupReadsTheConfigurationAgainAndABadOneIsOneLine() throws IOException, InterruptedException {
+  void sighupReloadsTheConfigurationAndAnInvalidOneIsOneLine() throws IOException, InterruptedException {
     String config = Files.readString(Path.of("deploy/example.json"));
     Process process = serve(config);
     try {
@@ -169,7 +172,7 @@
       hangUp(process);
       awaitLine(process, "configuration not taken, the one before stays");
       process.destroy();
-      assertTrue(process.waitFor(1, TimeUnit.MINUTES), "still listens to SIGTERM");
+      assertTrue(process.waitFor(1, TimeUnit.MINUTES), "SIGTERM is no longer handled");
       assertEquals(0, process.exitValue(), text("err"));
     } finally {
       process.destroyForcibly();
@@ -188,12 +191,12 @@
   }
 
   @Test
-  void aBadConfigurationIsOneLine() throws IOException, InterruptedException {
+  void anInvalidConfigurationIsOneLine() throws IOException, InterruptedException {
     for (String config : List.of("", "{", "{}", "{\"seed\":\"x\",\"name\":\"n\"}",
         Files.readString(Path.of("deploy/example.json")).replace("127.0.0.1:0", "somewhere:8000"),
         Files.readString(Path.of("deploy/example.json")).replace("400000000", "-4"))) {
       Process process = serve(config);
-      assertTrue(process.waitFor(1, TimeUnit.MINUTES), "ends");
+      assertTrue(process.waitFor(1, TimeUnit.MINUTES), "did not end");
       assertEquals(1, process.exitValue());
       assertEquals(1, text("err").lines().count(), text("err"));
       assertTrue(text("err").startsWith("can't start: "), text("err"));
@@ -201,7 +204,7 @@
   }
 
   @Test
-  void malformedInputAndWrongUsageEndAsDocumented() throws IOException, InterruptedException {
+  void malformedInputAndWrongUsageHaveTheDocumentedStatus() throws IOException, InterruptedException {
     assertEquals(1, run("{\n", "drill"));
     assertEquals(1, text("err").lines().count(), text("err"));
     assertEquals(2, run("", "proxy"));
--- a/balancer/src/test/java/cloverpulley/MainTest.java
+++ b/balancer/src/test/java/cloverpulley/MainTest.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Exit statuses of the command line, and what it prints where. */
+/** Exit statuses of the command line, and what it prints to standard output and standard error. */
 class MainTest {
 
   private final ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -23,7 +23,7 @@
   }
 
   @Test
-  void inputThatEndsIsStatusZero() throws IOException {
+  void endOfInputIsStatusZero() throws IOException {
     assertEquals(0, run("{\"clock-ns\":1,\"groups\":[]}\n", "drill"));
     assertEquals("{\"groups\":[]}\n", out.toString());
     assertEquals("", err.toString());
@@ -32,13 +32,13 @@
   @Test
   void malformedInputIsOneLineAndStatusOne() throws IOException {
     assertEquals(1, run("{\"clock-ns\":1,\"groups\":[]}\n{\"clock-ns\":\n{}\n", "drill"));
-    assertEquals("{\"groups\":[]}\n", out.toString(), "nothing after the line before");
+    assertEquals("{\"groups\":[]}\n", out.toString(), "no output after that of the last valid line");
     assertEquals(1, err.toString().lines().count(), err.toString());
     assertTrue(err.toString().startsWith("line 2: not JSON"), err.toString());
   }
 
   @Test
-  void noOrAnUnknownCommandIsAUsageTextAndStatusTwo() throws IOException {
+  void aMissingOrUnknownCommandPrintsUsageAndStatusTwo() throws IOException {
     assertEquals(2, run(""));
     assertEquals(2, run("", "proxy"));
     assertEquals(2, run("", "drill", "more"));
--- a/balancer/src/test/java/cloverpulley/UploadsIT.java
+++ b/balancer/src/test/java/cloverpulley/UploadsIT.java
@@ -33,8 +33,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Many long uploads beside small requests, in a process started by the command of service with its limits. Before, twelve at once took
- * all of the direct memory, and every connection ended, discovery's too.
+ * Many long uploads concurrent with small requests, in a process started by the deploy file's run command with its limits. Guards against twelve
+ * concurrent uploads exhausting the direct memory, which closed every connection, including discovery's.
  */
 @Timeout(value = 3, unit = TimeUnit.MINUTES)
 class UploadsIT {
@@ -71,7 +71,7 @@
             try (socket) {
               script.run(socket);
             } catch (Exception e) {
-              // The balancer closed, or the test is over.
+              // The balancer closed the connection, or the test has ended.
             }
           });
         } catch (IOException e) {
@@ -103,19 +103,19 @@
       }
       left -= n;
       if (how == Reads.SLOWLY) {
-        Thread.sleep(1); // The stand-in's own pace, some 30 MB a second.
+        Thread.sleep(1); // Limits the stand-in to about 30 MB per second.
       }
     }
   }
 
-  /** Answers small requests at once and reads long ones as it is told. */
+  /** Answers small requests at once and reads long ones as {@code how} says. */
   private void upstream(Socket socket, Reads how) throws Exception {
     InputStream in = new BufferedInputStream(socket.getInputStream(), BLOCK);
     for (String head = head(in); head != null; head = head(in)) {
       Matcher length = Pattern.compile("(?i)content-length: *(\\d+)").matcher(head);
       if (head.toLowerCase().contains("transfer-encoding: chunked")) {
         if (how == Reads.NOT_AT_ALL) {
-          Thread.sleep(TimeUnit.MINUTES.toMillis(2)); // Until the balancer closes.
+          Thread.sleep(TimeUnit.MINUTES.toMillis(2)); // Until the balancer closes the connection.
         }
         while (true) {
           StringBuilder line = new StringBuilder();
@@ -206,7 +206,7 @@
     return socket;
   }
 
-  /** A client's whole life: sends its body as fast as its socket takes it, and then reads the status; "ended" where none came. */
+  /** Sends a body as fast as the socket accepts it, then reads the status; returns "ended" if none came and "left" if it stopped early. */
   private String upload(int number, boolean chunked, int stopAt) throws IOException {
     long from = System.nanoTime();
     try (Socket socket = connect()) {
@@ -232,7 +232,7 @@
           out.write("0\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
         }
       } catch (IOException e) {
-        // Answered before all was sent, and closed: the answer is still to be read.
+        // The balancer answered before the whole body was sent and closed the connection: the answer can still be read.
       }
       String head = head(socket.getInputStream());
       return head == null ? "ended" : head.substring(9, 12);
@@ -242,10 +242,10 @@
     }
   }
 
-  private long[] small(AtomicBoolean until, int least, Map<String, Integer> statuses) throws IOException {
+  private long[] small(AtomicBoolean until, int minRequests, Map<String, Integer> statuses) throws IOException {
     List<Long> nanos = new ArrayList<>();
     try (Socket socket = connect()) {
-      for (int i = 0; i < least || !until.get(); i++) {
+      for (int i = 0; i < minRequests || !until.get(); i++) {
         long from = System.nanoTime();
         socket.getOutputStream().write(("GET /api HTTP/1.1\r\nHost: b\r\nX-Trace-Id: g" + from + "\r\nX-Qos: lookup\r\nX-Customer: acme\r\n\r\n")
             .getBytes(StandardCharsets.US_ASCII));
@@ -257,7 +257,7 @@
         }
         Matcher length = Pattern.compile("(?i)content-length: *(\\d+)").matcher(head);
         socket.getInputStream().readNBytes(length.find() ? Integer.parseInt(length.group(1)) : 0);
-        Thread.sleep(5); // The client's own pace.
+        Thread.sleep(5); // The client's pause between requests.
       }
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
@@ -271,15 +271,15 @@
   void everyUploadIsAnswered(int uploads, Reads how, boolean chunked) throws Exception {
     Process process = serve(how, how == Reads.NOT_AT_ALL ? 3000 : 30_000);
     try {
-      Map<String, Integer> smalls = new TreeMap<>();
-      long[] before = small(new AtomicBoolean(true), 100, smalls);
-      AtomicBoolean over = new AtomicBoolean();
-      CompletableFuture<long[]> beside = new CompletableFuture<>();
+      Map<String, Integer> smallStatuses = new TreeMap<>();
+      long[] before = small(new AtomicBoolean(true), 100, smallStatuses);
+      AtomicBoolean stopped = new AtomicBoolean();
+      CompletableFuture<long[]> concurrent = new CompletableFuture<>();
       threads.execute(() -> {
         try {
-          beside.complete(small(over, 50, smalls));
+          concurrent.complete(small(stopped, 50, smallStatuses));
         } catch (IOException e) {
-          beside.completeExceptionally(e);
+          concurrent.completeExceptionally(e);
         }
       });
       List<CompletableFuture<String>> all = new ArrayList<>();
@@ -299,17 +299,17 @@
       for (CompletableFuture<String> status : all) {
         statuses.merge(status.get(), 1, Integer::sum);
       }
-      over.set(true);
-      long[] during = beside.get();
+      stopped.set(true);
+      long[] during = concurrent.get();
       String rss = Files.readAllLines(Path.of("/proc/" + process.pid() + "/status")).stream().filter(l -> l.startsWith("VmHWM")).findFirst()
           .orElse("");
-      System.out.printf("%d uploads, %s, %s: %s; small %s, p99 %.2f ms alone, %.2f ms beside, ratio %.1f; %s%n", uploads, how,
-          chunked ? "chunked" : "length", statuses, smalls, p99(before) / 1e6, p99(during) / 1e6, (double) p99(during) / p99(before), rss);
+      System.out.printf("%d uploads, %s, %s: %s; small %s, p99 %.2f ms alone, %.2f ms concurrent, ratio %.1f; %s%n", uploads, how,
+          chunked ? "chunked" : "length", statuses, smallStatuses, p99(before) / 1e6, p99(during) / 1e6, (double) p99(during) / p99(before), rss);
       assertFalse(log().contains("OutOfMemoryError") || log().contains("Cannot reserve"), log());
-      String said = log();
-      assertFalse(statuses.containsKey("ended"), () -> "without an answer: " + statuses + "; the log's end: "
-          + said.substring(Math.max(0, said.length() - 4000)));
-      assertFalse(smalls.containsKey("ended"), smalls::toString);
+      String logText = log();
+      assertFalse(statuses.containsKey("ended"), () -> "no answer: " + statuses + "; end of the log: "
+          + logText.substring(Math.max(0, logText.length() - 4000)));
+      assertFalse(smallStatuses.containsKey("ended"), smallStatuses::toString);
       assertFalse(log().contains("connection lost"), log());
     } finally {
       process.destroy();
--- a/balancer/src/test/java/cloverpulley/drill/SimulatorAdapterTest.java
+++ b/balancer/src/test/java/cloverpulley/drill/SimulatorAdapterTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The wire: conversations byte for byte, every action, and each kind of malformed input. */
+/** The simulator's protocol: exchanges byte for byte, every action, and each kind of malformed input. */
 class SimulatorAdapterTest {
 
   private static final String CLASS = "{\"name\":\"c\",\"aim-ns\":400000000,\"deadline-ns\":2000000000,"
@@ -29,7 +29,7 @@
       + "{\"Topology\":{\"kind\":\"C\",\"stamp\":1,\"entries\":[{\"hw\":\"x\",\"launched-ns\":null,\"pack\":0,"
       + "\"upstream\":7,\"region-part\":\"\",\"stage-state\":\"up\",\"capacity-hint\":1}]}}]}]}";
 
-  private static String talk(String... lines) throws IOException {
+  private static String exchange(String... lines) throws IOException {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     String text = String.join("\n", lines) + "\n";
     new SimulatorAdapter(new ByteArrayInputStream(text.getBytes(StandardCharsets.UTF_8)), out).run();
@@ -50,17 +50,17 @@
 
   @Test
   void anEmptyBatch() throws IOException {
-    assertEquals("{\"groups\":[]}\n", talk("{\"clock-ns\":1,\"groups\":[]}"));
+    assertEquals("{\"groups\":[]}\n", exchange("{\"clock-ns\":1,\"groups\":[]}"));
   }
 
   @Test
-  void everyEventOfALife() throws IOException {
+  void everyEventOfAnInstance() throws IOException {
     String expected = reply("{\"Observe\":{\"enable\":true}}")
         + reply("{\"Deliver\":{\"rid\":\"c:a\",\"patience-ns\":1400000000,\"upstream\":7}},"
             + "{\"SetTimer\":{\"handle\":\"sweep\",\"fire-at-ns\":1150000000}}")
         + reply("{\"SetTimer\":{\"handle\":\"sweep\",\"fire-at-ns\":1200000000}}") + reply("") + reply("") + reply("")
         + reply("") + reply("");
-    assertEquals(expected, talk(PROVISION, batch(1_100_000_000L, JOB),
+    assertEquals(expected, exchange(PROVISION, batch(1_100_000_000L, JOB),
         batch(1_150_000_000L, "{\"Fired\":{\"handle\":\"sweep\"}}"),
         batch(1_152_000_000L, "{\"First\":{\"rid\":\"c:a\",\"go\":0,\"upstream\":7,\"wait-time-ns\":5}}"),
         batch(1_155_000_000L, "{\"Resolved\":{\"rid\":\"c:a\",\"go\":0,\"upstream\":7,\"rc\":\"served\","
@@ -99,7 +99,7 @@
 
   @Test
   void anExceptionInTheModuleBecomesAFault() throws IOException {
-    String out = talk(PROVISION, batch(1_100_000_000L, JOB.replace("\"service\":\"c\"", "\"service\":\"nope\"")));
+    String out = exchange(PROVISION, batch(1_100_000_000L, JOB.replace("\"service\":\"c\"", "\"service\":\"nope\"")));
     assertTrue(out.contains("{\"Fault\":{\"note-text\":\"java.lang.IllegalArgumentException: request of unknown class "
         + "nope at cloverpulley.Logic.onRequest("), out);
   }
@@ -115,18 +115,18 @@
     "{\"clock-ns\":1,\"groups\":[{\"balancer\":3,\"msgs\":[{\"HealthResult\":{\"rc\":\"fine\"}}]}]} | expected a whole",
     "{\"clock-ns\":1,\"groups\":[{\"balancer\":3,\"msgs\":[{\"HealthResult\":{\"upstream\":1,\"rc\":\"fine\"}}]}]} | rc: expected one of",
     "{\"clock-ns\":1,\"groups\":[]} {} | expected one value a line"})
-  void malformedInputSaysWhatAndWhere(String line, String message) {
-    WireException e = assertThrows(WireException.class, () -> talk(PROVISION, line));
+  void malformedInputIsReportedWithItsLineAndField(String line, String message) {
+    WireException e = assertThrows(WireException.class, () -> exchange(PROVISION, line));
     assertTrue(e.getMessage().startsWith("line 2: "), e.getMessage());
     assertTrue(e.getMessage().contains(message), e.getMessage());
   }
 
   @Test
-  void senselessSettingsAreRefusedByName() {
-    WireException none = assertThrows(WireException.class, () -> talk(PROVISION.replace(CLASS, "")));
+  void invalidSettingsAreRejectedByName() {
+    WireException none = assertThrows(WireException.class, () -> exchange(PROVISION.replace(CLASS, "")));
     assertEquals("line 1: settings: classes must not be empty", none.getMessage());
     WireException negative =
-        assertThrows(WireException.class, () -> talk(PROVISION.replace("\"aim-ns\":400000000", "\"aim-ns\":-4")));
+        assertThrows(WireException.class, () -> exchange(PROVISION.replace("\"aim-ns\":400000000", "\"aim-ns\":-4")));
     assertEquals("line 1: settings: aim of class c must be above 0", negative.getMessage());
   }
 }
--- a/balancer/src/test/java/cloverpulley/standins/soak/CrowdIT.java
+++ b/balancer/src/test/java/cloverpulley/standins/soak/CrowdIT.java
@@ -30,7 +30,7 @@
   @TempDir
   private Path folder;
 
-  /** A request with a head of some 7 KB in a hundred lines. */
+  /** A request with about 7 KB of headers in a hundred lines. */
   private static String request(int client, int number) {
     StringBuilder text = new StringBuilder("GET /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: n0-" + client * REQUESTS + number + "\r\nX-Qos: lookup\r\n");
     for (int i = 0; i < 100; i++) {
@@ -58,7 +58,7 @@
         Socket socket = new Socket(InetAddress.getLoopbackAddress(), node.port);
         clients.add(socket);
         for (int n = 0; n < REQUESTS; n++) {
-          if (!sent(socket, request(i, n))) {
+          if (!send(socket, request(i, n))) {
             break;
           }
         }
@@ -66,8 +66,8 @@
       }
       assertEquals(200, process.call("GET /control/ready"), () -> log(node));
       assertTrue(process.isAlive(), () -> log(node));
-      long most = peakKb;
-      assertTrue(most <= memoryMb * 1024L, () -> most + " KB");
+      long finalPeakKb = peakKb;
+      assertTrue(finalPeakKb <= memoryMb * 1024L, () -> finalPeakKb + " KB");
     } finally {
       for (Socket s : clients) {
         s.close();
@@ -78,8 +78,8 @@
     }
   }
 
-  /** Whether the balancer took it: one that sends too much at once is not heard any longer. */
-  private static boolean sent(Socket socket, String text) {
+  /** Whether the balancer accepted it: the connection of a client that pipelines too much is closed. */
+  private static boolean send(Socket socket, String text) {
     try {
       socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
       return true;
--- a/balancer/src/test/java/cloverpulley/standins/soak/ListenerIT.java
+++ b/balancer/src/test/java/cloverpulley/standins/soak/ListenerIT.java
@@ -28,7 +28,7 @@
 
   @ParameterizedTest
   @ValueSource(ints = {FaultShim.ACCEPT, FaultShim.NONBLOCK, FaultShim.ACCEPT | FaultShim.SOCKET | FaultShim.CONNECT})
-  void theListenerOutlivesConnectionsThatCannotBeAccepted(int calls) throws Exception {
+  void theListenerSurvivesConnectionsThatCannotBeAccepted(int calls) throws Exception {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     SoakServer server = new SoakServer("s-0", group, new SplittableRandom(1));
     SoakNode node = new SoakNode(0, folder, Path.of(System.getProperty("soak.root", "")).toAbsolutePath(), FaultShim.build(folder), 1);
@@ -39,7 +39,7 @@
         assertTrue(process.isAlive());
       }
       process.faults.failSockets(1000, calls);
-      try (Socket met = new Socket(InetAddress.getLoopbackAddress(), node.port)) {
+      try (Socket rejected = new Socket(InetAddress.getLoopbackAddress(), node.port)) {
         while (process.faults.failed() == 0) {
           assertTrue(process.isAlive());
           Thread.onSpinWait();
--- a/balancer/src/test/java/cloverpulley/standins/soak/SoakIT.java
+++ b/balancer/src/test/java/cloverpulley/standins/soak/SoakIT.java
@@ -10,13 +10,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The soak with seeds that found something once; many more are played by hand with {@code bench/run soak}. */
+/** Runs the soak test with seeds that once found a fault; {@code bench/run soak} runs many more by hand. */
 @Timeout(value = 5, unit = TimeUnit.MINUTES)
 class SoakIT {
 
   @ParameterizedTest
   @CsvSource({"1, 1, 0, 0", "2, 1, 0, 0", "7, 1, 0, 0", "102, 2, 0, 0", "301, 1, 120, 500"})
-  void rulesAndLimitsAreKeptThroughSignalsUpgradesAndFailingCalls(long seed, int nodes, int clients, int crowd) throws Exception {
+  void rulesAndLimitsHoldThroughSignalsUpgradesAndFailingSystemCalls(long seed, int nodes, int clients, int crowd) throws Exception {
     Result result = Soak.run(new Plan(Path.of(System.getProperty("soak.root", "")).toAbsolutePath(), seed, 15, nodes, 192, clients, crowd));
     assertTrue(result.isClean(), () -> result.breaches() + "\n" + String.join("\n", result.examples()));
     assertTrue(result.served() > 0, "nothing was served");
