--- a/balancer/src/test/java/cloverpulley/UploadsIT.java
+++ b/balancer/src/test/java/cloverpulley/UploadsIT.java
@@ -99,7 +99,7 @@
     for (long left = bytes; left > 0;) {
       int n = in.read(block, 0, (int) Math.min(left, block.length));
       if (n < 0) {
-        throw new IOException("cut");
+        throw new IOException("closed early");
       }
       left -= n;
       if (how == Reads.SLOWLY) {
@@ -121,7 +121,7 @@
           StringBuilder line = new StringBuilder();
           for (int b = in.read(); b != '\n'; b = in.read()) {
             if (b < 0) {
-              throw new IOException("cut");
+              throw new IOException("closed early");
             }
             line.append((char) b);
           }
--- a/engine/src/main/java/cloverpulley/engine/Engine.java
+++ b/engine/src/main/java/cloverpulley/engine/Engine.java
@@ -75,7 +75,7 @@
   /** Events that the module has not handled yet; each is built when its turn comes. */
   private final ArrayDeque<Supplier<Event>> queue = new ArrayDeque<>();
   private Consumer<BalancerSnapshot> snapshotConsumer = k -> { };
-  private boolean drainScheduled;
+  private boolean processingScheduled;
   private Balancer module;
   private long generation;
   private long acceptedRequests;
@@ -332,14 +332,14 @@
    */
   private void enqueue(Supplier<Event> event) {
     queue.add(event);
-    if (!drainScheduled) {
-      drainScheduled = true;
+    if (!processingScheduled) {
+      processingScheduled = true;
       loop.execute(this::processQueue);
     }
   }
 
   private void processQueue() {
-    drainScheduled = false;
+    processingScheduled = false;
     for (Supplier<Event> next = queue.poll(); next != null; next = queue.poll()) {
       Event event = buildEvent(next);
       if (event == null) {
--- a/engine/src/main/java/cloverpulley/engine/LocalReply.java
+++ b/engine/src/main/java/cloverpulley/engine/LocalReply.java
@@ -3,8 +3,8 @@
 import cloverpulley.Reason;
 
 /**
- * A final answer that the balancer gives itself. A rejection states that the request has not run, so that retrying it is safe; a failure
- * makes no such promise.
+ * A final answer that the balancer gives itself. A rejection states that retrying the request is safe; a failure makes no such
+ * promise.
  *
  * @param retryAfterNanos how long the client should wait before it retries; 0 for no advice
  */
--- a/handover/src/main/java/cloverpulley/handover/ProcessRegistry.java
+++ b/handover/src/main/java/cloverpulley/handover/ProcessRegistry.java
@@ -193,11 +193,11 @@
   private PeerProcess read(String peer, FileChannel from) throws IOException {
     ByteBuffer bytes = ByteBuffer.allocate(RECORD_BYTES);
     int length = from.read(bytes, 0);
-    Lifecycle[] all = Lifecycle.values();
+    Lifecycle[] states = Lifecycle.values();
     // A truncated or half-written record counts as starting.
-    boolean whole = length == RECORD_BYTES && bytes.get(0) >= 0 && bytes.get(0) < all.length;
-    return new PeerProcess(peer, peer.compareTo(name) > 0, whole ? all[bytes.get(0)] : Lifecycle.STARTING,
-        whole ? Math.max(0, bytes.getInt(1)) : 0);
+    boolean isComplete = length == RECORD_BYTES && bytes.get(0) >= 0 && bytes.get(0) < states.length;
+    return new PeerProcess(peer, peer.compareTo(name) > 0, isComplete ? states[bytes.get(0)] : Lifecycle.STARTING,
+        isComplete ? Math.max(0, bytes.getInt(1)) : 0);
   }
 
   /** Publishes a snapshot for the other processes and replaces the previous one atomically, even if this process is killed. */
--- a/handover/src/test/java/cloverpulley/handover/HandoverSnapshotTest.java
+++ b/handover/src/test/java/cloverpulley/handover/HandoverSnapshotTest.java
@@ -51,20 +51,20 @@
 
   @Test
   void aSnapshotTruncatedAtAnyByteIsRejected() {
-    byte[] whole = snapshot(6).encode(AT);
-    for (int i = 0; i < whole.length; i++) {
-      byte[] cut = Arrays.copyOf(whole, i);
-      assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(cut, AT));
+    byte[] encoded = snapshot(6).encode(AT);
+    for (int i = 0; i < encoded.length; i++) {
+      byte[] truncated = Arrays.copyOf(encoded, i);
+      assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(truncated, AT));
     }
-    assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(Arrays.copyOf(whole, whole.length + 1), AT));
+    assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(Arrays.copyOf(encoded, encoded.length + 1), AT));
   }
 
   /** A corrupt byte is detected anywhere but in the time of writing, which is checked separately. */
   @Test
   void aSnapshotWithAnyCorruptByteIsRejected() {
-    byte[] whole = snapshot(6).encode(AT);
-    for (int i = 0; i < whole.length; i++) {
-      byte[] corrupt = whole.clone();
+    byte[] encoded = snapshot(6).encode(AT);
+    for (int i = 0; i < encoded.length; i++) {
+      byte[] corrupt = encoded.clone();
       corrupt[i] ^= 0x40;
       if (i < 8 || i > 15) {
         assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(corrupt, AT), "byte " + i);
@@ -74,18 +74,18 @@
 
   @Test
   void thePreviousVersionIsReadWhateverItsWallClockTime() throws UnusableSnapshotException {
-    byte[] whole = snapshot(6).encode(AT);
-    ByteBuffer.wrap(whole).putInt(4, 1);
-    assertEquals(snapshot(6).list(), HandoverSnapshot.decode(whole, 5).list());
+    byte[] encoded = snapshot(6).encode(AT);
+    ByteBuffer.wrap(encoded).putInt(4, 1);
+    assertEquals(snapshot(6).list(), HandoverSnapshot.decode(encoded, 5).list());
   }
 
   @Test
   void anOldSnapshotOrAFutureVersionIsRejected() {
-    byte[] whole = snapshot(6).encode(AT);
-    assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(whole, AT + 3L * 86_400_000));
-    assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(whole, AT - 60_000));
-    ByteBuffer.wrap(whole).putInt(4, 3);
-    assertEquals("unsupported version 3", assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(whole, AT)).getMessage());
+    byte[] encoded = snapshot(6).encode(AT);
+    assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(encoded, AT + 3L * 86_400_000));
+    assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(encoded, AT - 60_000));
+    ByteBuffer.wrap(encoded).putInt(4, 3);
+    assertEquals("unsupported version 3", assertThrows(UnusableSnapshotException.class, () -> HandoverSnapshot.decode(encoded, AT)).getMessage());
   }
 
   /** The checksum proves that a snapshot is complete, not that its values are valid. */
