--- a/bench/src/main/java/cloverpulley/bench/LoadBench.java
+++ b/bench/src/main/java/cloverpulley/bench/LoadBench.java
@@ -2,10 +2,10 @@
 
 import cloverpulley.config.BadFileException;
 import cloverpulley.config.OperatorsFile;
-import cloverpulley.load.Draw;
 import cloverpulley.load.Driver.Outcome;
 import cloverpulley.load.LoadRun;
 import cloverpulley.load.Plan;
+import cloverpulley.load.RequestGenerator;
 import cloverpulley.load.Results;
 import cloverpulley.standins.ScriptedHttp;
 import io.netty.channel.EventLoopGroup;
@@ -121,8 +121,8 @@
         }
       });
       double truth = 0;
-      Draw draw = new Draw(plan);
-      for (Draw.Planned p = draw.next(); p != null; p = draw.next()) {
+      RequestGenerator draw = new RequestGenerator(plan);
+      for (RequestGenerator.PlannedRequest p = draw.next(); p != null; p = draw.next()) {
         long intended = r.startNanos + (long) (p.at() * 1e9);
         truth += intended >= server.stallBegan() && intended < server.stallEnded() ? server.stallEnded() - intended : 0;
       }
--- a/bench/src/main/java/cloverpulley/bench/OutsBench.java
+++ b/bench/src/main/java/cloverpulley/bench/OutsBench.java
@@ -3,15 +3,15 @@
 import cloverpulley.agree.AgreeClient;
 import cloverpulley.agree.AgreeConfig.VoterAddress;
 import cloverpulley.agree.Histories;
-import cloverpulley.model.outs.SmallWorld;
+import cloverpulley.model.outs.LedgerModelChecker;
 import cloverpulley.outs.Command;
-import cloverpulley.outs.Health;
-import cloverpulley.outs.MemberKind;
 import cloverpulley.outs.DisruptionLedger;
+import cloverpulley.outs.Health;
 import cloverpulley.outs.Heartbeat;
+import cloverpulley.outs.LedgerState;
 import cloverpulley.outs.Limit;
+import cloverpulley.outs.MemberKind;
 import cloverpulley.outs.Reply;
-import cloverpulley.outs.LedgerState;
 import cloverpulley.outs.ResultCode;
 import cloverpulley.standins.StandInUpstream;
 import cloverpulley.standins.StandInUpstream.Answer;
@@ -93,7 +93,7 @@
         }
       }
     });
-    SmallWorld.Searched world = SmallWorld.search();
+    LedgerModelChecker.SearchSummary world = LedgerModelChecker.search();
     System.out.printf("%d histories, %d voters behind in the end, %d states of a small world by %d steps%n", histories.get(), behind.get(),
         world.states(), world.steps());
     double rolling = rolling(5000, 200, 60_000, 8_500);
--- a/dist/src/main/java/cloverpulley/cli/LoadCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/LoadCommand.java
@@ -7,7 +7,7 @@
 import cloverpulley.load.Driver;
 import cloverpulley.load.LoadRun;
 import cloverpulley.load.Plan;
-import cloverpulley.load.PlanPicture;
+import cloverpulley.load.PlanFormatter;
 import cloverpulley.load.RecordsReader;
 import cloverpulley.load.Report;
 import cloverpulley.load.Results;
@@ -77,7 +77,7 @@
       int[] second = {0};
       return r -> {
         int now = ++second[0];
-        Results.Second last = r.seconds.isEmpty() ? new Results.Second() : r.seconds.get(Math.max(0, r.seconds.size() - 2));
+        Results.SecondStats last = r.seconds.isEmpty() ? new Results.SecondStats() : r.seconds.get(Math.max(0, r.seconds.size() - 2));
         String text = String.format(Locale.ROOT, "%4d s  asked %d, served %d, p99 of the second before %.1f ms, late p99 %.2f ms", now,
             r.all.asked, r.all.outcomes[Driver.Outcome.SERVED.ordinal()], last.corrected.getTotalCount() == 0 ? 0
                 : last.corrected.getValueAtPercentile(99) / 1e3, r.lateness.getTotalCount() == 0 ? 0
@@ -116,7 +116,7 @@
       }
     }
 
-    static Runner.EachTry recording(Plan plan, Recorder recorder) {
+    static Runner.AttemptListener recording(Plan plan, Recorder recorder) {
       return (planned, id, outcome, took) -> recorder.called(id, plan.types().get(planned.type()).name(),
           plan.tenants().get(planned.tenant()).name(), switch (outcome) {
             case SERVED -> Entry.SERVED;
@@ -138,7 +138,7 @@
     @Override
     public Integer call() throws Exception {
       Plan plan = OperatorsFile.read(file, Plan::read);
-      System.out.print(show ? PlanPicture.draw(plan) : file + ": ok, " + PlanPicture.line(plan) + "\n");
+      System.out.print(show ? PlanFormatter.draw(plan) : file + ": ok, " + PlanFormatter.line(plan) + "\n");
       return 0;
     }
   }
@@ -163,7 +163,7 @@
     public Integer call() throws Exception {
       Plan plan = OperatorsFile.read(file, Plan::read);
       LoadRun.warmUp(plan);
-      LoadRun.Replayed replayed = LoadRun.replay(plan, trace, speed, output.live(plan.seconds()));
+      LoadRun.ReplayResult replayed = LoadRun.replay(plan, trace, speed, output.live(plan.seconds()));
       if (replayed.damage() != null) {
         System.out.println("the trace is damaged: " + replayed.damage());
       }
--- a/dist/src/main/java/cloverpulley/cli/ModelCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/ModelCommand.java
@@ -2,10 +2,10 @@
 
 import cloverpulley.config.OperatorsFile;
 import cloverpulley.model.ModelPlan;
-import cloverpulley.model.Policies;
-import cloverpulley.model.Result;
-import cloverpulley.model.Sweep;
-import cloverpulley.model.World;
+import cloverpulley.model.Policy;
+import cloverpulley.model.PolicyComparison;
+import cloverpulley.model.Simulation;
+import cloverpulley.model.SimulationResult;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Locale;
@@ -43,16 +43,16 @@
       int status = 0;
       System.out.printf("%-18s %9s %7s %8s %8s %8s %8s %9s  %s%n", "policy", "asked", "G", "served", "refused", "p50 ms", "p99 ms",
           "requests/s", "rules");
-      for (Policies p : plan.policies()) {
+      for (Policy p : plan.policies()) {
         long start = System.nanoTime();
-        Result r = new World(plan, p, plan.seed()).run();
+        SimulationResult r = new Simulation(plan, p, plan.seed()).run();
         double took = (System.nanoTime() - start) / 1e9;
         System.out.printf(Locale.ROOT, "%-18s %9d %7.4f %7.2f%% %7.2f%% %8.1f %8.1f %9.0f  %s%n", p.name().toLowerCase(Locale.ROOT), r.asked,
             r.g(), 100.0 * r.served / Math.max(1, r.asked), 100.0 * r.refused / Math.max(1, r.asked),
             r.latency.getValueAtPercentile(50) / 1e3, r.latency.getValueAtPercentile(99) / 1e3, r.asked / took, r.rulesKept() ? "kept"
                 : "BROKEN: without " + r.withoutAnswer + ", second " + r.secondAnswers + ", unsafe twice " + r.unsafeTwice + ", after drain "
                     + r.afterDrain);
-        status = p == Policies.MODULE && !(r.rulesKept() && r.isConserved()) ? BROKEN : status;
+        status = p == Policy.MODULE && !(r.rulesKept() && r.isConserved()) ? BROKEN : status;
       }
       return status;
     }
@@ -65,10 +65,10 @@
     private Path file;
 
     @Parameters(index = "1", paramLabel = "A", description = "a policy: ${COMPLETION-CANDIDATES}")
-    private Policies a;
+    private Policy a;
 
     @Parameters(index = "2", paramLabel = "B")
-    private Policies b;
+    private Policy b;
 
     @Option(names = "--seeds", defaultValue = "40", description = "pairs at the most, 3 to 10000 (default: 40)")
     private int seeds;
@@ -82,7 +82,7 @@
         throw new IllegalArgumentException("--seeds has to be 3 to 10000 and --within above 0");
       }
       ModelPlan plan = OperatorsFile.read(file, ModelPlan::read);
-      Sweep.Difference d = Sweep.compare(plan, a, b, seeds, within, Runtime.getRuntime().availableProcessors());
+      PolicyComparison.Difference d = PolicyComparison.compare(plan, a, b, seeds, within, Runtime.getRuntime().availableProcessors());
       System.out.printf(Locale.ROOT, "G %s less %s: %.4f, 95%% interval %.4f to %.4f, %d pairs%n", a.name().toLowerCase(Locale.ROOT),
           b.name().toLowerCase(Locale.ROOT), d.mean(), d.mean() - d.halfWidth(), d.mean() + d.halfWidth(), d.pairs());
       List<Long> broken = d.brokenSeeds();
--- a/load/src/main/java/cloverpulley/load/DnsDriver.java
+++ b/load/src/main/java/cloverpulley/load/DnsDriver.java
@@ -4,8 +4,8 @@
 import cloverpulley.dns.wire.Message;
 import cloverpulley.dns.wire.Names;
 import cloverpulley.dns.wire.Question;
-import cloverpulley.load.Draw.Planned;
 import cloverpulley.load.Plan.Effect;
+import cloverpulley.load.RequestGenerator.PlannedRequest;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -46,7 +46,7 @@
   private final Plan plan;
   private final EventLoop loop;
   private final boolean tcp;
-  private final List<Line> lines = new ArrayList<>();
+  private final List<Connection> lines = new ArrayList<>();
   private final byte[] opt = new Edns.Writer(1232, 0, false).bytes();
   private final Set<Channel> unflushed = new HashSet<>();
   private boolean flushing;
@@ -59,15 +59,15 @@
     this.loop = loop;
     tcp = plan.target().protocol() == Plan.Protocol.DNS_TCP;
     for (int i = 0; i < Math.min(MOST_LINES, plan.target().connections()); i++) {
-      lines.add(new Line());
+      lines.add(new Connection());
     }
   }
 
   @Override
-  public void send(Planned planned, String id, int attempt, Ended ended) {
+  public void send(PlannedRequest planned, String id, int attempt, AttemptCallback ended) {
     // The first with a free id, from the next in turn on.
     for (int i = 0; i < lines.size(); i++) {
-      Line line = lines.get(next++ % lines.size());
+      Connection line = lines.get(next++ % lines.size());
       if (line.send(planned, ended)) {
         return;
       }
@@ -75,7 +75,7 @@
     ended.ended(Outcome.NO_ROOM, 0);
   }
 
-  private byte[] message(Planned p, int id) {
+  private byte[] message(PlannedRequest p, int id) {
     Effect effect = plan.types().get(p.type()).effect();
     String domain = plan.target().domain();
     if (effect == Effect.SAFE) {
@@ -124,19 +124,19 @@
   }
 
   /** A request without an answer yet. */
-  private static final class Open {
-    private final Ended ended;
+  private static final class PendingRequest {
+    private final AttemptCallback ended;
     private Future<?> patience;
 
-    Open(Ended ended) {
+    PendingRequest(AttemptCallback ended) {
       this.ended = ended;
     }
   }
 
   /** A socket, or a connection that is opened anew once it has broken. */
-  private final class Line {
+  private final class Connection {
 
-    private final Open[] open = new Open[IDS];
+    private final PendingRequest[] open = new PendingRequest[IDS];
     /** Which ids have had their answer since they were last used: one more is one too many. */
     private final boolean[] answered = new boolean[IDS];
     private Channel channel;
@@ -145,7 +145,7 @@
     private int count;
     private final List<byte[]> waiting = new ArrayList<>();
 
-    Line() {
+    Connection() {
       connect();
     }
 
@@ -167,7 +167,7 @@
           c.pipeline().addLast(new ChannelInboundHandlerAdapter() {
             @Override
             public void channelRead(ChannelHandlerContext context, Object read) {
-              Line.this.read(read);
+              Connection.this.read(read);
             }
 
             @Override
@@ -192,7 +192,7 @@
       })).channel();
     }
 
-    boolean send(Planned planned, Ended ended) {
+    boolean send(PlannedRequest planned, AttemptCallback ended) {
       if (count == IDS || closed) {
         return false;
       }
@@ -203,7 +203,7 @@
         id = id + 1 & IDS - 1;
       } while (open[id] != null);
       int mine = id;
-      Open o = new Open(ended);
+      PendingRequest o = new PendingRequest(ended);
       open[mine] = o;
       answered[mine] = false;
       count++;
@@ -231,7 +231,7 @@
       }
     }
 
-    private void end(int which, Open o, Outcome outcome, double retryAfter) {
+    private void end(int which, PendingRequest o, Outcome outcome, double retryAfter) {
       if (open[which] == o) {
         open[which] = null;
         count--;
@@ -249,7 +249,7 @@
         return;
       }
       int which = Message.get16(answer, 0);
-      Open o = open[which];
+      PendingRequest o = open[which];
       if (o == null) {
         doubles += answered[which] ? 1 : 0;
       } else {
--- a/load/src/main/java/cloverpulley/load/Driver.java
+++ b/load/src/main/java/cloverpulley/load/Driver.java
@@ -1,6 +1,6 @@
 package cloverpulley.load;
 
-import cloverpulley.load.Draw.Planned;
+import cloverpulley.load.RequestGenerator.PlannedRequest;
 
 /**
  * Speaks one protocol with what is measured. Everything is called, and answers, on the run's one loop. A driver owes each try
@@ -27,7 +27,7 @@
   }
 
   /** Told how a try ended; {@code retryAfterMillis} 0 for no advice. */
-  interface Ended {
+  interface AttemptCallback {
     void ended(Outcome outcome, double retryAfterMillis);
   }
 
@@ -37,7 +37,7 @@
    * @param id unlike that of any other try
    * @param attempt from 0
    */
-  void send(Planned request, String id, int attempt, Ended ended);
+  void send(PlannedRequest request, String id, int attempt, AttemptCallback ended);
 
   /** Connections open now. */
   int connections();
--- a/load/src/main/java/cloverpulley/load/ExtProcDriver.java
+++ b/load/src/main/java/cloverpulley/load/ExtProcDriver.java
@@ -8,8 +8,8 @@
 import cloverpulley.extproc.ExtProc.ProcessingRequest;
 import cloverpulley.extproc.ExtProc.ProcessingResponse;
 import cloverpulley.extproc.ExternalProcessor;
-import cloverpulley.load.Draw.Planned;
 import cloverpulley.load.Plan.Effect;
+import cloverpulley.load.RequestGenerator.PlannedRequest;
 import com.google.protobuf.ByteString;
 import io.grpc.CallOptions;
 import io.grpc.ClientCall;
@@ -53,7 +53,7 @@
   }
 
   @Override
-  public void send(Planned planned, String id, int attempt, Ended ended) {
+  public void send(PlannedRequest planned, String id, int attempt, AttemptCallback ended) {
     ClientCall<ProcessingRequest, ProcessingResponse> call =
         channels[next++ % channels.length].newCall(ExternalProcessor.PROCESS, CallOptions.DEFAULT);
     Listener listener = new Listener(call, ended);
@@ -66,8 +66,8 @@
     call.sendMessage(request(planned, id, attempt));
   }
 
-  private ProcessingRequest request(Planned planned, String id, int attempt) {
-    Plan.Type type = plan.types().get(planned.type());
+  private ProcessingRequest request(PlannedRequest planned, String id, int attempt) {
+    Plan.RequestClass type = plan.types().get(planned.type());
     HeaderMap.Builder map = HeaderMap.newBuilder()
         .addHeaders(header(":method", type.effect() == Effect.SAFE ? "GET" : "POST"))
         .addHeaders(header(":path", plan.target().path())).addHeaders(header("x-request-id", id))
@@ -96,11 +96,11 @@
   private static final class Listener extends ClientCall.Listener<ProcessingResponse> {
 
     private final ClientCall<ProcessingRequest, ProcessingResponse> call;
-    private final Ended ended;
+    private final AttemptCallback ended;
     private Future<?> patience;
     private boolean done;
 
-    Listener(ClientCall<ProcessingRequest, ProcessingResponse> call, Ended ended) {
+    Listener(ClientCall<ProcessingRequest, ProcessingResponse> call, AttemptCallback ended) {
       this.call = call;
       this.ended = ended;
     }
--- a/load/src/main/java/cloverpulley/load/HttpDriver.java
+++ b/load/src/main/java/cloverpulley/load/HttpDriver.java
@@ -1,7 +1,7 @@
 package cloverpulley.load;
 
-import cloverpulley.load.Draw.Planned;
 import cloverpulley.load.Plan.Effect;
+import cloverpulley.load.RequestGenerator.PlannedRequest;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -45,7 +45,7 @@
   private final Bootstrap bootstrap;
   private final String host;
   private final ArrayDeque<Connection> idle = new ArrayDeque<>();
-  private final ArrayDeque<Try> waiting = new ArrayDeque<>();
+  private final ArrayDeque<Attempt> waiting = new ArrayDeque<>();
   private final Set<Connection> open = new HashSet<>();
   private int connecting;
   private boolean closed;
@@ -65,16 +65,16 @@
   }
 
   /** One try, that has its one word or still waits for it. */
-  private static final class Try {
-    private final Planned planned;
+  private static final class Attempt {
+    private final PlannedRequest planned;
     private final String id;
     private final int attempt;
-    private final Ended ended;
+    private final AttemptCallback ended;
     private Connection on;
     private Future<?> patience;
     private boolean done;
 
-    Try(Planned planned, String id, int attempt, Ended ended) {
+    Attempt(PlannedRequest planned, String id, int attempt, AttemptCallback ended) {
       this.planned = planned;
       this.id = id;
       this.attempt = attempt;
@@ -91,8 +91,8 @@
   }
 
   @Override
-  public void send(Planned planned, String id, int attempt, Ended ended) {
-    Try t = new Try(planned, id, attempt, ended);
+  public void send(PlannedRequest planned, String id, int attempt, AttemptCallback ended) {
+    Attempt t = new Attempt(planned, id, attempt, ended);
     t.patience = loop.schedule(() -> {
       Connection on = t.on;
       t.end(Outcome.TIMEOUT, 0);
@@ -123,7 +123,7 @@
           made.free();
         } else {
           // The one that waits longest is told; the others have connections of their own on the way.
-          Try t = nextWaiting();
+          Attempt t = nextWaiting();
           if (t != null) {
             t.end(Outcome.NO_CONNECTION, 0);
           }
@@ -133,16 +133,16 @@
     }
   }
 
-  private Try nextWaiting() {
-    Try t = waiting.poll();
+  private Attempt nextWaiting() {
+    Attempt t = waiting.poll();
     while (t != null && t.done) {
       t = waiting.poll();
     }
     return t;
   }
 
-  private FullHttpRequest request(Try t) {
-    Plan.Type type = plan.types().get(t.planned.type());
+  private FullHttpRequest request(Attempt t) {
+    Plan.RequestClass type = plan.types().get(t.planned.type());
     boolean safe = type.effect() == Effect.SAFE;
     ByteBuf body = safe || t.planned.bytes() == 0 ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(new byte[t.planned.bytes()]);
     FullHttpRequest r = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, safe ? HttpMethod.GET : HttpMethod.POST,
@@ -181,7 +181,7 @@
   public void close() {
     closed = true;
     Set.copyOf(open).forEach(c -> c.channel.close());
-    for (Try t = nextWaiting(); t != null; t = nextWaiting()) {
+    for (Attempt t = nextWaiting(); t != null; t = nextWaiting()) {
       t.end(Outcome.NO_CONNECTION, 0);
     }
   }
@@ -189,14 +189,14 @@
   private final class Connection extends SimpleChannelInboundHandler<FullHttpResponse> {
 
     private final Channel channel;
-    private Try current;
+    private Attempt current;
 
     Connection(Channel channel) {
       this.channel = channel;
     }
 
     void free() {
-      Try t = nextWaiting();
+      Attempt t = nextWaiting();
       if (t != null) {
         send(t);
       } else {
@@ -204,7 +204,7 @@
       }
     }
 
-    void send(Try t) {
+    void send(Attempt t) {
       current = t;
       t.on = this;
       channel.writeAndFlush(request(t)).addListener(f -> {
@@ -216,7 +216,7 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-      Try t = current;
+      Attempt t = current;
       current = null;
       if (t == null || !response.decoderResult().isSuccess()) {
         // Nobody asked, or nobody can read it.
@@ -242,7 +242,7 @@
     public void channelInactive(ChannelHandlerContext context) {
       open.remove(this);
       idle.remove(this);
-      Try t = current;
+      Attempt t = current;
       current = null;
       if (t != null) {
         t.end(Outcome.BROKEN, 0);
--- a/load/src/main/java/cloverpulley/load/LoadRun.java
+++ b/load/src/main/java/cloverpulley/load/LoadRun.java
@@ -1,6 +1,6 @@
 package cloverpulley.load;
 
-import cloverpulley.load.Draw.Planned;
+import cloverpulley.load.RequestGenerator.PlannedRequest;
 import io.netty.channel.EventLoop;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -28,16 +28,16 @@
   }
 
   /** The same, told of each try as well. */
-  public static Results play(Plan plan, Consumer<Results> everySecond, Runner.EachTry eachTry) throws InterruptedException {
-    Draw draw = new Draw(plan);
+  public static Results play(Plan plan, Consumer<Results> everySecond, Runner.AttemptListener eachTry) throws InterruptedException {
+    RequestGenerator draw = new RequestGenerator(plan);
     return play(plan, draw::next, everySecond, eachTry);
   }
 
   /** What came of a replay, and where the trace was damaged; null where it was not. */
-  public record Replayed(Results results, String damage) {}
+  public record ReplayResult(Results results, String damage) {}
 
   /** Plays a trace at so many times its speed. */
-  public static Replayed replay(Plan plan, Path trace, double speed, Consumer<Results> everySecond)
+  public static ReplayResult replay(Plan plan, Path trace, double speed, Consumer<Results> everySecond)
       throws IOException, InterruptedException {
     Checks.require(speed > 0, "the speed must be above 0");
     Plan whole;
@@ -46,7 +46,7 @@
     }
     try (Trace.Reader reader = open(trace)) {
       Results results = play(whole, new Replay(reader, whole, speed), everySecond, (planned, id, outcome, took) -> { });
-      return new Replayed(results, reader.damage());
+      return new ReplayResult(results, reader.damage());
     }
   }
 
@@ -54,7 +54,7 @@
     return new Trace.Reader(new BufferedInputStream(Files.newInputStream(trace)));
   }
 
-  private static Results play(Plan plan, Supplier<Planned> source, Consumer<Results> everySecond, Runner.EachTry eachTry)
+  private static Results play(Plan plan, Supplier<PlannedRequest> source, Consumer<Results> everySecond, Runner.AttemptListener eachTry)
       throws InterruptedException {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     EventLoop loop = group.next();
--- a/load/src/main/java/cloverpulley/load/Plan.java
+++ b/load/src/main/java/cloverpulley/load/Plan.java
@@ -16,7 +16,7 @@
  * @param lateMillis the p99 of the generator's own lateness above which a run counts as fallen behind
  */
 public record Plan(long seed, double seconds, double rate, Arrivals.Process process, Arrivals.Bursts bursts, Shape shape,
-    List<Type> types, List<Tenant> tenants, Keys keys, Target target, Clients clients, double lateMillis) {
+    List<RequestClass> types, List<Tenant> tenants, Keys keys, Target target, Clients clients, double lateMillis) {
 
   /** Whether a request may run again, which is what its headers and method say. */
   public enum Effect { SAFE, KEYED, UNSAFE }
@@ -27,7 +27,7 @@
    * @param share part of the requests; the shares are taken as parts of their sum
    * @param hintLeast work hinted at in microseconds, drawn evenly between least and most; 0 and 0 for no hint
    */
-  public record Type(String name, Effect effect, double share, double worth, double aimMillis, double deadlineMillis, int bytes,
+  public record RequestClass(String name, Effect effect, double share, double worth, double aimMillis, double deadlineMillis, int bytes,
       long hintLeast, long hintMost) {}
 
   /** A tenant: its part of the requests, and of the fleet that it has paid for. */
@@ -115,8 +115,8 @@
     return parts.isEmpty() ? new Shape.Flat() : parts.size() == 1 ? parts.get(0) : new Shape.Product(List.copyOf(parts));
   }
 
-  private static List<Type> types(Section s) {
-    List<Type> types = new ArrayList<>();
+  private static List<RequestClass> types(Section s) {
+    List<RequestClass> types = new ArrayList<>();
     Set<String> names = new HashSet<>();
     for (Section c : s.tables("class")) {
       String name = c.text("name");
@@ -135,13 +135,13 @@
         c.wrong("hint_most_us", "expected no less than hint_least_us, got " + most);
         most = least;
       }
-      types.add(new Type(name, effect == null ? Effect.UNSAFE : effect, c.number("share", 0.0001, 1e6, 1),
+      types.add(new RequestClass(name, effect == null ? Effect.UNSAFE : effect, c.number("share", 0.0001, 1e6, 1),
           c.number("worth", 0, 1e6, 1), aim, deadline, (int) c.whole("bytes", 0, 65536, effect == Effect.SAFE ? 0 : 200), least,
           most));
     }
     if (types.isEmpty()) {
       s.wrong("class", "expected at least one [[load.class]], got nothing");
-      types.add(new Type("none", Effect.SAFE, 1, 1, 1, 1, 0, 0, 0));
+      types.add(new RequestClass("none", Effect.SAFE, 1, 1, 1, 1, 0, 0, 0));
     }
     return List.copyOf(types);
   }
--- a/load/src/main/java/cloverpulley/load/PlanPicture.java
+++ b/load/src/main/java/cloverpulley/load/PlanFormatter.java
@@ -3,12 +3,12 @@
 import java.util.Locale;
 
 /** A plan as text. */
-public final class PlanPicture {
+public final class PlanFormatter {
 
   private static final int ROWS = 30;
   private static final int WIDTH = 60;
 
-  private PlanPicture() {}
+  private PlanFormatter() {}
 
   /** What a run of it would be, in one line. */
   public static String line(Plan plan) {
--- a/load/src/main/java/cloverpulley/load/Replay.java
+++ b/load/src/main/java/cloverpulley/load/Replay.java
@@ -1,6 +1,6 @@
 package cloverpulley.load;
 
-import cloverpulley.load.Draw.Planned;
+import cloverpulley.load.RequestGenerator.PlannedRequest;
 import java.io.IOException;
 import java.io.UncheckedIOException;
 import java.util.ArrayList;
@@ -16,7 +16,7 @@
  * Plays a trace: the same requests with the same spacing, divided by the speed. Classes and tenants that the plan names are as it
  * says; others, met in the trace, are safe and worth 1 ({@link #plan} finds them first).
  */
-final class Replay implements Supplier<Planned> {
+final class Replay implements Supplier<PlannedRequest> {
 
   private final Trace.Reader trace;
   private final Plan plan;
@@ -30,7 +30,7 @@
     this.trace = trace;
     this.plan = plan;
     this.speed = speed;
-    for (Plan.Type t : plan.types()) {
+    for (Plan.RequestClass t : plan.types()) {
       types.put(t.name(), types.size());
     }
     for (Plan.Tenant t : plan.tenants()) {
@@ -41,15 +41,15 @@
 
   /** The plan, with what the trace holds beside it; reads the whole trace. */
   static Plan plan(Plan plan, Trace.Reader trace, double speed) throws IOException {
-    List<Plan.Type> types = new ArrayList<>(plan.types());
+    List<Plan.RequestClass> types = new ArrayList<>(plan.types());
     List<Plan.Tenant> tenants = new ArrayList<>(plan.tenants());
     long last = 0;
-    Set<String> typeNames = types.stream().map(Plan.Type::name).collect(Collectors.toSet());
+    Set<String> typeNames = types.stream().map(Plan.RequestClass::name).collect(Collectors.toSet());
     Set<String> tenantNames = tenants.stream().map(Plan.Tenant::name).collect(Collectors.toSet());
     for (Trace.Entry e = trace.next(); e != null; e = trace.next()) {
       last = e.atMicros();
       if (typeNames.add(e.className())) {
-        types.add(new Plan.Type(e.className(), Plan.Effect.SAFE, 1, 1, 1000, 3000, 0, 0, 0));
+        types.add(new Plan.RequestClass(e.className(), Plan.Effect.SAFE, 1, 1, 1000, 3000, 0, 0, 0));
       }
       if (tenantNames.add(e.tenant())) {
         tenants.add(new Plan.Tenant(e.tenant(), 1, 0));
@@ -60,16 +60,16 @@
   }
 
   @Override
-  public Planned get() {
+  public PlannedRequest get() {
     try {
       Trace.Entry e = trace.next();
       if (e == null) {
         return null;
       }
       int type = types.get(e.className());
-      Plan.Type t = plan.types().get(type);
+      Plan.RequestClass t = plan.types().get(type);
       double least = plan.clients().patienceLeast();
-      return new Planned(number++, e.atMicros() / 1e6 / speed, type, tenants.get(e.tenant()),
+      return new PlannedRequest(number++, e.atMicros() / 1e6 / speed, type, tenants.get(e.tenant()),
           e.keyHash() == 0 ? -1 : (int) (e.keyHash() & Integer.MAX_VALUE), e.hintMicros(), e.bytes(),
           t.deadlineMillis() * (least + (1 - least) * random.nextDouble()), random.nextDouble() < plan.clients().honour());
     } catch (IOException e) {
--- a/load/src/main/java/cloverpulley/load/Report.java
+++ b/load/src/main/java/cloverpulley/load/Report.java
@@ -1,8 +1,8 @@
 package cloverpulley.load;
 
 import cloverpulley.load.Driver.Outcome;
-import cloverpulley.load.Results.Second;
-import cloverpulley.load.Results.Tally;
+import cloverpulley.load.Results.RequestStats;
+import cloverpulley.load.Results.SecondStats;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonGenerator;
 import java.io.IOException;
@@ -62,7 +62,7 @@
     return t.toString();
   }
 
-  private static void line(StringBuilder t, String name, Tally tally) {
+  private static void line(StringBuilder t, String name, RequestStats tally) {
     t.append(say("%-18s %9d %6.1f%%  ", name, tally.asked, 100.0 * tally.inTime / Math.max(1, tally.asked)));
     for (double p : PERCENTILES) {
       t.append(say("%7.1f", ms(tally.corrected, p)));
@@ -114,7 +114,7 @@
       }
       g.writeEndObject();
       g.writeArrayFieldStart("by_second");
-      for (Second s : r.seconds) {
+      for (SecondStats s : r.seconds) {
         g.writeStartObject();
         g.writeNumberField("intended", s.intended);
         g.writeNumberField("sent", s.sent);
@@ -133,7 +133,7 @@
     return text.toString();
   }
 
-  private static void tally(JsonGenerator g, Tally t) throws IOException {
+  private static void tally(JsonGenerator g, RequestStats t) throws IOException {
     g.writeStartObject();
     g.writeNumberField("asked", t.asked);
     g.writeNumberField("in_time", t.inTime);
@@ -196,7 +196,7 @@
     return sum;
   }
 
-  private void row(StringBuilder h, String name, Tally t) {
+  private void row(StringBuilder h, String name, RequestStats t) {
     long served = t.outcomes[Outcome.SERVED.ordinal()];
     h.append("<tr><td>").append(escape(name)).append(say("<td>%d<td>%.1f%%<td>%.1f<td>%.1f<td>%.1f<td>%.1f<td>%.1f<td>%.1f%%",
         t.asked, 100.0 * t.inTime / Math.max(1, t.asked), ms(t.corrected, 50), ms(t.corrected, 99), ms(t.corrected, 100),
@@ -204,11 +204,11 @@
   }
 
   @SafeVarargs
-  private void plot(StringBuilder h, String title, String[] names, ToDoubleFunction<Second>... lines) {
+  private void plot(StringBuilder h, String title, String[] names, ToDoubleFunction<SecondStats>... lines) {
     String[] colours = {"#26c", "#e80", "#c22"};
     double most = 1e-9;
-    for (Second s : r.seconds) {
-      for (ToDoubleFunction<Second> line : lines) {
+    for (SecondStats s : r.seconds) {
+      for (ToDoubleFunction<SecondStats> line : lines) {
         most = Math.max(most, line.applyAsDouble(s));
       }
     }
--- a/load/src/main/java/cloverpulley/load/Draw.java
+++ b/load/src/main/java/cloverpulley/load/RequestGenerator.java
@@ -4,7 +4,7 @@
 import java.util.SplittableRandom;
 
 /** Draws the requests of a run ahead of it, one after another, from the plan's seed alone. */
-public final class Draw {
+public final class RequestGenerator {
 
   /**
    * A request.
@@ -15,7 +15,7 @@
    * @param patienceMillis after this the client gives a try up
    * @param honours whether the client waits as Retry-After says
    */
-  public record Planned(long number, double at, int type, int tenant, int key, long hintMicros, int bytes, double patienceMillis,
+  public record PlannedRequest(long number, double at, int type, int tenant, int key, long hintMicros, int bytes, double patienceMillis,
       boolean honours) {}
 
   private final Plan plan;
@@ -26,12 +26,12 @@
   private final double[] keys;
   private long number;
 
-  public Draw(Plan plan) {
+  public RequestGenerator(Plan plan) {
     this.plan = plan;
     SplittableRandom seeds = new SplittableRandom(plan.seed());
     arrivals = new Arrivals(plan.process(), plan.bursts(), plan.rate(), plan.shape(), plan.seconds(), seeds.nextLong());
     random = seeds.split();
-    types = sums(plan.types().stream().map(Plan.Type::share).toList());
+    types = sums(plan.types().stream().map(Plan.RequestClass::share).toList());
     tenants = sums(plan.tenants().stream().map(Plan.Tenant::share).toList());
     keys = zipf(plan.keys());
   }
@@ -61,16 +61,16 @@
   }
 
   /** The next request; null past the run's end. */
-  public Planned next() {
+  public PlannedRequest next() {
     double at = arrivals.next();
     if (at < 0) {
       return null;
     }
     int type = pick(types);
-    Plan.Type t = plan.types().get(type);
+    Plan.RequestClass t = plan.types().get(type);
     long hint = t.hintMost() == 0 ? 0 : t.hintLeast() + random.nextLong(t.hintMost() - t.hintLeast() + 1);
     double least = plan.clients().patienceLeast();
-    return new Planned(number++, at, type, pick(tenants), keys.length == 0 ? -1 : pick(keys), hint, t.bytes(),
+    return new PlannedRequest(number++, at, type, pick(tenants), keys.length == 0 ? -1 : pick(keys), hint, t.bytes(),
         t.deadlineMillis() * (least + (1 - least) * random.nextDouble()), random.nextDouble() < plan.clients().honour());
   }
 }
--- a/load/src/main/java/cloverpulley/load/Results.java
+++ b/load/src/main/java/cloverpulley/load/Results.java
@@ -1,7 +1,7 @@
 package cloverpulley.load;
 
-import cloverpulley.load.Draw.Planned;
 import cloverpulley.load.Driver.Outcome;
+import cloverpulley.load.RequestGenerator.PlannedRequest;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -21,7 +21,7 @@
   private static final int SECOND_DIGITS = 2;
 
   /** Counts of one kind of request. */
-  public static final class Tally {
+  public static final class RequestStats {
     public final long[] outcomes = new long[Outcome.values().length];
     public final Histogram corrected = new PackedHistogram(MOST_MICROS, DIGITS);
     public final Histogram naive = new PackedHistogram(MOST_MICROS, DIGITS);
@@ -53,7 +53,7 @@
   }
 
   /** One second of intended starts. */
-  public static final class Second {
+  public static final class SecondStats {
     public final Histogram corrected = new PackedHistogram(MOST_MICROS, SECOND_DIGITS);
     public final long[] outcomes = new long[Outcome.values().length];
     public long intended;
@@ -63,10 +63,10 @@
   }
 
   private final Plan plan;
-  public final Tally all = new Tally();
-  public final List<Tally> types = new ArrayList<>();
-  public final List<Tally> tenants = new ArrayList<>();
-  public final List<Second> seconds = new ArrayList<>();
+  public final RequestStats all = new RequestStats();
+  public final List<RequestStats> types = new ArrayList<>();
+  public final List<RequestStats> tenants = new ArrayList<>();
+  public final List<SecondStats> seconds = new ArrayList<>();
   /** How late tries were sent against their intended start (firsts) or the end of their back-off (retries). */
   public final Histogram lateness = new Histogram(MOST_MICROS, DIGITS);
   public long tries;
@@ -77,43 +77,43 @@
 
   public Results(Plan plan) {
     this.plan = plan;
-    plan.types().forEach(t -> types.add(new Tally()));
-    plan.tenants().forEach(t -> tenants.add(new Tally()));
+    plan.types().forEach(t -> types.add(new RequestStats()));
+    plan.tenants().forEach(t -> tenants.add(new RequestStats()));
   }
 
-  private Second second(double at) {
+  private SecondStats second(double at) {
     while (seconds.size() <= (int) at) {
-      seconds.add(new Second());
+      seconds.add(new SecondStats());
     }
     return seconds.get((int) at);
   }
 
   /** A request is due. */
-  public void intended(Planned p) {
+  public void intended(PlannedRequest p) {
     double worth = plan.types().get(p.type()).worth();
     all.ask(worth);
     types.get(p.type()).ask(worth);
     tenants.get(p.tenant()).ask(worth);
-    Second s = second(p.at());
+    SecondStats s = second(p.at());
     s.intended++;
     s.worthAsked += worth;
   }
 
   /** A try leaves, so late. */
-  public void sent(Planned p, double sinceStart, long lateNanos) {
+  public void sent(PlannedRequest p, double sinceStart, long lateNanos) {
     tries++;
     lateness.recordValue(Math.min(MOST_MICROS, Math.max(0, lateNanos / 1000)));
     second(Math.max(0, sinceStart)).sent++;
   }
 
   /** A request has its one outcome. */
-  public void ended(Planned p, Outcome outcome, long correctedNanos, long naiveNanos) {
-    Plan.Type type = plan.types().get(p.type());
+  public void ended(PlannedRequest p, Outcome outcome, long correctedNanos, long naiveNanos) {
+    Plan.RequestClass type = plan.types().get(p.type());
     boolean timely = outcome == Outcome.SERVED && correctedNanos <= type.aimMillis() * 1e6;
-    for (Tally t : List.of(all, types.get(p.type()), tenants.get(p.tenant()))) {
+    for (RequestStats t : List.of(all, types.get(p.type()), tenants.get(p.tenant()))) {
       t.add(outcome, correctedNanos / 1000, naiveNanos / 1000, type.worth(), timely);
     }
-    Second s = second(p.at());
+    SecondStats s = second(p.at());
     s.outcomes[outcome.ordinal()]++;
     s.corrected.recordValue(Math.min(MOST_MICROS, Math.max(0, correctedNanos / 1000)));
     s.worthInTime += timely ? type.worth() : 0;
--- a/load/src/main/java/cloverpulley/load/Runner.java
+++ b/load/src/main/java/cloverpulley/load/Runner.java
@@ -1,7 +1,7 @@
 package cloverpulley.load;
 
-import cloverpulley.load.Draw.Planned;
 import cloverpulley.load.Driver.Outcome;
+import cloverpulley.load.RequestGenerator.PlannedRequest;
 import io.netty.channel.EventLoop;
 import io.netty.util.concurrent.Future;
 import java.util.ArrayList;
@@ -36,7 +36,7 @@
   private final AtomicInteger waiting = new AtomicInteger();
   private final CountDownLatch over = new CountDownLatch(1);
   private Consumer<Results> everySecond = r -> { };
-  private EachTry eachTry = (planned, id, outcome, tookNanos) -> { };
+  private AttemptListener eachTry = (planned, id, outcome, tookNanos) -> { };
   private long startNanos;
   private long open;
   private boolean allStarted;
@@ -53,11 +53,11 @@
   }
 
   /** Told of each try as it ends, on the loop. */
-  public interface EachTry {
-    void ended(Planned planned, String id, Outcome outcome, long tookNanos);
+  public interface AttemptListener {
+    void ended(PlannedRequest planned, String id, Outcome outcome, long tookNanos);
   }
 
-  public Runner eachTry(EachTry told) {
+  public Runner eachTry(AttemptListener told) {
     eachTry = told;
     return this;
   }
@@ -74,18 +74,18 @@
   }
 
   /** Plays all that the source gives; returns once each request has its outcome. */
-  public Results run(Supplier<Planned> source) throws InterruptedException {
+  public Results run(Supplier<PlannedRequest> source) throws InterruptedException {
     startNanos = System.nanoTime();
     results.startNanos = startNanos;
     Future<?> ticks = loop.scheduleAtFixedRate(() -> everySecond.accept(results), 1, 1, TimeUnit.SECONDS);
-    Planned p = source.get();
+    PlannedRequest p = source.get();
     while (p != null && !stopped) {
       awaitTime(due(p));
       while (waiting.get() >= MOST_WAITING) {
         LockSupport.parkNanos(WAIT_NANOS);
       }
       // All that is due by now goes over at once: waking the loop for each would cost more than sending it.
-      List<Planned> batch = new ArrayList<>();
+      List<PlannedRequest> batch = new ArrayList<>();
       long now = System.nanoTime();
       do {
         batch.add(p);
@@ -104,7 +104,7 @@
     return results;
   }
 
-  private long due(Planned p) {
+  private long due(PlannedRequest p) {
     return startNanos + (long) (p.at() * 1e9);
   }
 
@@ -115,7 +115,7 @@
     }
   }
 
-  private void start(Planned p) {
+  private void start(PlannedRequest p) {
     waiting.decrementAndGet();
     open++;
     results.intended(p);
@@ -131,12 +131,12 @@
   /** One request through all of its tries. */
   private final class Request {
 
-    private final Planned planned;
+    private final PlannedRequest planned;
     private final long intended;
     private long firstSent;
     private int tries;
 
-    Request(Planned planned, long intended) {
+    Request(PlannedRequest planned, long intended) {
       this.planned = planned;
       this.intended = intended;
     }
--- a/load/src/test/java/cloverpulley/load/GoalTest.java
+++ b/load/src/test/java/cloverpulley/load/GoalTest.java
@@ -6,8 +6,8 @@
 
 import cloverpulley.config.BadFileException;
 import cloverpulley.config.OperatorsFile;
-import cloverpulley.load.Draw.Planned;
 import cloverpulley.load.Driver.Outcome;
+import cloverpulley.load.RequestGenerator.PlannedRequest;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import java.util.List;
@@ -51,7 +51,7 @@
   }
 
   private void ask(double at, int type, int tenant, Outcome outcome, long millis) {
-    Planned p = new Planned(number++, at, type, tenant, -1, 0, 0, 1000, true);
+    PlannedRequest p = new PlannedRequest(number++, at, type, tenant, -1, 0, 0, 1000, true);
     results.intended(p);
     results.sent(p, at, 0);
     results.ended(p, outcome, millis * 1_000_000, millis * 1_000_000);
@@ -128,10 +128,10 @@
   @Test
   void aMillionRequestsOfAHundredThousandKeysTakeNoMore() {
     Plan plan = plan(PLAN.replace("seconds = 30", "seconds = 100\nrate = 10000\nkeys.count = 100000"));
-    Draw draw = new Draw(plan);
+    RequestGenerator draw = new RequestGenerator(plan);
     Results r = new Results(plan);
     long[] keys = new long[100_000];
-    for (Planned p = draw.next(); p != null; p = draw.next()) {
+    for (PlannedRequest p = draw.next(); p != null; p = draw.next()) {
       r.intended(p);
       r.sent(p, p.at(), 0);
       r.ended(p, Outcome.SERVED, p.number() % 1000 * 1_000_000, p.number() % 7);
--- a/load/src/test/java/cloverpulley/load/HonestyTest.java
+++ b/load/src/test/java/cloverpulley/load/HonestyTest.java
@@ -5,7 +5,7 @@
 
 import cloverpulley.config.OperatorsFile;
 import cloverpulley.load.Driver.Outcome;
-import cloverpulley.load.Results.Tally;
+import cloverpulley.load.Results.RequestStats;
 import cloverpulley.standins.ScriptedHttp;
 import cloverpulley.standins.ScriptedHttp.Manner;
 import io.netty.channel.EventLoopGroup;
@@ -115,8 +115,8 @@
     try (ScriptedHttp server = new ScriptedHttp(group, manner)) {
       Results r = LoadRun.play(plan(server, 300, 1, manner == Manner.NEVER_ANSWER ? TYPES.replace("20000", "700") : TYPES), x -> { });
       assertEquals(r.all.asked, r.all.ended());
-      assertEquals(r.all.asked, r.types.stream().mapToLong(Tally::ended).sum());
-      assertEquals(r.all.asked, r.tenants.stream().mapToLong(Tally::ended).sum());
+      assertEquals(r.all.asked, r.types.stream().mapToLong(RequestStats::ended).sum());
+      assertEquals(r.all.asked, r.tenants.stream().mapToLong(RequestStats::ended).sum());
       assertEquals(r.all.asked, r.seconds.stream().mapToLong(s -> s.intended).sum());
       assertEquals(r.tries, r.seconds.stream().mapToLong(s -> s.sent).sum());
       Outcome expected = switch (manner) {
--- a/load/src/test/java/cloverpulley/load/RecordReplayTest.java
+++ b/load/src/test/java/cloverpulley/load/RecordReplayTest.java
@@ -11,8 +11,8 @@
 import cloverpulley.load.Driver.Outcome;
 import cloverpulley.processor.ProcessorConfig;
 import cloverpulley.processor.ProcessorServer;
-import cloverpulley.standins.ScriptedHttp.Manner;
 import cloverpulley.standins.ScriptedHttp;
+import cloverpulley.standins.ScriptedHttp.Manner;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -88,7 +88,7 @@
     try (ScriptedHttp server = new ScriptedHttp(group, Manner.SERVE)) {
       Plan plan = OperatorsFile.parse("plan", "[load]\n" + TYPES + "[load.target]\naddress = \"127.0.0.1:"
           + server.address().getPort() + "\"", Plan::read);
-      LoadRun.Replayed again = LoadRun.replay(plan, trace, 4, r -> { });
+      LoadRun.ReplayResult again = LoadRun.replay(plan, trace, 4, r -> { });
       assertNull(again.damage());
       assertEquals(first.all.asked, again.results().all.outcomes[Outcome.SERVED.ordinal()]);
       assertEquals(first.types.get(0).asked, again.results().types.get(0).asked);
@@ -97,7 +97,7 @@
       // One that is cut off is played up to there, and where that was is said.
       byte[] bytes = Files.readAllBytes(trace);
       Files.write(trace, Arrays.copyOf(bytes, bytes.length - 5));
-      LoadRun.Replayed part = LoadRun.replay(plan, trace, 10, r -> { });
+      LoadRun.ReplayResult part = LoadRun.replay(plan, trace, 10, r -> { });
       assertNotNull(part.damage());
       assertTrue(part.results().all.asked < first.all.asked);
     }
--- a/model/src/main/java/cloverpulley/model/Agenda.java
+++ b/model/src/main/java/cloverpulley/model/EventQueue.java
@@ -7,7 +7,7 @@
  * Ladner, "The influence of caches on the performance of heaps", 1996). Of two things at one instant the one that was put first comes
  * first: the one documented order of simultaneous events.
  */
-final class Agenda {
+final class EventQueue {
 
   private static final int CHILDREN = 4;
 
--- a/model/src/main/java/cloverpulley/model/ModelPlan.java
+++ b/model/src/main/java/cloverpulley/model/ModelPlan.java
@@ -20,7 +20,7 @@
  */
 public record ModelPlan(Settings settings, long seed, double seconds, double rate, int balancers, int servers, int workers,
     double workMillis, boolean steady, int queueMost, double networkMillis, double listMillis, int keys, List<Fault> faults,
-    List<Policies> policies) {
+    List<Policy> policies) {
 
   /** What may befall a part of the servers at a time. */
   public enum Kind { KILL, DRAIN, SLOW, REPLACE }
@@ -34,11 +34,11 @@
   public static ModelPlan read(Section file) {
     Settings settings = ServiceSection.read(file);
     Section s = file.table("model");
-    Map<String, Policies> policies = new HashMap<>();
-    for (Policies p : Policies.values()) {
+    Map<String, Policy> policies = new HashMap<>();
+    for (Policy p : Policy.values()) {
       policies.put(p.name().toLowerCase(Locale.ROOT), p);
     }
-    List<Policies> chosen = new ArrayList<>();
+    List<Policy> chosen = new ArrayList<>();
     for (String name : s.texts("policies", List.of("module", "random", "two_choices", "least_outstanding"))) {
       if (policies.containsKey(name)) {
         chosen.add(policies.get(name));
@@ -70,6 +70,6 @@
     return new ModelPlan(settings, s.whole("seed", Long.MIN_VALUE, Long.MAX_VALUE, 1), seconds, rate, balancers, servers,
         (int) s.whole("workers", 1, 10_000, 4), s.number("work_ms", 0.001, 100_000, 10), s.flag("steady", false),
         (int) s.whole("queue", 0, 1_000_000, 100), s.number("network_ms", 0, 10_000, 0.5), s.number("list_ms", 0, 600_000, 100),
-        (int) s.whole("keys", 0, 10_000_000, 1000), List.copyOf(faults), chosen.isEmpty() ? List.of(Policies.MODULE) : List.copyOf(chosen));
+        (int) s.whole("keys", 0, 10_000_000, 1000), List.copyOf(faults), chosen.isEmpty() ? List.of(Policy.MODULE) : List.copyOf(chosen));
   }
 }
--- a/model/src/main/java/cloverpulley/model/Policies.java
+++ b/model/src/main/java/cloverpulley/model/Policy.java
@@ -10,7 +10,7 @@
 import java.util.function.Consumer;
 
 /** What stands beside the module, through the same interface: each sends once to a ready server of its choice, and refuses nothing. */
-public enum Policies {
+public enum Policy {
   /** The decision module as it is in service. */
   MODULE,
   RANDOM, ROUND_ROBIN, LEAST_OUTSTANDING, TWO_CHOICES;
@@ -22,13 +22,13 @@
 
   private static final class Simple implements Balancer {
 
-    private final Policies how;
+    private final Policy how;
     private final SplittableRandom random;
     private final Map<Long, Integer> out = new HashMap<>();
     private List<Long> ready = new ArrayList<>();
     private int next;
 
-    Simple(Policies how, long seed) {
+    Simple(Policy how, long seed) {
       this.how = how;
       random = new SplittableRandom(seed);
     }
--- a/model/src/main/java/cloverpulley/model/Sweep.java
+++ b/model/src/main/java/cloverpulley/model/PolicyComparison.java
@@ -9,12 +9,12 @@
 import org.apache.commons.statistics.distribution.TDistribution;
 
 /** Plays on all cores, a world to a thread: each is repeatable by itself, so the figures are the same on one core and on eight. */
-public final class Sweep {
+public final class PolicyComparison {
 
   private static final int LEAST = 3;
   private static final double TAIL = 0.975;
 
-  private Sweep() {}
+  private PolicyComparison() {}
 
   /** The mean difference in G of two policies, by pairs with the same seeds, and the half width of its 95% interval (Student's t). */
   public record Difference(double mean, double halfWidth, int pairs, List<Long> brokenSeeds) {}
@@ -22,7 +22,7 @@
   private record Pair(long seed, double difference, boolean kept) {}
 
   /** Plays pairs until the interval is narrow enough, or so many have been played. */
-  public static Difference compare(ModelPlan plan, Policies a, Policies b, int most, double within, int threads)
+  public static Difference compare(ModelPlan plan, Policy a, Policy b, int most, double within, int threads)
       throws InterruptedException {
     ExecutorService pool = Executors.newFixedThreadPool(threads);
     try {
@@ -51,10 +51,10 @@
     }
   }
 
-  private static Pair pair(ModelPlan plan, Policies a, Policies b, long seed) {
-    Result x = new World(plan, a, seed).run();
-    Result y = new World(plan, b, seed).run();
-    boolean kept = (a != Policies.MODULE || x.rulesKept() && x.isConserved()) && (b != Policies.MODULE || y.rulesKept() && y.isConserved());
+  private static Pair pair(ModelPlan plan, Policy a, Policy b, long seed) {
+    SimulationResult x = new Simulation(plan, a, seed).run();
+    SimulationResult y = new Simulation(plan, b, seed).run();
+    boolean kept = (a != Policy.MODULE || x.rulesKept() && x.isConserved()) && (b != Policy.MODULE || y.rulesKept() && y.isConserved());
     return new Pair(seed, x.g() - y.g(), kept);
   }
 
--- a/model/src/main/java/cloverpulley/model/Draws.java
+++ b/model/src/main/java/cloverpulley/model/RandomStreams.java
@@ -4,7 +4,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /** Chance, a stream for each concern, so that a change in one place does not shift the draws of another. */
-final class Draws {
+final class RandomStreams {
 
   final UniformRandomProvider arrivals;
   final UniformRandomProvider work;
@@ -12,7 +12,7 @@
   final UniformRandomProvider choice;
   final UniformRandomProvider faults;
 
-  Draws(long seed) {
+  RandomStreams(long seed) {
     arrivals = stream(seed, 1);
     work = stream(seed, 2);
     network = stream(seed, 3);
--- a/model/src/main/java/cloverpulley/model/ModelBalancer.java
+++ b/model/src/main/java/cloverpulley/model/SimulatedBalancer.java
@@ -17,7 +17,7 @@
  * One balancer: the real module, what its engine does for it, and an auditor that sees the truth. It decides nothing. Each request is owed
  * one final answer by its deadline; each sending one outcome.
  */
-final class ModelBalancer {
+final class SimulatedBalancer {
 
   private static final class Sending {
     final long upstream;
@@ -30,7 +30,7 @@
     }
   }
 
-  private static final class Open {
+  private static final class PendingRequest {
     final RequestClass type;
     final long at;
     final long work;
@@ -40,19 +40,19 @@
     /** Whether a server has done it. */
     int ran;
 
-    Open(RequestClass type, long at, long work) {
+    PendingRequest(RequestClass type, long at, long work) {
       this.type = type;
       this.at = at;
       this.work = work;
     }
   }
 
-  private final World world;
+  private final Simulation world;
   private final Balancer module;
-  private final Map<String, Open> open = new HashMap<>();
+  private final Map<String, PendingRequest> open = new HashMap<>();
   private final Map<Long, Long> drainedSince = new HashMap<>();
 
-  ModelBalancer(World world, Balancer module) {
+  SimulatedBalancer(Simulation world, Balancer module) {
     this.world = world;
     this.module = module;
   }
@@ -76,7 +76,7 @@
 
   void take(String id, RequestClass type, String key, long work) {
     world.result.asked++;
-    Open o = new Open(type, world.now(), work);
+    PendingRequest o = new PendingRequest(type, world.now(), work);
     open.put(id, o);
     long deadline = world.now() + type.deadlineNanos();
     world.at(deadline, () -> {
@@ -93,17 +93,17 @@
     if (a instanceof Balancer.Send s) {
       send(s);
     } else if (a instanceof Balancer.Reject r) {
-      Open o = open.get(r.id());
+      PendingRequest o = open.get(r.id());
       if (end(o, r.reason().code(), false)) {
         world.result.refused++;
       }
       forget(r.id(), o);
     } else if (a instanceof Balancer.Fail f) {
-      Open o = open.get(f.id());
+      PendingRequest o = open.get(f.id());
       end(o, f.reason().code(), false);
       forget(f.id(), o);
     } else if (a instanceof Balancer.Cancel c) {
-      Open o = open.get(c.id());
+      PendingRequest o = open.get(c.id());
       Sending s = o == null || c.attempt() >= o.sendings.size() ? null : o.sendings.get(c.attempt());
       if (s != null && !s.over) {
         outcome(c.id(), o, c.attempt(), Status.CANCELLED);
@@ -119,7 +119,7 @@
   }
 
   private void send(Balancer.Send s) {
-    Open o = open.get(s.id());
+    PendingRequest o = open.get(s.id());
     if (o == null) {
       throw new IllegalStateException("sent for a request that is over: " + s.id());
     }
@@ -141,7 +141,7 @@
         }
       });
     }
-    ModelServer server = world.server(s.upstream(), true);
+    SimulatedServer server = world.server(s.upstream(), true);
     world.after(world.network(), () -> server.take(o.work, status -> {
       if (status == Status.SERVED && ++o.ran > 1 && o.type.effect() == Balancer.Effect.UNSAFE) {
         world.result.unsafeTwice++;
@@ -154,7 +154,7 @@
     }));
   }
 
-  private void outcome(String id, Open o, int attempt, Status status) {
+  private void outcome(String id, PendingRequest o, int attempt, Status status) {
     Sending s = o.sendings.get(attempt);
     s.over = true;
     o.out--;
@@ -168,7 +168,7 @@
   }
 
   /** The one final answer; whether it was the first. */
-  private boolean end(Open o, String word, boolean served) {
+  private boolean end(PendingRequest o, String word, boolean served) {
     if (o == null || o.ended) {
       world.result.secondAnswers += o == null ? 0 : 1;
       return false;
@@ -179,7 +179,7 @@
     return true;
   }
 
-  private void forget(String id, Open o) {
+  private void forget(String id, PendingRequest o) {
     if (o != null && o.ended && o.out == 0) {
       open.remove(id);
     }
--- a/model/src/main/java/cloverpulley/model/ModelServer.java
+++ b/model/src/main/java/cloverpulley/model/SimulatedServer.java
@@ -6,14 +6,14 @@
 import java.util.function.Consumer;
 
 /** A server: some workers, a queue of bounded length, slower while it is cold, and dead or draining when the play says so. */
-final class ModelServer {
+final class SimulatedServer {
 
   /** One piece of work, and who is told of its end. */
   private record Work(long nanos, Consumer<Status> ended) {}
 
   final long id;
   final int cell;
-  private final World world;
+  private final Simulation world;
   private final int workers;
   private final int queueMost;
   private final ArrayDeque<Work> queue = new ArrayDeque<>();
@@ -30,7 +30,7 @@
   long lastTakenAt = -1;
   long drainedAt = -1;
 
-  ModelServer(World world, long id, int cell, int workers, int queueMost, long startedAt, double coldFrom, long warmNanos) {
+  SimulatedServer(Simulation world, long id, int cell, int workers, int queueMost, long startedAt, double coldFrom, long warmNanos) {
     this.world = world;
     this.id = id;
     this.cell = cell;
--- a/model/src/main/java/cloverpulley/model/World.java
+++ b/model/src/main/java/cloverpulley/model/Simulation.java
@@ -9,36 +9,36 @@
 import java.util.List;
 
 /** One play of a plan with one policy: the virtual clock, the servers, the clients and the faults. Single-threaded. */
-public final class World {
+public final class Simulation {
 
   /** Before it no module's clock reading lies: servers are older than the play. */
   static final long ORIGIN = 86_400_000_000_000L;
   private static final double MILLI = 1e6;
 
   final ModelPlan plan;
-  final Draws draws;
-  final Result result = new Result();
-  final List<ModelServer> servers = new ArrayList<>();
-  private final List<ModelBalancer> balancers = new ArrayList<>();
-  private final Agenda agenda = new Agenda();
+  final RandomStreams draws;
+  final SimulationResult result = new SimulationResult();
+  final List<SimulatedServer> servers = new ArrayList<>();
+  private final List<SimulatedBalancer> balancers = new ArrayList<>();
+  private final EventQueue agenda = new EventQueue();
   private final Balancer.Contract contract;
   private long now = ORIGIN;
   private long requests;
 
-  public World(ModelPlan plan, Policies policy, long seed) {
+  public Simulation(ModelPlan plan, Policy policy, long seed) {
     this.plan = plan;
-    draws = new Draws(seed);
+    draws = new RandomStreams(seed);
     contract = plan.settings().contract();
     for (int i = 0; i < plan.servers(); i++) {
       server(0);
     }
     for (int i = 0; i < plan.balancers(); i++) {
-      balancers.add(new ModelBalancer(this, policy.make(plan.settings(), seed + i)));
+      balancers.add(new SimulatedBalancer(this, policy.make(plan.settings(), seed + i)));
     }
   }
 
-  private ModelServer server(long startedAt) {
-    ModelServer s = new ModelServer(this, 1 + servers.size(), servers.size() / 4, plan.workers(), plan.queueMost(), startedAt,
+  private SimulatedServer server(long startedAt) {
+    SimulatedServer s = new SimulatedServer(this, 1 + servers.size(), servers.size() / 4, plan.workers(), plan.queueMost(), startedAt,
         contract.slowStartMinRatio(), contract.slowStartNanos());
     servers.add(s);
     return s;
@@ -61,7 +61,7 @@
     return (long) (plan.networkMillis() * MILLI * (0.5 + draws.network.nextDouble()));
   }
 
-  ModelServer server(long id, boolean known) {
+  SimulatedServer server(long id, boolean known) {
     if (!known || id < 1 || id > servers.size()) {
       throw new IllegalStateException("no server " + id);
     }
@@ -70,7 +70,7 @@
 
   List<Endpoint> listed() {
     List<Endpoint> all = new ArrayList<>();
-    for (ModelServer s : servers) {
+    for (SimulatedServer s : servers) {
       if (s.state != State.GONE) {
         all.add(entry(s));
       }
@@ -78,14 +78,14 @@
     return all;
   }
 
-  private Endpoint entry(ModelServer s) {
+  private Endpoint entry(SimulatedServer s) {
     return new Endpoint(s.id, plan.settings().zone(), s.cell, s.state, s.startedAt, 1);
   }
 
   // ---- The play ------------------------------------------------------------------------------------------
 
   /** Plays it, and what is in hand at its end to its end. */
-  public Result run() {
+  public SimulationResult run() {
     balancers.forEach(b -> b.news(ListKind.CACHED, listed()));
     for (ModelPlan.Fault f : plan.faults()) {
       at(ORIGIN + (long) (f.atSeconds() * 1e9), () -> befall(f));
@@ -98,13 +98,13 @@
       agenda.take().run();
       result.events++;
     }
-    balancers.forEach(ModelBalancer::over);
+    balancers.forEach(SimulatedBalancer::over);
     result.serversUsed = servers.stream().filter(s -> s.served > 0).count();
     return result;
   }
 
   private void arrival(long end) {
-    long at = now + Math.max(1, (long) (Draws.exponential(draws.arrivals, 1e9 / plan.rate())));
+    long at = now + Math.max(1, (long) (RandomStreams.exponential(draws.arrivals, 1e9 / plan.rate())));
     if (at < end) {
       agenda.put(at, () -> {
         request();
@@ -117,7 +117,7 @@
     List<RequestClass> classes = plan.settings().classes();
     RequestClass type = classes.get(draws.arrivals.nextInt(classes.size()));
     double work = plan.workMillis() * MILLI;
-    long nanos = Math.max(1, (long) (plan.steady() ? work : Draws.exponential(draws.work, work)));
+    long nanos = Math.max(1, (long) (plan.steady() ? work : RandomStreams.exponential(draws.work, work)));
     String key = plan.keys() == 0 ? null : "k" + draws.arrivals.nextInt(plan.keys());
     balancers.get(draws.choice.nextInt(balancers.size())).take("q" + requests++, type, key, nanos);
   }
@@ -126,7 +126,7 @@
     int count = (int) Math.ceil(f.part() * plan.servers());
     List<Endpoint> news = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      ModelServer s = servers.get(i);
+      SimulatedServer s = servers.get(i);
       switch (f.kind()) {
         case KILL -> s.die(); // The list does not know.
         case SLOW -> s.slowness = f.factor();
@@ -144,7 +144,7 @@
       }
     }
     if (!news.isEmpty()) {
-      for (ModelBalancer b : balancers) {
+      for (SimulatedBalancer b : balancers) {
         after((long) (plan.listMillis() * MILLI * (0.5 + draws.network.nextDouble() / 2)), () -> {
           news.forEach(l -> b.toldAt(l.upstream(), l.state()));
           b.news(ListKind.DELTA, news);
--- a/model/src/main/java/cloverpulley/model/Result.java
+++ b/model/src/main/java/cloverpulley/model/SimulationResult.java
@@ -6,7 +6,7 @@
 import org.HdrHistogram.Histogram;
 
 /** What came of a play. Latencies are of served requests, in microseconds. */
-public final class Result {
+public final class SimulationResult {
 
   public long asked;
   public long sent;
--- a/model/src/main/java/cloverpulley/model/outs/SmallWorld.java
+++ b/model/src/main/java/cloverpulley/model/outs/LedgerModelChecker.java
@@ -1,12 +1,12 @@
 package cloverpulley.model.outs;
 
 import cloverpulley.outs.Command;
-import cloverpulley.outs.Health;
-import cloverpulley.outs.MemberKind;
 import cloverpulley.outs.DisruptionLedger;
+import cloverpulley.outs.Health;
+import cloverpulley.outs.LedgerState;
 import cloverpulley.outs.Limit;
+import cloverpulley.outs.MemberKind;
 import cloverpulley.outs.Reply;
-import cloverpulley.outs.LedgerState;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -20,10 +20,10 @@
  * command that changes anything, in every order. In each state the kept counts are those that a look at the members gives, no step took a
  * group past its limit by a grant, and nothing is granted while it is halted.
  */
-public final class SmallWorld {
+public final class LedgerModelChecker {
 
   /** What was searched. */
-  public record Searched(int states, long steps) {}
+  public record SearchSummary(int states, long steps) {}
 
   private static final Map<String, Limit> LIMITS = Map.of("all", new Limit(2, 1, 1), "cell", new Limit(1, 1, 1));
   private static final List<String> MEMBERS = List.of("a", "b", "c");
@@ -32,7 +32,7 @@
   /** More is no small world: something that should not matter tells states apart. */
   private static final int MOST_STATES = 300_000;
 
-  private SmallWorld() {}
+  private LedgerModelChecker() {}
 
   private static DisruptionLedger world() {
     DisruptionLedger l = new DisruptionLedger();
@@ -94,7 +94,7 @@
    *
    * @throws IllegalStateException where a state breaks a rule, with the step to it
    */
-  public static Searched search() {
+  public static SearchSummary search() {
     Set<LedgerState> seen = new HashSet<>();
     ArrayDeque<LedgerState> open = new ArrayDeque<>();
     LedgerState first = plain(world().state());
@@ -120,7 +120,7 @@
         }
       }
     }
-    return new Searched(seen.size(), steps);
+    return new SearchSummary(seen.size(), steps);
   }
 
   private static Set<String> counted(LedgerState s, String group) {
--- a/model/src/test/java/cloverpulley/model/WorldTest.java
+++ b/model/src/test/java/cloverpulley/model/SimulationTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Queueing theory, repeatability, conservation, and the real module beside the simple ones. */
-class WorldTest {
+class SimulationTest {
 
   private static final String CLASSES = """
       [service]
@@ -43,7 +43,7 @@
     double[] means = new double[seeds];
     double sum = 0;
     for (int i = 0; i < seeds; i++) {
-      Result r = new World(plan, Policies.RANDOM, 100 + i).run();
+      SimulationResult r = new Simulation(plan, Policy.RANDOM, 100 + i).run();
       means[i] = r.latency.getMean() / 1000;
       sum += means[i];
     }
@@ -84,9 +84,9 @@
   @Test
   void theSameSeedIsTheSamePlayAndAnotherIsNot() throws Exception {
     ModelPlan plan = plan(200, 1000, "servers = 20\nbalancers = 3\nrate = 3000\nseconds = 5\n[[model.fault]]\nkind = \"kill\"\nat_s = 2\npart = 0.25");
-    for (Policies p : Policies.values()) {
-      assertEquals(new World(plan, p, 7).run().hash(), new World(plan, p, 7).run().hash(), p.name());
-      assertNotEquals(new World(plan, p, 7).run().hash(), new World(plan, p, 8).run().hash(), p.name());
+    for (Policy p : Policy.values()) {
+      assertEquals(new Simulation(plan, p, 7).run().hash(), new Simulation(plan, p, 7).run().hash(), p.name());
+      assertNotEquals(new Simulation(plan, p, 7).run().hash(), new Simulation(plan, p, 8).run().hash(), p.name());
     }
   }
 
@@ -118,7 +118,7 @@
           at_s = 5
           part = 0.4
           """);
-      Result r = new World(plan, Policies.MODULE, seed).run();
+      SimulationResult r = new Simulation(plan, Policy.MODULE, seed).run();
       assertTrue(r.rulesKept(), "seed " + seed + ": without " + r.withoutAnswer + ", second " + r.secondAnswers + ", unsafe twice "
           + r.unsafeTwice + ", after drain " + r.afterDrain);
       assertTrue(r.isConserved(), "seed " + seed + ": " + r.words + " of " + r.asked);
@@ -129,8 +129,8 @@
   @Test
   void theModuleIsBetterThanChanceWhereAQuarterDies() throws Exception {
     ModelPlan plan = plan(100, 1000, "servers = 20\nrate = 4500\nseconds = 10\n[[model.fault]]\nkind = \"kill\"\nat_s = 3\npart = 0.25");
-    double module = new World(plan, Policies.MODULE, 3).run().g();
-    double chance = new World(plan, Policies.RANDOM, 3).run().g();
+    double module = new Simulation(plan, Policy.MODULE, 3).run().g();
+    double chance = new Simulation(plan, Policy.RANDOM, 3).run().g();
     assertTrue(module > chance + 0.1, module + " against " + chance);
   }
 
@@ -138,7 +138,7 @@
   @Test
   void theAgendaIsAPriorityQueueWithAnOrderOfItsOwn() {
     SplittableRandom random = new SplittableRandom(20261201);
-    Agenda agenda = new Agenda();
+    EventQueue agenda = new EventQueue();
     PriorityQueue<long[]> reference = new PriorityQueue<>((x, y) -> x[0] != y[0] ? Long.compare(x[0], y[0]) : Long.compare(x[1], y[1]));
     List<Long> happened = new ArrayList<>();
     long n = 0;
--- a/model/src/test/java/cloverpulley/model/outs/SmallWorldTest.java
+++ b/model/src/test/java/cloverpulley/model/outs/LedgerModelCheckerTest.java
@@ -4,11 +4,11 @@
 
 import org.junit.jupiter.api.Test;
 
-class SmallWorldTest {
+class LedgerModelCheckerTest {
 
   @Test
   void everyStateOfASmallWorldKeepsTheLimits() {
-    SmallWorld.Searched searched = SmallWorld.search();
+    LedgerModelChecker.SearchSummary searched = LedgerModelChecker.search();
     System.out.println(searched);
     assertTrue(searched.states() > 1000, "it is a world");
   }
