--- a/bench/src/main/java/cloverpulley/bench/DnsBench.java
+++ b/bench/src/main/java/cloverpulley/bench/DnsBench.java
@@ -89,9 +89,9 @@
           + "\nzipf = 0\n[load.target]\nprotocol = \"" + f[0] + "\"\nconnections = 16\naddress = \"127.0.0.1:" + f[1] + "\"\n",
           Plan::read);
       System.gc(); // Not in the run.
-      Results r = LoadRun.play(plan, x -> { });
-      System.out.println(r.all.asked + " " + r.all.outcomes[Outcome.SERVED.ordinal()] + " " + r.all.outcomes[Outcome.TIMEOUT.ordinal()]
-          + " " + r.all.corrected.getValueAtPercentile(50) + " " + r.all.corrected.getValueAtPercentile(99) + " " + r.doubles + " "
+      Results r = LoadRun.run(plan, x -> { });
+      System.out.println(r.all.requests + " " + r.all.outcomes[Outcome.SERVED.ordinal()] + " " + r.all.outcomes[Outcome.TIMEOUT.ordinal()]
+          + " " + r.all.corrected.getValueAtPercentile(50) + " " + r.all.corrected.getValueAtPercentile(99) + " " + r.duplicateResponses + " "
           + r.lateness.getValueAtPercentile(99));
     }
   }
--- a/bench/src/main/java/cloverpulley/bench/IncidentBench.java
+++ b/bench/src/main/java/cloverpulley/bench/IncidentBench.java
@@ -151,7 +151,7 @@
           effect = "keyed"
           deadline_ms = 3000.0
           """.formatted(child.port()), Plan::read);
-      LoadRun.play(plan, r -> { }, (planned, id, outcome, took) -> asked.merge(plan.types().get(planned.type()).name() + " "
+      LoadRun.run(plan, r -> { }, (planned, id, outcome, took) -> asked.merge(plan.classes().get(planned.classIndex()).name() + " "
           + (outcome == Outcome.SERVED ? Entry.SERVED : outcome == Outcome.REFUSED ? Entry.REFUSED : Entry.FAILED), 1L, Long::sum));
       TimeUnit.SECONDS.sleep(2); // What waits is flushed twice a second.
     }
--- a/bench/src/main/java/cloverpulley/bench/LoadBench.java
+++ b/bench/src/main/java/cloverpulley/bench/LoadBench.java
@@ -87,17 +87,17 @@
   /** In the generator's process: each rate in turn; a line for each with rate, achieved, part served, lateness, CPU. */
   private static void generate(int port, int seconds) throws BadFileException, InterruptedException {
     for (int i = 0; i < WARM_UPS; i++) {
-      LoadRun.play(plan(port, i % 2 == 0 ? 3000 : 10_000, seconds, "poisson"), r -> { });
+      LoadRun.run(plan(port, i % 2 == 0 ? 3000 : 10_000, seconds, "poisson"), r -> { });
     }
     for (int rate : RATES) {
       System.gc();
       double before = cpuMicros();
       long start = System.nanoTime();
-      Results r = LoadRun.play(plan(port, rate, seconds, "poisson"), x -> { });
+      Results r = LoadRun.run(plan(port, rate, seconds, "poisson"), x -> { });
       double took = (System.nanoTime() - start) / 1e9;
-      System.out.println(rate + " " + r.all.asked / took + " " + (double) r.all.outcomes[Outcome.SERVED.ordinal()] / r.all.asked
+      System.out.println(rate + " " + r.all.requests / took + " " + (double) r.all.outcomes[Outcome.SERVED.ordinal()] / r.all.requests
           + " " + r.lateness.getValueAtPercentile(50) + " " + r.lateness.getValueAtPercentile(99) + " "
-          + (cpuMicros() - before) / r.all.asked);
+          + (cpuMicros() - before) / r.all.requests);
       if (r.lateness.getValueAtPercentile(50) > 100 * MOST_LATE_MICROS) {
         return; // Far behind: higher rates tell no more.
       }
@@ -112,18 +112,18 @@
   private static double stall() throws BadFileException, InterruptedException {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     try (ScriptedHttp server = new ScriptedHttp(group, ScriptedHttp.Manner.SERVE)) {
-      LoadRun.play(plan(server.address().getPort(), 2000, 3, "poisson"), r -> { });
+      LoadRun.run(plan(server.address().getPort(), 2000, 3, "poisson"), r -> { });
       Plan plan = plan(server.address().getPort(), 2000, 6, "poisson");
       AtomicInteger second = new AtomicInteger();
-      Results r = LoadRun.play(plan, x -> {
+      Results r = LoadRun.run(plan, x -> {
         if (second.incrementAndGet() == 2) {
           server.stall(2000);
         }
       });
       double truth = 0;
-      RequestGenerator draw = new RequestGenerator(plan);
-      for (RequestGenerator.PlannedRequest p = draw.next(); p != null; p = draw.next()) {
-        long intended = r.startNanos + (long) (p.at() * 1e9);
+      RequestGenerator generator = new RequestGenerator(plan);
+      for (RequestGenerator.PlannedRequest p = generator.next(); p != null; p = generator.next()) {
+        long intended = r.startNanos + (long) (p.startSeconds() * 1e9);
         truth += intended >= server.stallBegan() && intended < server.stallEnded() ? server.stallEnded() - intended : 0;
       }
       double measured = 0;
--- a/dist/src/main/java/cloverpulley/cli/LoadCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/LoadCommand.java
@@ -79,7 +79,7 @@
         int now = ++second[0];
         Results.SecondStats last = r.seconds.isEmpty() ? new Results.SecondStats() : r.seconds.get(Math.max(0, r.seconds.size() - 2));
         String text = String.format(Locale.ROOT, "%4d s  asked %d, served %d, p99 of the second before %.1f ms, late p99 %.2f ms", now,
-            r.all.asked, r.all.outcomes[Driver.Outcome.SERVED.ordinal()], last.corrected.getTotalCount() == 0 ? 0
+            r.all.requests, r.all.outcomes[Driver.Outcome.SERVED.ordinal()], last.corrected.getTotalCount() == 0 ? 0
                 : last.corrected.getValueAtPercentile(99) / 1e3, r.lateness.getTotalCount() == 0 ? 0
                     : r.lateness.getValueAtPercentile(99) / 1e3);
         if (terminal) {
@@ -112,13 +112,13 @@
       Plan plan = OperatorsFile.read(file, Plan::read);
       LoadRun.warmUp(plan);
       try (Recorder recorder = records == null ? Recorder.NONE : Recorder.caller(records, instance)) {
-        return output.finish(LoadRun.play(plan, output.live(plan.seconds()), recording(plan, recorder)), file.toString());
+        return output.finish(LoadRun.run(plan, output.live(plan.seconds()), recording(plan, recorder)), file.toString());
       }
     }
 
     static Runner.AttemptListener recording(Plan plan, Recorder recorder) {
-      return (planned, id, outcome, took) -> recorder.called(id, plan.types().get(planned.type()).name(),
-          plan.tenants().get(planned.tenant()).name(), switch (outcome) {
+      return (planned, id, outcome, took) -> recorder.called(id, plan.classes().get(planned.classIndex()).name(),
+          plan.tenants().get(planned.tenantIndex()).name(), switch (outcome) {
             case SERVED -> Entry.SERVED;
             case REFUSED -> Entry.REFUSED;
             case NO_CONNECTION, NO_ROOM -> Entry.GONE; // Nobody has taken it.
@@ -138,7 +138,7 @@
     @Override
     public Integer call() throws Exception {
       Plan plan = OperatorsFile.read(file, Plan::read);
-      System.out.print(show ? PlanFormatter.draw(plan) : file + ": ok, " + PlanFormatter.line(plan) + "\n");
+      System.out.print(show ? PlanFormatter.chart(plan) : file + ": ok, " + PlanFormatter.summary(plan) + "\n");
       return 0;
     }
   }
@@ -193,10 +193,10 @@
         return fromArchive();
       }
       try (var to = new BufferedOutputStream(Files.newOutputStream(out))) {
-        RecordsReader.Count count =
+        RecordsReader.Summary summary =
             seconds > 0 ? RecordsReader.follow(records, to, seconds) : RecordsReader.convert(records, to);
-        System.out.println(out + ": " + count.requests() + " requests, " + count.unreadable() + " lines that can't be read, "
-            + count.dropped() + " dropped by the front");
+        System.out.println(out + ": " + summary.requests() + " requests, " + summary.unreadable() + " lines that can't be read, "
+            + summary.dropped() + " dropped by the front");
       }
       return 0;
     }
@@ -206,9 +206,9 @@
         throw new IllegalArgumentException("--seconds goes with a file of lines: of a folder all that it holds is taken");
       }
       try (var to = new BufferedOutputStream(Files.newOutputStream(out))) {
-        ArchiveTrace.Count count = ArchiveTrace.convert(new Archive(java.util.List.of(records)), to);
-        System.out.println(out + ": " + count.requests() + " requests, " + count.unmatched() + " without a key or hint, " + count.dropped()
-            + " dropped by the front, " + count.spoiltBlocks() + " spoilt blocks");
+        ArchiveTrace.Summary summary = ArchiveTrace.convert(new Archive(java.util.List.of(records)), to);
+        System.out.println(out + ": " + summary.requests() + " requests, " + summary.unmatched() + " without a key or hint, " + summary.dropped()
+            + " dropped by the front, " + summary.corruptBlocks() + " spoilt blocks");
       }
       return 0;
     }
--- a/dist/src/test/java/cloverpulley/cli/IncidentIT.java
+++ b/dist/src/test/java/cloverpulley/cli/IncidentIT.java
@@ -101,7 +101,7 @@
     AtomicLong served = new AtomicLong();
     AtomicBoolean killed = new AtomicBoolean();
     try (Recorder caller = Recorder.caller(records, "caller")) {
-      LoadRun.play(plan, r -> { }, (planned, id, outcome, took) -> {
+      LoadRun.run(plan, r -> { }, (planned, id, outcome, took) -> {
         if (outcome == Outcome.SERVED && served.incrementAndGet() == 500 && !killed.getAndSet(true)) {
           process.destroyForcibly();
         }
--- a/incident/src/test/java/cloverpulley/incident/tool/ScriptedIncidentTest.java
+++ b/incident/src/test/java/cloverpulley/incident/tool/ScriptedIncidentTest.java
@@ -189,9 +189,9 @@
   /** Runs a plan, and adds what its generator counted to the counts of the interval. */
   private void runPlan(Plan plan, Recorder caller, long interval) {
     try {
-      Results results = LoadRun.play(plan, r -> { }, (planned, id, outcome, took) -> {
-        String type = plan.types().get(planned.type()).name();
-        String tenant = plan.tenants().get(planned.tenant()).name();
+      Results results = LoadRun.run(plan, r -> { }, (planned, id, outcome, took) -> {
+        String type = plan.classes().get(planned.classIndex()).name();
+        String tenant = plan.tenants().get(planned.tenantIndex()).name();
         int answer = outcome == Outcome.SERVED ? Entry.SERVED : outcome == Outcome.REFUSED ? Entry.REFUSED
             : outcome == Outcome.FAILED ? Entry.FAILED : Entry.GONE;
         generatorCounts.computeIfAbsent(interval + " " + type + " " + tenant + " " + answer, k -> new AtomicLong()).incrementAndGet();
@@ -199,7 +199,7 @@
           caller.called(id, type, tenant, answer, took);
         }
       });
-      assertEquals(results.all.asked, results.all.ended());
+      assertEquals(results.all.requests, results.all.completed());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/load/src/main/java/cloverpulley/load/ArchiveTrace.java
+++ b/load/src/main/java/cloverpulley/load/ArchiveTrace.java
@@ -14,29 +14,33 @@
 import java.util.PriorityQueue;
 
 /**
- * Makes a trace of the records that {@code [records]} writes: a request for each final answer, at the time at which it came, with the key's
- * hash and the hint that the engine was told of it. Records of several instances are put together by their own clocks.
+ * Converts the records that {@code [records]} writes to a trace. Each final answer becomes a request at the time of its arrival, with the
+ * key hash and the size hint that the engine recorded for it. Records of several instances are merged by their own clocks.
  */
 public final class ArchiveTrace {
 
-  /** Answers held to be put in order, and requests whose answer has not come yet; what is beyond it goes as it stands. */
-  private static final int MOST_HELD = 1 << 18;
+  /** Limit on answers buffered for sorting, and on requests that await their answer. Beyond it the oldest is written or dropped. */
+  private static final int MAX_BUFFERED = 1 << 18;
 
-  /** What came of it; {@code unmatched} are answers of which the engine told nothing, as of those from a cache. */
-  public record Count(long requests, long unmatched, long dropped, int spoiltBlocks) {}
+  /**
+   * Counters of a conversion.
+   *
+   * @param unmatched answers for which the engine recorded no request, such as those served from a cache
+   */
+  public record Summary(long requests, long unmatched, long dropped, int corruptBlocks) {}
 
-  private final PriorityQueue<Trace.Entry> held = new PriorityQueue<>(Comparator.comparingLong(Trace.Entry::atMicros));
-  private final Map<String, Entry> taken = new LinkedHashMap<>() {
+  private final PriorityQueue<Trace.Entry> buffer = new PriorityQueue<>(Comparator.comparingLong(Trace.Entry::atMicros));
+  private final Map<String, Entry> acceptedById = new LinkedHashMap<>() {
     private static final long serialVersionUID = 1;
 
     @Override
     protected boolean removeEldestEntry(Map.Entry<String, Entry> eldest) {
-      return size() > MOST_HELD;
+      return size() > MAX_BUFFERED;
     }
   };
   private final Trace.Writer out;
-  private long first = -1;
-  private long last;
+  private long firstMicros = -1;
+  private long lastMicros;
   private long requests;
   private long unmatched;
   private long dropped;
@@ -45,34 +49,34 @@
     out = new Trace.Writer(to);
   }
 
-  /** Writes the trace of what the folders hold now. */
-  public static Count convert(Archive archive, OutputStream to) throws IOException {
+  /** Writes a trace of all records that are in the archive now. */
+  public static Summary convert(Archive archive, OutputStream to) throws IOException {
     ArchiveTrace t = new ArchiveTrace(to);
     try {
-      Archive.Read read = archive.read(Query.of("kind=taken or kind=answered or kind=dropped"), t::take, n -> { });
-      while (!t.held.isEmpty()) {
+      Archive.Read read = archive.read(Query.of("kind=taken or kind=answered or kind=dropped"), t::accept, n -> { });
+      while (!t.buffer.isEmpty()) {
         t.write();
       }
       t.out.close();
-      return new Count(t.requests, t.unmatched, t.dropped, read.spoiltBlocks());
+      return new Summary(t.requests, t.unmatched, t.dropped, read.spoiltBlocks());
     } catch (UncheckedIOException e) {
       throw e.getCause();
     }
   }
 
-  private void take(Entry e) {
+  private void accept(Entry e) {
     if (e.kind() == Kind.TAKEN) {
       if (e.id() != null) {
-        taken.put(e.id(), e);
+        acceptedById.put(e.id(), e);
       }
     } else if (e.kind() == Kind.DROPPED) {
       dropped += "answered".equals(e.word()) ? e.value() : 0;
     } else if (!"caller".equals(e.word()) && e.className() != null) {
-      Entry request = e.id() == null ? null : taken.remove(e.id());
+      Entry request = e.id() == null ? null : acceptedById.remove(e.id());
       unmatched += request == null ? 1 : 0;
-      held.add(new Trace.Entry(Math.max(0, e.at() - e.value()), e.className(), e.tenant() == null ? "" : e.tenant(),
+      buffer.add(new Trace.Entry(Math.max(0, e.at() - e.value()), e.className(), e.tenant() == null ? "" : e.tenant(),
           request == null ? 0 : request.key(), request == null ? 0 : request.other(), 0, e.value(), outcome(e)));
-      if (held.size() > MOST_HELD) {
+      if (buffer.size() > MAX_BUFFERED) {
         write();
       }
     }
@@ -88,14 +92,15 @@
   }
 
   private void write() {
-    Trace.Entry e = held.poll();
-    first = first < 0 ? e.atMicros() : first;
-    // Another instance's records may begin before the first one's end: what is too late to be put in order is put where it is in time.
-    last = Math.max(last, Math.max(0, e.atMicros() - first));
+    Trace.Entry e = buffer.poll();
+    firstMicros = firstMicros < 0 ? e.atMicros() : firstMicros;
+    // Records of another instance may begin before the last entry written. Times in a trace never decrease, so an entry that comes too
+    // late to be sorted gets the time of the last one.
+    lastMicros = Math.max(lastMicros, Math.max(0, e.atMicros() - firstMicros));
     try {
-      out.add(new Trace.Entry(last, e.className(), e.tenant(), e.keyHash(), e.hintMicros(), e.bytes(), e.latencyMicros(), e.outcome()));
-    } catch (IOException x) {
-      throw new UncheckedIOException(x);
+      out.add(new Trace.Entry(lastMicros, e.className(), e.tenant(), e.keyHash(), e.hintMicros(), e.bytes(), e.latencyMicros(), e.outcome()));
+    } catch (IOException failure) {
+      throw new UncheckedIOException(failure);
     }
     requests++;
   }
--- a/load/src/main/java/cloverpulley/load/Arrivals.java
+++ b/load/src/main/java/cloverpulley/load/Arrivals.java
@@ -3,31 +3,31 @@
 import java.util.SplittableRandom;
 
 /**
- * Times at which requests are intended, drawn from a seed one after another: nothing that a server does changes them. Pure
- * and endless in memory: a run of a million requests holds one at a time.
+ * Generates the intended start times of requests from a seed. The times do not depend on the behaviour of the server, and they are
+ * generated one at a time: memory use does not grow with the length of the run.
  */
 public final class Arrivals {
 
-  /** How arrivals lie about their rate. */
+  /** The arrival process. */
   public enum Process { POISSON, CONSTANT, BURSTY }
 
   /**
-   * Bursts: a Markov chain of two states, quiet and burst, with exponential stays (Markov-modulated Poisson process; Fischer and
-   * Meier-Hellstern 1993).
+   * Parameters of the bursty process: a Markov chain with the states quiet and burst and exponentially distributed sojourn times
+   * (Markov-modulated Poisson process; Fischer and Meier-Hellstern 1993).
    *
-   * @param factor rate in a burst against the plan's rate, above 1
-   * @param part part of the time that is burst, above 0, and below 1/factor so that the rest is not below nothing
-   * @param meanSeconds mean length of a burst
+   * @param factor rate in a burst relative to the plan's rate, above 1
+   * @param burstRatio fraction of the time spent in bursts, above 0, and below 1/factor because the quiet rate would be negative otherwise
+   * @param meanSeconds mean duration of a burst
    */
-  public record Bursts(double factor, double part, double meanSeconds) {
+  public record Bursts(double factor, double burstRatio, double meanSeconds) {
     public Bursts {
       Checks.require(factor > 1, "a burst's factor must be above 1");
-      Checks.require(part > 0 && part * factor < 1, "a burst's part must be above 0 and below 1/factor");
+      Checks.require(burstRatio > 0 && burstRatio * factor < 1, "a burst's part must be above 0 and below 1/factor");
       Checks.require(meanSeconds > 0, "a burst's length must be above 0");
     }
 
     double quietFactor() {
-      return (1 - part * factor) / (1 - part);
+      return (1 - burstRatio * factor) / (1 - burstRatio);
     }
   }
 
@@ -35,81 +35,81 @@
   private final Bursts bursts;
   private final double rate;
   private final Shape shape;
-  private final double length;
+  private final double durationSeconds;
   private final SplittableRandom random;
-  private double at;
-  private boolean burst;
-  private double stateUntil;
-  /** Arrivals due by now, for the constant process: the next is at the moment when the rate's integral passes a whole number. */
-  private double due;
-  /** The rate's integral up to {@code at}. */
-  private double passed;
+  private double now;
+  private boolean inBurst;
+  private double stateEnd;
+  /** Constant process: number of the next arrival, which is due when the integral of the rate reaches this number less one half. */
+  private double arrivalsDue;
+  /** Integral of the rate from 0 to {@code now}. */
+  private double rateIntegral;
 
   /**
-   * Draws the arrivals of a run.
+   * Creates the arrivals of a run.
    *
    * @param bursts null unless the process is bursty
-   * @param rate requests a second at factor 1, above 0
-   * @param length seconds
+   * @param rate requests per second at shape factor 1, above 0
+   * @param durationSeconds duration of the run, above 0
    */
-  public Arrivals(Process process, Bursts bursts, double rate, Shape shape, double length, long seed) {
-    Checks.require(rate > 0 && length > 0, "rate and length must be above 0");
-    Checks.require(process != Process.BURSTY || bursts != null, "bursts have to be said");
+  public Arrivals(Process process, Bursts bursts, double rate, Shape shape, double durationSeconds, long seed) {
+    Checks.require(rate > 0 && durationSeconds > 0, "rate and duration must be above 0");
+    Checks.require(process != Process.BURSTY || bursts != null, "a bursty process needs its bursts");
     this.process = process;
     this.bursts = bursts;
     this.rate = rate;
     this.shape = shape;
-    this.length = length;
+    this.durationSeconds = durationSeconds;
     random = new SplittableRandom(seed);
   }
 
-  /** Seconds from the run's start to the next arrival; -1 past its end. */
+  /** The next arrival in seconds since the start of the run; -1 after the end of the run. */
   public double next() {
-    return process == Process.CONSTANT ? nextConstant() : nextDrawn();
+    return process == Process.CONSTANT ? nextConstant() : nextByThinning();
   }
 
-  /** Steps the integral of the rate in small pieces: exact for flat shapes, within a piece's bend for others. */
+  /** Integrates the rate by the midpoint rule in small steps: exact for flat shapes, an approximation within a step for others. */
   private double nextConstant() {
-    due += 1;
-    double owed = due - 0.5; // The first one lies half a gap after the start, so that a second holds its full number.
-    double usual = Math.min(0.001, length / 1000);
-    // What is left past the last whole piece is rounding, not time: it must not hold an arrival.
-    while (length - at > usual / 1000) {
-      double piece = Math.min(usual, length - at);
-      double gained = piece * rate * shape.at(at + piece / 2);
-      if (passed + gained >= owed) {
-        return Math.min(length, at + piece * (owed - passed) / gained);
+    arrivalsDue += 1;
+    double target = arrivalsDue - 0.5; // Starts half a gap in, so that every second contains its full number of arrivals.
+    double step = Math.min(0.001, durationSeconds / 1000);
+    // A remainder far below one step is a rounding error; it must not produce an arrival.
+    while (durationSeconds - now > step / 1000) {
+      double width = Math.min(step, durationSeconds - now);
+      double increment = width * rate * shape.at(now + width / 2);
+      if (rateIntegral + increment >= target) {
+        return Math.min(durationSeconds, now + width * (target - rateIntegral) / increment);
       }
-      passed += gained;
-      at += piece;
+      rateIntegral += increment;
+      now += width;
     }
     return -1;
   }
 
-  /** Thinning (Lewis and Shedler 1979): drawn at the highest rate there is, kept by the part that the moment's rate is of it. */
-  private double nextDrawn() {
-    double most = rate * shape.most() * (process == Process.BURSTY ? Math.max(bursts.factor(), bursts.quietFactor()) : 1);
+  /** Thinning (Lewis and Shedler 1979): candidates arrive at the maximum rate and are accepted with probability rate / maximum rate. */
+  private double nextByThinning() {
+    double maxRate = rate * shape.max() * (process == Process.BURSTY ? Math.max(bursts.factor(), bursts.quietFactor()) : 1);
     while (true) {
-      at += -Math.log(1 - random.nextDouble()) / most;
-      if (at >= length) {
+      now += -Math.log(1 - random.nextDouble()) / maxRate;
+      if (now >= durationSeconds) {
         return -1;
       }
-      if (random.nextDouble() * most < rate * shape.at(at) * state()) {
-        return at;
+      if (random.nextDouble() * maxRate < rate * shape.at(now) * stateFactor()) {
+        return now;
       }
     }
   }
 
-  private double state() {
+  private double stateFactor() {
     if (process != Process.BURSTY) {
       return 1;
     }
-    while (at >= stateUntil) {
-      // The first state is drawn by its part of the time, so that the run has no head that differs.
-      burst = stateUntil == 0 ? random.nextDouble() < bursts.part() : !burst;
-      double mean = burst ? bursts.meanSeconds() : bursts.meanSeconds() * (1 - bursts.part()) / bursts.part();
-      stateUntil += -Math.log(1 - random.nextDouble()) * mean;
+    while (now >= stateEnd) {
+      // Draws the first state from the stationary distribution, so that the start of a run does not differ from the rest.
+      inBurst = stateEnd == 0 ? random.nextDouble() < bursts.burstRatio() : !inBurst;
+      double mean = inBurst ? bursts.meanSeconds() : bursts.meanSeconds() * (1 - bursts.burstRatio()) / bursts.burstRatio();
+      stateEnd += -Math.log(1 - random.nextDouble()) * mean;
     }
-    return burst ? bursts.factor() : bursts.quietFactor();
+    return inBurst ? bursts.factor() : bursts.quietFactor();
   }
 }
--- a/load/src/main/java/cloverpulley/load/Checks.java
+++ b/load/src/main/java/cloverpulley/load/Checks.java
@@ -1,13 +1,13 @@
 package cloverpulley.load;
 
-/** Refuses nonsense. */
+/** Checks of arguments. */
 final class Checks {
 
   private Checks() {}
 
-  static void require(boolean ok, String what) {
-    if (!ok) {
-      throw new IllegalArgumentException(what);
+  static void require(boolean condition, String message) {
+    if (!condition) {
+      throw new IllegalArgumentException(message);
     }
   }
 }
--- a/load/src/main/java/cloverpulley/load/Comparison.java
+++ b/load/src/main/java/cloverpulley/load/Comparison.java
@@ -11,13 +11,13 @@
 import java.util.Map;
 
 /**
- * Two runs side by side. The noise of a figure is what chance alone makes within each run: the spread of its means over blocks of
- * five seconds (batch means; Law and Kelton), both runs together, at about 95%. A difference below it tells nothing.
+ * Compares two runs. The noise of a figure is estimated within each run by the method of batch means (Law and Kelton) over batches of five
+ * seconds, and combined for both runs at a confidence of about 95%. A difference below the noise is not significant.
  */
 public final class Comparison {
 
-  private static final int BLOCK_S = 5;
-  private static final double SURE = 2;
+  private static final int BATCH_SECONDS = 5;
+  private static final double CONFIDENCE_FACTOR = 2;
 
   private record Row(String name, double a, double b, double noise) {}
 
@@ -25,27 +25,27 @@
 
   private Comparison() {}
 
-  /** Reads two results as {@link Report#json} writes them. */
+  /** Compares two results in the format of {@link Report#json}. */
   public static Comparison of(String a, String b) throws IOException {
-    Map<String, List<Double>> one = read(a);
-    Map<String, List<Double>> two = read(b);
+    Map<String, List<Double>> runA = read(a);
+    Map<String, List<Double>> runB = read(b);
     Comparison c = new Comparison();
     for (String name : List.of("goal.g", "goal.whole", "goal.worst_10_s", "goal.worst_class", "goal.worst_tenant")) {
-      c.rows.add(new Row(name, one(one, name), one(two, name), Double.NaN));
+      c.rows.add(new Row(name, first(runA, name), first(runB, name), Double.NaN));
     }
     for (String name : List.of("all.corrected_ms.p50", "all.corrected_ms.p99", "all.corrected_ms.max", "all.naive_ms.p99",
         "lateness_ms.p99")) {
-      c.rows.add(new Row(name, one(one, name), one(two, name), Double.NaN));
+      c.rows.add(new Row(name, first(runA, name), first(runB, name), Double.NaN));
     }
     for (String name : List.of("by_second.p50_ms", "by_second.p99_ms", "by_second.served", "by_second.worth_in_time")) {
-      c.rows.add(new Row("mean " + name, mean(one.get(name)), mean(two.get(name)),
-          SURE * Math.sqrt(error(one.get(name)) + error(two.get(name)))));
+      c.rows.add(new Row("mean " + name, mean(runA.get(name)), mean(runB.get(name)),
+          CONFIDENCE_FACTOR * Math.sqrt(squaredError(runA.get(name)) + squaredError(runB.get(name)))));
     }
     return c;
   }
 
-  private static double one(Map<String, List<Double>> figures, String name) {
-    List<Double> values = figures.getOrDefault(name, List.of());
+  private static double first(Map<String, List<Double>> numbers, String name) {
+    List<Double> values = numbers.getOrDefault(name, List.of());
     return values.isEmpty() ? Double.NaN : values.get(0);
   }
 
@@ -54,34 +54,34 @@
         : values.stream().mapToDouble(v -> v).average().getAsDouble();
   }
 
-  /** The squared error of a mean, from means of blocks; unknown with fewer than two blocks. */
-  private static double error(List<Double> values) {
-    List<Double> blocks = new ArrayList<>();
-    for (int i = 0; values != null && i + BLOCK_S <= values.size(); i += BLOCK_S) {
-      blocks.add(mean(values.subList(i, i + BLOCK_S)));
+  /** The squared standard error of the mean, from batch means; NaN with fewer than two batches. */
+  private static double squaredError(List<Double> values) {
+    List<Double> batches = new ArrayList<>();
+    for (int i = 0; values != null && i + BATCH_SECONDS <= values.size(); i += BATCH_SECONDS) {
+      batches.add(mean(values.subList(i, i + BATCH_SECONDS)));
     }
-    if (blocks.size() < 2) {
+    if (batches.size() < 2) {
       return Double.NaN;
     }
-    double mean = mean(blocks);
-    return blocks.stream().mapToDouble(b -> (b - mean) * (b - mean)).sum() / (blocks.size() - 1) / blocks.size();
+    double mean = mean(batches);
+    return batches.stream().mapToDouble(b -> (b - mean) * (b - mean)).sum() / (batches.size() - 1) / batches.size();
   }
 
-  /** Every number in the text by its path; those of arrays in order. */
+  /** All numbers in a JSON document by their path; array elements share a path and keep their order. */
   private static Map<String, List<Double>> read(String json) throws IOException {
-    Map<String, List<Double>> figures = new LinkedHashMap<>();
+    Map<String, List<Double>> numbers = new LinkedHashMap<>();
     try (JsonParser p = new JsonFactory().createParser(json)) {
       for (JsonToken t = p.nextToken(); t != null; t = p.nextToken()) {
         if (t.isNumeric()) {
           String path = p.getParsingContext().pathAsPointer().toString().substring(1).replaceAll("/\\d+/", "/").replace('/', '.');
-          figures.computeIfAbsent(path, k -> new ArrayList<>()).add(p.getDoubleValue());
+          numbers.computeIfAbsent(path, k -> new ArrayList<>()).add(p.getDoubleValue());
         }
       }
     }
-    if (!figures.containsKey("all.asked")) {
-      throw new IOException("not the results of a run");
+    if (!numbers.containsKey("all.asked")) {
+      throw new IOException("not the JSON report of a load run");
     }
-    return figures;
+    return numbers;
   }
 
   public String text() {
@@ -89,8 +89,8 @@
     for (Row r : rows) {
       double difference = r.b - r.a;
       String noise = Double.isNaN(r.noise) ? "-" : String.format(Locale.ROOT, "%.3f", r.noise);
-      String word = Double.isNaN(r.noise) ? "" : Math.abs(difference) > r.noise ? "  differs" : "  within noise";
-      text.append(String.format(Locale.ROOT, "%-28s %12.3f %12.3f %12.3f %12s%s%n", r.name, r.a, r.b, difference, noise, word));
+      String conclusion = Double.isNaN(r.noise) ? "" : Math.abs(difference) > r.noise ? "  differs" : "  within noise";
+      text.append(String.format(Locale.ROOT, "%-28s %12.3f %12.3f %12.3f %12s%s%n", r.name, r.a, r.b, difference, noise, conclusion));
     }
     return text.toString();
   }
--- a/load/src/main/java/cloverpulley/load/DnsDriver.java
+++ b/load/src/main/java/cloverpulley/load/DnsDriver.java
@@ -28,17 +28,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * DNS over UDP or TCP: a class that is safe asks for an address (QUERY), a keyed one tells of a change (NOTIFY), an unsafe one makes
- * one (UPDATE). Names are {@code kN.DOMAIN} for key N. Over TCP queries are pipelined.
+ * DNS over UDP or TCP: requests of a safe class are address queries (QUERY), of a keyed class NOTIFY messages, of an unsafe class UPDATE
+ * messages. The name queried for key N is {@code kN.DOMAIN}. Over TCP, queries are pipelined.
  */
 final class DnsDriver implements Driver {
 
-  private static final int IDS = 65_536;
-  private static final int READS = 256;
-  private static final int MOST_DATAGRAM = 4096;
-  private static final int BUFFER = 1 << 20;
-  /** Of as many sockets and connections as the plan allows, no more than this are of use on one core. */
-  private static final int MOST_LINES = 64;
+  private static final int MESSAGE_IDS = 65_536;
+  private static final int MAX_READS_PER_WAKEUP = 256;
+  private static final int MAX_DATAGRAM_BYTES = 4096;
+  private static final int RECEIVE_BUFFER_BYTES = 1 << 20;
+  /** Upper limit on sockets or connections, whatever the plan allows: more bring no benefit on a single core. */
+  private static final int MAX_CONNECTIONS = 64;
   private static final int A = 1;
   private static final int SOA = 6;
   private static final int NOTIFY_FLAGS = Message.NOTIFY << 11 | Message.AA;
@@ -46,37 +46,37 @@
   private final Plan plan;
   private final EventLoop loop;
   private final boolean tcp;
-  private final List<Connection> lines = new ArrayList<>();
+  private final List<Connection> connections = new ArrayList<>();
   private final byte[] opt = new Edns.Writer(1232, 0, false).bytes();
   private final Set<Channel> unflushed = new HashSet<>();
   private boolean flushing;
   private boolean closed;
   private int next;
-  private long doubles;
+  private long duplicateResponses;
 
   DnsDriver(Plan plan, EventLoop loop) {
     this.plan = plan;
     this.loop = loop;
     tcp = plan.target().protocol() == Plan.Protocol.DNS_TCP;
-    for (int i = 0; i < Math.min(MOST_LINES, plan.target().connections()); i++) {
-      lines.add(new Connection());
+    for (int i = 0; i < Math.min(MAX_CONNECTIONS, plan.target().maxConnections()); i++) {
+      connections.add(new Connection());
     }
   }
 
   @Override
-  public void send(PlannedRequest planned, String id, int attempt, AttemptCallback ended) {
-    // The first with a free id, from the next in turn on.
-    for (int i = 0; i < lines.size(); i++) {
-      Connection line = lines.get(next++ % lines.size());
-      if (line.send(planned, ended)) {
+  public void send(PlannedRequest planned, String id, int attempt, AttemptCallback callback) {
+    // Round robin over the connections, skipping those that have no free message id.
+    for (int i = 0; i < connections.size(); i++) {
+      Connection connection = connections.get(next++ % connections.size());
+      if (connection.send(planned, callback)) {
         return;
       }
     }
-    ended.ended(Outcome.NO_ROOM, 0);
+    callback.onAttemptEnd(Outcome.NO_ROOM, 0);
   }
 
   private byte[] message(PlannedRequest p, int id) {
-    Effect effect = plan.types().get(p.type()).effect();
+    Effect effect = plan.classes().get(p.classIndex()).effect();
     String domain = plan.target().domain();
     if (effect == Effect.SAFE) {
       String host = p.key() >= 0 ? "k" + p.key() : "u" + p.number();
@@ -87,7 +87,7 @@
     return update(id, domain, "u" + p.number() + "." + domain);
   }
 
-  /** Adds an address (RFC 2136, 2.5.1). */
+  /** Builds an UPDATE message that adds an address record (RFC 2136, 2.5.1). */
   private static byte[] update(int id, String zone, String host) {
     byte[] head = Message.query(id, Message.UPDATE << 11, new Question(Names.of(zone), SOA, Message.IN), null);
     byte[] name = Names.of(host);
@@ -111,7 +111,7 @@
     return rcode == Message.NOERROR || rcode == Message.NXDOMAIN ? Outcome.SERVED : Outcome.FAILED;
   }
 
-  /** When a refusal says to come back: in the text of its extended error; 0 where it doesn't. */
+  /** The retry delay that a REFUSED response gives in the text of its Extended DNS Error (RFC 8914); 0 if it gives none. */
   static double retryAfterMillis(byte[] answer) {
     String text = new String(answer, StandardCharsets.ISO_8859_1);
     int at = text.indexOf("come back in ");
@@ -123,27 +123,27 @@
     }
   }
 
-  /** A request without an answer yet. */
+  /** A request that has not been answered yet. */
   private static final class PendingRequest {
-    private final AttemptCallback ended;
-    private Future<?> patience;
+    private final AttemptCallback callback;
+    private Future<?> timeout;
 
-    PendingRequest(AttemptCallback ended) {
-      this.ended = ended;
+    PendingRequest(AttemptCallback callback) {
+      this.callback = callback;
     }
   }
 
-  /** A socket, or a connection that is opened anew once it has broken. */
+  /** A UDP socket, or a TCP connection that is reopened after it was lost. */
   private final class Connection {
 
-    private final PendingRequest[] open = new PendingRequest[IDS];
-    /** Which ids have had their answer since they were last used: one more is one too many. */
-    private final boolean[] answered = new boolean[IDS];
+    private final PendingRequest[] pending = new PendingRequest[MESSAGE_IDS];
+    /** Message ids that have been answered since they were last allocated: another response with such an id is a duplicate. */
+    private final boolean[] answered = new boolean[MESSAGE_IDS];
     private Channel channel;
-    private boolean up;
+    private boolean connected;
     private int id;
-    private int count;
-    private final List<byte[]> waiting = new ArrayList<>();
+    private int inFlight;
+    private final List<byte[]> unsent = new ArrayList<>();
 
     Connection() {
       connect();
@@ -155,8 +155,9 @@
         b.channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
             .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) plan.target().connectMillis());
       } else {
-        b.channel(NioDatagramChannel.class).option(ChannelOption.SO_RCVBUF, BUFFER)
-            .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MOST_DATAGRAM).maxMessagesPerRead(READS));
+        b.channel(NioDatagramChannel.class).option(ChannelOption.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+            .option(ChannelOption.RECVBUF_ALLOCATOR,
+                new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES).maxMessagesPerRead(MAX_READS_PER_WAKEUP));
       }
       channel = b.handler(new ChannelInitializer<Channel>() {
         @Override
@@ -166,53 +167,54 @@
           }
           c.pipeline().addLast(new ChannelInboundHandlerAdapter() {
             @Override
-            public void channelRead(ChannelHandlerContext context, Object read) {
-              Connection.this.read(read);
+            public void channelRead(ChannelHandlerContext context, Object message) {
+              Connection.this.onMessage(message);
             }
 
             @Override
             public void channelInactive(ChannelHandlerContext context) {
-              over(Outcome.BROKEN);
+              closeAndFail(Outcome.BROKEN);
             }
 
             @Override
             public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-              over(tcp ? Outcome.BROKEN : Outcome.NO_CONNECTION);
+              closeAndFail(tcp ? Outcome.BROKEN : Outcome.NO_CONNECTION);
             }
           });
         }
       }).connect(plan.target().address()).addListener(f -> loop.execute(() -> {
         if (f.isSuccess()) {
-          up = true;
-          waiting.forEach(this::write);
-          waiting.clear();
+          connected = true;
+          unsent.forEach(this::write);
+          unsent.clear();
         } else {
-          over(Outcome.NO_CONNECTION);
+          closeAndFail(Outcome.NO_CONNECTION);
         }
       })).channel();
     }
 
-    boolean send(PlannedRequest planned, AttemptCallback ended) {
-      if (count == IDS || closed) {
+    boolean send(PlannedRequest planned, AttemptCallback callback) {
+      if (inFlight == MESSAGE_IDS || closed) {
         return false;
       }
       if (channel == null) {
         connect();
       }
       do {
-        id = id + 1 & IDS - 1;
-      } while (open[id] != null);
-      int mine = id;
+        id = id + 1 & MESSAGE_IDS - 1;
+      } while (pending[id] != null);
+      int allocated = id;
       PendingRequest o = new PendingRequest(ended);
-      open[mine] = o;
-      answered[mine] = false;
-      count++;
-      o.patience = loop.schedule(() -> end(mine, o, Outcome.TIMEOUT, 0), (long) (planned.patienceMillis() * 1000), TimeUnit.MICROSECONDS);
-      byte[] message = message(planned, mine);
-      if (up) {
+      pending[allocated] = o;
+      answered[allocated] = false;
+      inFlight++;
+      o.timeout = loop.schedule(() -> complete(allocated, o, Outcome.TIMEOUT, 0), (long) (planned.timeoutMillis() * 1000),
+          TimeUnit.MICROSECONDS);
+      byte[] message = message(planned, allocated);
+      if (connected) {
         write(message);
       } else {
-        waiting.add(message);
+        unsent.add(message);
       }
       return true;
     }
@@ -231,63 +233,63 @@
       }
     }
 
-    private void end(int which, PendingRequest o, Outcome outcome, double retryAfter) {
-      if (open[which] == o) {
-        open[which] = null;
-        count--;
-        o.patience.cancel(false);
-        o.ended.ended(outcome, retryAfter);
+    private void complete(int messageId, PendingRequest o, Outcome outcome, double retryAfter) {
+      if (pending[messageId] == o) {
+        pending[messageId] = null;
+        inFlight--;
+        o.timeout.cancel(false);
+        o.callback.onAttemptEnd(outcome, retryAfter);
       }
     }
 
-    private void read(Object read) {
-      ByteBuf content = read instanceof DatagramPacket p ? p.content() : (ByteBuf) read;
+    private void onMessage(Object message) {
+      ByteBuf content = message instanceof DatagramPacket p ? p.content() : (ByteBuf) message;
       byte[] answer = new byte[content.readableBytes()];
       content.readBytes(answer);
       content.release();
       if (!Message.hasHeader(answer) || !Message.isResponse(answer)) {
         return;
       }
-      int which = Message.get16(answer, 0);
-      PendingRequest o = open[which];
+      int messageId = Message.get16(answer, 0);
+      PendingRequest o = pending[messageId];
       if (o == null) {
-        doubles += answered[which] ? 1 : 0;
+        duplicateResponses += answered[messageId] ? 1 : 0;
       } else {
-        answered[which] = true;
+        answered[messageId] = true;
         Outcome outcome = outcome(answer);
-        end(which, o, outcome, outcome == Outcome.SERVED ? 0 : retryAfterMillis(answer));
+        complete(messageId, o, outcome, outcome == Outcome.SERVED ? 0 : retryAfterMillis(answer));
       }
     }
 
-    private void over(Outcome outcome) {
+    private void closeAndFail(Outcome outcome) {
       if (channel == null) {
         return;
       }
       channel.close();
       channel = null;
-      up = false;
-      waiting.clear();
-      for (int i = 0; i < IDS && count > 0; i++) {
-        if (open[i] != null) {
-          end(i, open[i], outcome, 0);
+      connected = false;
+      unsent.clear();
+      for (int i = 0; i < MESSAGE_IDS && inFlight > 0; i++) {
+        if (pending[i] != null) {
+          complete(i, pending[i], outcome, 0);
         }
       }
     }
   }
 
   @Override
-  public int connections() {
-    return lines.size();
+  public int openConnections() {
+    return connections.size();
   }
 
   @Override
-  public long doubles() {
-    return doubles;
+  public long duplicateResponses() {
+    return duplicateResponses;
   }
 
   @Override
   public void close() {
     closed = true;
-    lines.forEach(l -> l.over(Outcome.BROKEN));
+    connections.forEach(c -> c.closeAndFail(Outcome.BROKEN));
   }
 }
--- a/load/src/main/java/cloverpulley/load/Driver.java
+++ b/load/src/main/java/cloverpulley/load/Driver.java
@@ -3,47 +3,47 @@
 import cloverpulley.load.RequestGenerator.PlannedRequest;
 
 /**
- * Speaks one protocol with what is measured. Everything is called, and answers, on the run's one loop. A driver owes each try
- * exactly one word, also after it has been closed.
+ * A client for one protocol. All methods are called, and all callbacks invoked, on the run's single event loop. A driver must invoke
+ * the callback of each attempt exactly once, even if it is closed in between.
  */
 public interface Driver extends AutoCloseable {
 
-  /** How a try ended. */
+  /** The outcome of an attempt. The names are written to reports, the ordinals to traces. */
   enum Outcome {
-    /** In whole, from an upstream. */
+    /** A complete, successful response. */
     SERVED,
-    /** Turned away: trying again is harmless. */
+    /** Rejected without being executed; safe to retry. */
     REFUSED,
-    /** An answer that says that it failed. */
+    /** An error response. */
     FAILED,
-    /** The connection was refused, or never came up. */
+    /** The connection was refused or could not be established. */
     NO_CONNECTION,
-    /** The connection broke, or what came is no answer. */
+    /** The connection was lost, or the response could not be parsed. */
     BROKEN,
-    /** The client gave it up. */
+    /** No response within the client's timeout. */
     TIMEOUT,
-    /** No connection was free, and no more may be opened. */
+    /** No connection was available and the limit on connections had been reached. */
     NO_ROOM
   }
 
-  /** Told how a try ended; {@code retryAfterMillis} 0 for no advice. */
+  /** Receives the outcome of an attempt; {@code retryAfterMillis} is 0 if the server gave no Retry-After. */
   interface AttemptCallback {
-    void ended(Outcome outcome, double retryAfterMillis);
+    void onAttemptEnd(Outcome outcome, double retryAfterMillis);
   }
 
   /**
-   * Sends a try.
+   * Sends an attempt.
    *
-   * @param id unlike that of any other try
-   * @param attempt from 0
+   * @param id unique among all attempts
+   * @param attempt number of the attempt, from 0
    */
-  void send(PlannedRequest request, String id, int attempt, AttemptCallback ended);
+  void send(PlannedRequest request, String id, int attempt, AttemptCallback callback);
 
-  /** Connections open now. */
-  int connections();
+  /** Number of connections that are open. */
+  int openConnections();
 
-  /** Answers to requests that had been answered already, where the protocol can show such. */
-  default long doubles() {
+  /** Number of responses to requests that had already been answered, for protocols in which this can be detected. */
+  default long duplicateResponses() {
     return 0;
   }
 
--- a/load/src/main/java/cloverpulley/load/ExtProcDriver.java
+++ b/load/src/main/java/cloverpulley/load/ExtProcDriver.java
@@ -23,14 +23,15 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Calls an external processor as a proxy does: a call's latency is that of its verdict. A destination counts as served, and the
- * upstream's answer (200) is shown at once, so that the processor learns how its choice ended.
+ * Calls an external processor as a proxy does. The latency of a call is the time until the processor's decision. A call for which the
+ * processor names a destination counts as served; the upstream's response headers (status 200) are sent right after it, so that the
+ * processor learns the outcome of its choice.
  */
 final class ExtProcDriver implements Driver {
 
-  private static final int MOST_CHANNELS = 8;
-  private static final int TOO_MANY = 429;
-  private static final ProcessingRequest ANSWER = ProcessingRequest.newBuilder().setResponseHeaders(HttpHeaders.newBuilder()
+  private static final int MAX_CHANNELS = 8;
+  private static final int TOO_MANY_REQUESTS = 429;
+  private static final ProcessingRequest UPSTREAM_RESPONSE = ProcessingRequest.newBuilder().setResponseHeaders(HttpHeaders.newBuilder()
       .setEndOfStream(true).setHeaders(HeaderMap.newBuilder().addHeaders(header(":status", "200")))).build();
 
   private final Plan plan;
@@ -41,7 +42,7 @@
   ExtProcDriver(Plan plan, EventLoop loop) {
     this.plan = plan;
     this.loop = loop;
-    channels = new ManagedChannel[Math.min(MOST_CHANNELS, plan.target().connections())];
+    channels = new ManagedChannel[Math.min(MAX_CHANNELS, plan.target().maxConnections())];
     for (int i = 0; i < channels.length; i++) {
       channels[i] = NettyChannelBuilder.forAddress(plan.target().address()).eventLoopGroup(loop)
           .channelType(NioSocketChannel.class).executor(loop).usePlaintext().build();
@@ -53,27 +54,27 @@
   }
 
   @Override
-  public void send(PlannedRequest planned, String id, int attempt, AttemptCallback ended) {
+  public void send(PlannedRequest planned, String id, int attempt, AttemptCallback callback) {
     ClientCall<ProcessingRequest, ProcessingResponse> call =
         channels[next++ % channels.length].newCall(ExternalProcessor.PROCESS, CallOptions.DEFAULT);
     Listener listener = new Listener(call, ended);
-    listener.patience = loop.schedule(() -> {
+    listener.timeout = loop.schedule(() -> {
       listener.end(Outcome.TIMEOUT, 0);
-      call.cancel("the caller gives up", null);
-    }, (long) (planned.patienceMillis() * 1000), TimeUnit.MICROSECONDS);
+      call.cancel("attempt timed out", null);
+    }, (long) (planned.timeoutMillis() * 1000), TimeUnit.MICROSECONDS);
     call.start(listener, new Metadata());
     call.request(2);
     call.sendMessage(request(planned, id, attempt));
   }
 
   private ProcessingRequest request(PlannedRequest planned, String id, int attempt) {
-    Plan.RequestClass type = plan.types().get(planned.type());
+    Plan.RequestClass type = plan.classes().get(planned.classIndex());
     HeaderMap.Builder map = HeaderMap.newBuilder()
         .addHeaders(header(":method", type.effect() == Effect.SAFE ? "GET" : "POST"))
         .addHeaders(header(":path", plan.target().path())).addHeaders(header("x-request-id", id))
         .addHeaders(header("x-envoy-attempt-count", "1")).addHeaders(header("x-qos", type.name()))
-        .addHeaders(header("x-expires-in-ms", Long.toString((long) Math.max(1, planned.patienceMillis()))));
-    String tenant = plan.tenants().get(planned.tenant()).name();
+        .addHeaders(header("x-expires-in-ms", Long.toString((long) Math.max(1, planned.timeoutMillis()))));
+    String tenant = plan.tenants().get(planned.tenantIndex()).name();
     if (!tenant.isEmpty()) {
       map.addHeaders(header("x-customer", tenant));
     }
@@ -96,27 +97,27 @@
   private static final class Listener extends ClientCall.Listener<ProcessingResponse> {
 
     private final ClientCall<ProcessingRequest, ProcessingResponse> call;
-    private final AttemptCallback ended;
-    private Future<?> patience;
-    private boolean done;
+    private final AttemptCallback callback;
+    private Future<?> timeout;
+    private boolean completed;
 
-    Listener(ClientCall<ProcessingRequest, ProcessingResponse> call, AttemptCallback ended) {
+    Listener(ClientCall<ProcessingRequest, ProcessingResponse> call, AttemptCallback callback) {
       this.call = call;
-      this.ended = ended;
+      this.callback = callback;
     }
 
     void end(Outcome outcome, double retryAfterMillis) {
-      if (!done) {
-        done = true;
-        patience.cancel(false);
-        ended.ended(outcome, retryAfterMillis);
+      if (!completed) {
+        completed = true;
+        timeout.cancel(false);
+        callback.onAttemptEnd(outcome, retryAfterMillis);
       }
     }
 
     @Override
     public void onMessage(ProcessingResponse reply) {
       if (reply.hasRequestHeaders()) {
-        call.sendMessage(ANSWER);
+        call.sendMessage(UPSTREAM_RESPONSE);
         end(Outcome.SERVED, 0);
       } else if (reply.hasImmediateResponse()) {
         ImmediateResponse end = reply.getImmediateResponse();
@@ -126,7 +127,7 @@
             retryAfter = HttpDriver.retryAfterMillis(option.getHeader().getRawValue().toStringUtf8());
           }
         }
-        end(end.getStatus().getCode() == TOO_MANY ? Outcome.REFUSED : Outcome.FAILED, retryAfter);
+        end(end.getStatus().getCode() == TOO_MANY_REQUESTS ? Outcome.REFUSED : Outcome.FAILED, retryAfter);
       } else if (reply.hasResponseHeaders()) {
         call.halfClose();
       }
@@ -139,7 +140,7 @@
   }
 
   @Override
-  public int connections() {
+  public int openConnections() {
     return channels.length;
   }
 
--- a/load/src/main/java/cloverpulley/load/Goal.java
+++ b/load/src/main/java/cloverpulley/load/Goal.java
@@ -1,53 +1,54 @@
 package cloverpulley.load;
 
 /**
- * The goal as the operators count it: the worth of answers in time against the worth asked for, a request's retries folded into
- * its first try. Weights: 55% the whole run, 15% its worst ten seconds, 5% the class served worst, 25% the tenant served worst
- * within its share.
+ * The operators' service goal G: the worth of responses in time as a fraction of the worth requested, where a request and its retries count
+ * once. Weights: 55% the whole run, 15% its worst ten seconds, 5% the worst-served class, 25% the worst-served tenant, measured within
+ * its entitlement.
  */
-public record Goal(double whole, double worstTen, int worstTenAt, double worstClass, double worstTenant) {
+public record Goal(double overall, double worstTenSeconds, int worstTenSecondsFrom, double worstClass, double worstTenant) {
 
-  private static final double WHOLE = 0.55;
-  private static final double TEN = 0.15;
-  private static final double CLASS = 0.05;
-  private static final double TENANT = 0.25;
-  private static final int WINDOW_S = 10;
+  private static final double OVERALL_WEIGHT = 0.55;
+  private static final double WORST_TEN_SECONDS_WEIGHT = 0.15;
+  private static final double WORST_CLASS_WEIGHT = 0.05;
+  private static final double WORST_TENANT_WEIGHT = 0.25;
+  private static final int WINDOW_SECONDS = 10;
 
   /** G, from 0 to 1. */
   public double g() {
-    return WHOLE * whole + TEN * worstTen + CLASS * worstClass + TENANT * worstTenant;
+    return OVERALL_WEIGHT * overall + WORST_TEN_SECONDS_WEIGHT * worstTenSeconds + WORST_CLASS_WEIGHT * worstClass
+        + WORST_TENANT_WEIGHT * worstTenant;
   }
 
-  /** The goal of a run; what nothing was asked of counts as served. */
+  /** Computes the goal of a run; a class, tenant or period without requests counts as fully served. */
   public static Goal of(Results r) {
     double worst = 1;
-    int worstAt = 0;
-    int last = Math.max(0, r.seconds.size() - WINDOW_S);
-    for (int from = 0; from <= last; from++) {
-      double asked = 0;
+    int worstFrom = 0;
+    int lastFrom = Math.max(0, r.seconds.size() - WINDOW_SECONDS);
+    for (int from = 0; from <= lastFrom; from++) {
+      double requested = 0;
       double inTime = 0;
-      for (int s = from; s < Math.min(r.seconds.size(), from + WINDOW_S); s++) {
-        asked += r.seconds.get(s).worthAsked;
+      for (int s = from; s < Math.min(r.seconds.size(), from + WINDOW_SECONDS); s++) {
+        requested += r.seconds.get(s).worthRequested;
         inTime += r.seconds.get(s).worthInTime;
       }
-      if (part(inTime, asked) < worst) {
-        worst = part(inTime, asked);
-        worstAt = from;
+      if (ratio(inTime, requested) < worst) {
+        worst = ratio(inTime, requested);
+        worstFrom = from;
       }
     }
-    double worstClass = r.types.stream().mapToDouble(t -> part(t.worthInTime, t.worthAsked)).min().orElse(1);
+    double worstClass = r.classes.stream().mapToDouble(t -> ratio(t.worthInTime, t.worthRequested)).min().orElse(1);
     double worstTenant = 1;
     for (int i = 0; i < r.tenants.size(); i++) {
-      // Within its share: what a tenant asks beyond its portion of all is not owed to it.
+      // A tenant is entitled to its portion of the total worth requested; what it requests beyond that does not count against the goal.
       double portion = r.plan().tenants().get(i).portion();
-      double owed = portion > 0 ? Math.min(r.tenants.get(i).worthAsked, portion * r.all.worthAsked)
-          : r.tenants.get(i).worthAsked;
-      worstTenant = Math.min(worstTenant, Math.min(1, part(r.tenants.get(i).worthInTime, owed)));
+      double entitled = portion > 0 ? Math.min(r.tenants.get(i).worthRequested, portion * r.all.worthRequested)
+          : r.tenants.get(i).worthRequested;
+      worstTenant = Math.min(worstTenant, Math.min(1, ratio(r.tenants.get(i).worthInTime, entitled)));
     }
-    return new Goal(part(r.all.worthInTime, r.all.worthAsked), worst, worstAt, worstClass, worstTenant);
+    return new Goal(ratio(r.all.worthInTime, r.all.worthRequested), worst, worstFrom, worstClass, worstTenant);
   }
 
-  private static double part(double got, double asked) {
-    return asked <= 0 ? 1 : got / asked;
+  private static double ratio(double delivered, double requested) {
+    return requested <= 0 ? 1 : delivered / requested;
   }
 }
--- a/load/src/main/java/cloverpulley/load/HttpDriver.java
+++ b/load/src/main/java/cloverpulley/load/HttpDriver.java
@@ -29,16 +29,16 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * HTTP/1.1 as PROTOCOL's clients speak it: kept connections, one request at a time on each, more when all are busy, up to the
- * plan's bound; then requests wait for one, within their patience.
+ * HTTP/1.1 client that follows PROTOCOL: connections are kept alive and carry one request at a time. When all of them are busy, more are
+ * opened up to the plan's limit; beyond it, requests wait for a connection until they time out.
  */
 final class HttpDriver implements Driver {
 
-  private static final int MOST_BODY = 1 << 20;
-  private static final int MOST_WAITING = 100_000;
+  private static final int MAX_BODY_BYTES = 1 << 20;
+  private static final int MAX_WAITING = 100_000;
   private static final int OK = 200;
-  private static final int TOO_MANY = 429;
-  private static final int UNAVAILABLE = 503;
+  private static final int TOO_MANY_REQUESTS = 429;
+  private static final int SERVICE_UNAVAILABLE = 503;
 
   private final Plan plan;
   private final EventLoop loop;
@@ -59,75 +59,75 @@
         .remoteAddress(plan.target().address()).handler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
-            channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST_BODY), new Connection(channel));
+            channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new Connection(channel));
           }
         });
   }
 
-  /** One try, that has its one word or still waits for it. */
+  /** An attempt; its callback is invoked once. */
   private static final class Attempt {
     private final PlannedRequest planned;
     private final String id;
     private final int attempt;
-    private final AttemptCallback ended;
-    private Connection on;
-    private Future<?> patience;
-    private boolean done;
+    private final AttemptCallback callback;
+    private Connection connection;
+    private Future<?> timeout;
+    private boolean completed;
 
-    Attempt(PlannedRequest planned, String id, int attempt, AttemptCallback ended) {
+    Attempt(PlannedRequest planned, String id, int attempt, AttemptCallback callback) {
       this.planned = planned;
       this.id = id;
       this.attempt = attempt;
-      this.ended = ended;
+      this.callback = callback;
     }
 
-    void end(Outcome outcome, double retryAfterMillis) {
-      if (!done) {
-        done = true;
-        patience.cancel(false);
-        ended.ended(outcome, retryAfterMillis);
+    void complete(Outcome outcome, double retryAfterMillis) {
+      if (!completed) {
+        completed = true;
+        timeout.cancel(false);
+        callback.onAttemptEnd(outcome, retryAfterMillis);
       }
     }
   }
 
   @Override
-  public void send(PlannedRequest planned, String id, int attempt, AttemptCallback ended) {
+  public void send(PlannedRequest planned, String id, int attempt, AttemptCallback callback) {
     Attempt t = new Attempt(planned, id, attempt, ended);
-    t.patience = loop.schedule(() -> {
-      Connection on = t.on;
-      t.end(Outcome.TIMEOUT, 0);
-      if (on != null) {
-        on.channel.close(); // The client hangs up.
+    t.timeout = loop.schedule(() -> {
+      Connection connection = t.connection;
+      t.complete(Outcome.TIMEOUT, 0);
+      if (connection != null) {
+        connection.channel.close(); // A client that times out closes the connection.
       }
-    }, (long) (planned.patienceMillis() * 1000), TimeUnit.MICROSECONDS);
-    Connection free = closed ? null : idle.pollFirst();
-    if (closed || waiting.size() >= MOST_WAITING) {
-      t.end(Outcome.NO_ROOM, 0);
-    } else if (free != null) {
-      free.send(t);
+    }, (long) (planned.timeoutMillis() * 1000), TimeUnit.MICROSECONDS);
+    Connection available = closed ? null : idle.pollFirst();
+    if (closed || waiting.size() >= MAX_WAITING) {
+      t.complete(Outcome.NO_ROOM, 0);
+    } else if (available != null) {
+      available.send(t);
     } else {
       waiting.add(t);
-      connectMore();
+      openMoreConnections();
     }
   }
 
-  private void connectMore() {
-    while (!closed && connecting < waiting.size() && open.size() + connecting < plan.target().connections()) {
+  private void openMoreConnections() {
+    while (!closed && connecting < waiting.size() && open.size() + connecting < plan.target().maxConnections()) {
       connecting++;
       ChannelFuture connect = bootstrap.connect();
       connect.addListener(f -> {
         connecting--;
         if (f.isSuccess()) {
-          Connection made = connect.channel().pipeline().get(Connection.class);
-          open.add(made);
-          made.free();
+          Connection established = connect.channel().pipeline().get(Connection.class);
+          open.add(established);
+          established.becomeIdle();
         } else {
-          // The one that waits longest is told; the others have connections of their own on the way.
+          // Fails only the attempt that has waited longest: a connection is being opened for each of the others.
           Attempt t = nextWaiting();
           if (t != null) {
-            t.end(Outcome.NO_CONNECTION, 0);
+            t.complete(Outcome.NO_CONNECTION, 0);
           }
-          connectMore();
+          openMoreConnections();
         }
       });
     }
@@ -135,21 +135,21 @@
 
   private Attempt nextWaiting() {
     Attempt t = waiting.poll();
-    while (t != null && t.done) {
+    while (t != null && t.completed) {
       t = waiting.poll();
     }
     return t;
   }
 
   private FullHttpRequest request(Attempt t) {
-    Plan.RequestClass type = plan.types().get(t.planned.type());
+    Plan.RequestClass type = plan.classes().get(t.planned.classIndex());
     boolean safe = type.effect() == Effect.SAFE;
     ByteBuf body = safe || t.planned.bytes() == 0 ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(new byte[t.planned.bytes()]);
     FullHttpRequest r = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, safe ? HttpMethod.GET : HttpMethod.POST,
         plan.target().path(), body);
     r.headers().set(HttpHeaderNames.HOST, host).set("X-Trace-Id", t.id).set("X-Qos", type.name())
-        .set("X-Expires-In-Ms", (long) Math.max(1, t.planned.patienceMillis()));
-    String tenant = plan.tenants().get(t.planned.tenant()).name();
+        .set("X-Expires-In-Ms", (long) Math.max(1, t.planned.timeoutMillis()));
+    String tenant = plan.tenants().get(t.planned.tenantIndex()).name();
     if (!tenant.isEmpty()) {
       r.headers().set("X-Customer", tenant);
     }
@@ -166,14 +166,14 @@
       r.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
     }
     if (type.effect() == Effect.KEYED) {
-      // The same for all tries of a request: that is what the key is for.
+      // All attempts of a request carry the same key, so that the server can recognise a retry.
       r.headers().set("Idempotency-Key", t.id.substring(0, t.id.lastIndexOf('.')));
     }
     return r;
   }
 
   @Override
-  public int connections() {
+  public int openConnections() {
     return open.size();
   }
 
@@ -182,7 +182,7 @@
     closed = true;
     Set.copyOf(open).forEach(c -> c.channel.close());
     for (Attempt t = nextWaiting(); t != null; t = nextWaiting()) {
-      t.end(Outcome.NO_CONNECTION, 0);
+      t.complete(Outcome.NO_CONNECTION, 0);
     }
   }
 
@@ -195,7 +195,7 @@
       this.channel = channel;
     }
 
-    void free() {
+    void becomeIdle() {
       Attempt t = nextWaiting();
       if (t != null) {
         send(t);
@@ -206,7 +206,7 @@
 
     void send(Attempt t) {
       current = t;
-      t.on = this;
+      t.connection = this;
       channel.writeAndFlush(request(t)).addListener(f -> {
         if (!f.isSuccess()) {
           channel.close();
@@ -219,9 +219,9 @@
       Attempt t = current;
       current = null;
       if (t == null || !response.decoderResult().isSuccess()) {
-        // Nobody asked, or nobody can read it.
+        // An unsolicited or malformed response.
         if (t != null) {
-          t.end(Outcome.BROKEN, 0);
+          t.complete(Outcome.BROKEN, 0);
         }
         channel.close();
         return;
@@ -229,13 +229,13 @@
       int status = response.status().code();
       double retryAfter = retryAfterMillis(response.headers().get(HttpHeaderNames.RETRY_AFTER));
       if (HttpUtil.isKeepAlive(response) && channel.isActive() && !closed) {
-        t.on = null;
-        free();
+        t.connection = null;
+        becomeIdle();
       } else {
         channel.close();
       }
-      t.end(status == OK ? Outcome.SERVED : status == TOO_MANY || status == UNAVAILABLE ? Outcome.REFUSED : Outcome.FAILED,
-          retryAfter);
+      t.complete(status == OK ? Outcome.SERVED
+          : status == TOO_MANY_REQUESTS || status == SERVICE_UNAVAILABLE ? Outcome.REFUSED : Outcome.FAILED, retryAfter);
     }
 
     @Override
@@ -245,9 +245,9 @@
       Attempt t = current;
       current = null;
       if (t != null) {
-        t.end(Outcome.BROKEN, 0);
+        t.complete(Outcome.BROKEN, 0);
       }
-      connectMore();
+      openMoreConnections();
     }
 
     @Override
@@ -256,7 +256,7 @@
     }
   }
 
-  /** Seconds, whole or decimal; 0 for anything else. */
+  /** Converts a Retry-After value in seconds, with or without a fraction, to milliseconds; 0 for anything else. */
   static double retryAfterMillis(String text) {
     return text != null && text.matches("\\d{1,6}(\\.\\d{1,9})?") ? Double.parseDouble(text) * 1000 : 0;
   }
--- a/load/src/main/java/cloverpulley/load/LoadRun.java
+++ b/load/src/main/java/cloverpulley/load/LoadRun.java
@@ -12,31 +12,36 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Runs a plan, or a trace by a plan, against what the plan names as its target. */
+/** Runs a plan, or replays a trace with the settings of a plan, against the plan's target. */
 public final class LoadRun {
 
   private LoadRun() {}
 
-  /** Makes the generator ready: a short load against a server of its own, by the plan's protocol. */
+  /** Warms up the generator with a short load against an in-process server, using the plan's protocol. */
   public static void warmUp(Plan plan) throws IOException, InterruptedException {
     WarmUp.run(plan);
   }
 
-  /** Plays a plan; {@code everySecond} is told while it goes on. */
-  public static Results play(Plan plan, Consumer<Results> everySecond) throws InterruptedException {
-    return play(plan, everySecond, (planned, id, outcome, took) -> { });
+  /** Runs a plan; {@code everySecond} is called once a second during the run. */
+  public static Results run(Plan plan, Consumer<Results> everySecond) throws InterruptedException {
+    return run(plan, everySecond, (planned, id, outcome, took) -> { });
   }
 
-  /** The same, told of each try as well. */
-  public static Results play(Plan plan, Consumer<Results> everySecond, Runner.AttemptListener eachTry) throws InterruptedException {
-    RequestGenerator draw = new RequestGenerator(plan);
-    return play(plan, draw::next, everySecond, eachTry);
+  /** Runs a plan; {@code attemptListener} is notified of each attempt. */
+  public static Results run(Plan plan, Consumer<Results> everySecond, Runner.AttemptListener attemptListener)
+      throws InterruptedException {
+    RequestGenerator generator = new RequestGenerator(plan);
+    return run(plan, generator::next, everySecond, attemptListener);
   }
 
-  /** What came of a replay, and where the trace was damaged; null where it was not. */
+  /**
+   * The results of a replay.
+   *
+   * @param damage where and why the trace could not be read further; null if it is intact
+   */
   public record ReplayResult(Results results, String damage) {}
 
-  /** Plays a trace at so many times its speed. */
+  /** Replays a trace {@code speed} times as fast as it was recorded. */
   public static ReplayResult replay(Plan plan, Path trace, double speed, Consumer<Results> everySecond)
       throws IOException, InterruptedException {
     Checks.require(speed > 0, "the speed must be above 0");
@@ -45,7 +50,7 @@
       whole = Replay.plan(plan, reader, speed);
     }
     try (Trace.Reader reader = open(trace)) {
-      Results results = play(whole, new Replay(reader, whole, speed), everySecond, (planned, id, outcome, took) -> { });
+      Results results = run(whole, new Replay(reader, whole, speed), everySecond, (planned, id, outcome, took) -> { });
       return new ReplayResult(results, reader.damage());
     }
   }
@@ -54,16 +59,16 @@
     return new Trace.Reader(new BufferedInputStream(Files.newInputStream(trace)));
   }
 
-  private static Results play(Plan plan, Supplier<PlannedRequest> source, Consumer<Results> everySecond, Runner.AttemptListener eachTry)
-      throws InterruptedException {
+  private static Results run(Plan plan, Supplier<PlannedRequest> source, Consumer<Results> everySecond,
+      Runner.AttemptListener attemptListener) throws InterruptedException {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     EventLoop loop = group.next();
     Driver driver = loop.submit(() -> driver(plan, loop)).syncUninterruptibly().getNow();
     try {
-      // Two runs of one plan against one server have ids of their own: a server may remember them.
+      // Two runs of the same plan against the same server use different ids, because a server may deduplicate by id.
       String prefix = "l" + Long.toString(System.nanoTime(), 36) + "-";
-      Results results = new Runner(plan, loop, driver, prefix).everySecond(everySecond).eachTry(eachTry).run(source);
-      results.doubles = loop.submit(driver::doubles).syncUninterruptibly().getNow();
+      Results results = new Runner(plan, loop, driver, prefix).everySecond(everySecond).attemptListener(attemptListener).run(source);
+      results.duplicateResponses = loop.submit(driver::duplicateResponses).syncUninterruptibly().getNow();
       return results;
     } finally {
       loop.submit(driver::close).syncUninterruptibly();
--- a/load/src/main/java/cloverpulley/load/Plan.java
+++ b/load/src/main/java/cloverpulley/load/Plan.java
@@ -10,53 +10,58 @@
 import java.util.Set;
 
 /**
- * What a run is to be, as a plan file says: {@code [load]} and the tables in it.
+ * The configuration of a load run, read from the {@code [load]} section of a plan file and the tables within it.
  *
- * @param rate requests a second at factor 1
- * @param lateMillis the p99 of the generator's own lateness above which a run counts as fallen behind
+ * @param rate requests per second at shape factor 1
+ * @param maxLatenessMillis the run counts as fallen behind when the p99 of the generator's own lateness exceeds this
  */
 public record Plan(long seed, double seconds, double rate, Arrivals.Process process, Arrivals.Bursts bursts, Shape shape,
-    List<RequestClass> types, List<Tenant> tenants, Keys keys, Target target, Clients clients, double lateMillis) {
+    List<RequestClass> classes, List<Tenant> tenants, Keys keys, Target target, Clients clients, double maxLatenessMillis) {
 
-  /** Whether a request may run again, which is what its headers and method say. */
+  /** Whether a request may be executed more than once; the driver expresses it by method and headers. */
   public enum Effect { SAFE, KEYED, UNSAFE }
 
   /**
    * A class of requests.
    *
-   * @param share part of the requests; the shares are taken as parts of their sum
-   * @param hintLeast work hinted at in microseconds, drawn evenly between least and most; 0 and 0 for no hint
+   * @param share weight of the class among all requests; the weights need not add up to 1
+   * @param minHintMicros lower bound of the size hint in microseconds, which is drawn uniformly up to {@code maxHintMicros}; both 0 for no hint
    */
   public record RequestClass(String name, Effect effect, double share, double worth, double aimMillis, double deadlineMillis, int bytes,
-      long hintLeast, long hintMost) {}
+      long minHintMicros, long maxHintMicros) {}
 
-  /** A tenant: its part of the requests, and of the fleet that it has paid for. */
+  /**
+   * A tenant.
+   *
+   * @param share weight of the tenant among all requests
+   * @param portion fraction of the fleet's capacity that the tenant is entitled to
+   */
   public record Tenant(String name, double share, double portion) {}
 
-  /** Keys of Zipf popularity: the k-th is asked for in proportion to 1/k^exponent. */
+  /** Keys with Zipf popularity: the k-th key is requested in proportion to 1/k^exponent. */
   public record Keys(int count, double exponent) {}
 
-  /** How it is reached. */
+  /** The protocol spoken with the target. */
   public enum Protocol { HTTP, EXT_PROC, DNS_UDP, DNS_TCP }
 
   /**
-   * Where the load goes.
+   * The server under load.
    *
-   * @param connections bounds those open at one time
-   * @param domain below which DNS names are asked for, with a dot at its end
+   * @param maxConnections limit on connections open at the same time
+   * @param domain parent domain of the DNS names that are queried, with a trailing dot
    */
-  public record Target(Protocol protocol, InetSocketAddress address, String path, int connections, long connectMillis,
+  public record Target(Protocol protocol, InetSocketAddress address, String path, int maxConnections, long connectMillis,
       String domain) {}
 
   /**
    * How clients behave.
    *
-   * @param retries tries after the first
-   * @param backOffMillis before a retry, drawn from half of it to the whole and doubled each time
-   * @param honour part of the clients that wait as Retry-After says
-   * @param patienceLeast a try is given up after this part of the class's deadline, drawn up to the whole
+   * @param retries maximum number of attempts after the first
+   * @param backOffMillis delay before a retry, drawn between half of it and all of it, doubled with each retry
+   * @param honourRatio fraction of the clients that wait as long as Retry-After says
+   * @param minTimeoutRatio an attempt times out after a fraction of the class's deadline, drawn between this and 1
    */
-  public record Clients(int retries, double backOffMillis, double honour, double patienceLeast) {}
+  public record Clients(int retries, double backOffMillis, double honourRatio, double minTimeoutRatio) {}
 
   private static final Map<String, Arrivals.Process> PROCESSES = Map.of("poisson", Arrivals.Process.POISSON, "constant",
       Arrivals.Process.CONSTANT, "bursty", Arrivals.Process.BURSTY);
@@ -65,12 +70,12 @@
   private static final Map<String, Protocol> PROTOCOLS = Map.of("http", Protocol.HTTP, "ext_proc", Protocol.EXT_PROC, "dns_udp",
       Protocol.DNS_UDP, "dns_tcp", Protocol.DNS_TCP);
   private static final List<String> SHAPES = List.of("flash", "month_end", "ramp", "season", "wave");
-  /** Room for a host's label before it. */
-  private static final int MOST_DOMAIN = 200;
+  /** Leaves space for a host label before the domain within the 255 octets of a DNS name (RFC 1035, 2.3.4). */
+  private static final int MAX_DOMAIN_LENGTH = 200;
   private static final double DAY_S = 86_400;
   private static final double DAY_MS = DAY_S * 1000;
 
-  /** Reads a plan file. */
+  /** Parses a plan file; errors are reported to the section that they belong to. */
   public static Plan read(Section file) {
     Section s = file.table("load");
     double seconds = s.number("seconds", 0.1, DAY_S, 30);
@@ -79,15 +84,15 @@
     if (process == Arrivals.Process.BURSTY) {
       Section b = s.table("bursts");
       double factor = b.number("factor", 1.001, 1000, 4);
-      double part = b.number("part", 0.0001, 0.9999, 0.1);
-      if (part * factor >= 1) {
-        b.wrong("part", "expected less than 1/factor, got " + part);
-        part = 0.5 / factor;
+      double burstRatio = b.number("part", 0.0001, 0.9999, 0.1);
+      if (burstRatio * factor >= 1) {
+        b.wrong("part", "expected less than 1/factor, got " + burstRatio);
+        burstRatio = 0.5 / factor;
       }
-      bursts = new Arrivals.Bursts(factor, part, b.number("mean_s", 0.001, DAY_S, 1));
+      bursts = new Arrivals.Bursts(factor, burstRatio, b.number("mean_s", 0.001, DAY_S, 1));
     }
     return new Plan(s.whole("seed", Long.MIN_VALUE, Long.MAX_VALUE, 1), seconds, s.number("rate", 0.01, 1e6, 100), process,
-        bursts, shape(s, seconds), types(s), tenants(s), keys(s.table("keys")), target(s.table("target")),
+        bursts, shape(s, seconds), classes(s), tenants(s), keys(s.table("keys")), target(s.table("target")),
         clients(s.table("clients")), s.number("late_ms", 0.01, 10_000, 10));
   }
 
@@ -115,8 +120,8 @@
     return parts.isEmpty() ? new Shape.Flat() : parts.size() == 1 ? parts.get(0) : new Shape.Product(List.copyOf(parts));
   }
 
-  private static List<RequestClass> types(Section s) {
-    List<RequestClass> types = new ArrayList<>();
+  private static List<RequestClass> classes(Section s) {
+    List<RequestClass> classes = new ArrayList<>();
     Set<String> names = new HashSet<>();
     for (Section c : s.tables("class")) {
       String name = c.text("name");
@@ -135,15 +140,15 @@
         c.wrong("hint_most_us", "expected no less than hint_least_us, got " + most);
         most = least;
       }
-      types.add(new RequestClass(name, effect == null ? Effect.UNSAFE : effect, c.number("share", 0.0001, 1e6, 1),
+      classes.add(new RequestClass(name, effect == null ? Effect.UNSAFE : effect, c.number("share", 0.0001, 1e6, 1),
           c.number("worth", 0, 1e6, 1), aim, deadline, (int) c.whole("bytes", 0, 65536, effect == Effect.SAFE ? 0 : 200), least,
           most));
     }
-    if (types.isEmpty()) {
+    if (classes.isEmpty()) {
       s.wrong("class", "expected at least one [[load.class]], got nothing");
-      types.add(new RequestClass("none", Effect.SAFE, 1, 1, 1, 1, 0, 0, 0));
+      classes.add(new RequestClass("none", Effect.SAFE, 1, 1, 1, 1, 0, 0, 0));
     }
-    return List.copyOf(types);
+    return List.copyOf(classes);
   }
 
   private static List<Tenant> tenants(Section s) {
@@ -170,7 +175,7 @@
       t.wrong("path", "expected a path such as /api, got \"" + path + "\"");
     }
     String domain = t.text("domain", "load.test.");
-    if (Names.of(domain) == null || domain.length() > MOST_DOMAIN) {
+    if (Names.of(domain) == null || domain.length() > MAX_DOMAIN_LENGTH) {
       t.wrong("domain", "expected a domain name, got \"" + domain + "\"");
       domain = "load.test.";
     }
--- a/load/src/main/java/cloverpulley/load/PlanFormatter.java
+++ b/load/src/main/java/cloverpulley/load/PlanFormatter.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** A plan as text. */
+/** Formats a plan as text. */
 public final class PlanFormatter {
 
   private static final int ROWS = 30;
@@ -10,27 +10,27 @@
 
   private PlanFormatter() {}
 
-  /** What a run of it would be, in one line. */
-  public static String line(Plan plan) {
+  /** One line that summarises the run. */
+  public static String summary(Plan plan) {
     return String.format(Locale.ROOT, "%.0f requests in %.0f s, %d classes, %d tenants, %d keys, to %s by %s, seed %d",
-        plan.rate() * plan.shape().mean(0, plan.seconds()) * plan.seconds(), plan.seconds(), plan.types().size(),
+        plan.rate() * plan.shape().mean(0, plan.seconds()) * plan.seconds(), plan.seconds(), plan.classes().size(),
         plan.tenants().size(), plan.keys().count(), plan.target().address(),
         plan.target().protocol().name().toLowerCase(Locale.ROOT), plan.seed());
   }
 
-  /** The planned rate over time: a bar for each piece of the run, its mean beside it. */
-  public static String draw(Plan plan) {
-    StringBuilder text = new StringBuilder(line(plan)).append('\n');
+  /** The planned rate over time as a bar chart; each row gives the mean rate of one section of the run. */
+  public static String chart(Plan plan) {
+    StringBuilder out = new StringBuilder(summary(plan)).append('\n');
     double[] means = new double[ROWS];
-    double most = 1e-9;
+    double max = 1e-9;
     for (int i = 0; i < ROWS; i++) {
       means[i] = plan.rate() * plan.shape().mean(plan.seconds() * i / ROWS, plan.seconds() * (i + 1) / ROWS);
-      most = Math.max(most, means[i]);
+      max = Math.max(max, means[i]);
     }
     for (int i = 0; i < ROWS; i++) {
-      text.append(String.format(Locale.ROOT, "%8.1f s %9.1f/s  %s%n", plan.seconds() * i / ROWS, means[i],
-          "#".repeat((int) Math.round(WIDTH * means[i] / most))));
+      out.append(String.format(Locale.ROOT, "%8.1f s %9.1f/s  %s%n", plan.seconds() * i / ROWS, means[i],
+          "#".repeat((int) Math.round(WIDTH * means[i] / max))));
     }
-    return text.toString();
+    return out.toString();
   }
 }
--- a/load/src/main/java/cloverpulley/load/Results.java
+++ b/load/src/main/java/cloverpulley/load/Results.java
@@ -9,41 +9,41 @@
 import org.HdrHistogram.PackedHistogram;
 
 /**
- * What came of a run. A request counts once, with its last outcome and one latency from its intended start (corrected for
- * coordinated omission; Tene, "How NOT to Measure Latency") and one from when its first try was really sent (naive). Memory is
- * bounded by the run's seconds, classes and tenants, not by its requests. One thread.
+ * The results of a run. A request counts once, with the outcome of its last attempt and two latencies: one measured from its intended
+ * start (corrected for coordinated omission; Tene, "How NOT to Measure Latency"), the other from the actual start of its first attempt
+ * (naive). Memory use is bounded by the number of seconds, classes and tenants, not by the number of requests. Not thread-safe.
  */
 public final class Results {
 
-  /** Latencies in microseconds: from 1 to ten minutes, three digits. */
-  static final long MOST_MICROS = TimeUnit.MINUTES.toMicros(10);
-  private static final int DIGITS = 3;
-  private static final int SECOND_DIGITS = 2;
+  /** The histograms hold microseconds, from 1 to ten minutes, with three significant digits. */
+  static final long MAX_MICROS = TimeUnit.MINUTES.toMicros(10);
+  private static final int SIGNIFICANT_DIGITS = 3;
+  private static final int SIGNIFICANT_DIGITS_PER_SECOND = 2;
 
-  /** Counts of one kind of request. */
+  /** Counters and latencies of one set of requests: all, those of a class or those of a tenant. */
   public static final class RequestStats {
     public final long[] outcomes = new long[Outcome.values().length];
-    public final Histogram corrected = new PackedHistogram(MOST_MICROS, DIGITS);
-    public final Histogram naive = new PackedHistogram(MOST_MICROS, DIGITS);
-    public long asked;
+    public final Histogram corrected = new PackedHistogram(MAX_MICROS, SIGNIFICANT_DIGITS);
+    public final Histogram naive = new PackedHistogram(MAX_MICROS, SIGNIFICANT_DIGITS);
+    public long requests;
     public long inTime;
-    public double worthAsked;
+    public double worthRequested;
     public double worthInTime;
 
-    private void add(Outcome outcome, long correctedMicros, long naiveMicros, double worth, boolean timely) {
+    private void addOutcome(Outcome outcome, long correctedMicros, long naiveMicros, double worth, boolean withinAim) {
       outcomes[outcome.ordinal()]++;
-      corrected.recordValue(Math.min(MOST_MICROS, Math.max(0, correctedMicros)));
-      naive.recordValue(Math.min(MOST_MICROS, Math.max(0, naiveMicros)));
-      inTime += timely ? 1 : 0;
-      worthInTime += timely ? worth : 0;
+      corrected.recordValue(Math.min(MAX_MICROS, Math.max(0, correctedMicros)));
+      naive.recordValue(Math.min(MAX_MICROS, Math.max(0, naiveMicros)));
+      inTime += withinAim ? 1 : 0;
+      worthInTime += withinAim ? worth : 0;
     }
 
-    private void ask(double worth) {
-      asked++;
-      worthAsked += worth;
+    private void addRequest(double worth) {
+      requests++;
+      worthRequested += worth;
     }
 
-    public long ended() {
+    public long completed() {
       long sum = 0;
       for (long n : outcomes) {
         sum += n;
@@ -52,32 +52,32 @@
     }
   }
 
-  /** One second of intended starts. */
+  /** Counters and latencies of the requests with an intended start within the same second; {@code sent} counts by actual start. */
   public static final class SecondStats {
-    public final Histogram corrected = new PackedHistogram(MOST_MICROS, SECOND_DIGITS);
+    public final Histogram corrected = new PackedHistogram(MAX_MICROS, SIGNIFICANT_DIGITS_PER_SECOND);
     public final long[] outcomes = new long[Outcome.values().length];
     public long intended;
     public long sent;
-    public double worthAsked;
+    public double worthRequested;
     public double worthInTime;
   }
 
   private final Plan plan;
   public final RequestStats all = new RequestStats();
-  public final List<RequestStats> types = new ArrayList<>();
+  public final List<RequestStats> classes = new ArrayList<>();
   public final List<RequestStats> tenants = new ArrayList<>();
   public final List<SecondStats> seconds = new ArrayList<>();
-  /** How late tries were sent against their intended start (firsts) or the end of their back-off (retries). */
-  public final Histogram lateness = new Histogram(MOST_MICROS, DIGITS);
-  public long tries;
-  /** Answers to requests that had been answered already. */
-  public long doubles;
-  /** When the run started, {@code System.nanoTime()}. */
+  /** How late attempts were sent: first attempts relative to the intended start, retries relative to the end of the back-off. */
+  public final Histogram lateness = new Histogram(MAX_MICROS, SIGNIFICANT_DIGITS);
+  public long attempts;
+  /** Responses to requests that had already been answered. */
+  public long duplicateResponses;
+  /** Start of the run, {@code System.nanoTime()}. */
   public long startNanos;
 
   public Results(Plan plan) {
     this.plan = plan;
-    plan.types().forEach(t -> types.add(new RequestStats()));
+    plan.classes().forEach(t -> classes.add(new RequestStats()));
     plan.tenants().forEach(t -> tenants.add(new RequestStats()));
   }
 
@@ -88,40 +88,40 @@
     return seconds.get((int) at);
   }
 
-  /** A request is due. */
-  public void intended(PlannedRequest p) {
-    double worth = plan.types().get(p.type()).worth();
-    all.ask(worth);
-    types.get(p.type()).ask(worth);
-    tenants.get(p.tenant()).ask(worth);
-    SecondStats s = second(p.at());
+  /** Records that the intended start of a request has come. */
+  public void recordIntended(PlannedRequest p) {
+    double worth = plan.classes().get(p.classIndex()).worth();
+    all.addRequest(worth);
+    classes.get(p.classIndex()).addRequest(worth);
+    tenants.get(p.tenantIndex()).addRequest(worth);
+    SecondStats s = second(p.startSeconds());
     s.intended++;
-    s.worthAsked += worth;
+    s.worthRequested += worth;
   }
 
-  /** A try leaves, so late. */
-  public void sent(PlannedRequest p, double sinceStart, long lateNanos) {
-    tries++;
-    lateness.recordValue(Math.min(MOST_MICROS, Math.max(0, lateNanos / 1000)));
+  /** Records that an attempt was sent {@code lateNanos} after it was due. */
+  public void recordSent(PlannedRequest p, double sinceStart, long lateNanos) {
+    attempts++;
+    lateness.recordValue(Math.min(MAX_MICROS, Math.max(0, lateNanos / 1000)));
     second(Math.max(0, sinceStart)).sent++;
   }
 
-  /** A request has its one outcome. */
-  public void ended(PlannedRequest p, Outcome outcome, long correctedNanos, long naiveNanos) {
-    Plan.RequestClass type = plan.types().get(p.type());
-    boolean timely = outcome == Outcome.SERVED && correctedNanos <= type.aimMillis() * 1e6;
-    for (RequestStats t : List.of(all, types.get(p.type()), tenants.get(p.tenant()))) {
-      t.add(outcome, correctedNanos / 1000, naiveNanos / 1000, type.worth(), timely);
+  /** Records the final outcome of a request. */
+  public void recordOutcome(PlannedRequest p, Outcome outcome, long correctedNanos, long naiveNanos) {
+    Plan.RequestClass type = plan.classes().get(p.classIndex());
+    boolean withinAim = outcome == Outcome.SERVED && correctedNanos <= type.aimMillis() * 1e6;
+    for (RequestStats t : List.of(all, classes.get(p.classIndex()), tenants.get(p.tenantIndex()))) {
+      t.addOutcome(outcome, correctedNanos / 1000, naiveNanos / 1000, type.worth(), withinAim);
     }
-    SecondStats s = second(p.at());
+    SecondStats s = second(p.startSeconds());
     s.outcomes[outcome.ordinal()]++;
-    s.corrected.recordValue(Math.min(MOST_MICROS, Math.max(0, correctedNanos / 1000)));
-    s.worthInTime += timely ? type.worth() : 0;
+    s.corrected.recordValue(Math.min(MAX_MICROS, Math.max(0, correctedNanos / 1000)));
+    s.worthInTime += withinAim ? type.worth() : 0;
   }
 
-  /** Whether the generator fell behind: its numbers then speak of itself. */
+  /** Whether the generator fell behind its schedule: the latencies then reflect the generator as well as the server. */
   public boolean fellBehind() {
-    return lateness.getValueAtPercentile(99) > plan.lateMillis() * 1000;
+    return lateness.getValueAtPercentile(99) > plan.maxLatenessMillis() * 1000;
   }
 
   public Plan plan() {
--- a/load/src/main/java/cloverpulley/load/Runner.java
+++ b/load/src/main/java/cloverpulley/load/Runner.java
@@ -15,17 +15,17 @@
 import java.util.function.Supplier;
 
 /**
- * Plays planned requests in an open loop: each try leaves at its time, whatever became of those before. A thread of its own keeps
- * the time, all else runs on the one loop of the drivers. Should the loop fall behind, requests wait and their lateness is
- * recorded; none is dropped and none is sent early.
+ * Runs planned requests in an open loop: each request is sent at its intended time, regardless of the outcome of earlier ones. The
+ * thread that calls {@link #run} does the scheduling; everything else runs on the drivers' single event loop. If the loop falls
+ * behind, requests are queued and their lateness is recorded; none is dropped and none is sent early.
  */
 public final class Runner {
 
-  /** Requests handed over and not yet sent; past this the time-keeper waits, and what it hands over then is late. */
-  private static final int MOST_WAITING = 100_000;
-  private static final long WAIT_NANOS = 100_000;
-  private static final int MOST_BATCH = 256;
-  private static final int MOST_DOUBLINGS = 16;
+  /** Limit on requests queued on the event loop. At this limit the scheduling thread waits, so the requests after that are late. */
+  private static final int MAX_QUEUED = 100_000;
+  private static final long PARK_NANOS = 100_000;
+  private static final int MAX_BATCH = 256;
+  private static final int MAX_DOUBLINGS = 16;
 
   private final Plan plan;
   private final EventLoop loop;
@@ -33,16 +33,16 @@
   private final Results results;
   private final SplittableRandom random;
   private final String prefix;
-  private final AtomicInteger waiting = new AtomicInteger();
-  private final CountDownLatch over = new CountDownLatch(1);
+  private final AtomicInteger queued = new AtomicInteger();
+  private final CountDownLatch finished = new CountDownLatch(1);
   private Consumer<Results> everySecond = r -> { };
-  private AttemptListener eachTry = (planned, id, outcome, tookNanos) -> { };
+  private AttemptListener attemptListener = (planned, id, outcome, tookNanos) -> { };
   private long startNanos;
-  private long open;
+  private long inFlight;
   private boolean allStarted;
   private volatile boolean stopped;
 
-  /** {@code prefix} begins the id of each try: two runs against one server differ in it. */
+  /** Every attempt id starts with {@code prefix}, which has to be unique per run: a server may deduplicate by id. */
   public Runner(Plan plan, EventLoop loop, Driver driver, String prefix) {
     this.plan = plan;
     this.loop = loop;
@@ -52,89 +52,89 @@
     random = new SplittableRandom(plan.seed() ^ 0x5deece66dL);
   }
 
-  /** Told of each try as it ends, on the loop. */
+  /** Notified on the event loop as each attempt ends. */
   public interface AttemptListener {
-    void ended(PlannedRequest planned, String id, Outcome outcome, long tookNanos);
+    void onAttemptEnd(PlannedRequest planned, String id, Outcome outcome, long tookNanos);
   }
 
-  public Runner eachTry(AttemptListener told) {
-    eachTry = told;
+  public Runner attemptListener(AttemptListener listener) {
+    attemptListener = listener;
     return this;
   }
 
-  /** Told on the loop once a second while the run goes on. */
-  public Runner everySecond(Consumer<Results> told) {
-    everySecond = told;
+  /** Sets a listener that is called on the event loop once a second during the run. */
+  public Runner everySecond(Consumer<Results> listener) {
+    everySecond = listener;
     return this;
   }
 
-  /** Ends the run early: what has started is still seen through. */
+  /** Stops the run early; requests that have started still run to completion. */
   public void stop() {
     stopped = true;
   }
 
-  /** Plays all that the source gives; returns once each request has its outcome. */
+  /** Runs every request that the source returns; returns when each of them has its outcome. */
   public Results run(Supplier<PlannedRequest> source) throws InterruptedException {
     startNanos = System.nanoTime();
     results.startNanos = startNanos;
-    Future<?> ticks = loop.scheduleAtFixedRate(() -> everySecond.accept(results), 1, 1, TimeUnit.SECONDS);
+    Future<?> ticker = loop.scheduleAtFixedRate(() -> everySecond.accept(results), 1, 1, TimeUnit.SECONDS);
     PlannedRequest p = source.get();
     while (p != null && !stopped) {
-      awaitTime(due(p));
-      while (waiting.get() >= MOST_WAITING) {
-        LockSupport.parkNanos(WAIT_NANOS);
+      parkUntil(due(p));
+      while (queued.get() >= MAX_QUEUED) {
+        LockSupport.parkNanos(PARK_NANOS);
       }
-      // All that is due by now goes over at once: waking the loop for each would cost more than sending it.
+      // Submits all requests that are due in one batch: waking the event loop for each one would cost more than sending it.
       List<PlannedRequest> batch = new ArrayList<>();
       long now = System.nanoTime();
       do {
         batch.add(p);
         p = source.get();
-      } while (p != null && due(p) <= now && batch.size() < MOST_BATCH);
-      waiting.addAndGet(batch.size());
+      } while (p != null && due(p) <= now && batch.size() < MAX_BATCH);
+      queued.addAndGet(batch.size());
       loop.execute(() -> batch.forEach(this::start));
     }
     loop.execute(() -> {
       allStarted = true;
-      checkOver();
+      checkFinished();
     });
-    over.await();
-    ticks.cancel(false);
-    loop.submit(() -> { }).syncUninterruptibly(); // What was told last is seen by this thread.
+    finished.await();
+    ticker.cancel(false);
+    loop.submit(() -> { }).syncUninterruptibly(); // Makes the loop's last writes visible to this thread.
     return results;
   }
 
   private long due(PlannedRequest p) {
-    return startNanos + (long) (p.at() * 1e9);
+    return startNanos + (long) (p.startSeconds() * 1e9);
   }
 
-  /** Parks without spinning: the loop may have to share a core with this thread, and needs it more. */
-  private static void awaitTime(long due) {
+  /** Parks without spinning: the event loop may share a core with this thread and needs the CPU time more. */
+  private static void parkUntil(long due) {
     for (long left = due - System.nanoTime(); left > 0; left = due - System.nanoTime()) {
       LockSupport.parkNanos(left);
     }
   }
 
   private void start(PlannedRequest p) {
-    waiting.decrementAndGet();
-    open++;
-    results.intended(p);
+    queued.decrementAndGet();
+    inFlight++;
+    results.recordIntended(p);
     new Request(p, due(p)).attempt(due(p));
   }
 
-  private void checkOver() {
-    if (allStarted && open == 0) {
-      over.countDown();
+  private void checkFinished() {
+    if (allStarted && inFlight == 0) {
+      finished.countDown();
     }
   }
 
-  /** One request through all of its tries. */
+  /** A request and all of its attempts. */
   private final class Request {
 
     private final PlannedRequest planned;
     private final long intended;
     private long firstSent;
-    private int tries;
+    private int attempts;
 
     Request(PlannedRequest planned, long intended) {
       this.planned = planned;
@@ -143,33 +143,33 @@
 
     void attempt(long due) {
       long now = System.nanoTime();
-      firstSent = tries == 0 ? now : firstSent;
-      results.sent(planned, (now - startNanos) / 1e9, now - due);
-      int attempt = tries++;
+      firstSent = attempts == 0 ? now : firstSent;
+      results.recordSent(planned, (now - startNanos) / 1e9, now - due);
+      int attempt = attempts++;
       String id = prefix + planned.number() + "." + attempt;
       driver.send(planned, id, attempt, (outcome, retryAfter) -> {
-        eachTry.ended(planned, id, outcome, System.nanoTime() - now);
-        ended(outcome, retryAfter);
+        attemptListener.onAttemptEnd(planned, id, outcome, System.nanoTime() - now);
+        onOutcome(outcome, retryAfter);
       });
     }
 
-    private void ended(Outcome outcome, double retryAfterMillis) {
-      if (outcome != Outcome.SERVED && tries <= plan.clients().retries() && mayRetry(outcome)) {
-        double wait = planned.honours() && retryAfterMillis > 0 ? retryAfterMillis
-            : plan.clients().backOffMillis() * (1 << Math.min(MOST_DOUBLINGS, tries - 1)) * (0.5 + random.nextDouble() / 2);
+    private void onOutcome(Outcome outcome, double retryAfterMillis) {
+      if (outcome != Outcome.SERVED && attempts <= plan.clients().retries() && mayRetry(outcome)) {
+        double wait = planned.honoursRetryAfter() && retryAfterMillis > 0 ? retryAfterMillis
+            : plan.clients().backOffMillis() * (1 << Math.min(MAX_DOUBLINGS, attempts - 1)) * (0.5 + random.nextDouble() / 2);
         long due = System.nanoTime() + (long) (wait * 1e6);
         loop.schedule(() -> attempt(due), (long) (wait * 1e6), TimeUnit.NANOSECONDS);
         return;
       }
       long now = System.nanoTime();
-      results.ended(planned, outcome, now - intended, now - firstSent);
-      open--;
-      checkOver();
+      results.recordOutcome(planned, outcome, now - intended, now - firstSent);
+      inFlight--;
+      checkFinished();
     }
 
-    /** A client does not ask twice for what must not run twice, unless it was told that nothing ran. */
+    /** A request that is not idempotent is retried only if the previous attempt was certainly not executed. */
     private boolean mayRetry(Outcome outcome) {
-      return plan.types().get(planned.type()).effect() != Plan.Effect.UNSAFE || outcome == Outcome.REFUSED
+      return plan.classes().get(planned.classIndex()).effect() != Plan.Effect.UNSAFE || outcome == Outcome.REFUSED
           || outcome == Outcome.NO_CONNECTION || outcome == Outcome.NO_ROOM;
     }
   }
--- a/load/src/main/java/cloverpulley/load/Shape.java
+++ b/load/src/main/java/cloverpulley/load/Shape.java
@@ -3,18 +3,18 @@
 import java.util.List;
 
 /**
- * How a rate changes over a run: a factor for each moment, 1 for the plan's base rate. Pure; shapes compose by multiplying
- * ({@link Product}). Times are seconds since the run's start.
+ * How the request rate changes during a run: a factor for each point in time, where 1 is the plan's base rate. Shapes are immutable and
+ * composed by multiplication ({@link Product}). Times are seconds since the start of the run.
  */
 public sealed interface Shape permits Shape.Flat, Shape.Ramp, Shape.Wave, Shape.MonthEnd, Shape.Season, Shape.Flash, Shape.Product {
 
-  /** The factor at a time, 0 or more. */
+  /** The factor at a point in time; never negative. */
   double at(double seconds);
 
-  /** No smaller than the factor at any time from 0 to the length: the bound for thinning. */
-  double most();
+  /** An upper bound of the factor over the whole run, used for thinning. */
+  double max();
 
-  /** Always the base rate. */
+  /** Constant base rate. */
   record Flat() implements Shape {
     @Override
     public double at(double seconds) {
@@ -22,12 +22,12 @@
     }
 
     @Override
-    public double most() {
+    public double max() {
       return 1;
     }
   }
 
-  /** Evenly from one factor to another between two times; before and after, as at its ends. */
+  /** Changes linearly from one factor to another between two times and is constant before and after. */
   record Ramp(double from, double to, double start, double end) implements Shape {
     public Ramp {
       Checks.require(from >= 0 && to >= 0, "a ramp's factors must not be negative");
@@ -36,17 +36,17 @@
 
     @Override
     public double at(double seconds) {
-      double part = Math.min(1, Math.max(0, (seconds - start) / (end - start)));
-      return from + part * (to - from);
+      double progress = Math.min(1, Math.max(0, (seconds - start) / (end - start)));
+      return from + progress * (to - from);
     }
 
     @Override
-    public double most() {
+    public double max() {
       return Math.max(from, to);
     }
   }
 
-  /** A sine round 1: day and night, or a heartbeat. */
+  /** A sine wave around 1, such as the cycle of day and night. */
   record Wave(double amplitude, double period, double phase) implements Shape {
     public Wave {
       Checks.require(amplitude >= 0 && amplitude <= 1, "a wave's amplitude must be 0 to 1");
@@ -59,23 +59,23 @@
     }
 
     @Override
-    public double most() {
+    public double max() {
       return 1 + amplitude;
     }
   }
 
   /**
-   * The last working days of a month in small: day after day the rate rises, within each day it swells towards closing time,
-   * and the last hours of the last day peak.
+   * The last working days of a month, scaled to the length of the run: the rate rises from day to day, grows within each day towards
+   * closing time, and peaks in the last hours of the last day.
    *
-   * @param days working days that the run stands for
-   * @param rise factor of the last day against the first
-   * @param peak further factor at the end of the last day, whose last fifth climbs to it
+   * @param days number of working days that the run represents
+   * @param rise factor of the last day relative to the first
+   * @param peak additional factor at the end of the last day, reached by a linear rise over the last fifth of that day
    */
   record MonthEnd(int days, double rise, double peak, double length) implements Shape {
 
-    private static final double QUIET = 0.6;
-    private static final double LAST_HOURS = 0.2;
+    private static final double OPENING_FACTOR = 0.6;
+    private static final double FINAL_PEAK_RATIO = 0.2;
 
     public MonthEnd {
       Checks.require(days >= 1, "a month's end must have a day");
@@ -87,21 +87,21 @@
     public double at(double seconds) {
       double at = Math.min(days - 1e-9, Math.max(0, seconds / length * days));
       int day = (int) at;
-      double hour = at - day;
-      double ofDay = days == 1 ? rise : 1 + (rise - 1) * day / (days - 1);
-      double within = QUIET + (1 - QUIET) * Math.sin(Math.PI * Math.min(1, hour / 0.9) / 2);
-      double last = day < days - 1 || hour < 1 - LAST_HOURS ? 1
-          : 1 + (peak - 1) * (hour - (1 - LAST_HOURS)) / LAST_HOURS;
-      return ofDay * within * last;
+      double dayFraction = at - day;
+      double dayFactor = days == 1 ? rise : 1 + (rise - 1) * day / (days - 1);
+      double hourFactor = OPENING_FACTOR + (1 - OPENING_FACTOR) * Math.sin(Math.PI * Math.min(1, dayFraction / 0.9) / 2);
+      double peakFactor = day < days - 1 || dayFraction < 1 - FINAL_PEAK_RATIO ? 1
+          : 1 + (peak - 1) * (dayFraction - (1 - FINAL_PEAK_RATIO)) / FINAL_PEAK_RATIO;
+      return dayFactor * hourFactor * peakFactor;
     }
 
     @Override
-    public double most() {
+    public double max() {
       return rise * peak;
     }
   }
 
-  /** A season: the rate swells to its top in the middle of the run and falls again, as before spring's field work. */
+  /** A seasonal peak: the rate rises to its maximum in the middle of the run and falls again, as before the field work in spring. */
   record Season(double top, double length) implements Shape {
     public Season {
       Checks.require(top >= 1, "a season's top must be 1 or more");
@@ -110,18 +110,18 @@
 
     @Override
     public double at(double seconds) {
-      double part = Math.min(1, Math.max(0, seconds / length));
-      double swell = Math.sin(Math.PI * part);
-      return 1 + (top - 1) * swell * swell;
+      double progress = Math.min(1, Math.max(0, seconds / length));
+      double sine = Math.sin(Math.PI * progress);
+      return 1 + (top - 1) * sine * sine;
     }
 
     @Override
-    public double most() {
+    public double max() {
       return top;
     }
   }
 
-  /** A crowd from one moment on, that leaves by halves. */
+  /** A flash crowd: the rate jumps at one time and then decays exponentially with the given half-life. */
   record Flash(double start, double factor, double halfLife) implements Shape {
     public Flash {
       Checks.require(factor >= 1, "a crowd's factor must be 1 or more");
@@ -134,12 +134,12 @@
     }
 
     @Override
-    public double most() {
+    public double max() {
       return factor;
     }
   }
 
-  /** All of them at once. */
+  /** The product of several shapes. */
   record Product(List<Shape> parts) implements Shape {
     @Override
     public double at(double seconds) {
@@ -151,23 +151,23 @@
     }
 
     @Override
-    public double most() {
+    public double max() {
       double product = 1;
       for (Shape part : parts) {
-        product *= part.most();
+        product *= part.max();
       }
       return product;
     }
   }
 
-  /** The mean factor over a stretch, by the midpoints of even pieces: a jump at its end is not in it. */
+  /** The mean factor over an interval by the midpoint rule, so that a jump exactly at its end does not count. */
   default double mean(double from, double to) {
-    int pieces = (int) Math.min(200_000, Math.max(1000, (to - from) * 1000));
-    double step = (to - from) / pieces;
-    double sum = 0;
-    for (int i = 0; i < pieces; i++) {
-      sum += at(from + (i + 0.5) * step);
+    int steps = (int) Math.min(200_000, Math.max(1000, (to - from) * 1000));
+    double step = (to - from) / steps;
+    double total = 0;
+    for (int i = 0; i < steps; i++) {
+      total += at(from + (i + 0.5) * step);
     }
-    return sum / pieces;
+    return total / steps;
   }
 }
--- a/load/src/main/java/cloverpulley/load/Trace.java
+++ b/load/src/main/java/cloverpulley/load/Trace.java
@@ -22,37 +22,42 @@
 import java.util.zip.Inflater;
 
 /**
- * Traces of requests, version 1. Eight bytes of magic ({@code ASHTRC} and the version as two digits), then blocks until the
- * file's end. A block: kind (one byte, N or R), length of its content (4 bytes), CRC-32 of the content as stored (4 bytes),
- * content, deflated. A block N names classes and tenants in the order of their numbers: a byte C or T, length (2 bytes), UTF-8.
- * A block R holds records one after another, whose times start anew in each block at the microsecond in its first 8 bytes:
- * time since the record before, class, tenant (variable-length integers, 7 bits a byte, low first), hash of the key (8 bytes, 0
- * for none), work hinted at in microseconds, bytes, latency in microseconds (variable), outcome (one byte). Numbers are
- * big-endian. Each block can be read by itself once the names are known, and a writer that dies loses the last one only.
+ * Binary format for traces of requests, version 1. A trace starts with eight bytes of magic ({@code ASHTRC} and the version as two digits),
+ * followed by blocks up to the end of the file. A block consists of a kind (one byte, N or R), the length of its content as stored
+ * (4 bytes), the CRC-32 of the content as stored (4 bytes) and the content, deflated.
+ *
+ * <p>An N block defines names of classes and tenants in the order of their indexes: a byte C or T, the length (2 bytes) and the name in UTF-8.
+ *
+ * <p>An R block holds the time of its first record in microseconds (8 bytes) and then the records: the time since the previous record, class,
+ * tenant (variable-length integers, 7 bits per byte, low-order bits first), the hash of the key (8 bytes, 0 for none), the size hint in
+ * microseconds, the size in bytes and the latency in microseconds (variable-length integers), and the outcome (one byte).
+ *
+ * <p>Fixed-size numbers are big-endian. Each R block can be decoded independently once the names are known, and a writer that crashes loses
+ * only its last block.
  */
 public final class Trace {
 
   static final byte[] MAGIC = "ASHTRC01".getBytes(StandardCharsets.US_ASCII);
-  private static final int HEAD = 9;
-  private static final int MOST_BLOCK = 1 << 20;
-  private static final int MOST_CONTENT = 4 << 20;
-  private static final int MOST_NAMES = 10_000;
-  private static final int MOST_NAME = 128;
-  private static final int BLOCK_RECORDS = 2048;
-  private static final long BLOCK_MICROS = 1_000_000;
+  private static final int BLOCK_HEADER_BYTES = 9;
+  private static final int MAX_BLOCK_BYTES = 1 << 20;
+  private static final int MAX_CONTENT_BYTES = 4 << 20;
+  private static final int MAX_NAMES = 10_000;
+  private static final int MAX_NAME_BYTES = 128;
+  private static final int MAX_BLOCK_RECORDS = 2048;
+  private static final long MAX_BLOCK_MICROS = 1_000_000;
 
   private Trace() {}
 
   /**
    * One request.
    *
-   * @param atMicros since the trace's start; never less than the one before
-   * @param keyHash 0 for none: keys themselves are not kept
+   * @param atMicros time since the start of the trace; never decreases
+   * @param keyHash hash of the key, 0 for none; keys themselves are not stored
    */
   public record Entry(long atMicros, String className, String tenant, long keyHash, long hintMicros, int bytes, long latencyMicros,
       Outcome outcome) {}
 
-  /** FNV-1a of a key, never 0. */
+  /** The FNV-1a hash of a key; never 0. */
   public static long hash(String key) {
     long hash = 0xcbf29ce484222325L;
     for (byte b : key.getBytes(StandardCharsets.UTF_8)) {
@@ -61,7 +66,7 @@
     return hash == 0 ? 1 : hash;
   }
 
-  /** Writes a trace; every block is whole in the stream once it has a second or two thousand records. One thread. */
+  /** Writes a trace. A block is completed and flushed once it spans a second or holds 2048 records. Not thread-safe. */
   public static final class Writer implements AutoCloseable {
 
     private final DataOutputStream out;
@@ -78,10 +83,10 @@
       this.out.write(MAGIC);
     }
 
-    /** Adds a request; one that is earlier than the one before counts as of the same time. */
+    /** Adds a request. One that is earlier than the previous one gets the time of the previous one. */
     public void add(Entry e) throws IOException {
       long at = Math.max(last, Math.max(0, e.atMicros()));
-      if (count > 0 && (count == BLOCK_RECORDS || at - blockAt >= BLOCK_MICROS)) {
+      if (count > 0 && (count == MAX_BLOCK_RECORDS || at - blockAt >= MAX_BLOCK_MICROS)) {
         flush();
       }
       if (count == 0) {
@@ -92,8 +97,8 @@
         }
       }
       varint(records, at - last);
-      varint(records, number(classes, 'C', e.className()));
-      varint(records, number(tenants, 'T', e.tenant()));
+      varint(records, indexOf(classes, 'C', e.className()));
+      varint(records, indexOf(tenants, 'T', e.tenant()));
       for (int shift = 56; shift >= 0; shift -= 8) {
         records.write((int) (e.keyHash() >>> shift));
       }
@@ -105,21 +110,21 @@
       count++;
     }
 
-    private int number(Map<String, Integer> numbers, char kind, String name) throws IOException {
-      Integer known = numbers.get(name);
-      if (known != null) {
-        return known;
+    private int indexOf(Map<String, Integer> indexes, char kind, String name) throws IOException {
+      Integer existing = indexes.get(name);
+      if (existing != null) {
+        return existing;
       }
       byte[] text = name.getBytes(StandardCharsets.UTF_8);
-      if (text.length > MOST_NAME || numbers.size() >= MOST_NAMES) {
-        throw new IOException("a name too long, or too many of them: " + name);
+      if (text.length > MAX_NAME_BYTES || indexes.size() >= MAX_NAMES) {
+        throw new IOException("name too long, or too many names: " + name);
       }
       names.write(kind);
       names.write(text.length >> 8);
       names.write(text.length);
       names.write(text);
-      numbers.put(name, numbers.size());
-      return numbers.size() - 1;
+      indexes.put(name, indexes.size());
+      return indexes.size() - 1;
     }
 
     private static void varint(ByteArrayOutputStream out, long value) {
@@ -131,7 +136,7 @@
       out.write((int) rest);
     }
 
-    /** Writes what has been added: readers see it from here on. */
+    /** Writes all requests that have been added, so that readers of the stream see them. */
     public void flush() throws IOException {
       if (names.size() > 0) {
         block('N', names.toByteArray());
@@ -146,19 +151,19 @@
     }
 
     private void block(char kind, byte[] content) throws IOException {
-      ByteArrayOutputStream packed = new ByteArrayOutputStream();
+      ByteArrayOutputStream compressed = new ByteArrayOutputStream();
       Deflater deflater = new Deflater(Deflater.BEST_SPEED);
-      try (DeflaterOutputStream deflating = new DeflaterOutputStream(packed, deflater)) {
+      try (DeflaterOutputStream deflating = new DeflaterOutputStream(compressed, deflater)) {
         deflating.write(content);
       } finally {
         deflater.end();
       }
       CRC32 crc = new CRC32();
-      crc.update(packed.toByteArray());
+      crc.update(compressed.toByteArray());
       out.writeByte(kind);
-      out.writeInt(packed.size());
+      out.writeInt(compressed.size());
       out.writeInt((int) crc.getValue());
-      packed.writeTo(out);
+      compressed.writeTo(out);
     }
 
     @Override
@@ -168,7 +173,7 @@
     }
   }
 
-  /** Reads a trace block by block, up to its end or to the first damage. One thread; holds one block. */
+  /** Reads a trace up to its end or to the first damaged block, holding one block in memory. Not thread-safe. */
   public static final class Reader implements AutoCloseable {
 
     private final DataInputStream in;
@@ -177,10 +182,10 @@
     private final List<Entry> block = new ArrayList<>();
     private int next;
     private long offset = MAGIC.length;
-    private long read;
+    private long recordsRead;
     private String damage;
 
-    /** Opens a trace; a stream that is none is refused. */
+    /** Opens a trace; throws if the stream is not a trace of this version. */
     public Reader(InputStream in) throws IOException {
       this.in = new DataInputStream(new BufferedInputStream(in));
       byte[] magic = this.in.readNBytes(MAGIC.length);
@@ -189,7 +194,7 @@
       }
     }
 
-    /** The next request; null at the trace's end and at the first damage. */
+    /** The next request; null at the end of the trace and at the first damaged block. */
     public Entry next() throws IOException {
       while (next == block.size() && damage == null) {
         if (!readBlock()) {
@@ -199,11 +204,11 @@
       if (next == block.size()) {
         return null;
       }
-      read++;
+      recordsRead++;
       return block.get(next++);
     }
 
-    /** Where and why reading stopped before the end; null where it did not. */
+    /** Where and why reading stopped early; null if the trace is intact so far. */
     public String damage() {
       return damage;
     }
@@ -218,51 +223,51 @@
       try {
         int length = in.readInt();
         int crc = in.readInt();
-        if (kind != 'N' && kind != 'R' || length < 0 || length > MOST_BLOCK) {
-          throw new DataFormatException("not the head of a block");
+        if (kind != 'N' && kind != 'R' || length < 0 || length > MAX_BLOCK_BYTES) {
+          throw new DataFormatException("invalid block header");
         }
-        byte[] packed = in.readNBytes(length);
-        if (packed.length < length) {
+        byte[] compressed = in.readNBytes(length);
+        if (compressed.length < length) {
           throw new EOFException();
         }
-        CRC32 sum = new CRC32();
-        sum.update(packed);
-        if ((int) sum.getValue() != crc) {
-          throw new DataFormatException("its sum does not fit");
+        CRC32 checksum = new CRC32();
+        checksum.update(compressed);
+        if ((int) checksum.getValue() != crc) {
+          throw new DataFormatException("checksum mismatch");
         }
-        byte[] content = inflate(packed);
+        byte[] content = inflate(compressed);
         if (kind == 'N') {
           readNames(content);
         } else {
           readRecords(content);
         }
-        offset += HEAD + length;
+        offset += BLOCK_HEADER_BYTES + length;
         return true;
       } catch (EOFException e) {
-        damaged("cut off");
+        markDamaged("truncated");
       } catch (DataFormatException e) {
-        damaged(e.getMessage() == null ? "spoilt" : e.getMessage());
+        markDamaged(e.getMessage() == null ? "spoilt" : e.getMessage());
       }
       return false;
     }
 
-    private void damaged(String what) {
+    private void markDamaged(String reason) {
       block.clear();
-      damage = "block at byte " + offset + ": " + what + "; " + read + " requests read before it";
+      damage = "block at byte " + offset + ": " + reason + "; " + recordsRead + " requests read before it";
     }
 
-    private static byte[] inflate(byte[] packed) throws DataFormatException {
+    private static byte[] inflate(byte[] compressed) throws DataFormatException {
       Inflater inflater = new Inflater();
       try {
-        inflater.setInput(packed);
+        inflater.setInput(compressed);
         ByteArrayOutputStream content = new ByteArrayOutputStream();
-        byte[] piece = new byte[8192];
+        byte[] chunk = new byte[8192];
         while (!inflater.finished()) {
-          int n = inflater.inflate(piece);
-          if (n == 0 && !inflater.finished() || content.size() + n > MOST_CONTENT) {
-            throw new DataFormatException("its content does not end, or is too large");
+          int n = inflater.inflate(chunk);
+          if (n == 0 && !inflater.finished() || content.size() + n > MAX_CONTENT_BYTES) {
+            throw new DataFormatException("compressed content is incomplete or too large");
           }
-          content.write(piece, 0, n);
+          content.write(chunk, 0, n);
         }
         return content.toByteArray();
       } finally {
@@ -274,12 +279,12 @@
       int at = 0;
       while (at < content.length) {
         if (at + 3 > content.length) {
-          throw new DataFormatException("a name is cut off");
+          throw new DataFormatException("truncated name");
         }
         int length = (content[at + 1] & 0xff) << 8 | content[at + 2] & 0xff;
         List<String> to = content[at] == 'C' ? classes : content[at] == 'T' ? tenants : null;
-        if (to == null || length > MOST_NAME || at + 3 + length > content.length || to.size() >= MOST_NAMES) {
-          throw new DataFormatException("a name that is none");
+        if (to == null || length > MAX_NAME_BYTES || at + 3 + length > content.length || to.size() >= MAX_NAMES) {
+          throw new DataFormatException("invalid name");
         }
         to.add(new String(content, at + 3, length, StandardCharsets.UTF_8));
         at += 3 + length;
@@ -301,13 +306,13 @@
           int outcome = bytes.readUnsignedByte();
           if (at < 0 || type >= classes.size() || tenant >= tenants.size() || outcome >= Outcome.values().length
               || size > Integer.MAX_VALUE) {
-            throw new DataFormatException("a record that is none");
+            throw new DataFormatException("invalid record");
           }
           block.add(new Entry(at, classes.get((int) type), tenants.get((int) tenant), key, hint, (int) size, latency,
               Outcome.values()[outcome]));
         }
       } catch (IOException e) {
-        throw new DataFormatException("a record is cut off");
+        throw new DataFormatException("truncated record");
       }
     }
 
@@ -320,7 +325,7 @@
           return value;
         }
       }
-      throw new DataFormatException("a number without end");
+      throw new DataFormatException("variable-length integer is too long");
     }
 
     @Override
--- a/load/src/main/java/cloverpulley/load/WarmUp.java
+++ b/load/src/main/java/cloverpulley/load/WarmUp.java
@@ -41,8 +41,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Plays a short load against a server of its own on loopback before a run. Guards the run's first second: a generator whose code
- * is not loaded yet is late by hundreds of milliseconds, and its figures would be its own.
+ * Runs a short load against an in-process server on loopback before the actual run. Without it, class loading would delay the first second
+ * of the run by hundreds of milliseconds, and the results would reflect the generator instead of the server.
  */
 final class WarmUp {
 
@@ -51,52 +51,52 @@
 
   private WarmUp() {}
 
-  /** Plays it by the plan's protocol, and says how much was served. */
+  /** Runs the warm-up with the plan's protocol and returns its results. */
   static Results run(Plan plan) throws IOException, InterruptedException {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     try {
       InetSocketAddress address = switch (plan.target().protocol()) {
-        case HTTP -> http(group);
-        case EXT_PROC -> processor(group);
-        case DNS_UDP -> datagrams(group);
-        case DNS_TCP -> connections(group);
+        case HTTP -> startHttp(group);
+        case EXT_PROC -> startProcessor(group);
+        case DNS_UDP -> startUdp(group);
+        case DNS_TCP -> startTcp(group);
       };
-      Plan.Target target = new Plan.Target(plan.target().protocol(), address, plan.target().path(), plan.target().connections(),
+      Plan.Target target = new Plan.Target(plan.target().protocol(), address, plan.target().path(), plan.target().maxConnections(),
           plan.target().connectMillis(), plan.target().domain());
-      Plan brief = new Plan(plan.seed(), SECONDS, RATE, Arrivals.Process.POISSON, null, new Shape.Flat(), plan.types(),
+      Plan warmUpPlan = new Plan(plan.seed(), SECONDS, RATE, Arrivals.Process.POISSON, null, new Shape.Flat(), plan.classes(),
           plan.tenants(), new Plan.Keys(Math.min(100, plan.keys().count()), plan.keys().exponent()), target, plan.clients(),
-          plan.lateMillis());
-      return LoadRun.play(brief, r -> { });
+          plan.maxLatenessMillis());
+      return LoadRun.run(warmUpPlan, r -> { });
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(1, TimeUnit.SECONDS);
     }
   }
 
-  private static InetSocketAddress here() {
+  private static InetSocketAddress loopback() {
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
   }
 
-  private static InetSocketAddress http(EventLoopGroup group) {
+  private static InetSocketAddress startHttp(EventLoopGroup group) {
     return (InetSocketAddress) new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
         .childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
-            channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 20), new Serve());
+            channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 20), new OkHandler());
           }
-        }).bind(here()).syncUninterruptibly().channel().localAddress();
+        }).bind(loopback()).syncUninterruptibly().channel().localAddress();
   }
 
-  private static InetSocketAddress datagrams(EventLoopGroup group) {
+  private static InetSocketAddress startUdp(EventLoopGroup group) {
     return (InetSocketAddress) new Bootstrap().group(group).channel(NioDatagramChannel.class)
         .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
           @Override
           protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-            context.writeAndFlush(new DatagramPacket(answered(packet.content()), packet.sender()));
+            context.writeAndFlush(new DatagramPacket(toResponse(packet.content()), packet.sender()));
           }
-        }).bind(here()).syncUninterruptibly().channel().localAddress();
+        }).bind(loopback()).syncUninterruptibly().channel().localAddress();
   }
 
-  private static InetSocketAddress connections(EventLoopGroup group) {
+  private static InetSocketAddress startTcp(EventLoopGroup group) {
     return (InetSocketAddress) new ServerBootstrap().group(group).channel(NioServerSocketChannel.class)
         .childHandler(new ChannelInitializer<Channel>() {
           @Override
@@ -106,20 +106,20 @@
                   @Override
                   protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
                     frame.markReaderIndex().skipBytes(2);
-                    answered(frame).release();
+                    toResponse(frame).release();
                     context.writeAndFlush(frame.resetReaderIndex().retain());
                   }
                 });
           }
-        }).bind(here()).syncUninterruptibly().channel().localAddress();
+        }).bind(loopback()).syncUninterruptibly().channel().localAddress();
   }
 
-  /** The same message as an answer. */
-  private static ByteBuf answered(ByteBuf message) {
+  /** Turns a query into a response by setting its QR bit. */
+  private static ByteBuf toResponse(ByteBuf message) {
     return message.setByte(message.readerIndex() + 2, message.getByte(message.readerIndex() + 2) | 0x80).retain();
   }
 
-  private static final class Serve extends SimpleChannelInboundHandler<FullHttpRequest> {
+  private static final class OkHandler extends SimpleChannelInboundHandler<FullHttpRequest> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
       FullHttpResponse ok = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.EMPTY_BUFFER);
@@ -128,18 +128,18 @@
     }
   }
 
-  private static InetSocketAddress processor(EventLoopGroup group) throws IOException {
-    Server server = NettyServerBuilder.forAddress(here()).bossEventLoopGroup(group).workerEventLoopGroup(group)
+  private static InetSocketAddress startProcessor(EventLoopGroup group) throws IOException {
+    Server server = NettyServerBuilder.forAddress(loopback()).bossEventLoopGroup(group).workerEventLoopGroup(group)
         .channelType(NioServerSocketChannel.class).directExecutor()
         .addService(ServerServiceDefinition.builder(ExternalProcessor.SERVICE)
-            .addMethod(ExternalProcessor.PROCESS, (call, headers) -> new GoOn(call)).build()).build().start();
+            .addMethod(ExternalProcessor.PROCESS, (call, headers) -> new ContinueListener(call)).build()).build().start();
     return (InetSocketAddress) List.copyOf(server.getListenSockets()).get(0);
   }
 
-  private static final class GoOn extends ServerCall.Listener<ProcessingRequest> {
+  private static final class ContinueListener extends ServerCall.Listener<ProcessingRequest> {
     private final ServerCall<ProcessingRequest, ProcessingResponse> call;
 
-    GoOn(ServerCall<ProcessingRequest, ProcessingResponse> call) {
+    ContinueListener(ServerCall<ProcessingRequest, ProcessingResponse> call) {
       this.call = call;
       call.request(2);
       call.sendHeaders(new Metadata());
--- a/load/src/test/java/cloverpulley/load/ArchiveTraceTest.java
+++ b/load/src/test/java/cloverpulley/load/ArchiveTraceTest.java
@@ -30,26 +30,26 @@
     return new Entry(new Origin("x", 0), 0, at, kind, 1, id, "quote", "steppe", key, 0, 0, null, word, value, other);
   }
 
-  /** Two instances whose records lie one after the other in time order only once they are put together. */
+  /** The records of two instances interleave in time, so they are in order only after they have been merged. */
   @Test
-  void answersBecomeRequestsInTheOrderOfTheirComing() throws Exception {
+  void answersBecomeRequestsInOrderOfArrival() throws Exception {
     for (String instance : List.of("p1", "p2")) {
       Recorder r = Recorder.open(RecordsConfig.of(folder.resolve(instance), instance), "process", null);
       long off = instance.equals("p2") ? 500 : 0;
       for (int i = 0; i < 100; i++) {
         String id = instance + "-" + i;
         r.record(entry(r, Kind.TAKEN, T + i * 1000 + off, id, 77 + i, null, 2_000_000, 12_000));
-        // Answered out of order: every other one takes long.
+        // Answers come out of order: every other one takes long.
         r.record(entry(r, Kind.ANSWERED, T + i * 1000 + off + (i % 2 == 0 ? 5000 : 100), id, 0, i % 10 == 0 ? "over_rate" : "served",
             i % 2 == 0 ? 5000 : 100, i % 10 == 0 ? Entry.REFUSED : Entry.SERVED));
       }
       r.record(entry(r, Kind.ANSWERED, T + 200_000 + off, null, 0, "served", 10, Entry.SERVED)); // From a cache.
-      r.called("c" + instance, "quote", "steppe", Entry.SERVED, 1000); // A caller's own: its callee counts it.
+      r.called("c" + instance, "quote", "steppe", Entry.SERVED, 1000); // Recorded by a caller: the server's own record of it counts instead.
       r.close();
     }
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    ArchiveTrace.Count count = ArchiveTrace.convert(new Archive(List.of(folder)), out);
-    assertEquals(new ArchiveTrace.Count(202, 2, 0, 0), count);
+    ArchiveTrace.Summary summary = ArchiveTrace.convert(new Archive(List.of(folder)), out);
+    assertEquals(new ArchiveTrace.Summary(202, 2, 0, 0), summary);
     List<Trace.Entry> all = new ArrayList<>();
     try (Trace.Reader reader = new Trace.Reader(new ByteArrayInputStream(out.toByteArray()))) {
       for (Trace.Entry e = reader.next(); e != null; e = reader.next()) {
--- a/load/src/test/java/cloverpulley/load/ArrivalsTest.java
+++ b/load/src/test/java/cloverpulley/load/ArrivalsTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Arrivals against their distributions, shapes against their integrals: seeded, so that the counts are the same each time. */
+/** Checks arrivals against their distributions and shapes against their integrals. Fixed seeds make the counts reproducible. */
 class ArrivalsTest {
 
   private static List<Double> all(Process process, Bursts bursts, double rate, Shape shape, double length, long seed) {
@@ -29,13 +29,13 @@
   }
 
   @Test
-  void aSeedDrawsTheSameAndAnotherOneOthers() {
+  void sameSeedGivesSameArrivals() {
     assertEquals(all(Process.POISSON, null, 100, new Shape.Flat(), 5, 7), all(Process.POISSON, null, 100, new Shape.Flat(), 5, 7));
     assertTrue(!all(Process.POISSON, null, 100, new Shape.Flat(), 5, 7)
         .equals(all(Process.POISSON, null, 100, new Shape.Flat(), 5, 8)));
   }
 
-  /** Gaps are exponential: their mean, and the part longer than once and twice the mean (1/e, 1/e^2), within four deviations. */
+  /** Checks the mean gap and the fractions of gaps longer than once and twice the mean (1/e, 1/e^2), within four standard deviations. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void poissonGapsAreExponential(long seed) {
@@ -63,7 +63,7 @@
   }
 
   @Test
-  void burstsKeepTheMeanAndCrowd() {
+  void burstsKeepTheMeanRateAndRaiseTheVariance() {
     Bursts bursts = new Bursts(5, 0.1, 0.5);
     List<Double> times = all(Process.BURSTY, bursts, 200, new Shape.Flat(), 2000, 11);
     assertEquals(400_000, times.size(), 400_000 * 0.05);
@@ -74,12 +74,12 @@
     for (int n : tenths) {
       spread += (n - mean) * (n - mean) / tenths.length;
     }
-    assertTrue(spread > 5 * mean, "far more uneven than Poisson, whose spread is its mean: " + spread + " at " + mean);
+    assertTrue(spread > 5 * mean, "variance far above that of a Poisson process, which equals the mean: " + spread + " at " + mean);
   }
 
-  /** What arrives in each tenth of a run is the shape's integral over it, as near as chance lets it be. */
+  /** The number of arrivals in each tenth of a run equals the integral of the shape over it, within statistical tolerance. */
   @Test
-  void shapesAreFollowed() {
+  void arrivalsFollowTheShape() {
     double length = 100;
     List<Shape> shapes = List.of(new Shape.Ramp(0.2, 2, 20, 80), new Shape.Wave(0.8, 30, 0.25),
         new Shape.MonthEnd(3, 2.5, 1.8, length), new Shape.Season(3, length), new Shape.Flash(40, 6, 8),
@@ -98,22 +98,22 @@
   }
 
   @Test
-  void theMonthsEndRisesByTheDayAndPeaksInItsLastHours() {
+  void monthEndRisesDailyAndPeaksInTheLastHours() {
     Shape m = new Shape.MonthEnd(3, 2, 1.5, 300);
     assertTrue(m.mean(0, 100) < m.mean(100, 200) && m.mean(100, 200) < m.mean(200, 300));
-    assertTrue(m.at(299.9) > 1.4 * m.at(270) && m.at(299.9) <= m.most());
+    assertTrue(m.at(299.9) > 1.4 * m.at(270) && m.at(299.9) <= m.max());
   }
 
   @Property(seed = "20261201")
-  boolean noShapePassesItsBound(@ForAll @DoubleRange(min = 0, max = 1000) double at,
+  boolean noShapeExceedsItsBound(@ForAll @DoubleRange(min = 0, max = 1000) double at,
       @ForAll @DoubleRange(min = 1, max = 50) double factor, @ForAll @IntRange(min = 1, max = 31) int days) {
     List<Shape> shapes = List.of(new Shape.Ramp(factor, 1, 100, 700), new Shape.Wave(1, factor, 0.1),
         new Shape.MonthEnd(days, factor, 2, 1000), new Shape.Season(factor, 1000), new Shape.Flash(300, factor, 50));
-    return shapes.stream().allMatch(s -> s.at(at) >= 0 && s.at(at) <= s.most() + 1e-9);
+    return shapes.stream().allMatch(s -> s.at(at) >= 0 && s.at(at) <= s.max() + 1e-9);
   }
 
   @Test
-  void nonsenseIsRefused() {
+  void invalidArgumentsAreRejected() {
     assertThrows(IllegalArgumentException.class, () -> new Bursts(4, 0.3, 1));
     assertThrows(IllegalArgumentException.class, () -> new Shape.Ramp(0, 1, 5, 5));
     assertThrows(IllegalArgumentException.class, () -> new Shape.Wave(1.5, 1, 0));
--- a/load/src/test/java/cloverpulley/load/DnsDriverTest.java
+++ b/load/src/test/java/cloverpulley/load/DnsDriverTest.java
@@ -22,7 +22,7 @@
 import org.xbill.DNS.Opcode;
 import org.xbill.DNS.Rcode;
 
-/** The DNS driver against a scripted server: what is asked, and how each outcome is counted. */
+/** Runs the DNS driver against a scripted server: the messages it sends, and how each outcome is counted. */
 @Timeout(value = 60, unit = TimeUnit.SECONDS)
 class DnsDriverTest {
 
@@ -61,7 +61,7 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"dns_udp", "dns_tcp"})
-  void allKindsAreAskedAndServed(String protocol) throws Exception {
+  void allMessageTypesAreSentAndServed(String protocol) throws Exception {
     try (StandInDns server = new StandInDns(group, a -> {
       if (a.message().getHeader().getOpcode() == Opcode.QUERY) {
         a.reply(a.address(0, "10.0.0.1"));
@@ -69,10 +69,10 @@
         a.reply(a.answer(0));
       }
     })) {
-      Results r = LoadRun.play(plan(protocol, server, ""), x -> { });
-      assertEquals(r.all.asked, r.all.outcomes[Outcome.SERVED.ordinal()]);
-      assertEquals(r.all.asked, server.seen().size());
-      assertEquals(0, r.doubles);
+      Results r = LoadRun.run(plan(protocol, server, ""), x -> { });
+      assertEquals(r.all.requests, r.all.outcomes[Outcome.SERVED.ordinal()]);
+      assertEquals(r.all.requests, server.seen().size());
+      assertEquals(0, r.duplicateResponses);
       Set<Integer> opcodes = new HashSet<>();
       server.seen().forEach(s -> opcodes.add(s.opcode()));
       assertEquals(Set.of(Opcode.QUERY, Opcode.UPDATE, Opcode.NOTIFY), opcodes);
@@ -81,7 +81,7 @@
   }
 
   @Test
-  void outcomesAreCountedForWhatTheyAre() throws Exception {
+  void responseCodesMapToOutcomes() throws Exception {
     try (StandInDns server = new StandInDns(group, a -> {
       switch (a.id() % 5) {
         case 0 -> a.reply(a.answer(Rcode.SERVFAIL));
@@ -94,17 +94,17 @@
         default -> { }
       }
     })) {
-      Results r = LoadRun.play(plan("dns_udp", server, "[load.clients]\npatience_least = 0.02\n"), x -> { });
-      assertEquals(r.all.asked, r.all.outcomes[Outcome.SERVED.ordinal()] + r.all.outcomes[Outcome.REFUSED.ordinal()]
+      Results r = LoadRun.run(plan("dns_udp", server, "[load.clients]\npatience_least = 0.02\n"), x -> { });
+      assertEquals(r.all.requests, r.all.outcomes[Outcome.SERVED.ordinal()] + r.all.outcomes[Outcome.REFUSED.ordinal()]
           + r.all.outcomes[Outcome.FAILED.ordinal()] + r.all.outcomes[Outcome.TIMEOUT.ordinal()]);
       assertTrue(r.all.outcomes[Outcome.REFUSED.ordinal()] > 0 && r.all.outcomes[Outcome.FAILED.ordinal()] > 0
           && r.all.outcomes[Outcome.TIMEOUT.ordinal()] > 0);
-      assertTrue(r.doubles > 0, "a second answer shows");
+      assertTrue(r.duplicateResponses > 0, "a second response is counted");
     }
   }
 
   @Test
-  void aConnectionThatBreaksIsOpenedAnew() throws Exception {
+  void lostConnectionIsReopened() throws Exception {
     try (StandInDns server = new StandInDns(group, a -> {
       if (a.id() % 20 == 0) {
         a.reset();
@@ -112,14 +112,14 @@
         a.reply(a.answer(0));
       }
     })) {
-      Results r = LoadRun.play(plan("dns_tcp", server, ""), x -> { });
+      Results r = LoadRun.run(plan("dns_tcp", server, ""), x -> { });
       assertTrue(r.all.outcomes[Outcome.BROKEN.ordinal()] > 0);
-      assertTrue(r.all.outcomes[Outcome.SERVED.ordinal()] > r.all.asked / 2);
+      assertTrue(r.all.outcomes[Outcome.SERVED.ordinal()] > r.all.requests / 2);
     }
   }
 
   @Test
-  void aRefusalSaysWhenToComeBack() {
+  void retryDelayIsReadFromARefusedResponse() {
     byte[] text = "................over_rate, come back in 750 ms".getBytes();
     assertEquals(750, DnsDriver.retryAfterMillis(text));
     assertEquals(0, DnsDriver.retryAfterMillis("come back in soon ms".getBytes()));
@@ -127,7 +127,7 @@
   }
 
   @Test
-  void aDomainThatIsNoneIsRefused() {
+  void invalidDomainIsRejected() {
     assertThrows(BadFileException.class, () -> OperatorsFile.parse("test", "[load]\n[[load.class]]\nname = \"a\"\neffect = \"safe\"\n"
         + "[load.target]\naddress = \"127.0.0.1:1\"\ndomain = \"a..b\"\n", Plan::read));
   }
--- a/load/src/test/java/cloverpulley/load/GoalTest.java
+++ b/load/src/test/java/cloverpulley/load/GoalTest.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** G by hand-worked examples, plans that are wrong, and reports that can be read. */
+/** G for examples worked out by hand, validation of plans, and the formats of the report. */
 class GoalTest {
 
   private static final String PLAN = """
@@ -50,52 +50,52 @@
     }
   }
 
-  private void ask(double at, int type, int tenant, Outcome outcome, long millis) {
+  private void record(double at, int type, int tenant, Outcome outcome, long millis) {
     PlannedRequest p = new PlannedRequest(number++, at, type, tenant, -1, 0, 0, 1000, true);
-    results.intended(p);
-    results.sent(p, at, 0);
-    results.ended(p, outcome, millis * 1_000_000, millis * 1_000_000);
+    results.recordIntended(p);
+    results.recordSent(p, at, 0);
+    results.recordOutcome(p, outcome, millis * 1_000_000, millis * 1_000_000);
   }
 
   @Test
-  void worthInTimeAgainstWorthAskedFor() {
+  void goalIsWorthInTimeOverWorthRequested() {
     for (int s = 0; s < 30; s++) {
-      ask(s, 0, 0, Outcome.SERVED, 50);
-      ask(s, 0, 1, s < 10 ? Outcome.REFUSED : Outcome.SERVED, 50);
-      ask(s, 1, 0, Outcome.SERVED, s < 20 ? 50 : 150);
+      record(s, 0, 0, Outcome.SERVED, 50);
+      record(s, 0, 1, s < 10 ? Outcome.REFUSED : Outcome.SERVED, 50);
+      record(s, 1, 0, Outcome.SERVED, s < 20 ? 50 : 150);
     }
     Goal g = Goal.of(results);
-    assertEquals((90 + 60 + 20) / 210.0, g.whole(), 1e-9);
-    assertEquals((30 + 0 + 10) / 70.0, g.worstTen(), 1e-9);
-    assertEquals(0, g.worstTenAt());
+    assertEquals((90 + 60 + 20) / 210.0, g.overall(), 1e-9);
+    assertEquals((30 + 0 + 10) / 70.0, g.worstTenSeconds(), 1e-9);
+    assertEquals(0, g.worstTenSecondsFrom());
     assertEquals(20 / 30.0, g.worstClass(), 1e-9);
-    assertEquals(60 / 90.0, g.worstTenant(), 1e-9, "y asked 90 of 210, within its half");
-    assertEquals(0.55 * g.whole() + 0.15 * g.worstTen() + 0.05 * g.worstClass() + 0.25 * g.worstTenant(), g.g(), 1e-12);
+    assertEquals(60 / 90.0, g.worstTenant(), 1e-9, "y requested 90 of 210, which is within its half");
+    assertEquals(0.55 * g.overall() + 0.15 * g.worstTenSeconds() + 0.05 * g.worstClass() + 0.25 * g.worstTenant(), g.g(), 1e-12);
   }
 
-  /** What a tenant asks beyond its share is not owed to it. */
+  /** Worth that a tenant requests beyond its portion does not count against the goal. */
   @Test
-  void aTenantIsMeasuredWithinItsShare() {
+  void tenantIsMeasuredWithinItsPortion() {
     for (int i = 0; i < 90; i++) {
-      ask(i / 3.0, 0, 0, i % 2 == 0 ? Outcome.SERVED : Outcome.REFUSED, 50);
+      record(i / 3.0, 0, 0, i % 2 == 0 ? Outcome.SERVED : Outcome.REFUSED, 50);
     }
     for (int i = 0; i < 10; i++) {
-      ask(i, 0, 1, Outcome.SERVED, 50);
+      record(i, 0, 1, Outcome.SERVED, 50);
     }
     assertEquals(45 * 3 / (0.5 * 300), Goal.of(results).worstTenant(), 1e-9);
   }
 
   @Test
-  void nothingAskedIsNothingLost() {
+  void goalIsOneWithoutRequests() {
     assertEquals(1, Goal.of(results).g(), 1e-12);
   }
 
   @Test
-  void theReportsSayTheSame() throws Exception {
-    ask(0, 0, 0, Outcome.SERVED, 50);
-    ask(1, 1, 1, Outcome.BROKEN, 20);
+  void reportFormatsShowTheResults() throws Exception {
+    record(0, 0, 0, Outcome.SERVED, 50);
+    record(1, 1, 1, Outcome.BROKEN, 20);
     Report report = new Report(results);
-    assertTrue(report.text().startsWith("the generator kept its times"), report.text());
+    assertTrue(report.text().startsWith("the generator kept to its schedule"), report.text());
     assertTrue(report.text().contains("broken=1") && report.text().contains("served=1"));
     try (JsonParser parser = new JsonFactory().createParser(report.json())) {
       while (parser.nextToken() != null) {
@@ -106,11 +106,11 @@
     }
     String html = report.html("a <run>");
     assertTrue(html.contains("a &lt;run&gt;") && html.contains("@&lt;y&gt;") && html.contains("<svg"));
-    assertTrue(!html.contains("http:") && !html.contains("src="), "it needs nothing else");
+    assertTrue(!html.contains("http:") && !html.contains("src="), "loads nothing from elsewhere");
   }
 
   @Test
-  void plansAreCheckedWhole() {
+  void allErrorsOfAPlanAreReported() {
     String bad = PLAN.replace("aim_ms = 100\nworth = 1", "aim_ms = 100\ndeadline_ms = 50\nhint_least_us = 5\nhint_most_us = 4")
         .replace("seconds = 30", "seconds = 0\nrate = -1\nprocess = \"bursty\"\nbursts.part = 0.5\nodd = 1")
         + "[[load.shape]]\nkind = \"cube\"\n[[load.shape]]\nkind = \"ramp\"\nstart_s = 9\nend_s = 3\n";
@@ -124,22 +124,22 @@
     assertEquals(8, lines.size(), lines.toString());
   }
 
-  /** Memory is bounded by the run's seconds and kinds, not by its requests. */
+  /** Memory use is bounded by the number of seconds, classes and tenants, not by the number of requests. */
   @Test
-  void aMillionRequestsOfAHundredThousandKeysTakeNoMore() {
+  void memoryIsBoundedForAMillionRequestsAndAHundredThousandKeys() {
     Plan plan = plan(PLAN.replace("seconds = 30", "seconds = 100\nrate = 10000\nkeys.count = 100000"));
-    RequestGenerator draw = new RequestGenerator(plan);
+    RequestGenerator generator = new RequestGenerator(plan);
     Results r = new Results(plan);
     long[] keys = new long[100_000];
-    for (PlannedRequest p = draw.next(); p != null; p = draw.next()) {
-      r.intended(p);
-      r.sent(p, p.at(), 0);
-      r.ended(p, Outcome.SERVED, p.number() % 1000 * 1_000_000, p.number() % 7);
+    for (PlannedRequest p = generator.next(); p != null; p = generator.next()) {
+      r.recordIntended(p);
+      r.recordSent(p, p.startSeconds(), 0);
+      r.recordOutcome(p, Outcome.SERVED, p.number() % 1000 * 1_000_000, p.number() % 7);
       keys[p.key()]++;
     }
-    assertEquals(1_000_000, r.all.asked, 5000);
-    double first = 1 / 12.09; // The sum of 1/k to 100,000.
-    assertEquals(first * r.all.asked, keys[0], 5 * Math.sqrt(first * r.all.asked), "Zipf's first");
+    assertEquals(1_000_000, r.all.requests, 5000);
+    double first = 1 / 12.09; // The sum of 1/k for k up to 100,000.
+    assertEquals(first * r.all.requests, keys[0], 5 * Math.sqrt(first * r.all.requests), "most popular key");
     assertEquals(keys[0] / 10.0, keys[9], 5 * Math.sqrt(keys[0] / 10.0));
     long bytes = r.seconds.stream().mapToLong(s -> s.corrected.getEstimatedFootprintInBytes()).sum()
         + r.lateness.getEstimatedFootprintInBytes() + r.all.corrected.getEstimatedFootprintInBytes()
--- a/load/src/test/java/cloverpulley/load/HonestyTest.java
+++ b/load/src/test/java/cloverpulley/load/HonestyTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** The generator against servers that stall, break and storm: nothing is hidden, and each request has one outcome. */
+/** Runs the generator against servers that stall, fail or reject: latencies are reported in full, and each request has exactly one outcome. */
 @Timeout(value = 2, unit = TimeUnit.MINUTES)
 class HonestyTest {
 
@@ -37,7 +37,7 @@
         + "\n[load.target]\naddress = \"127.0.0.1:" + server.address().getPort() + "\"\nconnections = 8000\n", Plan::read);
   }
 
-  private static final String TYPES = """
+  private static final String CLASSES = """
       [[load.class]]
       name = "safe"
       effect = "safe"
@@ -59,22 +59,22 @@
       """;
 
   /**
-   * Two seconds of stall at 2,000 a second: 4,000 requests are intended within it and wait for what is left of it. The corrected
-   * histogram holds the stall's whole area (mean 1 s x 4,000); one that counts from the real sending, over few connections,
-   * would see one long wait on each.
+   * Guards against coordinated omission. During a stall of two seconds at 2,000 requests per second, 4,000 requests have their intended
+   * start, and each waits for the rest of the stall. The corrected histogram has to contain all of that waiting time (4,000 requests with
+   * a mean of 1 s). Measured from the actual sending over a few connections, only one long wait per connection would show.
    */
   @Test
   void aStallShowsInFull() throws Exception {
     try (ScriptedHttp server = new ScriptedHttp(group, Manner.SERVE)) {
       AtomicInteger second = new AtomicInteger();
-      String few = TYPES.replace("[[load.tenant]]\nname = \"a\"", "[[load.tenant]]\nname = \"a\"");
-      Plan plan = plan(server, 2000, 5, "process = \"constant\"\n" + few);
-      Results r = LoadRun.play(plan, x -> {
+      String classes = CLASSES.replace("[[load.tenant]]\nname = \"a\"", "[[load.tenant]]\nname = \"a\"");
+      Plan plan = plan(server, 2000, 5, "process = \"constant\"\n" + classes);
+      Results r = LoadRun.run(plan, x -> {
         if (second.incrementAndGet() == 1) {
           server.stall(2000);
         }
       });
-      assertEquals(10_000, r.all.asked);
+      assertEquals(10_000, r.all.requests);
       assertEquals(10_000, r.all.outcomes[Outcome.SERVED.ordinal()]);
       long over = 0;
       double area = 0;
@@ -82,43 +82,46 @@
         over += v.getValueIteratedTo() > 100_000 ? v.getCountAddedInThisIterationStep() : 0;
         area += v.getValueIteratedTo() / 1e6 * v.getCountAddedInThisIterationStep();
       }
-      // Those of its last tenth of a second waited less: 3,800, and an area of 4,000 s in milliseconds of request time.
+      // Requests in the last tenth of a second of the stall wait less than 100 ms, so 3,800 remain; the total waiting time is 4,000 s.
       assertTrue(over >= 3700, "waited over 100 ms: " + over);
-      assertTrue(area >= 3900, "request seconds lost: " + area);
+      assertTrue(area >= 3900, "total waiting time in seconds: " + area);
       assertTrue(r.all.corrected.getMaxValue() >= 1_900_000);
     }
   }
 
-  /** With fewer connections than a stall needs, tries wait for one: the naive clock of a closed loop would not see them. */
+  /**
+   * With too few connections, attempts wait for one during a stall. That time has to count; a closed loop that measures from the sending
+   * would miss it.
+   */
   @Test
-  void whatWaitsInTheClientIsChargedToo() throws Exception {
+  void waitingForAConnectionCountsAsLatency() throws Exception {
     try (ScriptedHttp server = new ScriptedHttp(group, Manner.SERVE)) {
       AtomicInteger second = new AtomicInteger();
-      Plan wide = plan(server, 500, 3, "process = \"constant\"\n" + TYPES);
-      Plan narrow = new Plan(wide.seed(), wide.seconds(), wide.rate(), wide.process(), wide.bursts(), wide.shape(), wide.types(),
+      Plan wide = plan(server, 500, 3, "process = \"constant\"\n" + CLASSES);
+      Plan narrow = new Plan(wide.seed(), wide.seconds(), wide.rate(), wide.process(), wide.bursts(), wide.shape(), wide.classes(),
           wide.tenants(), wide.keys(), new Plan.Target(Plan.Protocol.HTTP, server.address(), "/api", 4, 1000, "load.test."), wide.clients(),
-          wide.lateMillis());
-      Results r = LoadRun.play(narrow, x -> {
+          wide.maxLatenessMillis());
+      Results r = LoadRun.run(narrow, x -> {
         if (second.incrementAndGet() == 1) {
           server.stall(1000);
         }
       });
       assertEquals(1500, r.all.outcomes[Outcome.SERVED.ordinal()]);
-      assertTrue(r.all.corrected.getCountBetweenValues(100_000, Results.MOST_MICROS) >= 400, "all of them, not four");
+      assertTrue(r.all.corrected.getCountBetweenValues(100_000, Results.MAX_MICROS) >= 400, "every waiting request counts, not one per connection");
     }
   }
 
-  /** Whatever the server does, each intended request has one outcome, and what it says it began is what was sent. */
+  /** Whatever the server does, each intended request has one outcome, and the server has received as many requests as were sent. */
   @ParameterizedTest
   @EnumSource(Manner.class)
   void eachRequestHasOneOutcome(Manner manner) throws Exception {
     try (ScriptedHttp server = new ScriptedHttp(group, manner)) {
-      Results r = LoadRun.play(plan(server, 300, 1, manner == Manner.NEVER_ANSWER ? TYPES.replace("20000", "700") : TYPES), x -> { });
-      assertEquals(r.all.asked, r.all.ended());
-      assertEquals(r.all.asked, r.types.stream().mapToLong(RequestStats::ended).sum());
-      assertEquals(r.all.asked, r.tenants.stream().mapToLong(RequestStats::ended).sum());
-      assertEquals(r.all.asked, r.seconds.stream().mapToLong(s -> s.intended).sum());
-      assertEquals(r.tries, r.seconds.stream().mapToLong(s -> s.sent).sum());
+      Results r = LoadRun.run(plan(server, 300, 1, manner == Manner.NEVER_ANSWER ? CLASSES.replace("20000", "700") : CLASSES), x -> { });
+      assertEquals(r.all.requests, r.all.completed());
+      assertEquals(r.all.requests, r.classes.stream().mapToLong(RequestStats::completed).sum());
+      assertEquals(r.all.requests, r.tenants.stream().mapToLong(RequestStats::completed).sum());
+      assertEquals(r.all.requests, r.seconds.stream().mapToLong(s -> s.intended).sum());
+      assertEquals(r.attempts, r.seconds.stream().mapToLong(s -> s.sent).sum());
       Outcome expected = switch (manner) {
         case SERVE, ANSWER_EARLY -> Outcome.SERVED;
         case NEVER_ANSWER -> Outcome.TIMEOUT;
@@ -126,17 +129,17 @@
         default -> Outcome.BROKEN;
       };
       if (manner != Manner.ANSWER_EARLY) {
-        assertEquals(r.all.asked, r.all.outcomes[expected.ordinal()], Map.of("asked", r.all.asked, "tries", r.tries).toString());
-        assertEquals(r.tries, server.began());
+        assertEquals(r.all.requests, r.all.outcomes[expected.ordinal()], Map.of("requests", r.all.requests, "attempts", r.attempts).toString());
+        assertEquals(r.attempts, server.began());
       }
     }
   }
 
   @Test
-  void aServerThatIsAwayForAWhileCostsWhatItCosts() throws Exception {
+  void serverOutageShowsAsFailedConnections() throws Exception {
     try (ScriptedHttp server = new ScriptedHttp(group, Manner.SERVE)) {
       AtomicInteger second = new AtomicInteger();
-      Results r = LoadRun.play(plan(server, 200, 4, TYPES), x -> {
+      Results r = LoadRun.run(plan(server, 200, 4, CLASSES), x -> {
         int now = second.incrementAndGet();
         if (now == 1) {
           group.execute(() -> new Thread(server::goAway).start());
@@ -144,42 +147,42 @@
           new Thread(server::comeBack).start();
         }
       });
-      assertEquals(r.all.asked, r.all.ended());
+      assertEquals(r.all.requests, r.all.completed());
       assertTrue(r.all.outcomes[Outcome.NO_CONNECTION.ordinal()] > 100);
       assertTrue(r.all.outcomes[Outcome.SERVED.ordinal()] > 200);
     }
   }
 
-  /** A refusing server and clients that come back: never more tries than the plan permits, firsts at their intended times. */
+  /** With a server that rejects everything, clients never make more attempts than the plan permits, and first attempts stay on schedule. */
   @Test
-  void aRetryStormStaysWithinItsPlan() throws Exception {
+  void retriesStayWithinThePlan() throws Exception {
     try (ScriptedHttp server = new ScriptedHttp(group, Manner.REFUSE)) {
-      Results r = LoadRun.play(plan(server, 300, 1, TYPES + "[load.clients]\nretries = 3\nback_off_ms = 20\nhonour_retry_after"
+      Results r = LoadRun.run(plan(server, 300, 1, CLASSES + "[load.clients]\nretries = 3\nback_off_ms = 20\nhonour_retry_after"
           + " = 0.5\n"), x -> { });
-      assertEquals(4 * r.all.asked, r.tries);
-      assertEquals(r.tries, server.began());
-      assertEquals(r.all.asked, r.all.outcomes[Outcome.REFUSED.ordinal()], "folded into their firsts");
-      assertEquals(r.all.asked, r.seconds.get(0).intended);
+      assertEquals(4 * r.all.requests, r.attempts);
+      assertEquals(r.attempts, server.began());
+      assertEquals(r.all.requests, r.all.outcomes[Outcome.REFUSED.ordinal()], "retries count with their first attempt");
+      assertEquals(r.all.requests, r.seconds.get(0).intended);
     }
   }
 
   @Test
-  void anUnsafeRequestIsNotAskedAgainAfterItMayHaveRun() throws Exception {
+  void unsafeRequestIsNotRetriedAfterItMayHaveBeenExecuted() throws Exception {
     try (ScriptedHttp server = new ScriptedHttp(group, Manner.RESET_IN_ANSWER)) {
-      Results r = LoadRun.play(plan(server, 200, 1, TYPES + "[load.clients]\nretries = 2\nback_off_ms = 5\n"), x -> { });
-      assertEquals(3 * r.types.get(0).asked + r.types.get(1).asked, r.tries);
+      Results r = LoadRun.run(plan(server, 200, 1, CLASSES + "[load.clients]\nretries = 2\nback_off_ms = 5\n"), x -> { });
+      assertEquals(3 * r.classes.get(0).requests + r.classes.get(1).requests, r.attempts);
     }
   }
 
-  /** The generator's own stop is lateness, said in the first line. */
+  /** A pause of the generator itself is recorded as lateness and reported in the first line. */
   @Test
-  void aGeneratorThatFallsBehindSaysSo() throws Exception {
+  void generatorReportsThatItFellBehind() throws Exception {
     try (ScriptedHttp server = new ScriptedHttp(group, Manner.SERVE)) {
       AtomicInteger second = new AtomicInteger();
-      Results r = LoadRun.play(plan(server, 500, 3, TYPES), x -> {
+      Results r = LoadRun.run(plan(server, 500, 3, CLASSES), x -> {
         if (second.incrementAndGet() == 1) {
           try {
-            TimeUnit.MILLISECONDS.sleep(500); // On the loop itself, as a collection or a busy neighbour would stop it.
+            TimeUnit.MILLISECONDS.sleep(500); // Blocks the event loop, as a garbage collection or a busy neighbour would.
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           }
@@ -188,7 +191,7 @@
       assertTrue(r.fellBehind());
       assertTrue(r.lateness.getMaxValue() >= 400_000);
       assertTrue(new Report(r).headline().startsWith("FELL BEHIND"));
-      assertEquals(r.all.asked, r.all.ended());
+      assertEquals(r.all.requests, r.all.completed());
     }
   }
 }
--- a/load/src/test/java/cloverpulley/load/RecordReplayTest.java
+++ b/load/src/test/java/cloverpulley/load/RecordReplayTest.java
@@ -29,7 +29,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A processor under load keeps records, a trace is made of them, and the trace is played again with the same spacing. */
+/** Converts the records of a processor under load to a trace and replays the trace with the original intervals. */
 @Timeout(value = 2, unit = TimeUnit.MINUTES)
 class RecordReplayTest {
 
@@ -55,25 +55,25 @@
         }).call();
   }
 
-  private static final String TYPES = "[[load.class]]\nname = \"safe\"\neffect = \"safe\"\naim_ms = 400\ndeadline_ms = 20000\n"
+  private static final String CLASSES = "[[load.class]]\nname = \"safe\"\neffect = \"safe\"\naim_ms = 400\ndeadline_ms = 20000\n"
       + "hint_least_us = 5\nhint_most_us = 50\n[[load.class]]\nname = \"unsafe\"\neffect = \"unsafe\"\naim_ms = 400\n"
       + "deadline_ms = 20000\n[[load.tenant]]\nname = \"a\"\n[[load.tenant]]\nname = \"b\"\n";
 
   @Test
-  void recordsBecomeATraceAndTheTraceIsPlayedAgain() throws Exception {
+  void recordsAreConvertedToATraceAndReplayed() throws Exception {
     Path records = folder.resolve("records");
     Results first;
     try (ProcessorServer server = processor(records)) {
-      Plan plan = OperatorsFile.parse("plan", "[load]\nrate = 200\nseconds = 2\n" + TYPES + "[load.target]\nprotocol = \"ext_proc\""
+      Plan plan = OperatorsFile.parse("plan", "[load]\nrate = 200\nseconds = 2\n" + CLASSES + "[load.target]\nprotocol = \"ext_proc\""
           + "\nconnections = 2\naddress = \"127.0.0.1:" + server.address().getPort() + "\"", Plan::read);
-      first = LoadRun.play(plan, r -> { });
-      assertEquals(first.all.asked, first.all.outcomes[Outcome.SERVED.ordinal()]);
-      assertEquals(first.all.asked, server.counts().calls());
+      first = LoadRun.run(plan, r -> { });
+      assertEquals(first.all.requests, first.all.outcomes[Outcome.SERVED.ordinal()]);
+      assertEquals(first.all.requests, server.counts().calls());
     }
     Files.writeString(records, Files.readString(records) + "{\"at_us\":\"x\"}\nnonsense\n");
     Path trace = folder.resolve("trace");
     try (var out = Files.newOutputStream(trace)) {
-      assertEquals(new RecordsReader.Count(first.all.asked, 2, 0), RecordsReader.convert(records, out));
+      assertEquals(new RecordsReader.Summary(first.all.requests, 2, 0), RecordsReader.convert(records, out));
     }
     List<Trace.Entry> entries = new ArrayList<>();
     try (Trace.Reader reader = new Trace.Reader(Files.newInputStream(trace))) {
@@ -82,48 +82,48 @@
       }
       assertNull(reader.damage());
     }
-    assertEquals(first.types.get(0).asked, entries.stream().filter(e -> e.className().equals("safe")).count());
-    assertEquals(first.tenants.get(1).asked, entries.stream().filter(e -> e.tenant().equals("b")).count());
+    assertEquals(first.classes.get(0).requests, entries.stream().filter(e -> e.className().equals("safe")).count());
+    assertEquals(first.tenants.get(1).requests, entries.stream().filter(e -> e.tenant().equals("b")).count());
     assertTrue(entries.stream().allMatch(e -> e.outcome() == Outcome.SERVED && e.keyHash() != 0));
     try (ScriptedHttp server = new ScriptedHttp(group, Manner.SERVE)) {
-      Plan plan = OperatorsFile.parse("plan", "[load]\n" + TYPES + "[load.target]\naddress = \"127.0.0.1:"
+      Plan plan = OperatorsFile.parse("plan", "[load]\n" + CLASSES + "[load.target]\naddress = \"127.0.0.1:"
           + server.address().getPort() + "\"", Plan::read);
       LoadRun.ReplayResult again = LoadRun.replay(plan, trace, 4, r -> { });
       assertNull(again.damage());
-      assertEquals(first.all.asked, again.results().all.outcomes[Outcome.SERVED.ordinal()]);
-      assertEquals(first.types.get(0).asked, again.results().types.get(0).asked);
-      assertEquals(first.all.asked, server.began());
+      assertEquals(first.all.requests, again.results().all.outcomes[Outcome.SERVED.ordinal()]);
+      assertEquals(first.classes.get(0).requests, again.results().classes.get(0).requests);
+      assertEquals(first.all.requests, server.began());
       assertEquals(entries.get(entries.size() - 1).atMicros() / 4e6, again.results().plan().seconds(), 1e-9);
-      // One that is cut off is played up to there, and where that was is said.
+      // A truncated trace is replayed up to the truncation, and the damage is reported.
       byte[] bytes = Files.readAllBytes(trace);
       Files.write(trace, Arrays.copyOf(bytes, bytes.length - 5));
       LoadRun.ReplayResult part = LoadRun.replay(plan, trace, 10, r -> { });
       assertNotNull(part.damage());
-      assertTrue(part.results().all.asked < first.all.asked);
+      assertTrue(part.results().all.requests < first.all.requests);
     }
   }
 
-  /** What makes the generator ready is served whole, and by the plan's own protocol. */
+  /** Every warm-up request is served, with the protocol of the plan. */
   @Test
-  void theWarmUpIsServed() throws Exception {
+  void warmUpIsServed() throws Exception {
     for (String protocol : List.of("http", "ext_proc")) {
-      Plan plan = OperatorsFile.parse("plan", "[load]\n" + TYPES + "[load.target]\nprotocol = \"" + protocol
+      Plan plan = OperatorsFile.parse("plan", "[load]\n" + CLASSES + "[load.target]\nprotocol = \"" + protocol
           + "\"\naddress = \"127.0.0.1:1\"", Plan::read);
       Results r = WarmUp.run(plan);
-      assertTrue(r.all.asked > 1000);
-      assertEquals(r.all.asked, r.all.outcomes[Outcome.SERVED.ordinal()], protocol);
+      assertTrue(r.all.requests > 1000);
+      assertEquals(r.all.requests, r.all.outcomes[Outcome.SERVED.ordinal()], protocol);
     }
   }
 
-  /** Records end when their calls do; a trace is in the order of their coming. */
+  /** Records are written in the order in which calls end; a trace is in the order in which they arrived. */
   @Test
-  void recordsThatOvertookEachOtherArePutInOrder() throws Exception {
+  void recordsAreSortedByArrival() throws Exception {
     Path records = folder.resolve("records");
     String line = "{\"at_us\":%d,\"class\":\"c\",\"tenant\":\"\",\"key\":\"%x\",\"hint_us\":0,\"%s\":\"%s\",\"latency_us\":1%s}\n";
     Files.writeString(records, String.format(line, 3_000_000, 3, "outcome", "served", "") + String.format(line, 1_000_000, 1, "reason",
         "over_rate", "") + String.format(line, 2_000_000, 2, "reason", "may_have_run", ",\"dropped_before\":7"));
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    assertEquals(new RecordsReader.Count(3, 0, 7), RecordsReader.convert(records, out));
+    assertEquals(new RecordsReader.Summary(3, 0, 7), RecordsReader.convert(records, out));
     try (Trace.Reader reader = new Trace.Reader(new ByteArrayInputStream(out.toByteArray()))) {
       assertEquals(new Trace.Entry(0, "c", "", 1, 0, 0, 1, Outcome.REFUSED), reader.next());
       assertEquals(new Trace.Entry(1_000_000, "c", "", 2, 0, 0, 1, Outcome.FAILED), reader.next());
--- a/load/src/test/java/cloverpulley/load/TraceTest.java
+++ b/load/src/test/java/cloverpulley/load/TraceTest.java
@@ -56,25 +56,25 @@
   }
 
   @Test
-  void whatIsWrittenIsRead() throws IOException {
+  void writtenEntriesAreReadBack() throws IOException {
     List<Entry> entries = entries(20_000, 3);
     byte[] bytes = write(entries);
     Read read = read(bytes);
     assertNull(read.damage);
     assertEquals(entries, read.entries);
-    assertTrue(bytes.length < 40 * entries.size(), "some 25 bytes a request: " + bytes.length);
+    assertTrue(bytes.length < 40 * entries.size(), "expected about 25 bytes per request, got a total of " + bytes.length);
     assertEquals(0, read(write(List.of())).entries.size());
   }
 
   @Test
-  void aTraceThatIsCutOffIsReadUpToThere() throws IOException {
+  void truncatedTraceIsReadUpToTheTruncation() throws IOException {
     List<Entry> entries = entries(10_000, 5);
     byte[] bytes = write(entries);
     int before = 0;
     for (int cut = 8; cut < bytes.length; cut += 997) {
       Read read = read(Arrays.copyOf(bytes, cut));
       assertEquals(entries.subList(0, read.entries.size()), read.entries);
-      assertTrue(read.entries.size() >= before, "more is never read of less");
+      assertTrue(read.entries.size() >= before, "a longer prefix yields at least as many entries");
       before = read.entries.size();
       assertTrue(read.damage == null || read.damage.contains(read.entries.size() + " requests read before it"), read.damage);
     }
@@ -82,37 +82,37 @@
   }
 
   @Test
-  void aSpoiltByteEndsItAtItsBlock() throws IOException {
+  void corruptByteStopsReadingAtItsBlock() throws IOException {
     List<Entry> entries = entries(10_000, 6);
     byte[] bytes = write(entries);
     SplittableRandom random = new SplittableRandom(1);
     for (int i = 0; i < 200; i++) {
-      byte[] spoilt = bytes.clone();
-      int at = 8 + random.nextInt(spoilt.length - 8);
-      spoilt[at] ^= (byte) (1 + random.nextInt(255));
-      Read read = read(spoilt);
+      byte[] corrupt = bytes.clone();
+      int at = 8 + random.nextInt(corrupt.length - 8);
+      corrupt[at] ^= (byte) (1 + random.nextInt(255));
+      Read read = read(corrupt);
       assertTrue(read.damage != null, "byte " + at);
       assertEquals(entries.subList(0, read.entries.size()), read.entries, "byte " + at);
     }
   }
 
   @Test
-  void whatIsNoTraceIsRefused() {
+  void streamsWithoutTheMagicAreRejected() {
     assertThrows(IOException.class, () -> read(new byte[0]));
     assertThrows(IOException.class, () -> read("ASHTRC02".getBytes()));
   }
 
   @Property(seed = "20261201")
-  boolean anyBytesAreReadOrNamed(@ForAll byte[] bytes) throws IOException {
+  boolean arbitraryBytesAreReportedAsDamage(@ForAll byte[] bytes) throws IOException {
     byte[] all = Arrays.copyOf(Trace.MAGIC, Trace.MAGIC.length + bytes.length);
     System.arraycopy(bytes, 0, all, Trace.MAGIC.length, bytes.length);
     Read read = read(all);
     return read.entries.isEmpty() && (bytes.length == 0) == (read.damage == null);
   }
 
-  /** A writer that dies loses its last second, no more. */
+  /** A writer that crashes loses no more than the last second. */
   @Test
-  void everySecondIsInTheFile() throws IOException {
+  void writerFlushesEverySecond() throws IOException {
     ByteArrayOutputStream bytes = new ByteArrayOutputStream();
     Trace.Writer writer = new Trace.Writer(bytes);
     for (int i = 0; i < 50; i++) {
