--- a/load/src/main/java/cloverpulley/load/DnsDriver.java
+++ b/load/src/main/java/cloverpulley/load/DnsDriver.java
@@ -204,7 +204,7 @@
         id = id + 1 & MESSAGE_IDS - 1;
       } while (pending[id] != null);
       int allocated = id;
-      PendingRequest o = new PendingRequest(ended);
+      PendingRequest o = new PendingRequest(callback);
       pending[allocated] = o;
       answered[allocated] = false;
       inFlight++;
--- a/load/src/main/java/cloverpulley/load/ExtProcDriver.java
+++ b/load/src/main/java/cloverpulley/load/ExtProcDriver.java
@@ -57,7 +57,7 @@
   public void send(PlannedRequest planned, String id, int attempt, AttemptCallback callback) {
     ClientCall<ProcessingRequest, ProcessingResponse> call =
         channels[next++ % channels.length].newCall(ExternalProcessor.PROCESS, CallOptions.DEFAULT);
-    Listener listener = new Listener(call, ended);
+    Listener listener = new Listener(call, callback);
     listener.timeout = loop.schedule(() -> {
       listener.end(Outcome.TIMEOUT, 0);
       call.cancel("attempt timed out", null);
--- a/load/src/main/java/cloverpulley/load/HttpDriver.java
+++ b/load/src/main/java/cloverpulley/load/HttpDriver.java
@@ -92,7 +92,7 @@
 
   @Override
   public void send(PlannedRequest planned, String id, int attempt, AttemptCallback callback) {
-    Attempt t = new Attempt(planned, id, attempt, ended);
+    Attempt t = new Attempt(planned, id, attempt, callback);
     t.timeout = loop.schedule(() -> {
       Connection connection = t.connection;
       t.complete(Outcome.TIMEOUT, 0);
