--- a/load/src/main/java/cloverpulley/load/RequestGenerator.java
+++ b/load/src/main/java/cloverpulley/load/RequestGenerator.java
@@ -10,8 +10,8 @@
    * A request.
    *
    * @param startSeconds intended start, in seconds since the start of the run
-   * @param classIndex index in {@link Plan#classes}
-   * @param tenantIndex index in {@link Plan#tenants}
+   * @param classIndex index in {@link Plan#classes()}
+   * @param tenantIndex index in {@link Plan#tenants()}
    * @param key number of the key, from 0 for the most popular one; -1 for none
    * @param hintMicros size hint; 0 for none
    * @param timeoutMillis the client abandons an attempt after this time
--- a/load/src/main/java/cloverpulley/load/Shape.java
+++ b/load/src/main/java/cloverpulley/load/Shape.java
@@ -78,7 +78,7 @@
     private static final double FINAL_PEAK_RATIO = 0.2;
 
     public MonthEnd {
-      Checks.require(days >= 1, "a month's end must have a day");
+      Checks.require(days >= 1, "a month end must have at least one day");
       Checks.require(rise >= 1 && peak >= 1, "rise and peak must be 1 or more");
       Checks.require(length > 0, "the length must be above 0");
     }
@@ -124,8 +124,8 @@
   /** A flash crowd: the rate jumps at one time and then decays exponentially with the given half-life. */
   record Flash(double start, double factor, double halfLife) implements Shape {
     public Flash {
-      Checks.require(factor >= 1, "a crowd's factor must be 1 or more");
-      Checks.require(halfLife > 0, "a crowd's half-life must be above 0");
+      Checks.require(factor >= 1, "a flash crowd's factor must be 1 or more");
+      Checks.require(halfLife > 0, "a flash crowd's half-life must be above 0");
     }
 
     @Override
--- a/model/src/main/java/cloverpulley/model/SimulatedBalancer.java
+++ b/model/src/main/java/cloverpulley/model/SimulatedBalancer.java
@@ -105,8 +105,8 @@
       removeIfDone(f.id(), request);
     } else if (a instanceof Balancer.Cancel c) {
       PendingRequest request = pending.get(c.id());
-      Attempt s = request == null || c.attempt() >= request.attempts.size() ? null : request.attempts.get(c.attempt());
-      if (s != null && !s.ended) {
+      Attempt attempt = request == null || c.attempt() >= request.attempts.size() ? null : request.attempts.get(c.attempt());
+      if (attempt != null && !attempt.ended) {
         endAttempt(c.id(), request, c.attempt(), Status.CANCELLED);
       }
     } else if (a instanceof Balancer.SetTimer t) {
@@ -157,14 +157,14 @@
   }
 
   private void endAttempt(String id, PendingRequest request, int attemptNumber, Status status) {
-    Attempt s = request.attempts.get(attemptNumber);
-    s.ended = true;
+    Attempt attempt = request.attempts.get(attemptNumber);
+    attempt.ended = true;
     request.inFlight--;
     if (status == Status.SERVED && !request.answered) {
       answer(request, "served", true);
     }
     if (pending.get(id) == request) {
-      deliver(new Balancer.Outcome(id, attemptNumber, s.upstream, status, simulation.now() - s.sentAt, request.answered, Map.of()));
+      deliver(new Balancer.Outcome(id, attemptNumber, attempt.upstream, status, simulation.now() - attempt.sentAt, request.answered, Map.of()));
       removeIfDone(id, request);
     }
   }
--- a/model/src/main/java/cloverpulley/model/SimulationResult.java
+++ b/model/src/main/java/cloverpulley/model/SimulationResult.java
@@ -38,7 +38,7 @@
     }
   }
 
-  /** Adds an event to the hash of the run, in the manner of FNV-1a over whole numbers. */
+  /** Adds an event to the hash of the run: FNV-1a over 64-bit values instead of bytes. */
   void updateHash(long a, long b) {
     hash = (hash ^ a) * 0x100000001b3L;
     hash = (hash ^ b) * 0x100000001b3L;
