--- a/http/src/main/java/cloverpulley/serve/Training.java
+++ b/http/src/main/java/cloverpulley/serve/CdsTrainingRun.java
@@ -7,9 +7,9 @@
  * Run by the build to learn which classes a balancer loads: it starts one and stops it again. The archive made of them
  * lets a start skip reading and verifying each, which is most of what a cold balancer spends its first second on.
  */
-final class Training {
+final class CdsTrainingRun {
 
-  private Training() {}
+  private CdsTrainingRun() {}
 
   /** The only argument is a configuration file. */
   public static void main(String[] args) throws IOException {
--- a/http/src/main/java/cloverpulley/serve/Frontend.java
+++ b/http/src/main/java/cloverpulley/serve/Frontend.java
@@ -240,7 +240,7 @@
     private boolean left;
     /** Times that nothing came of a body because it was not read. */
     private int pauses;
-    private PassedAnswer passing;
+    private StreamedResponse passing;
     /** When the first byte of the request came that is being read. */
     private long readingSince = System.nanoTime();
     /** For how long its first request may have waited for the connection to be accepted; 0 behind that. */
@@ -539,7 +539,7 @@
       }
       boolean keep = framed && keeps();
       HttpUtil.setKeepAlive(response, keep);
-      passing = new PassedAnswer(channel, writable, () -> exchange = null, written -> {
+      passing = new StreamedResponse(channel, writable, () -> exchange = null, written -> {
         passing = null;
         answered(written, keep);
       });
--- a/http/src/main/java/cloverpulley/serve/Reuse.java
+++ b/http/src/main/java/cloverpulley/serve/IdleReusePolicy.java
@@ -8,7 +8,7 @@
  * and can't always be sent again. It could do harm where connections break for another reason than their age: then new ones
  * are opened for nothing, until what was seen is forgotten.
  */
-final class Reuse {
+final class IdleReusePolicy {
 
   /** Ages are told apart by their doublings from this on. */
   private static final long LEAST_NANOS = TimeUnit.MILLISECONDS.toNanos(16);
--- a/http/src/main/java/cloverpulley/serve/Framed.java
+++ b/http/src/main/java/cloverpulley/serve/ResponseValidator.java
@@ -16,7 +16,7 @@
  * Guards against a 200 cut short that looks whole: without a length only the connection's end marks the body's, and
  * a process that dies ends it just so. Such an answer counts as broken.
  */
-final class Framed extends ChannelInboundHandlerAdapter {
+final class ResponseValidator extends ChannelInboundHandlerAdapter {
 
   /** Header of an upstream that turned a request away unseen. */
   private static final String NEVER_RAN = "X-Never-Ran";
--- a/http/src/main/java/cloverpulley/serve/PassedAnswer.java
+++ b/http/src/main/java/cloverpulley/serve/StreamedResponse.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 
 /** An answer on its way to the client while it comes, behind its head. */
-final class PassedAnswer implements HttpExchange.Stream {
+final class StreamedResponse implements HttpExchange.Stream {
 
   /** A client that reads nothing of an answer for this long has let go of it. */
   private static final long STALLED_MILLIS = 30_000;
@@ -24,7 +24,7 @@
    * {@code writable} is run when the client takes more again, {@code ending} when the last piece is handed over, and {@code ended} is told
    * whether all of it was written.
    */
-  PassedAnswer(Channel channel, Runnable writable, Runnable ending, Consumer<Boolean> ended) {
+  StreamedResponse(Channel channel, Runnable writable, Runnable ending, Consumer<Boolean> ended) {
     this.channel = channel;
     this.writable = writable;
     this.ending = ending;
--- a/http/src/main/java/cloverpulley/serve/UpstreamPool.java
+++ b/http/src/main/java/cloverpulley/serve/UpstreamPool.java
@@ -76,7 +76,7 @@
   private final Counts counts;
   private final IdleConnections<Connection> idle = new IdleConnections<>();
   private final Set<Call> connecting = new HashSet<>();
-  private final Reuse reuse = new Reuse();
+  private final IdleReusePolicy reuse = new IdleReusePolicy();
   /** Where long answers find room. */
   private final BufferBudget answers;
 
@@ -96,7 +96,7 @@
           @Override
           protected void initChannel(Channel channel) {
             Connection connection = new Connection(channel);
-            channel.pipeline().addLast(connection.arrivals(), new HttpRequestEncoder(), new AnswerDecoder(), new Framed(),
+            channel.pipeline().addLast(connection.arrivals(), new HttpRequestEncoder(), new StrictResponseDecoder(), new ResponseValidator(),
                 connection);
           }
         });
@@ -283,7 +283,7 @@
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
           ByteBuf bytes = (ByteBuf) message;
-          int looked = call == null ? -1 : Framed.begins(bytes, begun);
+          int looked = call == null ? -1 : ResponseValidator.begins(bytes, begun);
           if (looked < 0) {
             bytes.release();
             spoilt();
@@ -551,7 +551,7 @@
       nothingBegun();
       usedAgain(false);
       informational = 0;
-      Status status = Framed.status(response);
+      Status status = ResponseValidator.status(response);
       if (status == Status.SERVED && !answered.written) {
         // Guards the client: what came before its request had left is another's.
         status = Status.RESET;
--- a/http/src/test/java/cloverpulley/serve/UnsafeTest.java
+++ b/http/src/test/java/cloverpulley/serve/AtMostOnceTest.java
@@ -16,7 +16,7 @@
 
 /** A request that is unsafe to repeat, over sockets and with the real module: sent again only where it surely never ran, and never twice out. */
 @Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
-class UnsafeTest {
+class AtMostOnceTest {
 
   private static final String FULL = "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n";
 
--- a/http/src/test/java/cloverpulley/serve/ReuseTest.java
+++ b/http/src/test/java/cloverpulley/serve/IdleReusePolicyTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-class ReuseTest {
+class IdleReusePolicyTest {
 
   private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
   private static final long YOUNG = TimeUnit.MILLISECONDS.toNanos(100);
@@ -18,7 +18,7 @@
 
   @Test
   void whatBreaksAtAnAgeIsNotUsedAtThatAgeNorBeyond() {
-    Reuse reuse = new Reuse();
+    IdleReusePolicy reuse = new IdleReusePolicy();
     for (int i = 0; i < 3; i++) {
       assertTrue(reuse.holds(0, OLD), "too few to tell");
       reuse.used(0, OLD, true);
@@ -30,7 +30,7 @@
 
   @Test
   void aFewThatBreakAmongManyThatHoldAreNotTheirAge() {
-    Reuse reuse = new Reuse();
+    IdleReusePolicy reuse = new IdleReusePolicy();
     for (int i = 0; i < 40; i++) {
       reuse.used(0, OLD, i % 10 == 0);
     }
@@ -39,7 +39,7 @@
 
   @Test
   void itIsTriedAgainInTime() {
-    Reuse reuse = new Reuse();
+    IdleReusePolicy reuse = new IdleReusePolicy();
     for (int i = 0; i < 5; i++) {
       reuse.used(0, OLD, true);
     }
--- a/http/src/test/java/cloverpulley/serve/ManyBalancersTest.java
+++ b/http/src/test/java/cloverpulley/serve/MultipleBalancersTest.java
@@ -23,7 +23,7 @@
 
 /** Several balancers before the same upstreams, over loopback sockets. */
 @Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
-class ManyBalancersTest {
+class MultipleBalancersTest {
 
   private static final String TURNED_AWAY = "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n";
 
--- a/http/src/test/java/cloverpulley/serve/WindowTest.java
+++ b/http/src/test/java/cloverpulley/serve/SendDeadlineTest.java
@@ -23,7 +23,7 @@
 
 /** What has to have left by a time, as a repeat by the end of its window, does not leave later, whatever it waits for. */
 @Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
-class WindowTest {
+class SendDeadlineTest {
 
   private static final long SOON = TimeUnit.MILLISECONDS.toNanos(1);
   /** For how long the loop stands still where that has to show in a time told. */
