--- a/http/src/main/java/cloverpulley/serve/BodyStream.java
+++ b/http/src/main/java/cloverpulley/serve/BodyStream.java
@@ -23,7 +23,7 @@
   /** So much may wait before its client is read no further. */
   private static final int MOST_WAITING = 32 * 1024;
   /** What one may hold of the direct memory: what waits, the read that passes its mark, and as much again at the upstream's socket. */
-  static final int OCTETS = MOST_WAITING + 3 * Server.MOST_READ;
+  static final int MAX_HELD_BYTES = MOST_WAITING + 3 * Server.MOST_READ;
   /** Smaller pieces that have to wait are put together: each would else cost a buffer of its own. */
   private static final int SMALL = Server.MOST_READ / 2;
 
@@ -46,7 +46,7 @@
   }
 
   /** Who is told when the first piece is taken, after which the body can't be sent again, and when the last has come. */
-  void listen(Runnable onFirstTaken, Runnable onEnd) {
+  void setCallbacks(Runnable onFirstTaken, Runnable onEnd) {
     firstTaken = onFirstTaken;
     ended = onEnd;
     if (whole) {
@@ -72,7 +72,7 @@
       tail.writeBytes(piece);
       piece.release();
     }
-    flow();
+    flush();
     if (!wantsMore()) {
       demand.run(); // Guards the memory: its client is read no further until an upstream has taken some of it.
     }
@@ -84,16 +84,16 @@
     if (ended != null) {
       ended.run();
     }
-    flow();
+    flush();
   }
 
   /** Whether the whole body has come. */
-  boolean isWhole() {
+  boolean isComplete() {
     return whole;
   }
 
   /** Whether pieces of it are gone, so that no further attempt can have it. */
-  boolean isTaken() {
+  boolean isConsumed() {
     return taken;
   }
 
@@ -104,11 +104,11 @@
   /** An attempt takes what there is and what comes; null when it has ended. */
   void attach(Sink to) {
     sink = to;
-    flow();
+    flush();
   }
 
   /** Passes on what waits, for as long as the attempt can take it. */
-  void flow() {
+  void flush() {
     boolean wanted = wantsMore();
     while (sink != null && sink.isWritable() && !waiting.isEmpty()) {
       if (!taken) {
@@ -133,7 +133,7 @@
   }
 
   /** Nobody needs it any more: what comes is dropped. */
-  void drop() {
+  void discard() {
     if (dropped) {
       return;
     }
@@ -143,12 +143,12 @@
     waiting.clear();
     tail = null;
     bytes = 0;
-    sent();
+    releaseReservation();
     demand.run();
   }
 
   /** The last of it has left for an upstream, or is dropped. */
-  void sent() {
+  void releaseReservation() {
     Runnable once = over;
     over = null;
     if (once != null) {
--- a/http/src/main/java/cloverpulley/serve/BufferBudget.java
+++ b/http/src/main/java/cloverpulley/serve/BufferBudget.java
@@ -19,12 +19,12 @@
       this.given = given;
     }
 
-    boolean isGiven() {
+    boolean isGranted() {
       return has;
     }
 
     /** Gives it back, or waits for it no longer; a second time nothing. */
-    void leave() {
+    void release() {
       if (has) {
         has = false;
         held -= octets;
@@ -45,7 +45,7 @@
   }
 
   /** Asks for a reservation; {@code given} is run once it is there, unless it is there at once. */
-  Reservation ask(int octets, Runnable given) {
+  Reservation reserve(int octets, Runnable given) {
     Reservation reservation = new Reservation(octets, given);
     if (waiting.isEmpty() && serves(octets)) {
       reservation.has = true;
@@ -57,7 +57,7 @@
   }
 
   /** Takes so many octets, whether they are there or not. */
-  void force(long octets) {
+  void forceAcquire(long octets) {
     held += octets;
   }
 
@@ -66,8 +66,8 @@
     return held + octets <= most;
   }
 
-  /** Gives back what was {@link #force taken}. */
-  void give(long octets) {
+  /** Gives back what was {@link #forceAcquire taken}. */
+  void release(long octets) {
     held -= octets;
     serve();
   }
--- a/http/src/main/java/cloverpulley/serve/Frontend.java
+++ b/http/src/main/java/cloverpulley/serve/Frontend.java
@@ -89,7 +89,7 @@
   private static final long WAY_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
   private final Engine engine;
-  private final HttpExchange.Front exchanges;
+  private final HttpExchange.Context exchanges;
   private final Clock clock;
   private final SocketBudget sockets;
   private final UpstreamPool pool;
@@ -109,7 +109,7 @@
   private boolean over;
 
   /** {@code bodies} is where clients' bodies find room. */
-  Frontend(HttpExchange.Front exchanges, Clock clock, SocketBudget sockets, Settings settings, RequestReader.Budgets bodies, Counts counts) {
+  Frontend(HttpExchange.Context exchanges, Clock clock, SocketBudget sockets, Settings settings, RequestReader.Budgets bodies, Counts counts) {
     this.counts = counts;
     this.engine = exchanges.engine();
     this.exchanges = exchanges;
@@ -219,7 +219,7 @@
   }
 
   /** One client's connection: a request at a time, those that come early wait for their turn. */
-  private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> implements Clients.Client, HttpExchange.Reply {
+  private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> implements Clients.Client, HttpExchange.ClientResponder {
 
     private final Channel channel;
     private final RequestReader reader;
@@ -337,11 +337,11 @@
       clients.remove(this);
       pipelined.release();
       if (rest != null) {
-        rest.drop();
+        rest.discard();
       }
       reader.release();
       if (passing != null) {
-        passing.over();
+        passing.cancelStallTimer();
       }
       if (exchange != null) {
         HttpExchange gone = exchange;
@@ -407,7 +407,7 @@
         answer(status(request.decoderResult().cause()), "malformed request");
       } else if (request instanceof StreamedRequest s && s.turnedAway) {
         counts.uploadTurnedAway();
-        answer(HttpResponseStatus.SERVICE_UNAVAILABLE, UPLOAD_AGAIN_NANOS, null, Unpooled.EMPTY_BUFFER);
+        sendResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, UPLOAD_AGAIN_NANOS, null, Unpooled.EMPTY_BUFFER);
       } else if (path.equals(HEALTH)) {
         boolean serves = isReady();
         answer(serves ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, serves ? "ok" : "not serving");
@@ -459,7 +459,7 @@
         engine.accept(exchange);
         if (rest != null) {
           HttpExchange uploading = exchange;
-          rest.listen(() -> engine.bodyDiscarded(uploading), () -> uploaded(uploading, wait - WAY_NANOS));
+          rest.setCallbacks(() -> engine.bodyDiscarded(uploading), () -> uploaded(uploading, wait - WAY_NANOS));
         }
       }
     }
@@ -474,12 +474,12 @@
 
     private void answer(HttpResponseStatus status, String text) {
       ByteBuf content = Unpooled.copiedBuffer(text + "\n", StandardCharsets.UTF_8);
-      answer(status, 0, "text/plain", content);
+      sendResponse(status, 0, "text/plain", content);
       content.release();
     }
 
     @Override
-    public void answer(HttpResponseStatus status, long retryAfterNanos, CharSequence type, ByteBuf content) {
+    public void sendResponse(HttpResponseStatus status, long retryAfterNanos, CharSequence type, ByteBuf content) {
       exchange = null;
       FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, status, content.retainedDuplicate());
       response.headers().set(HttpHeaderNames.CONTENT_LENGTH, content.readableBytes());
@@ -496,11 +496,11 @@
 
     /** What waits for its turn has been taken, and is answered before the connection ends. */
     private boolean keeps() {
-      return keepAlive && (rest == null || rest.isWhole()) && (!pipelined.isEmpty() || !deaf && !closing);
+      return keepAlive && (rest == null || rest.isComplete()) && (!pipelined.isEmpty() || !deaf && !closing);
     }
 
     private void answered(boolean written, boolean keep) {
-      boolean uploading = rest != null && !rest.isWhole();
+      boolean uploading = rest != null && !rest.isComplete();
       if (written && uploading) {
         // A client that reads only once it has sent all: what it still sends is dropped, and then the connection ends.
         BodyStream coming = rest;
@@ -515,18 +515,18 @@
     }
 
     @Override
-    public boolean isAwaited() {
+    public boolean isClientConnected() {
       return channel instanceof ClientSocket socket ? socket.isThere() : channel.isActive();
     }
 
     private void deafTo(BodyStream coming) {
-      coming.drop();
-      coming.listen(() -> { }, this::leave);
+      coming.discard();
+      coming.setCallbacks(() -> { }, this::leave);
       read();
     }
 
     @Override
-    public HttpExchange.Stream begin(CharSequence type, long length, Runnable writable) {
+    public HttpExchange.ResponseStream beginStream(CharSequence type, long length, Runnable writable) {
       HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
       if (type != null) {
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
--- a/http/src/main/java/cloverpulley/serve/HttpExchange.java
+++ b/http/src/main/java/cloverpulley/serve/HttpExchange.java
@@ -35,18 +35,18 @@
       HttpHeaderNames.TRAILER, HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderNames.UPGRADE, HttpHeaderNames.EXPECT);
 
   /** Gives the one final answer to the client; a no-op where the client is gone. The content stays the caller's. */
-  interface Reply {
+  interface ClientResponder {
     /** Whether the client is still there, as far as its connection tells now. */
-    boolean isAwaited();
+    boolean isClientConnected();
 
-    void answer(HttpResponseStatus status, long retryAfterNanos, CharSequence contentType, ByteBuf content);
+    void sendResponse(HttpResponseStatus status, long retryAfterNanos, CharSequence contentType, ByteBuf content);
 
     /** Begins the final answer, which is passed on while it comes; {@code length} is -1 where it is not known. */
-    Stream begin(CharSequence contentType, long length, Runnable writable);
+    ResponseStream beginStream(CharSequence contentType, long length, Runnable writable);
   }
 
   /** The client's side of an answer that is passed on. */
-  interface Stream {
+  interface ResponseStream {
     boolean isWritable();
 
     /** Takes over a piece. */
@@ -59,7 +59,7 @@
   }
 
   /** What a front has for all of its exchanges. */
-  record Front(Engine engine, UpstreamPool pool, boolean loadReports) {
+  record Context(Engine engine, UpstreamPool pool, boolean loadReports) {
 
     /** The load report of an answer. */
     Map<String, Double> load(FullHttpResponse answer) {
@@ -67,18 +67,18 @@
     }
   }
 
-  private final Front front;
+  private final Context front;
   private final FullHttpRequest request;
-  private final Reply reply;
+  private final ClientResponder reply;
   private final Runnable forgotten;
   /** What of its body is still to come when it is taken; null for nothing. */
   private final BodyStream rest;
   private final long waitNanos;
   private Call sending;
-  private Stream passing;
+  private ResponseStream passing;
 
   /** Takes over the request; {@code waitNanos} is how long its client waits, {@code forgotten} is run when nothing is left of it. */
-  HttpExchange(RequestInfo info, Front front, FullHttpRequest request, long waitNanos, Reply reply, Runnable forgotten) {
+  HttpExchange(RequestInfo info, Context front, FullHttpRequest request, long waitNanos, ClientResponder reply, Runnable forgotten) {
     super(info);
     rest = request instanceof StreamedRequest s ? s.rest : null;
     this.waitNanos = waitNanos;
@@ -90,11 +90,11 @@
 
   @Override
   protected Attempt.CancelHandle startAttempt(Attempt attempt, SocketAddress address, long timeoutNanos) {
-    if (!isAwaited()) {
+    if (!isClientConnected()) {
       front.engine.attemptEnded(attempt, Status.NOT_SENT, Map.of(), () -> { });
       return () -> { };
     }
-    if (rest != null && (rest.isTaken() || sending != null && !sending.isDone())) {
+    if (rest != null && (rest.isConsumed() || sending != null && !sending.isDone())) {
       // Its beginning is gone, or is being sent: a second copy of it can't be.
       front.engine.attemptEnded(attempt, Status.NOT_SENT, Map.of(), () -> { });
       return () -> { };
@@ -109,8 +109,8 @@
   }
 
   /** Looks whether the client still waits. Guards against sending on what nobody waits for; the end is told before the attempt's own. */
-  private boolean isAwaited() {
-    if (!isEnded() && !reply.isAwaited()) {
+  private boolean isClientConnected() {
+    if (!isEnded() && !reply.isClientConnected()) {
       front.engine.clientGone(this);
     }
     return !isEnded();
@@ -120,7 +120,7 @@
   void bodyEnded(long deadline, long leftNanos) {
     front.engine.bodyEnded(this, deadline);
     if (sending != null && passing == null) {
-      front.pool.limit(sending, leftNanos);
+      front.pool.updateTimeout(sending, leftNanos);
     }
   }
 
@@ -136,7 +136,7 @@
 
     @Override
     public boolean isWanted() {
-      return isAwaited();
+      return isClientConnected();
     }
 
     @Override
@@ -145,7 +145,7 @@
         return false;
       }
       begun = true;
-      passing = reply.begin(head.headers().get(HttpHeaderNames.CONTENT_TYPE), HttpUtil.getContentLength(head, -1L), call::goOn);
+      passing = reply.beginStream(head.headers().get(HttpHeaderNames.CONTENT_TYPE), HttpUtil.getContentLength(head, -1L), call::goOn);
       return true;
     }
 
@@ -170,7 +170,7 @@
         if (served != null) {
           if (!isEnded() && !isStreaming()) {
             end();
-            reply.answer(HttpResponseStatus.OK, 0, served.headers().get(HttpHeaderNames.CONTENT_TYPE), served.content());
+            reply.sendResponse(HttpResponseStatus.OK, 0, served.headers().get(HttpHeaderNames.CONTENT_TYPE), served.content());
           }
           served.release();
         }
@@ -189,14 +189,14 @@
       case STOPPING -> HttpResponseStatus.INTERNAL_SERVER_ERROR;
       default -> HttpResponseStatus.BAD_GATEWAY;
     };
-    reply.answer(status, verdict.retryAfterNanos(), null, Unpooled.EMPTY_BUFFER);
+    reply.sendResponse(status, verdict.retryAfterNanos(), null, Unpooled.EMPTY_BUFFER);
   }
 
   @Override
   protected void onEnded() {
     request.release();
     if (rest != null) {
-      rest.drop();
+      rest.discard();
     }
   }
 
--- a/http/src/main/java/cloverpulley/serve/PipelinedRequests.java
+++ b/http/src/main/java/cloverpulley/serve/PipelinedRequests.java
@@ -45,7 +45,7 @@
       return false;
     }
     waiting.add(request.retain());
-    heads.force(headBytes);
+    heads.forceAcquire(headBytes);
     return true;
   }
 
@@ -57,7 +57,7 @@
   FullHttpRequest poll() {
     FullHttpRequest next = waiting.poll();
     if (next != null) {
-      heads.give(headBytes(next));
+      heads.release(headBytes(next));
     }
     return next;
   }
@@ -66,7 +66,7 @@
   void release() {
     for (FullHttpRequest request = poll(); request != null; request = poll()) {
       if (request instanceof StreamedRequest s) {
-        s.rest.drop();
+        s.rest.discard();
       }
       request.release();
     }
--- a/http/src/main/java/cloverpulley/serve/RequestReader.java
+++ b/http/src/main/java/cloverpulley/serve/RequestReader.java
@@ -120,7 +120,7 @@
   }
 
   private void hold(long octets) {
-    budgets.kept().force(octets);
+    budgets.kept().forceAcquire(octets);
     held += octets;
   }
 
@@ -178,13 +178,13 @@
       late.addFirst(piece.retain());
     }
     // Not at once: who leaves the room is in the middle of something else.
-    place = budgets.uploads().ask(BodyStream.OCTETS, () -> context.executor().execute(() -> {
+    place = budgets.uploads().reserve(BodyStream.MAX_HELD_BYTES, () -> context.executor().execute(() -> {
       if (isWaiting()) {
         stream(false);
       }
     }));
     waits = true;
-    if (place.isGiven()) {
+    if (place.isGranted()) {
       stream(false);
     } else {
       demand.run();
@@ -196,7 +196,7 @@
     if (!turnedAway) {
       goOn();
     }
-    rest = new BodyStream(demand, place::leave);
+    rest = new BodyStream(demand, place::release);
     place = null;
     StreamedRequest request = new StreamedRequest(head, body, rest, turnedAway);
     head = null;
@@ -256,7 +256,7 @@
     rest = null;
     waits = false;
     if (place != null) {
-      place.leave();
+      place.release();
       place = null;
     }
     late.forEach(ReferenceCountUtil::release);
@@ -281,7 +281,7 @@
   /** So many bytes are held no more. */
   void release(long bytes) {
     held -= bytes;
-    budgets.kept().give(bytes);
+    budgets.kept().release(bytes);
   }
 
   /** Nothing of the requests on this connection is held any more. */
--- a/http/src/main/java/cloverpulley/serve/Server.java
+++ b/http/src/main/java/cloverpulley/serve/Server.java
@@ -230,7 +230,7 @@
     engine = new Engine(loop, clock, config.settings(), modules, fleet, counts.counted(source), peers,
         witness == EngineListener.NO_OP ? counts : new CompositeEngineListener(counts, witness));
     engine.addTransport(pool);
-    frontend = new Frontend(new HttpExchange.Front(engine, pool, config.loadReports()), clock, sockets, config.settings(),
+    frontend = new Frontend(new HttpExchange.Context(engine, pool, config.loadReports()), clock, sockets, config.settings(),
         new RequestReader.Budgets(new BufferBudget(config.memoryBytes() / KEPT_PART), new BufferBudget(config.memoryBytes() / UPLOADS_PART)), counts);
     parts = new Operations.Parts(loop, engine, fleet, sockets, pool, frontend, agreed);
     boolean newer = inherited != null && inherited.list().revision() >= config.known().revision();
@@ -357,7 +357,7 @@
 
   private void retune(Config to) {
     stopMillis = stopMillis(to.settings());
-    parts.pool().retune(to.settings().limits().connectTimeoutNanos(), to.idleNanos());
+    parts.pool().setTimeouts(to.settings().limits().connectTimeoutNanos(), to.idleNanos());
     frontend.retune(to.settings());
     engine.updateSettings(to.settings());
   }
--- a/http/src/main/java/cloverpulley/serve/StreamedResponse.java
+++ b/http/src/main/java/cloverpulley/serve/StreamedResponse.java
@@ -9,7 +9,7 @@
 import java.util.function.Consumer;
 
 /** An answer on its way to the client while it comes, behind its head. */
-final class StreamedResponse implements HttpExchange.Stream {
+final class StreamedResponse implements HttpExchange.ResponseStream {
 
   /** A client that reads nothing of an answer for this long has let go of it. */
   private static final long STALLED_MILLIS = 30_000;
@@ -42,13 +42,13 @@
 
   void writabilityChanged() {
     if (channel.isWritable() && stalled != null) {
-      over();
+      cancelStallTimer();
       writable.run();
     }
   }
 
   /** Nobody waits for its client any more. */
-  void over() {
+  void cancelStallTimer() {
     if (stalled != null) {
       stalled.cancel(false);
       stalled = null;
@@ -64,14 +64,14 @@
   public void end() {
     ending.run();
     channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(f -> {
-      over();
+      cancelStallTimer();
       ended.accept(f.isSuccess());
     });
   }
 
   @Override
   public void abort() {
-    over();
+    cancelStallTimer();
     channel.close();
   }
 }
--- a/http/src/main/java/cloverpulley/serve/UpstreamPool.java
+++ b/http/src/main/java/cloverpulley/serve/UpstreamPool.java
@@ -100,12 +100,12 @@
                 connection);
           }
         });
-    retune(connectTimeoutNanos, upstreamIdleNanos);
+    setTimeouts(connectTimeoutNanos, upstreamIdleNanos);
     Periodic.every(bootstrap.config().group().next(), SWEEP_MILLIS, this::closeOld);
   }
 
   /** Other limits hold from here on. */
-  void retune(long connectTimeoutNanos, long upstreamIdleNanos) {
+  void setTimeouts(long connectTimeoutNanos, long upstreamIdleNanos) {
     idleNanos = (long) (upstreamIdleNanos * IDLE_PART);
     bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS,
         (int) Math.min(Integer.MAX_VALUE, TimeUnit.NANOSECONDS.toMillis(connectTimeoutNanos)));
@@ -153,7 +153,7 @@
   }
 
   /** A call ends so much later, whatever was said at its start. */
-  void limit(Call call, long timeoutNanos) {
+  void updateTimeout(Call call, long timeoutNanos) {
     if (!call.isDone()) {
       call.timeout.cancel(false);
       call.timeout = timeout(call, timeoutNanos);
@@ -214,7 +214,7 @@
       if (now - c.idleSince >= REST_NANOS) {
         idle.remove(c);
         if (c.channel.isActive() && c.channel.remoteAddress().equals(address) && reuse.holds(now, now - c.idleSince)
-            && c.isQuiet()) {
+            && c.isInputEmpty()) {
           c.stoodIdle = now - c.idleSince;
           return c;
         }
@@ -324,13 +324,13 @@
     }
 
     private void flowing() {
-      channel.config().setAutoRead(!paused && (place == null || place.isGiven()));
+      channel.config().setAutoRead(!paused && (place == null || place.isGranted()));
     }
 
     private void nothingBegun() {
       paused = false;
       if (place != null) {
-        place.leave();
+        place.release();
         place = null;
       }
       moves();
@@ -374,8 +374,8 @@
       }
     }
 
-    boolean isQuiet() {
-      return !(channel instanceof UpstreamSocket socket) || socket.isQuiet();
+    boolean isInputEmpty() {
+      return !(channel instanceof UpstreamSocket socket) || socket.isInputEmpty();
     }
 
     void write(Call next, FullHttpRequest request) {
@@ -418,7 +418,7 @@
       if (success) {
         next.written = true;
         if (next.rest != null) {
-          next.rest.sent();
+          next.rest.releaseReservation();
         }
       } else {
         channel.close();
@@ -430,7 +430,7 @@
     public void channelWritabilityChanged(ChannelHandlerContext context) {
       if (call != null && call.rest != null && channel.isWritable()) {
         moves();
-        call.rest.flow();
+        call.rest.flush();
       } else if (call != null && call.rest != null && stalled == null) {
         Call slow = call;
         stalled = channel.eventLoop().schedule(() -> abandon(slow, Status.CONNECT_FAILED, Status.TIMEOUT), slow.stallNanos, TimeUnit.NANOSECONDS);
@@ -461,7 +461,7 @@
       boolean last = content instanceof LastHttpContent;
       came += content.content().readableBytes();
       if (place == null && came > SHORT_ANSWER) {
-        place = answers.ask(ANSWER_OCTETS, this::flowing);
+        place = answers.reserve(ANSWER_OCTETS, this::flowing);
         flowing();
       }
       if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
--- a/http/src/main/java/cloverpulley/serve/UpstreamSocket.java
+++ b/http/src/main/java/cloverpulley/serve/UpstreamSocket.java
@@ -8,7 +8,7 @@
 final class UpstreamSocket extends NioSocketChannel {
 
   /** Whether nothing has come, nor the end. If something has, a byte of it is lost: the connection is to be closed. */
-  boolean isQuiet() {
+  boolean isInputEmpty() {
     try {
       return javaChannel().read(ByteBuffer.allocate(1)) == 0;
     } catch (IOException e) {
--- a/http/src/main/java/cloverpulley/serve/Warmup.java
+++ b/http/src/main/java/cloverpulley/serve/Warmup.java
@@ -76,16 +76,16 @@
   /** {@code beside} tells whether a predecessor serves meanwhile. */
   static void run(Settings settings, boolean beside) {
     int requests = beside ? REQUESTS_BESIDE : REQUESTS;
-    Count count = run(settings, requests, beside ? MOST_MILLIS_BESIDE : MOST_MILLIS);
+    Result count = run(settings, requests, beside ? MOST_MILLIS_BESIDE : MOST_MILLIS);
     if (count.answered < requests) {
       LOG.info("warm-up cut short after " + count.answered + " requests");
     }
   }
 
   /** How many requests its clients have asked, and how many of them were answered and served. */
-  record Count(int asked, int answered, int served) {}
+  record Result(int sent, int answered, int served) {}
 
-  static Count run(Settings settings, int requests, long mostMillis) {
+  static Result run(Settings settings, int requests, long mostMillis) {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, LocalIoHandler.newFactory());
     Promise<Void> done = group.next().newPromise();
     Client client = new Client(settings, requests, done);
@@ -97,7 +97,7 @@
       group.submit(() -> client.over = true).syncUninterruptibly();
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
-    return new Count(client.asked, client.answered, client.served);
+    return new Result(client.sent, client.answered, client.served);
   }
 
   private static void start(EventLoopGroup group, Settings settings, Client client) {
@@ -113,7 +113,7 @@
     Engine engine = new Engine(group.next(), clock, settings, n -> new Logic(settings, n), fleet, new NoList(),
         (to, data) -> { }, counts);
     engine.addTransport(pool);
-    Frontend frontend = new Frontend(new HttpExchange.Front(engine, pool, false), clock, sockets, settings,
+    Frontend frontend = new Frontend(new HttpExchange.Context(engine, pool, false), clock, sockets, settings,
         new RequestReader.Budgets(new BufferBudget(Long.MAX_VALUE), new BufferBudget(Long.MAX_VALUE)), counts);
     engine.serverListUpdated(ListKind.CACHED, new ServerList(0, true,
         IntStream.range(0, UPSTREAMS).mapToObj(i -> new Server("warm-up-" + i, upstream, settings.zone(), 0, State.READY, 1, 0))
@@ -168,7 +168,7 @@
     private final String tenant;
     private final Promise<Void> done;
     private final int requests;
-    private int asked;
+    private int sent;
     private int answered;
     private int served;
     private boolean over;
@@ -195,18 +195,18 @@
     }
 
     private void ask(ChannelHandlerContext context) {
-      if (over || asked == requests) {
+      if (over || sent == requests) {
         return;
       }
-      RequestClass type = classes.get(asked % classes.size());
+      RequestClass type = classes.get(sent % classes.size());
       FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, Frontend.API,
           Unpooled.wrappedBuffer(new byte[200]));
-      request.headers().set(HttpHeaderNames.HOST, "warm-up").set(Frontend.ID, "warm-up-" + asked)
+      request.headers().set(HttpHeaderNames.HOST, "warm-up").set(Frontend.ID, "warm-up-" + sent)
           .set(Frontend.CLASS, type.name()).set(Frontend.TENANT, tenant).set(Frontend.HINT, 10_000)
-          .set(Frontend.IDEMPOTENCY_KEY, asked).set(HttpHeaderNames.COOKIE, Frontend.KEY_COOKIE + "=" + asked % 100)
+          .set(Frontend.IDEMPOTENCY_KEY, sent).set(HttpHeaderNames.COOKIE, Frontend.KEY_COOKIE + "=" + sent % 100)
           .set(Frontend.EXPIRES, TimeUnit.NANOSECONDS.toMillis(type.deadlineNanos()))
           .set(HttpHeaderNames.CONTENT_LENGTH, 200);
-      asked++;
+      sent++;
       context.writeAndFlush(request);
     }
   }
--- a/http/src/test/java/cloverpulley/serve/AttemptTest.java
+++ b/http/src/test/java/cloverpulley/serve/AttemptTest.java
@@ -200,9 +200,9 @@
             .option(ChannelOption.AUTO_READ, false).handler(new ChannelInboundHandlerAdapter())
             .connect(listener.getLocalSocketAddress()).sync().channel();
         try (Socket peer = listener.accept()) {
-          assertTrue(socket.isQuiet());
+          assertTrue(socket.isInputEmpty());
           peer.getOutputStream().write(1);
-          while (socket.isQuiet()) {
+          while (socket.isInputEmpty()) {
             Thread.onSpinWait();
           }
         }
--- a/http/src/test/java/cloverpulley/serve/StartStopTest.java
+++ b/http/src/test/java/cloverpulley/serve/StartStopTest.java
@@ -8,7 +8,7 @@
 import cloverpulley.Balancer.Settings;
 import cloverpulley.engine.EngineListener;
 import cloverpulley.serve.Server.Ending;
-import cloverpulley.serve.Warmup.Count;
+import cloverpulley.serve.Warmup.Result;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.ChannelException;
 import io.netty.channel.ChannelFuture;
@@ -42,16 +42,16 @@
   /** Once cut short its clients went on for seconds, refused by a balancer whose upstream was closed. */
   @Test
   void cutShortItAsksNothingMore() throws IOException {
-    Count count = Warmup.run(settings(), Warmup.REQUESTS, 0);
-    assertTrue(count.asked() < Warmup.REQUESTS, () -> "went on after its end: " + count);
+    Result count = Warmup.run(settings(), Warmup.REQUESTS, 0);
+    assertTrue(count.sent() < Warmup.REQUESTS, () -> "went on after its end: " + count);
   }
 
   /** A third of its attempts was taken for broken, and its upstreams were left out: with long aims nothing is refused else. */
   @Test
   void itsUpstreamsServeAll() throws IOException {
     Settings settings = Rig.config("127.0.0.1:1", Rig.list(1, true)).settings();
-    Count count = Warmup.run(settings, Warmup.REQUESTS, TimeUnit.MINUTES.toMillis(1));
-    assertEquals(new Count(Warmup.REQUESTS, Warmup.REQUESTS, Warmup.REQUESTS), count);
+    Result count = Warmup.run(settings, Warmup.REQUESTS, TimeUnit.MINUTES.toMillis(1));
+    assertEquals(new Result(Warmup.REQUESTS, Warmup.REQUESTS, Warmup.REQUESTS), count);
   }
 
   /** SIGKILL may come 0.7 s after the longest deadline, counted from SIGTERM: all has its answer by then. */
