--- a/http/src/main/java/cloverpulley/serve/BodyStream.java
+++ b/http/src/main/java/cloverpulley/serve/BodyStream.java
@@ -4,155 +4,155 @@
 import java.util.ArrayDeque;
 
 /**
- * What is still to come of a request's body that is longer than is kept: what has come waits here until an attempt takes it, and is gone
- * with that. The client's socket is to be read while {@link #wantsMore}. All of it runs on the loop.
+ * The rest of a request body that is too long to buffer. Received parts are queued until an attempt consumes them, and can't be
+ * sent again after that. The client's socket is read only while {@link #wantsMore}. Runs on the event loop.
  */
 final class BodyStream {
 
-  /** Where the body goes. */
+  /** The attempt that receives the body. */
   interface Sink {
     boolean isWritable();
 
-    /** Takes over a piece. */
+    /** Writes a part of the body and takes ownership of it. */
     void write(ByteBuf piece);
 
-    /** It was the last. */
+    /** Called after the last part. */
     void end();
   }
 
-  /** So much may wait before its client is read no further. */
-  private static final int MOST_WAITING = 32 * 1024;
-  /** What one may hold of the direct memory: what waits, the read that passes its mark, and as much again at the upstream's socket. */
-  static final int MAX_HELD_BYTES = MOST_WAITING + 3 * Server.MOST_READ;
-  /** Smaller pieces that have to wait are put together: each would else cost a buffer of its own. */
-  private static final int SMALL = Server.MOST_READ / 2;
+  /** Reading from the client pauses once this much is queued. */
+  private static final int MAX_QUEUED_BYTES = 32 * 1024;
+  /** The most direct memory that one stream may hold: the queue, the read that exceeds its limit, and bytes pending at the upstream's socket. */
+  static final int MAX_HELD_BYTES = MAX_QUEUED_BYTES + 3 * Server.MOST_READ;
+  /** Smaller parts are coalesced while queued; otherwise each would occupy a buffer of its own. */
+  private static final int COALESCE_BYTES = Server.MOST_READ / 2;
 
-  private final ArrayDeque<ByteBuf> waiting = new ArrayDeque<>();
-  private final Runnable demand;
-  private Runnable over;
+  private final ArrayDeque<ByteBuf> queue = new ArrayDeque<>();
+  private final Runnable onDemandChanged;
+  private Runnable onReleased;
   private ByteBuf tail;
-  private Runnable firstTaken;
-  private Runnable ended;
-  private int bytes;
-  private boolean whole;
-  private boolean dropped;
-  private boolean taken;
+  private Runnable onFirstConsumed;
+  private Runnable onCompleted;
+  private int queuedBytes;
+  private boolean complete;
+  private boolean discarded;
+  private boolean consumed;
   private Sink sink;
 
-  /** {@code demand} is run when more is wanted than before, or less; {@code over} once nothing of it is held any more. */
-  BodyStream(Runnable demand, Runnable over) {
-    this.demand = demand;
-    this.over = over;
+  /** {@code onDemandChanged} runs when {@link #wantsMore} may have changed, {@code onReleased} once the stream holds no memory any more. */
+  BodyStream(Runnable onDemandChanged, Runnable onReleased) {
+    this.onDemandChanged = onDemandChanged;
+    this.onReleased = onReleased;
   }
 
-  /** Who is told when the first piece is taken, after which the body can't be sent again, and when the last has come. */
-  void setCallbacks(Runnable onFirstTaken, Runnable onEnd) {
-    firstTaken = onFirstTaken;
-    ended = onEnd;
-    if (whole) {
-      ended.run();
+  /** Sets what runs when the first part is consumed, after which the body can't be sent again, and when the whole body has been received. */
+  void setCallbacks(Runnable firstConsumed, Runnable bodyCompleted) {
+    onFirstConsumed = firstConsumed;
+    onCompleted = bodyCompleted;
+    if (complete) {
+      onCompleted.run();
     }
   }
 
-  /** A piece has come. */
+  /** Adds a received part and takes ownership of it. */
   void add(ByteBuf piece) {
-    if (dropped) {
+    if (discarded) {
       piece.release();
       return;
     }
-    bytes += piece.readableBytes();
-    if (piece.readableBytes() >= SMALL || waiting.isEmpty() && sink != null && sink.isWritable()) {
+    queuedBytes += piece.readableBytes();
+    if (piece.readableBytes() >= COALESCE_BYTES || queue.isEmpty() && sink != null && sink.isWritable()) {
       tail = null;
-      waiting.add(piece);
+      queue.add(piece);
     } else {
       if (tail == null || tail.maxWritableBytes() < piece.readableBytes()) {
-        tail = piece.alloc().buffer(SMALL, SMALL);
-        waiting.add(tail);
+        tail = piece.alloc().buffer(COALESCE_BYTES, COALESCE_BYTES);
+        queue.add(tail);
       }
       tail.writeBytes(piece);
       piece.release();
     }
     flush();
     if (!wantsMore()) {
-      demand.run(); // Guards the memory: its client is read no further until an upstream has taken some of it.
+      onDemandChanged.run(); // Bounds memory: reading pauses until an upstream has consumed some of the queue.
     }
   }
 
-  /** The last has come. */
+  /** Marks the body as completely received. */
   void end() {
-    whole = true;
-    if (ended != null) {
-      ended.run();
+    complete = true;
+    if (onCompleted != null) {
+      onCompleted.run();
     }
     flush();
   }
 
-  /** Whether the whole body has come. */
+  /** Whether the whole body has been received. */
   boolean isComplete() {
-    return whole;
+    return complete;
   }
 
-  /** Whether pieces of it are gone, so that no further attempt can have it. */
+  /** Whether parts have been consumed, so that no further attempt can send the body. */
   boolean isConsumed() {
-    return taken;
+    return consumed;
   }
 
   boolean wantsMore() {
-    return dropped || bytes < MOST_WAITING;
+    return discarded || queuedBytes < MAX_QUEUED_BYTES;
   }
 
-  /** An attempt takes what there is and what comes; null when it has ended. */
+  /** Sets the attempt that receives queued and future parts; null when it has ended. */
   void attach(Sink to) {
     sink = to;
     flush();
   }
 
-  /** Passes on what waits, for as long as the attempt can take it. */
+  /** Writes queued parts for as long as the attempt accepts them. */
   void flush() {
-    boolean wanted = wantsMore();
-    while (sink != null && sink.isWritable() && !waiting.isEmpty()) {
-      if (!taken) {
-        taken = true;
-        if (firstTaken != null) {
-          firstTaken.run();
+    boolean wantedBefore = wantsMore();
+    while (sink != null && sink.isWritable() && !queue.isEmpty()) {
+      if (!consumed) {
+        consumed = true;
+        if (onFirstConsumed != null) {
+          onFirstConsumed.run();
         }
       }
-      ByteBuf piece = waiting.poll();
+      ByteBuf piece = queue.poll();
       tail = piece == tail ? null : tail;
-      bytes -= piece.readableBytes();
+      queuedBytes -= piece.readableBytes();
       sink.write(piece);
     }
-    if (sink != null && whole && waiting.isEmpty()) {
-      Sink done = sink;
+    if (sink != null && complete && queue.isEmpty()) {
+      Sink completed = sink;
       sink = null;
-      done.end();
+      completed.end();
     }
-    if (!wanted && wantsMore()) {
-      demand.run();
+    if (!wantedBefore && wantsMore()) {
+      onDemandChanged.run();
     }
   }
 
-  /** Nobody needs it any more: what comes is dropped. */
+  /** Drops the queue and everything received from now on. */
   void discard() {
-    if (dropped) {
+    if (discarded) {
       return;
     }
-    dropped = true;
+    discarded = true;
     sink = null;
-    waiting.forEach(ByteBuf::release);
-    waiting.clear();
+    queue.forEach(ByteBuf::release);
+    queue.clear();
     tail = null;
-    bytes = 0;
+    queuedBytes = 0;
     releaseReservation();
-    demand.run();
+    onDemandChanged.run();
   }
 
-  /** The last of it has left for an upstream, or is dropped. */
+  /** Releases the stream's memory reservation once the last part is written to an upstream or the stream is discarded. */
   void releaseReservation() {
-    Runnable once = over;
-    over = null;
-    if (once != null) {
-      once.run();
+    Runnable callback = onReleased;
+    onReleased = null;
+    if (callback != null) {
+      callback.run();
     }
   }
 }
--- a/http/src/main/java/cloverpulley/serve/BufferBudget.java
+++ b/http/src/main/java/cloverpulley/serve/BufferBudget.java
@@ -3,85 +3,85 @@
 import java.util.ArrayDeque;
 
 /**
- * Bytes of memory that one kind of work may hold over all connections. Who needs more than there is waits for its turn, first come
- * first served, and reads nothing meanwhile. One thread owns it.
+ * Limits the memory that one kind of work may hold over all connections. Reservations that exceed the budget are queued and granted
+ * in FIFO order; their connections are not read meanwhile. Not thread-safe.
  */
 final class BufferBudget {
 
-  /** A part of it, once it was given; what was given is given back exactly once. */
+  /** A share of the budget, granted at once or later. A granted share is released exactly once. */
   final class Reservation {
-    private final int octets;
-    private final Runnable given;
-    private boolean has;
+    private final int bytes;
+    private final Runnable onGranted;
+    private boolean granted;
 
-    private Reservation(int octets, Runnable given) {
-      this.octets = octets;
-      this.given = given;
+    private Reservation(int bytes, Runnable onGranted) {
+      this.bytes = bytes;
+      this.onGranted = onGranted;
     }
 
     boolean isGranted() {
-      return has;
+      return granted;
     }
 
-    /** Gives it back, or waits for it no longer; a second time nothing. */
+    /** Releases the share, or leaves the queue; further calls are no-ops. */
     void release() {
-      if (has) {
-        has = false;
-        held -= octets;
-        serve();
-      } else if (waiting.remove(this)) {
-        serve(); // It may have been the one that the others stood behind.
+      if (granted) {
+        granted = false;
+        usedBytes -= bytes;
+        grantQueued();
+      } else if (queue.remove(this)) {
+        grantQueued(); // It may have blocked the reservations behind it.
       }
     }
   }
 
-  private final long most;
-  private long held;
-  private final ArrayDeque<Reservation> waiting = new ArrayDeque<>();
+  private final long maxBytes;
+  private long usedBytes;
+  private final ArrayDeque<Reservation> queue = new ArrayDeque<>();
 
-  /** A budget of so many bytes; one reservation alone is always granted, however small the budget. */
-  BufferBudget(long most) {
-    this.most = most;
+  /** Creates a budget of {@code maxBytes}. A reservation is always granted while nothing else is in use, however small the budget. */
+  BufferBudget(long maxBytes) {
+    this.maxBytes = maxBytes;
   }
 
-  /** Asks for a reservation; {@code given} is run once it is there, unless it is there at once. */
-  Reservation reserve(int octets, Runnable given) {
-    Reservation reservation = new Reservation(octets, given);
-    if (waiting.isEmpty() && serves(octets)) {
-      reservation.has = true;
-      held += octets;
+  /** Requests a reservation; {@code onGranted} runs when it is granted later, not when it is granted at once. */
+  Reservation reserve(int bytes, Runnable onGranted) {
+    Reservation reservation = new Reservation(bytes, onGranted);
+    if (queue.isEmpty() && canGrant(bytes)) {
+      reservation.granted = true;
+      usedBytes += bytes;
     } else {
-      waiting.add(reservation);
+      queue.add(reservation);
     }
     return reservation;
   }
 
-  /** Takes so many octets, whether they are there or not. */
-  void forceAcquire(long octets) {
-    held += octets;
+  /** Takes bytes without waiting, even beyond the budget. */
+  void forceAcquire(long bytes) {
+    usedBytes += bytes;
   }
 
-  /** Whether so many octets are there. */
-  boolean fits(long octets) {
-    return held + octets <= most;
+  /** Whether so many more bytes fit in the budget. */
+  boolean fits(long bytes) {
+    return usedBytes + bytes <= maxBytes;
   }
 
-  /** Gives back what was {@link #forceAcquire taken}. */
-  void release(long octets) {
-    held -= octets;
-    serve();
+  /** Releases bytes taken with {@link #forceAcquire}. */
+  void release(long bytes) {
+    usedBytes -= bytes;
+    grantQueued();
   }
 
-  private boolean serves(int octets) {
-    return held == 0 || fits(octets);
+  private boolean canGrant(int bytes) {
+    return usedBytes == 0 || fits(bytes);
   }
 
-  private void serve() {
-    for (Reservation first = waiting.peek(); first != null && serves(first.octets); first = waiting.peek()) {
-      waiting.poll();
-      first.has = true;
-      held += first.octets;
-      first.given.run();
+  private void grantQueued() {
+    for (Reservation next = queue.peek(); next != null && canGrant(next.bytes); next = queue.peek()) {
+      queue.poll();
+      next.granted = true;
+      usedBytes += next.bytes;
+      next.onGranted.run();
     }
   }
 }
--- a/http/src/main/java/cloverpulley/serve/Call.java
+++ b/http/src/main/java/cloverpulley/serve/Call.java
@@ -10,114 +10,117 @@
 import io.netty.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** One request on its way to an upstream; it ends exactly once. */
+/** One HTTP request to an upstream and its response. It ends exactly once. */
 final class Call {
 
-  /** Told how a call ended; the answer is there where one came, and is the pool's to release. */
-  interface Ended {
-    void ended(Status status, FullHttpResponse answer);
+  /** Notified of the outcome. The response is null unless a buffered one was received; the pool releases it. */
+  interface CompletionHandler {
+    void completed(Status status, FullHttpResponse response);
   }
 
-  /** Takes an answer that is too long to be held, while it comes. */
-  interface Passing {
-    /** Whether there is still a client for it: asked before anything is sent on a connection that had to be made first. */
+  /** Receives a response that is too long to buffer, as it arrives. */
+  interface ResponseConsumer {
+    /** Whether a client still waits for the response. Checked before the request is written to a newly opened connection. */
     boolean isWanted();
 
-    /** It begins with this head; false where it is not wanted, and then nothing of it is told. */
-    boolean begins(HttpResponse head);
+    /** Offers the response head; returns false to decline the response, and then no body is delivered. */
+    boolean responseStarted(HttpResponse head);
 
-    /** A piece, which is taken over; false to be told no more until {@link Call#goOn}. */
-    boolean piece(ByteBuf piece);
+    /** Takes ownership of a part of the body; returns false to pause reading until {@link Call#resume}. */
+    boolean bodyReceived(ByteBuf content);
   }
 
   final long upstream;
-  private final Ended ended;
-  /** Null where answers have to be short. */
-  final Passing passing;
-  /** What of the request's body is still to come; null for nothing. */
-  final BodyStream rest;
-  /** How long the upstream may take nothing of such a body. */
-  final long stallNanos;
-  /** Within this time its last byte has to leave, or it is called off; 0 for whenever it can. */
-  final long leavesNanos;
-  private final long madeAt = System.nanoTime();
-  /** When it is given up, on the clock of {@link System#nanoTime}. */
-  private long givenUpAt = Long.MAX_VALUE;
-  /** Reads the answer on, as far as there is room. */
-  Runnable reading = () -> { };
-  /** The connection it is on, from when one is opened or reused until the call ends. */
+  private final CompletionHandler completion;
+  /** Receives a streamed response; null if the response has to fit the buffer. */
+  final ResponseConsumer responseConsumer;
+  /** The part of the request body that has not been received yet; null if there is none. */
+  final BodyStream body;
+  /** How long the upstream may accept nothing of such a body. */
+  final long writeStallNanos;
+  /** The call is cancelled unless its last byte is written within this time; 0 for no limit. */
+  final long sendWithinNanos;
+  private final long createdAt = System.nanoTime();
+  /** When the call times out, on the clock of {@link System#nanoTime}. */
+  private long expiresAt = Long.MAX_VALUE;
+  /** Resumes reading the response. */
+  Runnable onResume = () -> { };
+  /** The call's connection, from when one is opened or reused until the call ends. */
   Channel channel;
   Future<?> timeout;
-  private Future<?> leaves;
-  /** Its last byte has left: from here on it may have run. */
+  private Future<?> sendTimeout;
+  /** Whether the last byte has been written; from then on the request may have run. */
   boolean written;
   private boolean done;
 
-  Call(long upstream, Ended ended, Passing passing, BodyStream rest, long stallNanos, long leavesNanos) {
-    this.leavesNanos = leavesNanos;
-    this.stallNanos = stallNanos;
+  Call(long upstream, CompletionHandler completion, ResponseConsumer responseConsumer, BodyStream body, long writeStallNanos, long sendWithinNanos) {
+    this.sendWithinNanos = sendWithinNanos;
+    this.writeStallNanos = writeStallNanos;
     this.upstream = upstream;
-    this.ended = ended;
-    this.passing = passing;
-    this.rest = rest;
+    this.completion = completion;
+    this.responseConsumer = responseConsumer;
+    this.body = body;
   }
 
-  /** It is given up so many nanoseconds from now. */
-  void givenUpIn(long nanos) {
-    givenUpAt = System.nanoTime() + nanos;
+  /** Sets the timeout to so many nanoseconds from now. */
+  void expireIn(long nanos) {
+    expiresAt = System.nanoTime() + nanos;
   }
 
-  /** Tells the upstream what is left of its time: to come up took its connection a part of it. */
-  void tellTimeLeft(FullHttpRequest request) {
-    String told = request.headers().get(Frontend.EXPIRES);
-    if (told != null) {
-      long left = TimeUnit.NANOSECONDS.toMillis(givenUpAt - System.nanoTime());
-      request.headers().set(Frontend.EXPIRES, Math.max(1, Math.min(Long.parseLong(told), left)));
+  /** Lowers the deadline header to the time that is left, of which connecting has taken a part. */
+  void updateExpiresHeader(FullHttpRequest request) {
+    String original = request.headers().get(Frontend.EXPIRES);
+    if (original != null) {
+      long remaining = TimeUnit.NANOSECONDS.toMillis(expiresAt - System.nanoTime());
+      request.headers().set(Frontend.EXPIRES, Math.max(1, Math.min(Long.parseLong(original), remaining)));
     }
   }
 
-  /** More of the answer can be taken. */
-  void goOn() {
+  /** Continues delivering the response after a pause. */
+  void resume() {
     if (channel != null) {
-      reading.run();
+      onResume.run();
     }
   }
 
-  /** Has it called off where its last byte has not left in time. Guards the window of repeats: a connection may come up late, a long body leave slowly. */
-  void leavesInTime(EventExecutor loop, Runnable callOff) {
-    if (leavesNanos > 0) {
-      leaves = loop.schedule(() -> {
+  /**
+   * Cancels the call if its last byte is not written in time. A slow connect or a slow upload would otherwise send a retry after the end of the
+   * window in which upstreams recognize duplicates.
+   */
+  void scheduleSendTimeout(EventExecutor loop, Runnable cancel) {
+    if (sendWithinNanos > 0) {
+      sendTimeout = loop.schedule(() -> {
         if (!written) {
-          callOff.run();
+          cancel.run();
         }
-      }, leavesNanos, TimeUnit.NANOSECONDS);
+      }, sendWithinNanos, TimeUnit.NANOSECONDS);
     }
   }
 
-  /** Whether there is still time for its last byte to leave. */
-  boolean mayLeave() {
-    return leavesNanos == 0 || System.nanoTime() - madeAt < leavesNanos;
+  /** Whether the time limit for writing the last byte has not passed yet. */
+  boolean canStillBeSent() {
+    return sendWithinNanos == 0 || System.nanoTime() - createdAt < sendWithinNanos;
   }
 
   boolean isDone() {
     return done;
   }
 
-  /** Ends it, if nothing has yet. */
-  void end(Status status, FullHttpResponse answer) {
+  /** Ends the call; a no-op if it has already ended. */
+  void end(Status status, FullHttpResponse response) {
     if (!done) {
       done = true;
       channel = null;
       if (timeout != null) {
         timeout.cancel(false);
       }
-      if (leaves != null) {
-        leaves.cancel(false);
+      if (sendTimeout != null) {
+        sendTimeout.cancel(false);
       }
-      if (rest != null) {
-        rest.attach(null);
+      if (body != null) {
+        body.attach(null);
       }
-      ended.ended(status, answer);
+      completion.completed(status, response);
     }
   }
 }
--- a/http/src/main/java/cloverpulley/serve/HttpExchange.java
+++ b/http/src/main/java/cloverpulley/serve/HttpExchange.java
@@ -26,151 +26,157 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** A client's request over HTTP: goes on to upstreams through the pool, and its answer back to where it came from. */
+/** A client request over HTTP: forwards it to upstreams through the pool and returns the response to the client. */
 final class HttpExchange extends Exchange {
 
-  /** Headers that speak of one connection, not of the request. */
+  /** Headers that apply to a single connection and are not forwarded. */
   private static final List<AsciiString> HOP_BY_HOP = List.of(HttpHeaderNames.CONNECTION,
       AsciiString.cached("keep-alive"), AsciiString.cached("proxy-connection"), HttpHeaderNames.TE,
       HttpHeaderNames.TRAILER, HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderNames.UPGRADE, HttpHeaderNames.EXPECT);
 
-  /** Gives the one final answer to the client; a no-op where the client is gone. The content stays the caller's. */
+  /** Sends the final response to the client; a no-op if the client is gone. The caller keeps ownership of the content. */
   interface ClientResponder {
-    /** Whether the client is still there, as far as its connection tells now. */
+    /** Whether the client is still connected, as far as its socket shows. */
     boolean isClientConnected();
 
     void sendResponse(HttpResponseStatus status, long retryAfterNanos, CharSequence contentType, ByteBuf content);
 
-    /** Begins the final answer, which is passed on while it comes; {@code length} is -1 where it is not known. */
+    /** Begins a streamed final response; {@code length} is -1 if unknown, {@code writable} runs when the client can receive more. */
     ResponseStream beginStream(CharSequence contentType, long length, Runnable writable);
   }
 
-  /** The client's side of an answer that is passed on. */
+  /** The client's side of a streamed response. */
   interface ResponseStream {
     boolean isWritable();
 
-    /** Takes over a piece. */
+    /** Writes a part of the body and takes ownership of it. */
     void write(ByteBuf piece);
 
     void end();
 
-    /** It will not be whole: ends the connection, so that the client can tell. */
+    /** Closes the connection of a response that can't be completed, so that the client notices. */
     void abort();
   }
 
-  /** What a front has for all of its exchanges. */
+  /** Collaborators shared by all exchanges of a frontend. */
   record Context(Engine engine, UpstreamPool pool, boolean loadReports) {
 
-    /** The load report of an answer. */
-    Map<String, Double> load(FullHttpResponse answer) {
-      return loadReports && answer != null ? LoadReport.parse(answer.headers().get(LoadReport.HEADER)) : Map.of();
+    /** The load report of a response; empty without one. */
+    Map<String, Double> loadReport(FullHttpResponse response) {
+      return loadReports && response != null ? LoadReport.parse(response.headers().get(LoadReport.HEADER)) : Map.of();
     }
   }
 
-  private final Context front;
+  private final Context context;
   private final FullHttpRequest request;
-  private final ClientResponder reply;
-  private final Runnable forgotten;
-  /** What of its body is still to come when it is taken; null for nothing. */
-  private final BodyStream rest;
+  private final ClientResponder responder;
+  private final Runnable onRemovedCallback;
+  /** The part of the body not received yet when the request is accepted; null if there is none. */
+  private final BodyStream body;
   private final long waitNanos;
-  private Call sending;
-  private ResponseStream passing;
-
-  /** Takes over the request; {@code waitNanos} is how long its client waits, {@code forgotten} is run when nothing is left of it. */
-  HttpExchange(RequestInfo info, Context front, FullHttpRequest request, long waitNanos, ClientResponder reply, Runnable forgotten) {
+  private Call currentCall;
+  private ResponseStream responseStream;
+
+  /**
+   * Takes ownership of the request; {@code waitNanos} is how long the client waits, {@code onRemovedCallback} runs once the engine has removed
+   * the exchange.
+   */
+  HttpExchange(RequestInfo info, Context context, FullHttpRequest request, long waitNanos, ClientResponder responder, Runnable onRemovedCallback) {
     super(info);
-    rest = request instanceof StreamedRequest s ? s.rest : null;
+    body = request instanceof StreamedRequest s ? s.rest : null;
     this.waitNanos = waitNanos;
-    this.front = front;
+    this.context = context;
     this.request = request;
-    this.reply = reply;
-    this.forgotten = forgotten;
+    this.responder = responder;
+    this.onRemovedCallback = onRemovedCallback;
   }
 
   @Override
   protected Attempt.CancelHandle startAttempt(Attempt attempt, SocketAddress address, long timeoutNanos) {
-    if (!isClientConnected()) {
-      front.engine.attemptEnded(attempt, Status.NOT_SENT, Map.of(), () -> { });
+    if (!checkClientConnected()) {
+      context.engine.attemptEnded(attempt, Status.NOT_SENT, Map.of(), () -> { });
       return () -> { };
     }
-    if (rest != null && (rest.isConsumed() || sending != null && !sending.isDone())) {
-      // Its beginning is gone, or is being sent: a second copy of it can't be.
-      front.engine.attemptEnded(attempt, Status.NOT_SENT, Map.of(), () -> { });
+    if (body != null && (body.isConsumed() || currentCall != null && !currentCall.isDone())) {
+      // The beginning of the body is discarded or in use by another attempt, so the request can't be sent a second time.
+      context.engine.attemptEnded(attempt, Status.NOT_SENT, Map.of(), () -> { });
       return () -> { };
     }
-    Answer answer = new Answer(attempt);
-    long leaves = attempt.sendBy() > 0 ? attempt.sendBy() - attempt.sentAt() : 0;
-    Call call = new Call(attempt.upstream(), answer::ended, answer, rest, waitNanos, leaves);
-    answer.call = call;
-    sending = call;
-    front.pool.start(call, address, forward(rest == null ? timeoutNanos : Math.min(timeoutNanos, waitNanos)), timeoutNanos);
-    return () -> front.pool.cancel(call);
+    AttemptResponse handler = new AttemptResponse(attempt);
+    long sendWithinNanos = attempt.sendBy() > 0 ? attempt.sendBy() - attempt.sentAt() : 0;
+    Call call = new Call(attempt.upstream(), handler::completed, handler, body, waitNanos, sendWithinNanos);
+    handler.call = call;
+    currentCall = call;
+    context.pool.start(call, address, upstreamRequest(body == null ? timeoutNanos : Math.min(timeoutNanos, waitNanos)), timeoutNanos);
+    return () -> context.pool.cancel(call);
   }
 
-  /** Looks whether the client still waits. Guards against sending on what nobody waits for; the end is told before the attempt's own. */
-  private boolean isClientConnected() {
-    if (!isEnded() && !reply.isClientConnected()) {
-      front.engine.clientGone(this);
+  /**
+   * Checks whether the client still waits, so that no abandoned request is forwarded. If it is gone, the engine is notified of that before the
+   * attempt ends.
+   */
+  private boolean checkClientConnected() {
+    if (!isEnded() && !responder.isClientConnected()) {
+      context.engine.clientGone(this);
     }
     return !isEnded();
   }
 
-  /** The body has come whole: what waits for an answer waits for so much longer. */
+  /** The request body is complete: a pending attempt may wait for a response for {@code leftNanos} from now. */
   void bodyEnded(long deadline, long leftNanos) {
-    front.engine.bodyEnded(this, deadline);
-    if (sending != null && passing == null) {
-      front.pool.updateTimeout(sending, leftNanos);
+    context.engine.bodyEnded(this, deadline);
+    if (currentCall != null && responseStream == null) {
+      context.pool.updateTimeout(currentCall, leftNanos);
     }
   }
 
-  /** What comes back on one attempt. */
-  private final class Answer implements Call.Passing {
+  /** Handles the response to one attempt. */
+  private final class AttemptResponse implements Call.ResponseConsumer {
     private final Attempt attempt;
     private Call call;
-    private boolean begun;
+    private boolean streaming;
 
-    Answer(Attempt attempt) {
+    AttemptResponse(Attempt attempt) {
       this.attempt = attempt;
     }
 
     @Override
     public boolean isWanted() {
-      return isClientConnected();
+      return checkClientConnected();
     }
 
     @Override
-    public boolean begins(HttpResponse head) {
-      if (!front.engine.answerStarted(attempt)) {
+    public boolean responseStarted(HttpResponse head) {
+      if (!context.engine.answerStarted(attempt)) {
         return false;
       }
-      begun = true;
-      passing = reply.beginStream(head.headers().get(HttpHeaderNames.CONTENT_TYPE), HttpUtil.getContentLength(head, -1L), call::goOn);
+      streaming = true;
+      responseStream = responder.beginStream(head.headers().get(HttpHeaderNames.CONTENT_TYPE), HttpUtil.getContentLength(head, -1L), call::resume);
       return true;
     }
 
     @Override
-    public boolean piece(ByteBuf piece) {
-      passing.write(piece);
-      return passing.isWritable();
+    public boolean bodyReceived(ByteBuf content) {
+      responseStream.write(content);
+      return responseStream.isWritable();
     }
 
-    private void ended(Status status, FullHttpResponse answer) {
-      if (begun) {
+    private void completed(Status status, FullHttpResponse response) {
+      if (streaming) {
         if (status == Status.SERVED) {
-          passing.end();
+          responseStream.end();
         } else {
-          passing.abort();
+          responseStream.abort();
         }
-        front.engine.attemptEnded(attempt, status, Map.of(), HttpExchange.this::end);
+        context.engine.attemptEnded(attempt, status, Map.of(), HttpExchange.this::end);
         return;
       }
-      FullHttpResponse served = status == Status.SERVED ? answer.retain() : null;
-      front.engine.attemptEnded(attempt, status, front.load(answer), () -> {
+      FullHttpResponse served = status == Status.SERVED ? response.retain() : null;
+      context.engine.attemptEnded(attempt, status, context.loadReport(response), () -> {
         if (served != null) {
           if (!isEnded() && !isStreaming()) {
             end();
-            reply.sendResponse(HttpResponseStatus.OK, 0, served.headers().get(HttpHeaderNames.CONTENT_TYPE), served.content());
+            responder.sendResponse(HttpResponseStatus.OK, 0, served.headers().get(HttpHeaderNames.CONTENT_TYPE), served.content());
           }
           served.release();
         }
@@ -179,45 +185,45 @@
   }
 
   @Override
-  protected void respond(LocalReply verdict) {
-    if (passing != null) {
-      passing.abort(); // An answer has begun, and there is no other.
+  protected void respond(LocalReply reply) {
+    if (responseStream != null) {
+      responseStream.abort(); // A response has begun; it can't be replaced by an error.
       return;
     }
-    HttpResponseStatus status = verdict.rejected() ? HttpResponseStatus.TOO_MANY_REQUESTS : switch (verdict.reason()) {
+    HttpResponseStatus status = reply.rejected() ? HttpResponseStatus.TOO_MANY_REQUESTS : switch (reply.reason()) {
       case DEADLINE -> HttpResponseStatus.GATEWAY_TIMEOUT;
       case STOPPING -> HttpResponseStatus.INTERNAL_SERVER_ERROR;
       default -> HttpResponseStatus.BAD_GATEWAY;
     };
-    reply.sendResponse(status, verdict.retryAfterNanos(), null, Unpooled.EMPTY_BUFFER);
+    responder.sendResponse(status, reply.retryAfterNanos(), null, Unpooled.EMPTY_BUFFER);
   }
 
   @Override
   protected void onEnded() {
     request.release();
-    if (rest != null) {
-      rest.discard();
+    if (body != null) {
+      body.discard();
     }
   }
 
   @Override
   protected void onRemoved() {
-    forgotten.run();
+    onRemovedCallback.run();
   }
 
-  /** The request as it goes to an upstream. */
-  private FullHttpRequest forward(long timeoutNanos) {
+  /** The request as it is forwarded to an upstream. */
+  private FullHttpRequest upstreamRequest(long timeoutNanos) {
     HttpHeaders headers = new DefaultHttpHeaders().set(request.headers());
-    for (String named : request.headers().getAll(HttpHeaderNames.CONNECTION)) {
-      for (String name : named.split(",")) {
+    for (String connectionHeader : request.headers().getAll(HttpHeaderNames.CONNECTION)) {
+      for (String name : connectionHeader.split(",")) {
         headers.remove(name.trim());
       }
     }
     HOP_BY_HOP.forEach(headers::remove);
     headers.set(Frontend.EXPIRES, Math.max(1, TimeUnit.NANOSECONDS.toMillis(timeoutNanos)));
-    if (rest != null && !headers.contains(HttpHeaderNames.CONTENT_LENGTH)) {
+    if (body != null && !headers.contains(HttpHeaderNames.CONTENT_LENGTH)) {
       headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-    } else if (rest == null && request.content().isReadable()) {
+    } else if (body == null && request.content().isReadable()) {
       headers.set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
     }
     return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, request.method(), request.uri(),
--- a/http/src/main/java/cloverpulley/serve/IdleReusePolicy.java
+++ b/http/src/main/java/cloverpulley/serve/IdleReusePolicy.java
@@ -3,49 +3,49 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * How long a connection may have stood idle and still hold, learned from those that were used again. Guards against upstreams,
- * or what lies between, that forget a connection sooner than they say and without a word: what is written to one may have run,
- * and can't always be sent again. It could do harm where connections break for another reason than their age: then new ones
- * are opened for nothing, until what was seen is forgotten.
+ * Learns from reused connections how long one can be idle and still work. Upstreams and middleboxes may drop idle connections
+ * earlier than configured and without closing them; a request written to such a connection may have run and can't always
+ * be retried. If connections break for a reason other than their idle time, new ones are opened needlessly until the
+ * samples have decayed.
  */
 final class IdleReusePolicy {
 
-  /** Ages are told apart by their doublings from this on. */
-  private static final long LEAST_NANOS = TimeUnit.MILLISECONDS.toNanos(16);
-  private static final int AGES = 10;
-  /** An age at which more than this part of the connections broke, and no fewer than this many, is too old. */
-  private static final double MOST_BROKEN = 0.25;
-  private static final double ENOUGH = 2.5;
-  /** What was seen counts for less with time, so that longer times are tried again. */
-  private static final double KEPT_NANOS = TimeUnit.SECONDS.toNanos(20);
+  /** Idle times are grouped into buckets that double in width, starting at this one. */
+  private static final long MIN_AGE_NANOS = TimeUnit.MILLISECONDS.toNanos(16);
+  private static final int AGE_BUCKETS = 10;
+  /** An idle time is too long if more than this ratio of the connections broke, and at least {@link #MIN_BROKEN} of them. */
+  private static final double MAX_BROKEN_RATIO = 0.25;
+  private static final double MIN_BROKEN = 2.5;
+  /** Time constant of the exponential decay of samples, by which longer idle times are tried again. */
+  private static final double DECAY_NANOS = TimeUnit.SECONDS.toNanos(20);
 
-  private final double[] held = new double[AGES];
-  private final double[] broken = new double[AGES];
-  private long forgottenAt;
+  private final double[] survivedByAge = new double[AGE_BUCKETS];
+  private final double[] brokenByAge = new double[AGE_BUCKETS];
+  private long decayedAt;
 
-  /** A connection used again after standing idle for so long has answered, or broken before it did. */
-  void used(long now, long idleNanos, boolean broke) {
-    double part = Math.exp((forgottenAt - now) / KEPT_NANOS);
-    for (int i = 0; i < AGES; i++) {
-      held[i] *= part;
-      broken[i] *= part;
+  /** Records whether a connection that was reused after {@code idleNanos} broke before it returned a response. */
+  void recordReuse(long now, long idleNanos, boolean brokenOnReuse) {
+    double decay = Math.exp((decayedAt - now) / DECAY_NANOS);
+    for (int i = 0; i < AGE_BUCKETS; i++) {
+      survivedByAge[i] *= decay;
+      brokenByAge[i] *= decay;
     }
-    forgottenAt = now;
-    (broke ? broken : held)[age(idleNanos)]++;
+    decayedAt = now;
+    (brokenOnReuse ? brokenByAge : survivedByAge)[bucket(idleNanos)]++;
   }
 
-  /** Whether a connection that has stood idle for so long may be used again: it is no older than what breaks. */
-  boolean holds(long now, long idleNanos) {
-    double part = Math.exp((forgottenAt - now) / KEPT_NANOS);
-    for (int i = 0; i <= age(idleNanos); i++) {
-      if (broken[i] * part >= ENOUGH && broken[i] > MOST_BROKEN * (held[i] + broken[i])) {
+  /** Whether a connection may be reused after {@code idleNanos}: neither this nor a shorter idle time is known to break connections. */
+  boolean isReusable(long now, long idleNanos) {
+    double decay = Math.exp((decayedAt - now) / DECAY_NANOS);
+    for (int i = 0; i <= bucket(idleNanos); i++) {
+      if (brokenByAge[i] * decay >= MIN_BROKEN && brokenByAge[i] > MAX_BROKEN_RATIO * (survivedByAge[i] + brokenByAge[i])) {
         return false;
       }
     }
     return true;
   }
 
-  private static int age(long idleNanos) {
-    return Math.min(AGES - 1, Long.SIZE - Long.numberOfLeadingZeros(idleNanos / LEAST_NANOS));
+  private static int bucket(long idleNanos) {
+    return Math.min(AGE_BUCKETS - 1, Long.SIZE - Long.numberOfLeadingZeros(idleNanos / MIN_AGE_NANOS));
   }
 }
--- a/http/src/main/java/cloverpulley/serve/Peers.java
+++ b/http/src/main/java/cloverpulley/serve/Peers.java
@@ -16,26 +16,26 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** Datagrams from and to the other balancers: late, lost or sound, never answered for. */
+/** Sends and receives datagrams between balancers. Delivery is neither guaranteed nor acknowledged. */
 final class Peers implements Engine.PeerSender {
 
   private static final Logger LOG = Logger.getLogger(Peers.class.getName());
 
-  private final int me;
+  private final int selfIndex;
   private final List<InetSocketAddress> peers;
-  private final InetSocketAddress all;
+  private final InetSocketAddress broadcastAddress;
   private Channel channel;
 
-  Peers(int me, List<InetSocketAddress> peers, InetSocketAddress all) {
-    this.me = me;
+  Peers(int selfIndex, List<InetSocketAddress> peers, InetSocketAddress broadcastAddress) {
+    this.selfIndex = selfIndex;
     this.peers = peers;
-    this.all = all;
+    this.broadcastAddress = broadcastAddress;
   }
 
-  /** Binds, beside another process where {@code shared}, and hands what comes from a known peer to the engine. */
-  ChannelFuture listen(EventLoopGroup group, InetSocketAddress address, boolean shared, Engine engine) {
+  /** Binds the socket, shared with another process if {@code reusePort}, and passes messages from known peers to the engine. */
+  ChannelFuture listen(EventLoopGroup group, InetSocketAddress address, boolean reusePort, Engine engine) {
     Bootstrap bootstrap = new Bootstrap().group(group).channel(NioDatagramChannel.class);
-    if (shared) {
+    if (reusePort) {
       bootstrap.option(Listener.REUSE_PORT, true);
     }
     ChannelFuture bound = bootstrap
@@ -43,7 +43,7 @@
           @Override
           protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
             int from = peers.indexOf(packet.sender());
-            if (from >= 0 && from != me) {
+            if (from >= 0 && from != selfIndex) {
               engine.peerMessage(from, ByteBufUtil.getBytes(packet.content()));
             }
           }
@@ -57,7 +57,7 @@
     return bound;
   }
 
-  /** The port bound, for a balancer that let the system choose. */
+  /** The bound address; its port was chosen by the system if the configured one is 0. */
   InetSocketAddress address() {
     return (InetSocketAddress) channel.localAddress();
   }
@@ -71,11 +71,11 @@
       if (to < peers.size()) {
         sendTo(peers.get(to), data);
       }
-    } else if (all != null) {
-      sendTo(all, data);
+    } else if (broadcastAddress != null) {
+      sendTo(broadcastAddress, data);
     } else {
       for (int i = 0; i < peers.size(); i++) {
-        if (i != me) {
+        if (i != selfIndex) {
           sendTo(peers.get(i), data);
         }
       }
--- a/http/src/main/java/cloverpulley/serve/ResponseValidator.java
+++ b/http/src/main/java/cloverpulley/serve/ResponseValidator.java
@@ -13,37 +13,37 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Guards against a 200 cut short that looks whole: without a length only the connection's end marks the body's, and
- * a process that dies ends it just so. Such an answer counts as broken.
+ * Rejects a 200 with neither a content length nor chunked encoding. The end of its body is marked only by the end of the
+ * connection, so a response truncated by a crashing process would look complete.
  */
 final class ResponseValidator extends ChannelInboundHandlerAdapter {
 
-  /** Header of an upstream that turned a request away unseen. */
+  /** Response header of an upstream that rejected a request without processing it. */
   private static final String NEVER_RAN = "X-Never-Ran";
-  /** What every answer begins with. */
-  private static final byte[] START = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
+  /** Prefix of every valid response. */
+  private static final byte[] STATUS_LINE_PREFIX = "HTTP/1.".getBytes(StandardCharsets.US_ASCII);
 
   @Override
   public void channelRead(ChannelHandlerContext context, Object message) {
     if (message instanceof HttpResponse response && response.status().equals(HttpResponseStatus.OK)
         && !HttpUtil.isContentLengthSet(response) && !HttpUtil.isTransferEncodingChunked(response)) {
-      response.setDecoderResult(DecoderResult.failure(new IOException("a body without a length")));
+      response.setDecoderResult(DecoderResult.failure(new IOException("response has neither a content length nor chunked encoding")));
     }
     context.fireChannelRead(message);
   }
 
-  /** How far an answer's beginning has been looked at with these bytes, {@code seen} before them; -1 for what is no answer. */
-  static int begins(ByteBuf bytes, int seen) {
-    int begun = seen;
-    for (int i = 0; begun < START.length && i < bytes.readableBytes(); i++) {
-      if (bytes.getByte(bytes.readerIndex() + i) != START[begun++]) {
+  /** Number of prefix bytes matched including {@code bytes}, given those matched before; -1 if this is not an HTTP/1.x response. */
+  static int matchPrefix(ByteBuf bytes, int matchedBefore) {
+    int matched = matchedBefore;
+    for (int i = 0; matched < STATUS_LINE_PREFIX.length && i < bytes.readableBytes(); i++) {
+      if (bytes.getByte(bytes.readerIndex() + i) != STATUS_LINE_PREFIX[matched++]) {
         return -1;
       }
     }
-    return begun;
+    return matched;
   }
 
-  /** What an answer means. */
+  /** The outcome that a response stands for. */
   static Status status(FullHttpResponse response) {
     HttpResponseStatus status = response.status();
     if (!response.decoderResult().isSuccess()) {
@@ -52,8 +52,8 @@
     if (status.equals(HttpResponseStatus.OK)) {
       return Status.SERVED;
     }
-    boolean refused = status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
+    boolean rejected = status.equals(HttpResponseStatus.SERVICE_UNAVAILABLE)
         || status.equals(HttpResponseStatus.GATEWAY_TIMEOUT);
-    return refused && "1".equals(response.headers().get(NEVER_RAN)) ? Status.FULL : Status.ERROR;
+    return rejected && "1".equals(response.headers().get(NEVER_RAN)) ? Status.FULL : Status.ERROR;
   }
 }
--- a/http/src/main/java/cloverpulley/serve/StallDetector.java
+++ b/http/src/main/java/cloverpulley/serve/StallDetector.java
@@ -5,17 +5,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Tells for how long an event loop has not looked at its sockets: what is read then may have lain there for all of that time. What came while a turn of the loop
- * lasted is read in the next one, so it is the tick before the last that counts. All of it runs on that loop.
+ * Measures for how long an event loop has not polled its sockets. Bytes read then may have waited in the socket buffer for all of that time. Bytes
+ * that arrive during one iteration of the loop are read in the next, so the tick before the last is decisive. Runs on that loop.
  */
 final class StallDetector {
 
   private static final long TICK_MILLIS = 20;
 
-  private long tickedAt = System.nanoTime();
-  private long tickedBeforeAt = tickedAt;
+  private long lastTickNanos = System.nanoTime();
+  private long previousTickNanos = lastTickNanos;
 
-  /** Ticks for as long as the loop runs. */
+  /** Starts measuring, for as long as the loop runs. */
   void watch(EventLoop loop) {
     tick();
     tick();
@@ -23,12 +23,12 @@
   }
 
   private void tick() {
-    tickedBeforeAt = tickedAt;
-    tickedAt = System.nanoTime();
+    previousTickNanos = lastTickNanos;
+    lastTickNanos = System.nanoTime();
   }
 
-  /** Nanoseconds that what is read now may have lain in its socket, beyond the few that it always may; 0 for none. */
+  /** How long bytes that are read now may have waited in the socket buffer, beyond the usual two ticks; 0 if not longer. */
   long stalledNanos() {
-    return Math.max(0, System.nanoTime() - tickedBeforeAt - TimeUnit.MILLISECONDS.toNanos(2 * TICK_MILLIS));
+    return Math.max(0, System.nanoTime() - previousTickNanos - TimeUnit.MILLISECONDS.toNanos(2 * TICK_MILLIS));
   }
 }
--- a/http/src/main/java/cloverpulley/serve/StreamedResponse.java
+++ b/http/src/main/java/cloverpulley/serve/StreamedResponse.java
@@ -8,50 +8,49 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** An answer on its way to the client while it comes, behind its head. */
+/** Streams a response body to the client as it arrives from the upstream. The head has already been written. */
 final class StreamedResponse implements HttpExchange.ResponseStream {
 
-  /** A client that reads nothing of an answer for this long has let go of it. */
-  private static final long STALLED_MILLIS = 30_000;
+  /** A client that reads nothing of a response for this long is considered gone. */
+  private static final long STALL_TIMEOUT_MILLIS = 30_000;
 
   private final Channel channel;
-  private final Runnable writable;
-  private final Runnable ending;
-  private final Consumer<Boolean> ended;
-  private Future<?> stalled;
+  private final Runnable onWritable;
+  private final Runnable onLastWrite;
+  private final Consumer<Boolean> onEnded;
+  private Future<?> stallTimer;
 
   /**
-   * {@code writable} is run when the client takes more again, {@code ending} when the last piece is handed over, and {@code ended} is told
-   * whether all of it was written.
+   * {@code onWritable} runs when the client can receive more again, {@code onLastWrite} before the last write, and {@code onEnded} receives
+   * whether everything was written.
    */
-  StreamedResponse(Channel channel, Runnable writable, Runnable ending, Consumer<Boolean> ended) {
+  StreamedResponse(Channel channel, Runnable onWritable, Runnable onLastWrite, Consumer<Boolean> onEnded) {
     this.channel = channel;
-    this.writable = writable;
-    this.ending = ending;
-    this.ended = ended;
+    this.onWritable = onWritable;
+    this.onLastWrite = onLastWrite;
+    this.onEnded = onEnded;
   }
 
   @Override
   public boolean isWritable() {
-    boolean can = channel.isWritable();
-    if (!can && stalled == null) {
-      stalled = channel.eventLoop().schedule(this::abort, STALLED_MILLIS, TimeUnit.MILLISECONDS);
+    boolean writable = channel.isWritable();
+    if (!writable && stallTimer == null) {
+      stallTimer = channel.eventLoop().schedule(this::abort, STALL_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
-    return can;
+    return writable;
   }
 
   void writabilityChanged() {
-    if (channel.isWritable() && stalled != null) {
+    if (channel.isWritable() && stallTimer != null) {
       cancelStallTimer();
-      writable.run();
+      onWritable.run();
     }
   }
 
-  /** Nobody waits for its client any more. */
   void cancelStallTimer() {
-    if (stalled != null) {
-      stalled.cancel(false);
-      stalled = null;
+    if (stallTimer != null) {
+      stallTimer.cancel(false);
+      stallTimer = null;
     }
   }
 
@@ -62,10 +61,10 @@
 
   @Override
   public void end() {
-    ending.run();
+    onLastWrite.run();
     channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(f -> {
       cancelStallTimer();
-      ended.accept(f.isSuccess());
+      onEnded.accept(f.isSuccess());
     });
   }
 
--- a/http/src/main/java/cloverpulley/serve/StrictResponseDecoder.java
+++ b/http/src/main/java/cloverpulley/serve/StrictResponseDecoder.java
@@ -4,15 +4,15 @@
 import io.netty.util.AsciiString;
 
 /**
- * Reads answers. Guards the client from a head that can't be read: left to itself the decoder takes the first word of a
- * line without a colon for a header, and so an answer spoilt there for a good one.
+ * Decodes responses and rejects malformed header lines. Netty's decoder takes the first word of a line without a colon for
+ * a header name, so that a corrupt response would pass as a valid one.
  */
 final class StrictResponseDecoder extends HttpResponseDecoder {
 
   @Override
   protected AsciiString splitHeaderName(byte[] line, int start, int length) {
     if (line[start + length] != ':') {
-      throw new IllegalArgumentException("a header line without a name and a colon");
+      throw new IllegalArgumentException("malformed header line: no colon after the header name");
     }
     return super.splitHeaderName(line, start, length);
   }
--- a/http/src/main/java/cloverpulley/serve/UpstreamPool.java
+++ b/http/src/main/java/cloverpulley/serve/UpstreamPool.java
@@ -46,76 +46,75 @@
 import java.util.logging.Level;
 import java.util.logging.Logger;
 
-/** Connections to upstreams and the calls on them: one call a connection, one outcome a call, nothing sent again. */
+/** Pool of HTTP/1.1 connections to upstreams. A connection carries one call at a time, a call has exactly one outcome, and the pool never retries. */
 final class UpstreamPool implements Transport {
 
   private static final Logger LOG = Logger.getLogger(UpstreamPool.class.getName());
 
-  /** The part of the upstreams' idle time after which a connection is closed here: a request that crosses the
-   * upstream's own closing would be a reset. */
-  private static final double IDLE_PART = 0.7;
-  private static final long SWEEP_MILLIS = 250;
-  /** After an answer a connection rests for this long: what came with it beyond its end shows by then. */
-  private static final long REST_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
-  /** A probe is given up after this. */
-  private static final long PROBE_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
-  /** An answer that has begun and pauses for longer won't go on: its head does not end or its length does not fit. */
-  private static final long PAUSE_MILLIS = 300;
-  /** The same for one that is passed on, for which nothing can be done any more. */
-  private static final long PASSING_PAUSE_MILLIS = 10_000;
-  /** More 1xx answers than this ahead of one are without end. */
-  private static final int MOST_INFORMATIONAL = 16;
-  /** From here on an answer needs a place of so many octets: what is held of it at most, or what passes. */
-  private static final int SHORT_ANSWER = 8 * 1024;
-  private static final int ANSWER_OCTETS = Frontend.MOST_BODY;
+  /** Fraction of the upstream's idle timeout after which the pool closes an idle connection itself. A request that races
+   * with the upstream's own close would fail with a reset. */
+  private static final double IDLE_RATIO = 0.7;
+  private static final long IDLE_SWEEP_MILLIS = 250;
+  /** Delay between a response and the reuse of its connection, so that surplus bytes behind the response show up first. */
+  private static final long REUSE_DELAY_NANOS = TimeUnit.MILLISECONDS.toNanos(10);
+  private static final long PROBE_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+  /** A response that stalls for longer is considered incomplete: its head has no end, or its body is shorter than its length. */
+  private static final long RESPONSE_STALL_MILLIS = 300;
+  /** The same for a streamed response, which can't be replaced by another any more. */
+  private static final long STREAMED_RESPONSE_STALL_MILLIS = 10_000;
+  /** Limit of 1xx responses per call; an upstream that sends more is taken to send them endlessly. */
+  private static final int MAX_INFORMATIONAL = 16;
+  /** A response with a longer body reserves {@link #RESPONSE_RESERVATION_BYTES}: the most that is buffered of it, or in transit while it is streamed. */
+  private static final int UNRESERVED_RESPONSE_BYTES = 8 * 1024;
+  private static final int RESPONSE_RESERVATION_BYTES = Frontend.MOST_BODY;
   private final Bootstrap bootstrap;
   private final SocketBudget sockets;
   private long idleNanos;
-  private final LongPredicate ready;
+  private final LongPredicate upstreamReady;
   private final boolean loadReports;
   private final Counts counts;
   private final IdleConnections<Connection> idle = new IdleConnections<>();
   private final Set<Call> connecting = new HashSet<>();
-  private final IdleReusePolicy reuse = new IdleReusePolicy();
-  /** Where long answers find room. */
-  private final BufferBudget answers;
+  private final IdleReusePolicy reusePolicy = new IdleReusePolicy();
+  /** Memory for responses longer than {@link #UNRESERVED_RESPONSE_BYTES}. */
+  private final BufferBudget responseBudget;
 
   /**
-   * {@code ready} tells of an upstream whether anything new may go to it, {@code loadReports} whether answers carry their load; {@code answers}
-   * is where long answers find room; {@code counts} is told of connections that are opened and what becomes of them.
+   * {@code upstreamReady} decides whether an upstream may receive new requests, {@code loadReports} whether responses carry load reports;
+   * {@code responseBudget} bounds the memory for long responses; {@code counts} receives connection statistics.
    */
   UpstreamPool(Bootstrap bootstrap, SocketBudget sockets, long connectTimeoutNanos, long upstreamIdleNanos,
-      LongPredicate ready, boolean loadReports, BufferBudget answers, Counts counts) {
+      LongPredicate upstreamReady, boolean loadReports, BufferBudget responseBudget, Counts counts) {
     this.counts = counts;
-    this.answers = answers;
+    this.responseBudget = responseBudget;
     this.sockets = sockets;
-    this.ready = ready;
+    this.upstreamReady = upstreamReady;
     this.loadReports = loadReports;
     this.bootstrap = bootstrap.clone()
         .handler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
             Connection connection = new Connection(channel);
-            channel.pipeline().addLast(connection.arrivals(), new HttpRequestEncoder(), new StrictResponseDecoder(), new ResponseValidator(),
+            channel.pipeline().addLast(connection.rawInboundHandler(), new HttpRequestEncoder(), new StrictResponseDecoder(), new ResponseValidator(),
                 connection);
           }
         });
     setTimeouts(connectTimeoutNanos, upstreamIdleNanos);
-    Periodic.every(bootstrap.config().group().next(), SWEEP_MILLIS, this::closeOld);
+    Periodic.every(bootstrap.config().group().next(), IDLE_SWEEP_MILLIS, this::closeExpired);
   }
 
-  /** Other limits hold from here on. */
+  /** Applies changed timeouts to new connections and to the idle ones. */
   void setTimeouts(long connectTimeoutNanos, long upstreamIdleNanos) {
-    idleNanos = (long) (upstreamIdleNanos * IDLE_PART);
+    idleNanos = (long) (upstreamIdleNanos * IDLE_RATIO);
     bootstrap.option(ChannelOption.CONNECT_TIMEOUT_MILLIS,
         (int) Math.min(Integer.MAX_VALUE, TimeUnit.NANOSECONDS.toMillis(connectTimeoutNanos)));
   }
 
-  /** Starts a call; it takes over the request. The time-out covers connecting. */
+  /** Starts a call and takes ownership of the request. The timeout includes connecting. */
   void start(Call call, SocketAddress address, FullHttpRequest request, long timeoutNanos) {
-    call.timeout = timeout(call, timeoutNanos);
-    call.leavesInTime(bootstrap.config().group().next(), () -> abandon(call, Status.NOT_SENT, Status.NOT_SENT));
-    Connection reused = reuse(call.upstream, address);
+    call.timeout = scheduleTimeout(call, timeoutNanos);
+    call.scheduleSendTimeout(bootstrap.config().group().next(), () -> abandon(call, Status.NOT_SENT, Status.NOT_SENT));
+    Connection reused = takeIdle(call.upstream, address);
     if (reused != null) {
       reused.write(call, request);
       return;
@@ -127,7 +126,7 @@
     }
     ChannelFuture connect = bootstrap.connect(address);
     if (connect.isDone() && !connect.isSuccess()) {
-      // No socket could be made at all; such a failure would be announced on a thread that is not ours.
+      // No socket could be created; a listener would be notified of such a failure on a thread other than the event loop.
       request.release();
       call.end(Status.CONNECT_FAILED, null);
       return;
@@ -139,42 +138,44 @@
     call.channel.closeFuture().addListener(f -> sockets.closed());
     connect.addListener(f -> {
       connecting.remove(call);
-      // Guards against a request written although it was withdrawn while connecting, or began to connect between news of a drain and its withdrawals.
-      boolean wanted = !call.isDone() && call.mayLeave() && (call.passing == null || ready.test(call.upstream) && call.passing.isWanted());
+      // The call may have been cancelled while connecting, or have begun to connect after the upstream stopped being ready
+      // and before the module was notified of it. It must not be written then.
+      boolean wanted = !call.isDone() && call.canStillBeSent()
+          && (call.responseConsumer == null || upstreamReady.test(call.upstream) && call.responseConsumer.isWanted());
       if (!wanted || !f.isSuccess()) {
         request.release();
         call.end(wanted ? Status.CONNECT_FAILED : Status.NOT_SENT, null);
         connect.channel().close();
       } else {
-        call.tellTimeLeft(request);
+        call.updateExpiresHeader(request);
         connect.channel().pipeline().get(Connection.class).write(call, request);
       }
     });
   }
 
-  /** A call ends so much later, whatever was said at its start. */
+  /** Restarts the timeout of a call, replacing the one it was started with. */
   void updateTimeout(Call call, long timeoutNanos) {
     if (!call.isDone()) {
       call.timeout.cancel(false);
-      call.timeout = timeout(call, timeoutNanos);
+      call.timeout = scheduleTimeout(call, timeoutNanos);
     }
   }
 
-  private Future<?> timeout(Call call, long nanos) {
-    call.givenUpIn(nanos);
+  private Future<?> scheduleTimeout(Call call, long nanos) {
+    call.expireIn(nanos);
     return bootstrap.config().group().next().schedule(() -> abandon(call, Status.CONNECT_FAILED, Status.TIMEOUT), nanos, TimeUnit.NANOSECONDS);
   }
 
-  /** Stops waiting for a call. */
+  /** Cancels a call. */
   void cancel(Call call) {
     abandon(call, Status.NOT_SENT, Status.CANCELLED);
   }
 
-  /** Upstreams drain or are gone: no connection to them is used again, and what has not been sent stays unsent. */
+  /** Closes the idle connections to upstreams that drain or were removed, and cancels calls that are still connecting to them. */
   @Override
-  public void drainUpstreams(LongPredicate from) {
-    idle.close(from);
-    List.copyOf(connecting).stream().filter(call -> from.test(call.upstream)).forEach(this::cancel);
+  public void drainUpstreams(LongPredicate upstreams) {
+    idle.close(upstreams);
+    List.copyOf(connecting).stream().filter(call -> upstreams.test(call.upstream)).forEach(this::cancel);
   }
 
   @Override
@@ -183,21 +184,21 @@
   }
 
   @Override
-  public boolean probe(long upstream, SocketAddress address, ProbeCallback done) {
-    Call call = new Call(upstream, (status, answer) -> done.probeEnded(status, loadReports && answer != null
-        ? LoadReport.parse(answer.headers().get(LoadReport.HEADER)) : Map.of()), null, null, 0, 0);
+  public boolean probe(long upstream, SocketAddress address, ProbeCallback callback) {
+    Call call = new Call(upstream, (status, response) -> callback.probeEnded(status, loadReports && response != null
+        ? LoadReport.parse(response.headers().get(LoadReport.HEADER)) : Map.of()), null, null, 0, 0);
     FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, Frontend.HEALTH);
     request.headers().set(HttpHeaderNames.HOST, "upstream");
-    start(call, address, request, PROBE_NANOS);
+    start(call, address, request, PROBE_TIMEOUT_NANOS);
     return true;
   }
 
-  /** Closes the connection that has stood idle longest; false if none is idle. */
+  /** Closes the connection that has been idle longest; returns false if none is idle. */
   boolean closeOldest() {
     return idle.closeOldest();
   }
 
-  /** Ends a call whose answer may still come; its connection can't be used again. */
+  /** Ends a call whose response may still arrive, and closes its connection, which can't be reused. */
   private void abandon(Call call, Status unwritten, Status written) {
     if (!call.isDone()) {
       Channel channel = call.channel;
@@ -208,14 +209,14 @@
     }
   }
 
-  private Connection reuse(long upstream, SocketAddress address) {
+  private Connection takeIdle(long upstream, SocketAddress address) {
     long now = System.nanoTime();
     for (Connection c : idle.of(upstream)) {
-      if (now - c.idleSince >= REST_NANOS) {
+      if (now - c.idleSince >= REUSE_DELAY_NANOS) {
         idle.remove(c);
-        if (c.channel.isActive() && c.channel.remoteAddress().equals(address) && reuse.holds(now, now - c.idleSince)
+        if (c.channel.isActive() && c.channel.remoteAddress().equals(address) && reusePolicy.isReusable(now, now - c.idleSince)
             && c.isInputEmpty()) {
-          c.stoodIdle = now - c.idleSince;
+          c.priorIdleNanos = now - c.idleSince;
           return c;
         }
         c.channel.close();
@@ -224,36 +225,36 @@
     return null;
   }
 
-  private void closeOld() {
+  private void closeExpired() {
     idle.closeOlderThan(idleNanos);
     counts.idle(idle.size());
   }
 
-  /** One connection, and the call on it. */
+  /** A connection and its current call, if any. */
   private final class Connection extends SimpleChannelInboundHandler<HttpObject> implements IdleConnections.Idle {
 
     final Channel channel;
     long upstream;
     long idleSince;
-    /** How long it had stood idle before the call on it; -1 on a new one. */
-    long stoodIdle = -1;
+    /** How long the connection was idle before the current call; -1 on a new one. */
+    long priorIdleNanos = -1;
     private Call call;
-    private boolean fresh = true;
-    /** Bytes of the answer that have been looked at. */
-    private int begun;
-    private int informational;
-    private Future<?> wholeBy;
-    /** The answer that is coming: its head, what is held of its body, and whether it is passed on instead. */
-    private HttpResponse head;
-    private ByteBuf held;
-    private boolean passes;
-    private long came;
-    private long heardAt;
-    /** Its room, once it is longer than short; and whether its client can't take more of it just now. */
-    private BufferBudget.Reservation place;
+    private boolean firstCall = true;
+    /** Number of leading response bytes that match the status line prefix. */
+    private int prefixMatched;
+    private int informationalCount;
+    private Future<?> progressCheck;
+    /** The response being received: its head, the buffered part of its body, and whether it is streamed instead. */
+    private HttpResponse responseHead;
+    private ByteBuf bodyBuffer;
+    private boolean streaming;
+    private long bodyBytes;
+    private long lastReadAt;
+    /** Memory of a long response, null for a short one; and whether reading is paused for a slow client. */
+    private BufferBudget.Reservation reservation;
     private boolean paused;
-    /** Ends the call whose upstream takes nothing of its body. */
-    private Future<?> stalled;
+    /** Ends the call if the upstream accepts nothing of the request body. */
+    private Future<?> writeStallTimeout;
 
     Connection(Channel channel) {
       this.channel = channel;
@@ -275,20 +276,20 @@
     }
 
     /**
-     * Sees bytes before they are decoded. Guards against what belongs to no call, which would be taken for the answer to
-     * the next one, and against answers that keep a client waiting until its time is up.
+     * Inspects bytes before they are decoded. Bytes that belong to no call would be taken for the response to the next one, and
+     * an incomplete response would keep its client waiting until its deadline.
      */
-    ChannelInboundHandlerAdapter arrivals() {
+    ChannelInboundHandlerAdapter rawInboundHandler() {
       return new ChannelInboundHandlerAdapter() {
         @Override
         public void channelRead(ChannelHandlerContext context, Object message) {
           ByteBuf bytes = (ByteBuf) message;
-          int looked = call == null ? -1 : ResponseValidator.begins(bytes, begun);
-          if (looked < 0) {
+          int matched = call == null ? -1 : ResponseValidator.matchPrefix(bytes, prefixMatched);
+          if (matched < 0) {
             bytes.release();
-            spoilt();
+            resetConnection();
           } else {
-            begun = looked;
+            prefixMatched = matched;
             context.fireChannelRead(bytes);
           }
         }
@@ -296,81 +297,81 @@
         @Override
         public void channelReadComplete(ChannelHandlerContext context) {
           context.fireChannelReadComplete();
-          if (call != null && begun > 0) {
-            expectMore();
+          if (call != null && prefixMatched > 0) {
+            responseProgressed();
           }
         }
       };
     }
 
-    /** Guards a client from an answer that stops on its way: its length does not fit, or its head does not end. */
-    private void expectMore() {
-      heardAt = System.nanoTime();
-      if (wholeBy == null) {
-        wholeBy = channel.eventLoop().schedule(this::checkProgress, PAUSE_MILLIS, TimeUnit.MILLISECONDS);
+    /** Records that bytes arrived, and starts watching for a response that stalls because its head has no end or its length is wrong. */
+    private void responseProgressed() {
+      lastReadAt = System.nanoTime();
+      if (progressCheck == null) {
+        progressCheck = channel.eventLoop().schedule(this::checkProgress, RESPONSE_STALL_MILLIS, TimeUnit.MILLISECONDS);
       }
     }
 
     private void checkProgress() {
-      wholeBy = null;
-      long most = TimeUnit.MILLISECONDS.toNanos(passes ? PASSING_PAUSE_MILLIS : PAUSE_MILLIS);
-      long left = most - (System.nanoTime() - heardAt);
-      if (left <= 0 && channel.config().isAutoRead()) {
-        spoilt();
+      progressCheck = null;
+      long limit = TimeUnit.MILLISECONDS.toNanos(streaming ? STREAMED_RESPONSE_STALL_MILLIS : RESPONSE_STALL_MILLIS);
+      long remaining = limit - (System.nanoTime() - lastReadAt);
+      if (remaining <= 0 && channel.config().isAutoRead()) {
+        resetConnection();
       } else {
-        // Not reading is this side's doing: its client takes its time.
-        wholeBy = channel.eventLoop().schedule(this::checkProgress, left <= 0 ? most : left, TimeUnit.NANOSECONDS);
+        // This side stopped reading because of a slow client; the upstream is not at fault.
+        progressCheck = channel.eventLoop().schedule(this::checkProgress, remaining <= 0 ? limit : remaining, TimeUnit.NANOSECONDS);
       }
     }
 
-    private void flowing() {
-      channel.config().setAutoRead(!paused && (place == null || place.isGranted()));
+    private void updateAutoRead() {
+      channel.config().setAutoRead(!paused && (reservation == null || reservation.isGranted()));
     }
 
-    private void nothingBegun() {
+    private void resetResponse() {
       paused = false;
-      if (place != null) {
-        place.release();
-        place = null;
+      if (reservation != null) {
+        reservation.release();
+        reservation = null;
       }
-      moves();
-      begun = 0;
-      head = null;
-      passes = false;
-      came = 0;
-      if (held != null) {
-        held.release();
-        held = null;
+      cancelWriteStallTimeout();
+      prefixMatched = 0;
+      responseHead = null;
+      streaming = false;
+      bodyBytes = 0;
+      if (bodyBuffer != null) {
+        bodyBuffer.release();
+        bodyBuffer = null;
       }
-      if (wholeBy != null) {
-        wholeBy.cancel(false);
-        wholeBy = null;
+      if (progressCheck != null) {
+        progressCheck.cancel(false);
+        progressCheck = null;
       }
     }
 
-    /** The connection is of no use any more; the call on it may have run. */
-    private void spoilt() {
-      Call spoilt = call;
+    /** Closes an unusable connection. A call on it ends with {@code RESET}, as it may have run. */
+    private void resetConnection() {
+      Call failed = call;
       call = null;
-      nothingBegun();
+      resetResponse();
       channel.close();
-      if (spoilt != null) {
-        spoilt.end(Status.RESET, null);
+      if (failed != null) {
+        failed.end(Status.RESET, null);
       }
     }
 
-    private void usedAgain(boolean broke) {
-      if (stoodIdle >= 0) {
-        reuse.used(System.nanoTime(), stoodIdle, broke);
-        stoodIdle = -1;
+    private void recordReuse(boolean broken) {
+      if (priorIdleNanos >= 0) {
+        reusePolicy.recordReuse(System.nanoTime(), priorIdleNanos, broken);
+        priorIdleNanos = -1;
       }
     }
 
-    /** The upstream takes something of a body, or there is nothing to take any more. */
-    private void moves() {
-      if (stalled != null) {
-        stalled.cancel(false);
-        stalled = null;
+    /** Called when the upstream accepts body bytes again, or when none are left to send. */
+    private void cancelWriteStallTimeout() {
+      if (writeStallTimeout != null) {
+        writeStallTimeout.cancel(false);
+        writeStallTimeout = null;
       }
     }
 
@@ -382,21 +383,21 @@
       call = next;
       upstream = next.upstream;
       next.channel = channel;
-      next.reading = () -> {
+      next.onResume = () -> {
         paused = false;
-        flowing();
+        updateAutoRead();
       };
-      if (next.rest == null) {
-        channel.writeAndFlush(request).addListener(f -> written(next, f.isSuccess()));
+      if (next.body == null) {
+        channel.writeAndFlush(request).addListener(f -> requestWritten(next, f.isSuccess()));
         return;
       }
       channel.write(new DefaultHttpRequest(HttpVersion.HTTP_1_1, request.method(), request.uri(), request.headers()));
       channel.writeAndFlush(new DefaultHttpContent(request.content())).addListener(f -> {
         if (!f.isSuccess()) {
-          written(next, false);
+          requestWritten(next, false);
         }
       });
-      next.rest.attach(new BodyStream.Sink() {
+      next.body.attach(new BodyStream.Sink() {
         @Override
         public boolean isWritable() {
           return channel.isWritable();
@@ -409,16 +410,16 @@
 
         @Override
         public void end() {
-          channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(f -> Connection.this.written(next, f.isSuccess()));
+          channel.writeAndFlush(LastHttpContent.EMPTY_LAST_CONTENT).addListener(f -> Connection.this.requestWritten(next, f.isSuccess()));
         }
       });
     }
 
-    private void written(Call next, boolean success) {
+    private void requestWritten(Call next, boolean success) {
       if (success) {
         next.written = true;
-        if (next.rest != null) {
-          next.rest.releaseReservation();
+        if (next.body != null) {
+          next.body.releaseReservation();
         }
       } else {
         channel.close();
@@ -428,12 +429,12 @@
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-      if (call != null && call.rest != null && channel.isWritable()) {
-        moves();
-        call.rest.flush();
-      } else if (call != null && call.rest != null && stalled == null) {
+      if (call != null && call.body != null && channel.isWritable()) {
+        cancelWriteStallTimeout();
+        call.body.flush();
+      } else if (call != null && call.body != null && writeStallTimeout == null) {
         Call slow = call;
-        stalled = channel.eventLoop().schedule(() -> abandon(slow, Status.CONNECT_FAILED, Status.TIMEOUT), slow.stallNanos, TimeUnit.NANOSECONDS);
+        writeStallTimeout = channel.eventLoop().schedule(() -> abandon(slow, Status.CONNECT_FAILED, Status.TIMEOUT), slow.writeStallNanos, TimeUnit.NANOSECONDS);
       }
       context.fireChannelWritabilityChanged();
     }
@@ -443,96 +444,97 @@
       if (call == null) {
         channel.close();
       } else if (!message.decoderResult().isSuccess()) {
-        spoilt();
+        resetConnection();
       } else {
         if (message instanceof HttpResponse response) {
-          head = response;
+          responseHead = response;
           if (HttpUtil.getContentLength(response, -1L) > RequestReader.MOST_BODY) {
-            spoilt();
+            resetConnection();
           }
         }
-        if (head != null && message instanceof HttpContent content) {
-          body(content);
+        if (responseHead != null && message instanceof HttpContent content) {
+          contentReceived(content);
         }
       }
     }
 
-    private void body(HttpContent content) {
+    private void contentReceived(HttpContent content) {
       boolean last = content instanceof LastHttpContent;
-      came += content.content().readableBytes();
-      if (place == null && came > SHORT_ANSWER) {
-        place = answers.reserve(ANSWER_OCTETS, this::flowing);
-        flowing();
+      bodyBytes += content.content().readableBytes();
+      if (reservation == null && bodyBytes > UNRESERVED_RESPONSE_BYTES) {
+        reservation = responseBudget.reserve(RESPONSE_RESERVATION_BYTES, this::updateAutoRead);
+        updateAutoRead();
       }
-      if (head.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
-        if (++informational > MOST_INFORMATIONAL || head.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
-          spoilt();
+      if (responseHead.status().codeClass() == HttpStatusClass.INFORMATIONAL) {
+        if (++informationalCount > MAX_INFORMATIONAL || responseHead.status().equals(HttpResponseStatus.SWITCHING_PROTOCOLS)) {
+          resetConnection();
         } else {
-          nothingBegun();
+          resetResponse();
         }
-      } else if (came > RequestReader.MOST_BODY) {
-        spoilt();
-      } else if (passes || pass()) {
-        pass(content.content(), last);
-      } else if (came > Frontend.MOST_BODY) {
-        spoilt(); // Too long to be held, and nobody takes it as it comes.
+      } else if (bodyBytes > RequestReader.MOST_BODY) {
+        resetConnection();
+      } else if (streaming || startStreaming()) {
+        streamContent(content.content(), last);
+      } else if (bodyBytes > Frontend.MOST_BODY) {
+        resetConnection(); // Too long to buffer, and it can't be streamed.
       } else {
-        if (held == null) {
-          held = content.content().retain();
+        if (bodyBuffer == null) {
+          bodyBuffer = content.content().retain();
         } else {
-          ByteBuf more = held.isReadOnly() || held.refCnt() > 1 || held.unwrap() != null ? copy(held) : held;
-          held = more.writeBytes(content.content());
+          ByteBuf writable = bodyBuffer.isReadOnly() || bodyBuffer.refCnt() > 1 || bodyBuffer.unwrap() != null
+              ? copyToWritable(bodyBuffer) : bodyBuffer;
+          bodyBuffer = writable.writeBytes(content.content());
         }
         if (last) {
-          whole();
+          completeResponse();
         }
       }
     }
 
-    private ByteBuf copy(ByteBuf first) {
+    private ByteBuf copyToWritable(ByteBuf first) {
       ByteBuf own = channel.alloc().buffer(Math.max(1024, 2 * first.readableBytes())).writeBytes(first);
       first.release();
       return own;
     }
 
-    /** Whether the answer is passed on from here: it is good, longer than is held, and wanted. */
-    private boolean pass() {
-      boolean isLong = came > Frontend.MOST_BODY || HttpUtil.getContentLength(head, -1L) > Frontend.MOST_BODY;
-      if (!isLong || !head.status().equals(HttpResponseStatus.OK) || !call.written || call.passing == null
-          || !call.passing.begins(head)) {
+    /** Starts streaming the response if it is a 200, too long to buffer and still wanted; returns whether it did. */
+    private boolean startStreaming() {
+      boolean exceedsBuffer = bodyBytes > Frontend.MOST_BODY || HttpUtil.getContentLength(responseHead, -1L) > Frontend.MOST_BODY;
+      if (!exceedsBuffer || !responseHead.status().equals(HttpResponseStatus.OK) || !call.written || call.responseConsumer == null
+          || !call.responseConsumer.responseStarted(responseHead)) {
         return false;
       }
-      passes = true;
+      streaming = true;
       call.timeout.cancel(false);
       return true;
     }
 
-    private void pass(ByteBuf content, boolean last) {
-      if (held != null) {
-        ByteBuf first = held;
-        held = null;
-        call.passing.piece(first);
+    private void streamContent(ByteBuf content, boolean last) {
+      if (bodyBuffer != null) {
+        ByteBuf first = bodyBuffer;
+        bodyBuffer = null;
+        call.responseConsumer.bodyReceived(first);
       }
-      if (content.isReadable() && !call.passing.piece(content.retain()) && !last) {
+      if (content.isReadable() && !call.responseConsumer.bodyReceived(content.retain()) && !last) {
         paused = true;
-        flowing();
+        updateAutoRead();
       }
       if (last) {
-        Call answered = call;
-        boolean keeps = HttpUtil.isKeepAlive(head);
+        Call completed = call;
+        boolean keepAlive = HttpUtil.isKeepAlive(responseHead);
         call = null;
-        nothingBegun();
-        usedAgain(false);
-        fresh = false;
-        informational = 0;
-        release(answered, keeps);
-        answered.end(Status.SERVED, null);
+        resetResponse();
+        recordReuse(false);
+        firstCall = false;
+        informationalCount = 0;
+        recycle(completed, keepAlive);
+        completed.end(Status.SERVED, null);
       }
     }
 
-    /** The connection is free again: it rests for the next call, or closes. */
-    private void release(Call answered, boolean keeps) {
-      if (keeps && answered.written && !answered.isDone() && ready.test(upstream)) {
+    /** Returns the connection to the idle ones, or closes it. */
+    private void recycle(Call completed, boolean keepAlive) {
+      if (keepAlive && completed.written && !completed.isDone() && upstreamReady.test(upstream)) {
         channel.config().setAutoRead(true);
         idleSince = System.nanoTime();
         idle.add(this);
@@ -541,36 +543,36 @@
       }
     }
 
-    /** An answer that was held has come whole. */
-    private void whole() {
-      FullHttpResponse response = new DefaultFullHttpResponse(head.protocolVersion(), head.status(),
-          held == null ? Unpooled.EMPTY_BUFFER : held, head.headers(), EmptyHttpHeaders.INSTANCE);
-      held = null;
-      Call answered = call;
+    /** Ends the call with a buffered response that has been received completely. */
+    private void completeResponse() {
+      FullHttpResponse response = new DefaultFullHttpResponse(responseHead.protocolVersion(), responseHead.status(),
+          bodyBuffer == null ? Unpooled.EMPTY_BUFFER : bodyBuffer, responseHead.headers(), EmptyHttpHeaders.INSTANCE);
+      bodyBuffer = null;
+      Call completed = call;
       call = null;
-      nothingBegun();
-      usedAgain(false);
-      informational = 0;
+      resetResponse();
+      recordReuse(false);
+      informationalCount = 0;
       Status status = ResponseValidator.status(response);
-      if (status == Status.SERVED && !answered.written) {
-        // Guards the client: what came before its request had left is another's.
+      if (status == Status.SERVED && !completed.written) {
+        // A response that arrived before the request was written belongs to another request.
         status = Status.RESET;
       }
-      if (fresh && status == Status.FULL) {
+      if (firstCall && status == Status.FULL) {
         counts.noRoom(upstream);
       }
-      fresh = false;
-      release(answered, status != Status.RESET && HttpUtil.isKeepAlive(response));
-      answered.end(status, response);
+      firstCall = false;
+      recycle(completed, status != Status.RESET && HttpUtil.isKeepAlive(response));
+      completed.end(status, response);
       response.release();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      if (call != null && !call.isDone() && begun == 0) {
-        usedAgain(true);
+      if (call != null && !call.isDone() && prefixMatched == 0) {
+        recordReuse(true);
       }
-      nothingBegun();
+      resetResponse();
       idle.remove(this);
       if (call != null) {
         call.end(call.written ? Status.RESET : Status.CONNECT_FAILED, null);
@@ -580,8 +582,8 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      boolean usual = cause instanceof IOException || cause instanceof CodecException;
-      LOG.log(usual ? Level.FINE : Level.WARNING, "connection to " + channel.remoteAddress(), cause);
+      boolean expected = cause instanceof IOException || cause instanceof CodecException;
+      LOG.log(expected ? Level.FINE : Level.WARNING, "connection to " + channel.remoteAddress(), cause);
       context.close();
     }
   }
--- a/http/src/main/java/cloverpulley/serve/Warmup.java
+++ b/http/src/main/java/cloverpulley/serve/Warmup.java
@@ -43,58 +43,58 @@
 import java.util.stream.IntStream;
 
 /**
- * Runs the program's own code on requests of its own before the first client comes. Everything is the real thing but the
- * transport, which stays inside the process, and the module, which is thrown away.
+ * Sends synthetic requests through the balancer before the first client connects. All components are the production ones except
+ * for the in-process transport and the module instance, which is discarded afterwards.
  *
- * <p>Guards against a process that serves while its code is still interpreted: with part of a core it is then the bottleneck
- * itself, and its own delay looks like that of slow upstreams. It is bounded by work, not by the clock: so much time at part of
- * a core is little work, and left the code cold. It would do harm where a start is urgent and the requests are few: clients
- * wait for all of it.
+ * <p>A process that serves while its code is still interpreted is a bottleneck on a fraction of a core, and its own latency looks
+ * like that of slow upstreams. The warm-up is bounded by the number of requests rather than by time: on a fraction of a core
+ * a fixed time is little work, and left the code uncompiled. It costs startup time, as clients wait until it is done, which does not pay off
+ * where a start is urgent and requests are few.
  */
 final class Warmup {
 
   /**
-   * Enough to load and link all on a request's way and to compile what is used most. Guards against long starts: after a mass
-   * death who is left bears all until the others are back, and of 200 requests the last 160 cost a third of a start. What is
-   * compiled later makes the loop up to 60 ms late in the first half second and no more.
+   * Enough to load and link all classes of the request path and to compile the hottest code. More would lengthen starts: after a mass
+   * failure the surviving balancers carry all load until the others are back, and of 200 requests the last 160 took a third of the start.
+   * Code compiled later delays the event loop by at most 60 ms in the first half second.
    */
   static final int REQUESTS = 40;
-  /** Beside a predecessor that serves nobody waits: as many as make a start's first seconds like any others, and no longer than the
-   * half of the 6 s in which a successor has to be ready. */
-  private static final int REQUESTS_BESIDE = 400;
-  private static final long MOST_MILLIS_BESIDE = 2500;
-  /** Clients at one time, as in service: a lone one finds its upstream's connection still at rest and opens a new one each time. */
+  /** While a predecessor serves, no client waits: enough requests that the first seconds are like any others, limited to less than
+   * half of the 6 s within which a successor has to be ready. */
+  private static final int REQUESTS_WITH_PREDECESSOR = 400;
+  private static final long MAX_MILLIS_WITH_PREDECESSOR = 2500;
+  /** Concurrent clients, as in production. A single one would open a new upstream connection each time, as the last one can't be reused yet. */
   private static final int CLIENTS = 16;
   private static final int UPSTREAMS = 4;
-  /** A start waits no longer than this: bounds it on a machine that is far slower than any seen. */
-  private static final long MOST_MILLIS = 5000;
+  /** Limits the delay of a start on a machine that is far slower than any measured. */
+  private static final long MAX_MILLIS = 5000;
 
   private static final Logger LOG = Logger.getLogger(Warmup.class.getName());
 
   private Warmup() {}
 
-  /** {@code beside} tells whether a predecessor serves meanwhile. */
-  static void run(Settings settings, boolean beside) {
-    int requests = beside ? REQUESTS_BESIDE : REQUESTS;
-    Result count = run(settings, requests, beside ? MOST_MILLIS_BESIDE : MOST_MILLIS);
-    if (count.answered < requests) {
-      LOG.info("warm-up cut short after " + count.answered + " requests");
+  /** {@code hasPredecessor} is whether a predecessor process serves meanwhile. */
+  static void run(Settings settings, boolean hasPredecessor) {
+    int requests = hasPredecessor ? REQUESTS_WITH_PREDECESSOR : REQUESTS;
+    Result result = run(settings, requests, hasPredecessor ? MAX_MILLIS_WITH_PREDECESSOR : MAX_MILLIS);
+    if (result.answered < requests) {
+      LOG.info("warm-up cut short after " + result.answered + " requests");
     }
   }
 
-  /** How many requests its clients have asked, and how many of them were answered and served. */
+  /** Number of requests sent, of responses received, and of those with status 200. */
   record Result(int sent, int answered, int served) {}
 
-  static Result run(Settings settings, int requests, long mostMillis) {
+  static Result run(Settings settings, int requests, long maxMillis) {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, LocalIoHandler.newFactory());
     Promise<Void> done = group.next().newPromise();
     Client client = new Client(settings, requests, done);
     try {
       group.execute(() -> start(group, settings, client));
-      done.awaitUninterruptibly(mostMillis);
+      done.awaitUninterruptibly(maxMillis);
     } finally {
-      // First the clients: they would go on against upstreams that are closed already, and the start would wait for them.
-      group.submit(() -> client.over = true).syncUninterruptibly();
+      // Clients stop first. They would otherwise keep sending to upstreams that are already closed, and delay the start.
+      group.submit(() -> client.stopped = true).syncUninterruptibly();
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly();
     }
     return new Result(client.sent, client.answered, client.served);
@@ -110,7 +110,7 @@
     UpstreamPool pool = new UpstreamPool(new Bootstrap().group(group).channel(LocalChannel.class), sockets,
         settings.limits().connectTimeoutNanos(), TimeUnit.SECONDS.toNanos(1), fleet::isReady, false,
         new BufferBudget(Long.MAX_VALUE), counts);
-    Engine engine = new Engine(group.next(), clock, settings, n -> new Logic(settings, n), fleet, new NoList(),
+    Engine engine = new Engine(group.next(), clock, settings, n -> new Logic(settings, n), fleet, new NoOpListSource(),
         (to, data) -> { }, counts);
     engine.addTransport(pool);
     Frontend frontend = new Frontend(new HttpExchange.Context(engine, pool, false), clock, sockets, settings,
@@ -118,14 +118,14 @@
     engine.serverListUpdated(ListKind.CACHED, new ServerList(0, true,
         IntStream.range(0, UPSTREAMS).mapToObj(i -> new Server("warm-up-" + i, upstream, settings.zone(), 0, State.READY, 1, 0))
             .toList()));
-    ServerBootstrap listeners = new ServerBootstrap().group(group).channel(LocalServerChannel.class);
-    listeners.childHandler(new ChannelInitializer<Channel>() {
+    ServerBootstrap serverBootstrap = new ServerBootstrap().group(group).channel(LocalServerChannel.class);
+    serverBootstrap.childHandler(new ChannelInitializer<Channel>() {
       @Override
       protected void initChannel(Channel channel) {
         channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(Frontend.MOST_BODY), new Upstream());
       }
     }).bind(upstream);
-    frontend.listen(listeners, balancer).addListener(f -> {
+    frontend.listen(serverBootstrap, balancer).addListener(f -> {
       Bootstrap clients = new Bootstrap().group(group).channel(LocalChannel.class)
           .handler(new ChannelInitializer<Channel>() {
             @Override
@@ -139,8 +139,8 @@
     });
   }
 
-  /** Discovery that never answers. */
-  private static final class NoList implements Engine.ListSource {
+  /** A discovery source that never responds. */
+  private static final class NoOpListSource implements Engine.ListSource {
     @Override
     public void watch(boolean on) {}
 
@@ -148,20 +148,20 @@
     public void fetch() {}
   }
 
-  /** An upstream that serves everything. */
+  /** An upstream that responds to every request with 200. */
   private static final class Upstream extends SimpleChannelInboundHandler<FullHttpRequest> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
       FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
           request.content().retain());
       response.headers().set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
-      // In its turn: inside the process an answer could else come before the sending of its request is known to have ended,
-      // and is then taken for another's. Its upstream would be left out for that, and the start would wait.
+      // Deferred: in-process, the response could otherwise arrive before the write of its request is reported as complete. It would
+      // be taken for the response to another request, its upstream would be ejected, and the start would be delayed.
       context.executor().execute(() -> context.writeAndFlush(response));
     }
   }
 
-  /** Clients that ask again as soon as they have their answers. */
+  /** Clients that send the next request as soon as they receive a response. */
   @Sharable
   private static final class Client extends SimpleChannelInboundHandler<FullHttpResponse> {
     private final List<RequestClass> classes;
@@ -171,7 +171,7 @@
     private int sent;
     private int answered;
     private int served;
-    private boolean over;
+    private boolean stopped;
 
     Client(Settings settings, int requests, Promise<Void> done) {
       this.requests = requests;
@@ -182,7 +182,7 @@
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-      ask(context);
+      sendNext(context);
     }
 
     @Override
@@ -191,11 +191,11 @@
       if (++answered == requests) {
         done.trySuccess(null);
       }
-      ask(context);
+      sendNext(context);
     }
 
-    private void ask(ChannelHandlerContext context) {
-      if (over || sent == requests) {
+    private void sendNext(ChannelHandlerContext context) {
+      if (stopped || sent == requests) {
         return;
       }
       RequestClass type = classes.get(sent % classes.size());
--- a/http/src/test/java/cloverpulley/serve/IdleReusePolicyTest.java
+++ b/http/src/test/java/cloverpulley/serve/IdleReusePolicyTest.java
@@ -20,31 +20,31 @@
   void whatBreaksAtAnAgeIsNotUsedAtThatAgeNorBeyond() {
     IdleReusePolicy reuse = new IdleReusePolicy();
     for (int i = 0; i < 3; i++) {
-      assertTrue(reuse.holds(0, OLD), "too few to tell");
-      reuse.used(0, OLD, true);
+      assertTrue(reuse.isReusable(0, OLD), "too few to tell");
+      reuse.recordReuse(0, OLD, true);
     }
-    assertFalse(reuse.holds(0, OLD));
-    assertFalse(reuse.holds(0, OLDER));
-    assertTrue(reuse.holds(0, YOUNG));
+    assertFalse(reuse.isReusable(0, OLD));
+    assertFalse(reuse.isReusable(0, OLDER));
+    assertTrue(reuse.isReusable(0, YOUNG));
   }
 
   @Test
   void aFewThatBreakAmongManyThatHoldAreNotTheirAge() {
     IdleReusePolicy reuse = new IdleReusePolicy();
     for (int i = 0; i < 40; i++) {
-      reuse.used(0, OLD, i % 10 == 0);
+      reuse.recordReuse(0, OLD, i % 10 == 0);
     }
-    assertTrue(reuse.holds(0, OLD));
+    assertTrue(reuse.isReusable(0, OLD));
   }
 
   @Test
   void itIsTriedAgainInTime() {
     IdleReusePolicy reuse = new IdleReusePolicy();
     for (int i = 0; i < 5; i++) {
-      reuse.used(0, OLD, true);
+      reuse.recordReuse(0, OLD, true);
     }
-    assertFalse(reuse.holds(SECOND, OLD));
-    assertTrue(reuse.holds(60 * SECOND, OLD));
+    assertFalse(reuse.isReusable(SECOND, OLD));
+    assertTrue(reuse.isReusable(60 * SECOND, OLD));
   }
 
   /** An upstream that forgets its connections as soon as they stand idle: most of what is asked is still served. */
