--- a/http/src/main/java/cloverpulley/serve/BodyStream.java
+++ b/http/src/main/java/cloverpulley/serve/BodyStream.java
@@ -14,7 +14,7 @@
     boolean isWritable();
 
     /** Writes a part of the body and takes ownership of it. */
-    void write(ByteBuf piece);
+    void write(ByteBuf content);
 
     /** Called after the last part. */
     void end();
@@ -55,22 +55,22 @@
   }
 
   /** Adds a received part and takes ownership of it. */
-  void add(ByteBuf piece) {
+  void add(ByteBuf content) {
     if (discarded) {
-      piece.release();
+      content.release();
       return;
     }
-    queuedBytes += piece.readableBytes();
-    if (piece.readableBytes() >= COALESCE_BYTES || queue.isEmpty() && sink != null && sink.isWritable()) {
+    queuedBytes += content.readableBytes();
+    if (content.readableBytes() >= COALESCE_BYTES || queue.isEmpty() && sink != null && sink.isWritable()) {
       tail = null;
-      queue.add(piece);
+      queue.add(content);
     } else {
-      if (tail == null || tail.maxWritableBytes() < piece.readableBytes()) {
-        tail = piece.alloc().buffer(COALESCE_BYTES, COALESCE_BYTES);
+      if (tail == null || tail.maxWritableBytes() < content.readableBytes()) {
+        tail = content.alloc().buffer(COALESCE_BYTES, COALESCE_BYTES);
         queue.add(tail);
       }
-      tail.writeBytes(piece);
-      piece.release();
+      tail.writeBytes(content);
+      content.release();
     }
     flush();
     if (!wantsMore()) {
@@ -117,10 +117,10 @@
           onFirstConsumed.run();
         }
       }
-      ByteBuf piece = queue.poll();
-      tail = piece == tail ? null : tail;
-      queuedBytes -= piece.readableBytes();
-      sink.write(piece);
+      ByteBuf content = queue.poll();
+      tail = content == tail ? null : tail;
+      queuedBytes -= content.readableBytes();
+      sink.write(content);
     }
     if (sink != null && complete && queue.isEmpty()) {
       Sink completed = sink;
--- a/http/src/main/java/cloverpulley/serve/HttpExchange.java
+++ b/http/src/main/java/cloverpulley/serve/HttpExchange.java
@@ -50,7 +50,7 @@
     boolean isWritable();
 
     /** Writes a part of the body and takes ownership of it. */
-    void write(ByteBuf piece);
+    void write(ByteBuf content);
 
     void end();
 
--- a/http/src/main/java/cloverpulley/serve/StreamedResponse.java
+++ b/http/src/main/java/cloverpulley/serve/StreamedResponse.java
@@ -55,8 +55,8 @@
   }
 
   @Override
-  public void write(ByteBuf piece) {
-    channel.writeAndFlush(new DefaultHttpContent(piece));
+  public void write(ByteBuf content) {
+    channel.writeAndFlush(new DefaultHttpContent(content));
   }
 
   @Override
--- a/http/src/main/java/cloverpulley/serve/UpstreamPool.java
+++ b/http/src/main/java/cloverpulley/serve/UpstreamPool.java
@@ -64,7 +64,7 @@
   private static final long STREAMED_RESPONSE_STALL_MILLIS = 10_000;
   /** Limit of 1xx responses per call; an upstream that sends more is taken to send them endlessly. */
   private static final int MAX_INFORMATIONAL = 16;
-  /** A response with a longer body reserves {@link #RESPONSE_RESERVATION_BYTES}: the most that is buffered of it, or in transit while it is streamed. */
+  /** A response with a longer body reserves {@link #RESPONSE_RESERVATION_BYTES}: the most that is buffered of it, or in transit while streamed. */
   private static final int UNRESERVED_RESPONSE_BYTES = 8 * 1024;
   private static final int RESPONSE_RESERVATION_BYTES = Frontend.MOST_BODY;
   private final Bootstrap bootstrap;
@@ -404,8 +404,8 @@
         }
 
         @Override
-        public void write(ByteBuf piece) {
-          channel.writeAndFlush(new DefaultHttpContent(piece));
+        public void write(ByteBuf content) {
+          channel.writeAndFlush(new DefaultHttpContent(content));
         }
 
         @Override
@@ -434,7 +434,8 @@
         call.body.flush();
       } else if (call != null && call.body != null && writeStallTimeout == null) {
         Call slow = call;
-        writeStallTimeout = channel.eventLoop().schedule(() -> abandon(slow, Status.CONNECT_FAILED, Status.TIMEOUT), slow.writeStallNanos, TimeUnit.NANOSECONDS);
+        writeStallTimeout = channel.eventLoop().schedule(() -> abandon(slow, Status.CONNECT_FAILED, Status.TIMEOUT), slow.writeStallNanos,
+            TimeUnit.NANOSECONDS);
       }
       context.fireChannelWritabilityChanged();
     }
