--- a/http/src/test/java/cloverpulley/serve/AtMostOnceTest.java
+++ b/http/src/test/java/cloverpulley/serve/AtMostOnceTest.java
@@ -14,13 +14,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A request that is unsafe to repeat, over sockets and with the real module: sent again only where it surely never ran, and never twice out. */
+/** At-most-once requests, over sockets and with the real module: retried only if they certainly never ran, and never sent in parallel. */
 @Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
 class AtMostOnceTest {
 
-  private static final String FULL = "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n";
+  private static final String NEVER_RAN_RESPONSE = "HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n";
 
-  private static Config to(String... upstreams) throws IOException {
+  private static Config configFor(String... upstreams) throws IOException {
     String[] members = new String[upstreams.length];
     for (int i = 0; i < members.length; i++) {
       members[i] = Rig.member("s-" + i, upstreams[i], "ready");
@@ -33,55 +33,56 @@
     return Rig.post(id, "", "body").replace("X-Qos: keyed", "X-Qos: safe");
   }
 
-  /** What may have run, however it ended, is answered as failed and sent nowhere else. */
+  /** A request that may have run fails, however the attempt ended, and is not sent to another upstream. */
   @ParameterizedTest
-  @ValueSource(strings = {"HTTP/1.1 500 Broken~Content-Length: 0~~", "HTTP/1.1 503 Full~Content-Length: 0~~", "HTTP/1.1 200 OK~Content-Length: 9~~cut",
+  @ValueSource(strings = {"HTTP/1.1 500 Broken~Content-Length: 0~~", "HTTP/1.1 503 Full~Content-Length: 0~~",
+    "HTTP/1.1 200 OK~Content-Length: 9~~cut",
     "HTTP/1.1 200 OK~~no length", "noise", ""})
-  void whatMayHaveRunIsNeverSentAgain(String answer) throws Exception {
+  void requestThatMayHaveRunIsNotRetried(String rawResponse) throws Exception {
     StubServer.Script script = c -> {
       c.next();
-      c.write(answer.replace("~", "\r\n"));
-      if (answer.isEmpty()) {
+      c.write(rawResponse.replace("~", "\r\n"));
+      if (rawResponse.isEmpty()) {
         c.reset();
       }
     };
-    try (StubServer one = new StubServer(script); StubServer two = new StubServer(script); StubServer three = new StubServer(script);
-        Rig rig = new Rig(to(one.address(), two.address(), three.address())); Client client = rig.client()) {
-      String got = client.ask(request("t"));
-      assertTrue(got.startsWith("HTTP/1.1 502 "), got);
-      assertEquals(1, one.requests.size() + two.requests.size() + three.requests.size());
+    try (StubServer first = new StubServer(script); StubServer second = new StubServer(script); StubServer third = new StubServer(script);
+        Rig rig = new Rig(configFor(first.address(), second.address(), third.address())); Client client = rig.client()) {
+      String response = client.ask(request("t"));
+      assertTrue(response.startsWith("HTTP/1.1 502 "), response);
+      assertEquals(1, first.requests.size() + second.requests.size() + third.requests.size());
     }
   }
 
-  /** What never ran is sent on until one serves it: turned away, and refused. */
+  /** A request that never ran is retried until an upstream serves it: after a rejection, and after a refused connection. */
   @Test
-  void whatNeverRanIsSentOn() throws Exception {
-    String refused;
+  void requestThatNeverRanIsRetried() throws Exception {
+    String unreachable;
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      refused = "127.0.0.1:" + socket.getLocalPort();
+      unreachable = "127.0.0.1:" + socket.getLocalPort();
     }
-    try (StubServer full = StubServer.answering(FULL); StubServer serves = StubServer.answering(StubServer.ok("x"));
-        Rig rig = new Rig(to(full.address(), refused, serves.address())); Client client = rig.client()) {
+    try (StubServer rejecting = StubServer.answering(NEVER_RAN_RESPONSE); StubServer serving = StubServer.answering(StubServer.ok("x"));
+        Rig rig = new Rig(configFor(rejecting.address(), unreachable, serving.address())); Client client = rig.client()) {
       for (int i = 0; i < 10; i++) {
         assertTrue(client.ask(request("t" + i)).startsWith("HTTP/1.1 200 "));
       }
-      assertEquals(10, serves.requests.size());
+      assertEquals(10, serving.requests.size());
     }
   }
 
-  /** Upstreams that take a request and end without a word: of each request one attempt is out, whatever is known of them by then. */
+  /** Upstreams that read a request and close the connection without a response: each request is attempted once, even after earlier failures. */
   @Test
-  void ofEachRequestOneAttemptIsMade() throws Exception {
-    try (StubServer one = new StubServer(c -> c.next()); StubServer two = new StubServer(c -> c.next());
-        Rig rig = new Rig(to(one.address(), two.address()))) {
+  void eachRequestIsAttemptedOnce() throws Exception {
+    try (StubServer first = new StubServer(c -> c.next()); StubServer second = new StubServer(c -> c.next());
+        Rig rig = new Rig(configFor(first.address(), second.address()))) {
       for (int i = 0; i < 5; i++) {
         try (Client client = rig.client()) {
           assertTrue(client.ask(request("t" + i)).startsWith("HTTP/1.1 502 "));
         }
       }
-      String all = String.join("", one.requests) + String.join("", two.requests);
+      String allRequests = String.join("", first.requests) + String.join("", second.requests);
       for (int i = 0; i < 5; i++) {
-        assertEquals(2, all.split("X-Trace-Id: t" + i + "\r\n", -1).length, "t" + i + " once");
+        assertEquals(2, allRequests.split("X-Trace-Id: t" + i + "\r\n", -1).length, "t" + i + " once");
       }
     }
   }
--- a/http/src/test/java/cloverpulley/serve/AttemptTest.java
+++ b/http/src/test/java/cloverpulley/serve/AttemptTest.java
@@ -43,32 +43,32 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** How attempts end, by what an upstream does on its connection. */
+/** Outcomes of attempts, depending on what the upstream does on its connection. */
 @Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
 class AttemptTest {
 
-  private static final String NOWHERE = "127.0.0.1:1";
-  private static final long LONG = TimeUnit.SECONDS.toNanos(30);
+  private static final String UNREACHABLE_DISCOVERY = "127.0.0.1:1";
+  private static final long ATTEMPT_TIMEOUT = TimeUnit.SECONDS.toNanos(30);
 
-  private static Config one(String upstream) throws IOException {
-    return Rig.config(NOWHERE, Rig.list(1, true, Rig.member("s-1", upstream, "ready")));
+  private static Config singleUpstream(String upstream) throws IOException {
+    return Rig.config(UNREACHABLE_DISCOVERY, Rig.list(1, true, Rig.member("s-1", upstream, "ready")));
   }
 
-  /** An upstream whose machine says nothing: its queue of connections is full, new ones never come up. */
-  static final class Silent implements AutoCloseable {
+  /** An upstream whose host does not respond: its accept queue is full, so that new connections are never established. */
+  static final class UnresponsiveServer implements AutoCloseable {
     private final ServerSocket listener;
-    private final List<Socket> waiting = new ArrayList<>();
+    private final List<Socket> connections = new ArrayList<>();
 
-    Silent() throws IOException {
+    UnresponsiveServer() throws IOException {
       this(new ServerSocket(0, 1, InetAddress.getLoopbackAddress()));
     }
 
-    /** The same at a listener whose queue is short. */
-    Silent(ServerSocket listener) throws IOException {
+    /** The same for a given listener with a short accept queue. */
+    UnresponsiveServer(ServerSocket listener) throws IOException {
       this.listener = listener;
       while (true) {
         Socket socket = new Socket();
-        waiting.add(socket);
+        connections.add(socket);
         try {
           socket.connect(listener.getLocalSocketAddress(), 300);
         } catch (SocketTimeoutException e) {
@@ -81,21 +81,21 @@
       return "127.0.0.1:" + listener.getLocalPort();
     }
 
-    /** Takes those that filled the queue out of it; what hung comes up, and is returned. */
-    Socket comesUp() throws IOException {
+    /** Accepts and closes the connections that fill the queue, and returns the first one from the balancer, which was pending until then. */
+    Socket acceptPending() throws IOException {
       listener.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Rig.LIMIT_S));
       while (true) {
-        Socket up = listener.accept();
-        if (waiting.stream().noneMatch(w -> w.getLocalPort() == up.getPort())) {
-          return up;
+        Socket accepted = listener.accept();
+        if (connections.stream().noneMatch(w -> w.getLocalPort() == accepted.getPort())) {
+          return accepted;
         }
-        up.close();
+        accepted.close();
       }
     }
 
     @Override
     public void close() throws IOException {
-      for (Socket socket : waiting) {
+      for (Socket socket : connections) {
         socket.close();
       }
       listener.close();
@@ -122,22 +122,22 @@
     "HTTP/1.1 200 OK~Content-Length: 65537~~ | RESET",
     "garbage~~ | RESET",
     "'' | RESET"})
-  void anAnswerIsWordedAsItsOutcome(String answer, Status status) throws Exception {
-    Script module = new Script(LONG);
+  void responseDeterminesAttemptOutcome(String rawResponse, Status status) throws Exception {
+    Script module = new Script(ATTEMPT_TIMEOUT);
     try (StubServer upstream = new StubServer(c -> {
       c.next();
-      c.write(answer.replace("~", "\r\n"));
-    }); Rig rig = new Rig(one(upstream.address()), module); Client client = rig.client()) {
-      String got = client.ask(Rig.get("t", ""));
-      Outcome o = module.next(Outcome.class);
-      assertEquals(status, o.status());
-      assertEquals(status == Status.SERVED, o.finished());
-      assertTrue(status == Status.SERVED ? got.startsWith("HTTP/1.1 200 ") && got.endsWith("\r\n\r\nok")
-          : got.startsWith("HTTP/1.1 502 "), got);
+      c.write(rawResponse.replace("~", "\r\n"));
+    }); Rig rig = new Rig(singleUpstream(upstream.address()), module); Client client = rig.client()) {
+      String response = client.ask(Rig.get("t", ""));
+      Outcome outcome = module.next(Outcome.class);
+      assertEquals(status, outcome.status());
+      assertEquals(status == Status.SERVED, outcome.finished());
+      assertTrue(status == Status.SERVED ? response.startsWith("HTTP/1.1 200 ") && response.endsWith("\r\n\r\nok")
+          : response.startsWith("HTTP/1.1 502 "), response);
     }
   }
 
-  /** Guards a client from waiting until its time is up, where the connection stays open and brings no whole answer. */
+  /** If the connection stays open without a complete response, the client must not wait until its deadline. */
   @ParameterizedTest
   @CsvSource(delimiter = '|', value = {
     "noise without a line's end",
@@ -146,53 +146,53 @@
     "HTTP/1.1 200 OK~Content-Length: 3000000000~~and it keeps coming",
     "HTTP/1.1 200 OK~Transfer-Encoding: chunked~~5~short",
     "HTTP/1.1 500 Oh~~no length and no end"})
-  void aSpoiltAnswerOnAnOpenConnectionIsABrokenAttempt(String answer) throws Exception {
-    Script module = new Script(LONG);
+  void incompleteResponseOnOpenConnectionResetsAttempt(String rawResponse) throws Exception {
+    Script module = new Script(ATTEMPT_TIMEOUT);
     try (StubServer upstream = new StubServer(c -> {
       c.next();
-      c.write(answer.replace("~", "\r\n"));
+      c.write(rawResponse.replace("~", "\r\n"));
       new CountDownLatch(1).await();
-    }); Rig rig = new Rig(one(upstream.address()), module); Client client = rig.client()) {
+    }); Rig rig = new Rig(singleUpstream(upstream.address()), module); Client client = rig.client()) {
       assertTrue(client.ask(Rig.get("t", "")).startsWith("HTTP/1.1 502 "));
       assertEquals(Status.RESET, module.next(Outcome.class).status());
-      assertTrue(upstream.connections.take().ends(), "its connection is closed");
+      assertTrue(upstream.connections.take().ends(), "the connection is closed");
     }
   }
 
   @Test
-  void informationalAnswersWithoutEndAreABrokenAttempt() throws Exception {
-    Script module = new Script(LONG);
+  void endlessInformationalResponsesResetAttempt() throws Exception {
+    Script module = new Script(ATTEMPT_TIMEOUT);
     try (StubServer upstream = StubServer.answering("HTTP/1.1 103 Early Hints\r\n\r\n".repeat(100));
-        Rig rig = new Rig(one(upstream.address()), module); Client client = rig.client()) {
+        Rig rig = new Rig(singleUpstream(upstream.address()), module); Client client = rig.client()) {
       client.ask(Rig.get("t", ""));
       assertEquals(Status.RESET, module.next(Outcome.class).status());
     }
   }
 
-  /** Guards the next client on a connection: what an answer brings beyond its end is not the next one's. */
+  /** Bytes after the end of a response must not be taken for the response to the next request on that connection. */
   @ParameterizedTest
   @CsvSource(delimiter = '|', value = {"true", "false"})
-  void whatFollowsAnAnswerIsNotTakenForTheNext(boolean atOnce) throws Exception {
-    Script module = new Script(LONG);
+  void surplusBytesAreNotTakenForNextResponse(boolean sameWrite) throws Exception {
+    Script module = new Script(ATTEMPT_TIMEOUT);
     String surplus = StubServer.ok("surplus");
     try (StubServer upstream = new StubServer(c -> {
       String request = c.next();
-      String answer = StubServer.ok(request.contains("X-Trace-Id: t1") ? "first" : "second");
-      c.write(atOnce ? answer + surplus : answer);
-      if (!atOnce) {
+      String response = StubServer.ok(request.contains("X-Trace-Id: t1") ? "first" : "second");
+      c.write(sameWrite ? response + surplus : response);
+      if (!sameWrite) {
         c.write(surplus);
       }
       c.next();
-    }); Rig rig = new Rig(one(upstream.address()), module); Client client = rig.client()) {
+    }); Rig rig = new Rig(singleUpstream(upstream.address()), module); Client client = rig.client()) {
       assertTrue(client.ask(Rig.get("t1", "")).endsWith("\r\n\r\nfirst"));
-      assertTrue(upstream.connections.take().awaitEnd(), "closed by the balancer");
+      assertTrue(upstream.connections.take().awaitEnd(), "the balancer closes the connection");
       assertTrue(client.ask(Rig.get("t2", "")).endsWith("\r\n\r\nsecond"));
     }
   }
 
-  /** Guards the second before the loop sees it: a connection with something unread on it is not written to. */
+  /** A connection with unread input must not be reused, even before the event loop has read it. */
   @Test
-  void aConnectionOnWhichSomethingHasComeIsNotQuiet() throws Exception {
+  void unreadInputIsDetected() throws Exception {
     try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
       try {
@@ -213,22 +213,22 @@
   }
 
   @Test
-  void aRefusedConnectionNeverRan() throws Exception {
+  void refusedConnectionIsConnectFailed() throws Exception {
     String closed;
     try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       closed = "127.0.0.1:" + socket.getLocalPort();
     }
-    Script module = new Script(LONG);
-    try (Rig rig = new Rig(one(closed), module); Client client = rig.client()) {
+    Script module = new Script(ATTEMPT_TIMEOUT);
+    try (Rig rig = new Rig(singleUpstream(closed), module); Client client = rig.client()) {
       client.ask(Rig.get("t", ""));
       assertEquals(Status.CONNECT_FAILED, module.next(Outcome.class).status());
     }
   }
 
   @Test
-  void connectingToASilentMachineEnds() throws Exception {
-    Script module = new Script(LONG);
-    try (Silent upstream = new Silent(); Rig rig = new Rig(one(upstream.address()), module);
+  void connectToUnresponsiveServerTimesOut() throws Exception {
+    Script module = new Script(ATTEMPT_TIMEOUT);
+    try (UnresponsiveServer upstream = new UnresponsiveServer(); Rig rig = new Rig(singleUpstream(upstream.address()), module);
         Client client = rig.client()) {
       client.ask(Rig.get("t", ""));
       assertEquals(Status.CONNECT_FAILED, module.next(Outcome.class).status());
@@ -236,20 +236,20 @@
   }
 
   @Test
-  void theTimeOutCoversConnecting() throws Exception {
+  void attemptTimeoutIncludesConnecting() throws Exception {
     Script module = new Script(TimeUnit.MILLISECONDS.toNanos(100));
-    try (Silent upstream = new Silent(); Rig rig = new Rig(Rig.config(NOWHERE, Rig.list(1, true,
+    try (UnresponsiveServer upstream = new UnresponsiveServer(); Rig rig = new Rig(Rig.config(UNREACHABLE_DISCOVERY, Rig.list(1, true,
         Rig.member("s-1", upstream.address(), "ready")), "on_request", 1000 * Rig.LIMIT_S, 1024, ""), module);
         Client client = rig.client()) {
       client.ask(Rig.get("t", ""));
-      assertEquals(Status.CONNECT_FAILED, module.next(Outcome.class).status(), "it was never written");
+      assertEquals(Status.CONNECT_FAILED, module.next(Outcome.class).status(), "the request was never written");
     }
   }
 
   @Test
-  void aSendStillConnectingIsNotWrittenOnceItsUpstreamDrains() throws Exception {
+  void connectingAttemptIsNotSentOnceUpstreamDrains() throws Exception {
     CountDownLatch drain = new CountDownLatch(1);
-    try (Silent upstream = new Silent(); StubServer discovery = new StubServer(c -> {
+    try (UnresponsiveServer upstream = new UnresponsiveServer(); StubServer discovery = new StubServer(c -> {
       c.next();
       drain.await();
       c.write(Discoveries.watch(Rig.list(2, false, Rig.member("s-1", upstream.address(), "draining"))));
@@ -260,8 +260,8 @@
           out.accept(new Watch(true));
         } else if (event instanceof Request r) {
           out.accept(new Send(r.id(), Discoveries.number("s-1"), 0));
-        } else if (event instanceof Outcome o) {
-          out.accept(new Fail(o.id(), Reason.NO_ROOM));
+        } else if (event instanceof Outcome outcome) {
+          out.accept(new Fail(outcome.id(), Reason.NO_ROOM));
         }
       });
       Config config = Rig.config(discovery.address(), Rig.list(1, true, Rig.member("s-1", upstream.address(), "ready")),
@@ -275,33 +275,37 @@
     }
   }
 
-  /** The fleet knows that the upstream is out, and the module, which has not been told yet, begins a sending: what was connecting had been withdrawn before. */
+  /**
+   * The fleet has marked the upstream offline and connecting attempts have been cancelled, but the module has not been notified yet and
+   * starts another attempt. It must not be written.
+   */
   @Test
-  void aSendThatBeginsBetweenAnOutAndItsNewsIsNotWritten() throws Exception {
-    String[] held = new String[1];
+  void attemptStartedBetweenSetOfflineAndNotificationIsNotSent() throws Exception {
+    String[] requestId = new String[1];
     Script module = new Script((event, out) -> {
       if (event instanceof Request r) {
-        held[0] = r.id();
+        requestId[0] = r.id();
       } else if (event instanceof UpstreamSetOffline) {
-        out.accept(new Send(held[0], Discoveries.number("s-1"), 0));
-      } else if (event instanceof Outcome o && !o.finished()) {
-        out.accept(new Fail(o.id(), Reason.NO_ROOM));
+        out.accept(new Send(requestId[0], Discoveries.number("s-1"), 0));
+      } else if (event instanceof Outcome outcome && !outcome.finished()) {
+        out.accept(new Fail(outcome.id(), Reason.NO_ROOM));
       }
     });
-    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(one(upstream.address()), module); Client client = rig.client()) {
+    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(singleUpstream(upstream.address()), module);
+        Client client = rig.client()) {
       client.write(Rig.get("t", ""));
       module.next(Request.class);
       rig.server.tell(engine -> engine.setOffline("s-1", 0));
       assertEquals(Status.NOT_SENT, module.next(Outcome.class).status());
       assertTrue(client.answer().startsWith("HTTP/1.1 502 "));
-      assertTrue(upstream.requests.isEmpty(), "nothing came on its connection");
+      assertTrue(upstream.requests.isEmpty(), "the upstream receives nothing");
     }
   }
 
   @Test
-  void aSendStillConnectingIsNotWrittenOnceItsClientIsGone() throws Exception {
-    Script module = cancelling();
-    try (Silent upstream = new Silent(); Rig rig = new Rig(Rig.config(NOWHERE, Rig.list(1, true,
+  void connectingAttemptIsNotSentOnceClientIsGone() throws Exception {
+    Script module = cancelOnClientGone();
+    try (UnresponsiveServer upstream = new UnresponsiveServer(); Rig rig = new Rig(Rig.config(UNREACHABLE_DISCOVERY, Rig.list(1, true,
         Rig.member("s-1", upstream.address(), "ready")), "on_request", 1000 * Rig.LIMIT_S, 1024, ""), module)) {
       try (Client client = rig.client()) {
         client.write(Rig.get("t", ""));
@@ -312,8 +316,8 @@
     }
   }
 
-  /** Sends, and stops waiting when the client goes. */
-  private static Script cancelling() {
+  /** Sends every request, and cancels it when its client is gone. */
+  private static Script cancelOnClientGone() {
     return new Script((event, out) -> {
       if (event instanceof Request r) {
         out.accept(new Send(r.id(), Discoveries.number("s-1"), 0));
@@ -324,12 +328,12 @@
   }
 
   @Test
-  void aCancelledAttemptClosesItsConnection() throws Exception {
-    Script module = cancelling();
+  void cancelledAttemptClosesConnection() throws Exception {
+    Script module = cancelOnClientGone();
     try (StubServer upstream = new StubServer(c -> {
       c.next();
-      new CountDownLatch(1).await(); // Never says anything, nor closes: only the balancer can.
-    }); Rig rig = new Rig(one(upstream.address()), module)) {
+      new CountDownLatch(1).await(); // Neither responds nor closes; only the balancer can.
+    }); Rig rig = new Rig(singleUpstream(upstream.address()), module)) {
       StubServer.Connection connection;
       try (Client client = rig.client()) {
         client.write(Rig.get("t", ""));
@@ -342,7 +346,7 @@
   }
 
   @Test
-  void aTimedOutAttemptClosesItsConnectionAndItsLateAnswerIsDropped() throws Exception {
+  void timedOutAttemptClosesConnectionAndDropsLateResponse() throws Exception {
     Script module = new Script(TimeUnit.MILLISECONDS.toNanos(200));
     CountDownLatch late = new CountDownLatch(1);
     try (StubServer upstream = new StubServer(c -> {
@@ -352,11 +356,11 @@
       } else {
         c.write(StubServer.ok("fresh"));
       }
-    }); Rig rig = new Rig(one(upstream.address()), module); Client client = rig.client()) {
+    }); Rig rig = new Rig(singleUpstream(upstream.address()), module); Client client = rig.client()) {
       assertTrue(client.ask(Rig.get("slow", "")).startsWith("HTTP/1.1 502 "));
       assertEquals(Status.TIMEOUT, module.next(Outcome.class).status());
       StubServer.Connection slow = upstream.connections.take();
-      assertTrue(slow.ends(), "closed before anything came");
+      assertTrue(slow.ends(), "closed before a response");
       late.countDown();
       assertTrue(client.ask(Rig.get("next", "")).endsWith("\r\n\r\nfresh"));
       assertEquals(1, upstream.connections.size(), "on a new connection");
@@ -365,12 +369,12 @@
   }
 
   @Test
-  void aConnectionThatTheUpstreamClosedIsNotUsedAgain() throws Exception {
-    Script module = new Script(LONG);
+  void connectionClosedByUpstreamIsNotReused() throws Exception {
+    Script module = new Script(ATTEMPT_TIMEOUT);
     try (StubServer upstream = new StubServer(c -> {
       c.next();
       c.write(StubServer.ok("x"));
-    }); Rig rig = new Rig(one(upstream.address()), module); Client client = rig.client()) {
+    }); Rig rig = new Rig(singleUpstream(upstream.address()), module); Client client = rig.client()) {
       client.ask(Rig.get("t1", ""));
       assertTrue(upstream.connections.take().ends());
       client.ask(Rig.get("t2", ""));
@@ -380,31 +384,31 @@
   }
 
   @Test
-  void idleConnectionsAreClosedWellBeforeTheUpstreamWould() throws Exception {
-    Script module = new Script(LONG);
-    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(one(upstream.address()), module);
+  void idleConnectionsAreClosedBeforeUpstreamIdleTimeout() throws Exception {
+    Script module = new Script(ATTEMPT_TIMEOUT);
+    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(singleUpstream(upstream.address()), module);
         Client client = rig.client()) {
       client.ask(Rig.get("t1", ""));
       StubServer.Connection connection = upstream.connections.take();
       upstream.requests.take();
       assertNull(upstream.requests.poll(Rig.LIMIT_S, TimeUnit.MILLISECONDS));
-      assertTrue(connection.awaitEnd(), "closed with no word from the upstream");
+      assertTrue(connection.awaitEnd(), "closed without action by the upstream");
     }
   }
 
   @Test
-  void moreAttemptsThanAllowedAreNotSent() throws Exception {
+  void attemptsBeyondLimitAreNotSent() throws Exception {
     Script module = new Script((event, out) -> {
       if (event instanceof Request r) {
         out.accept(new Send(r.id(), Discoveries.number("s-1"), 0));
-      } else if (event instanceof Outcome o && o.attempt() < 6) {
-        out.accept(new Send(o.id(), Discoveries.number("s-1"), 0));
-      } else if (event instanceof Outcome o) {
-        out.accept(new Fail(o.id(), Reason.NO_ROOM));
+      } else if (event instanceof Outcome outcome && outcome.attempt() < 6) {
+        out.accept(new Send(outcome.id(), Discoveries.number("s-1"), 0));
+      } else if (event instanceof Outcome outcome) {
+        out.accept(new Fail(outcome.id(), Reason.NO_ROOM));
       }
     });
     try (StubServer upstream = StubServer.answering("HTTP/1.1 500 Oh\r\nContent-Length: 0\r\n\r\n");
-        Rig rig = new Rig(one(upstream.address()), module); Client client = rig.client()) {
+        Rig rig = new Rig(singleUpstream(upstream.address()), module); Client client = rig.client()) {
       client.ask(Rig.get("t", ""));
       for (int i = 0; i < 6; i++) {
         assertEquals(Status.ERROR, module.next(Outcome.class).status());
@@ -415,18 +419,18 @@
   }
 
   @Test
-  void anAnswersLoadReportReachesTheModule() throws Exception {
-    Script module = new Script(LONG);
+  void loadReportOfResponseReachesModule() throws Exception {
+    Script module = new Script(ATTEMPT_TIMEOUT);
     try (StubServer upstream = StubServer.answering("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n"
         + "Endpoint-Load-Metrics: TEXT inflight=7, queue=odd, util=0.61\r\n\r\n");
-        Rig rig = new Rig(one(upstream.address()), module); Client client = rig.client()) {
+        Rig rig = new Rig(singleUpstream(upstream.address()), module); Client client = rig.client()) {
       client.ask(Rig.get("t", ""));
       assertEquals(Map.of("inflight", 7.0, "util", 0.61), module.next(Outcome.class).load());
     }
   }
 
   @Test
-  void probesAskForHealthWithoutAnId() throws Exception {
+  void probesRequestHealthWithoutTraceId() throws Exception {
     Script module = new Script((event, out) -> {
       if (event instanceof Request r) {
         out.accept(new Probe(Discoveries.number("s-1")));
@@ -434,45 +438,45 @@
         out.accept(new Fail(r.id(), Reason.NO_ROOM));
       }
     });
-    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(one(upstream.address()), module);
+    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(singleUpstream(upstream.address()), module);
         Client client = rig.client()) {
       client.ask(Rig.get("t", ""));
       assertEquals(Status.SERVED, module.next(ProbeResult.class).status());
       String probe = upstream.requests.take();
       assertTrue(probe.startsWith("GET /healthz HTTP/1.1\r\n") && !probe.contains("X-Trace-Id"), probe);
       client.ask(Rig.get("t2", ""));
-      assertTrue(upstream.connections.take().awaitEnd(), "its idle connections are closed when asked");
+      assertTrue(upstream.connections.take().awaitEnd(), "CloseIdle closes its idle connections");
     }
   }
 
   @Test
-  void atTheSocketBudgetIdleConnectionsGoAndThenAttemptsFail() throws Exception {
+  void socketBudgetClosesIdleConnectionsThenFailsAttempts() throws Exception {
     Script module = new Script((event, out) -> {
       if (event instanceof Request r) {
         out.accept(new Send(r.id(), Discoveries.number("true".equals(r.tenant()) ? "s-2" : "s-1"), 0));
-      } else if (event instanceof Outcome o && !o.finished()) {
-        out.accept(new Fail(o.id(), Reason.NO_ROOM));
+      } else if (event instanceof Outcome outcome && !outcome.finished()) {
+        out.accept(new Fail(outcome.id(), Reason.NO_ROOM));
       }
     });
     CountDownLatch done = new CountDownLatch(1);
     try (StubServer idle = StubServer.answering(StubServer.ok("x")); StubServer busy = new StubServer(c -> {
       c.next();
       done.await();
-    }); Rig rig = new Rig(Rig.config(NOWHERE, Rig.list(1, true, Rig.member("s-1", idle.address(), "ready"),
+    }); Rig rig = new Rig(Rig.config(UNREACHABLE_DISCOVERY, Rig.list(1, true, Rig.member("s-1", idle.address(), "ready"),
         Rig.member("s-2", busy.address(), "ready")), "on_request", 200, 62, ""), module);
         Client first = rig.client(); Client second = rig.client(); Client third = rig.client()) {
-      // Six sockets beside what is kept: three clients, three to upstreams.
+      // The budget leaves six sockets: three for clients, three for upstreams.
       first.ask(Rig.get("t1", ""));
       assertEquals(Status.SERVED, module.next(Outcome.class).status());
       List<Client> asking = List.of(second, third, first);
       for (int i = 0; i < 3; i++) {
         asking.get(i).write(Rig.get("busy" + i, "X-Customer: true\r\n"));
-        assertNotNull(busy.requests.poll(Rig.LIMIT_S, TimeUnit.SECONDS), "the idle connection made room for the third");
+        assertNotNull(busy.requests.poll(Rig.LIMIT_S, TimeUnit.SECONDS), "the idle connection was closed for the third attempt");
       }
       try (Client last = rig.client()) {
         last.ask(Rig.get("t4", "X-Customer: true\r\n"));
       }
-      assertEquals(Status.CONNECT_FAILED, module.next(Outcome.class).status(), "nothing is idle");
+      assertEquals(Status.CONNECT_FAILED, module.next(Outcome.class).status(), "no idle connection is left to close");
       done.countDown();
     }
   }
--- a/http/src/test/java/cloverpulley/serve/DiscoveryTest.java
+++ b/http/src/test/java/cloverpulley/serve/DiscoveryTest.java
@@ -24,13 +24,13 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The list and its changes, and that no failure of discovery goes unnoticed. */
+/** The endpoint list and its updates, and that the module is notified of every failure of discovery. */
 @Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
 class DiscoveryTest {
 
-  private static final String A = Rig.member("s-a", "127.0.0.1:1", "ready");
+  private static final String SERVER_A = Rig.member("s-a", "127.0.0.1:1", "ready");
 
-  private static Script watching() {
+  private static Script watchOnCached() {
     return new Script((event, out) -> {
       if (event instanceof EndpointUpdate n && n.kind() == ListKind.CACHED) {
         out.accept(new Watch(true));
@@ -39,29 +39,29 @@
   }
 
   private static Rig rig(StubServer discovery, String mode, Script module) throws IOException {
-    return new Rig(Rig.config(discovery.address(), Rig.list(41, true, A), mode, 200, 1024, ""), module);
+    return new Rig(Rig.config(discovery.address(), Rig.list(41, true, SERVER_A), mode, 200, 1024, ""), module);
   }
 
-  private static String word(EndpointUpdate news) {
-    List<Endpoint> entries = news.endpoints();
-    return news.kind() + " " + entries.size() + (entries.isEmpty() ? "" : " " + entries.get(0).state());
+  private static String describe(EndpointUpdate update) {
+    List<Endpoint> endpoints = update.endpoints();
+    return update.kind() + " " + endpoints.size() + (endpoints.isEmpty() ? "" : " " + endpoints.get(0).state());
   }
 
   @Test
-  void aWatchTellsEveryLineAndItsEnd() throws Exception {
-    Script module = watching();
+  void watchReportsEveryListAndItsEnd() throws Exception {
+    Script module = watchOnCached();
     try (StubServer discovery = new StubServer(c -> {
       c.next();
-      String gone = Discoveries.chunk(Rig.list(43, false, Rig.member("s-a", "127.0.0.1:1", "gone")));
-      c.write(Discoveries.watch(Rig.list(42, true, A, Rig.member("s-b", "127.0.0.1:2", "draining"))));
+      String goneList = Discoveries.chunk(Rig.list(43, false, Rig.member("s-a", "127.0.0.1:1", "gone")));
+      c.write(Discoveries.watch(Rig.list(42, true, SERVER_A, Rig.member("s-b", "127.0.0.1:2", "draining"))));
       c.write(Discoveries.chunk(""));
-      c.write(gone.substring(0, 20));
-      c.write(gone.substring(20));
+      c.write(goneList.substring(0, 20));
+      c.write(goneList.substring(20));
     }); Rig rig = rig(discovery, "on_request", module)) {
-      assertEquals("CACHED 1 READY", word(module.next(EndpointUpdate.class)));
-      assertEquals("FULL 2 READY", word(module.next(EndpointUpdate.class)));
-      assertEquals("DELTA 1 GONE", word(module.next(EndpointUpdate.class)));
-      assertEquals("FAILED 0", word(module.next(EndpointUpdate.class)));
+      assertEquals("CACHED 1 READY", describe(module.next(EndpointUpdate.class)));
+      assertEquals("FULL 2 READY", describe(module.next(EndpointUpdate.class)));
+      assertEquals("DELTA 1 GONE", describe(module.next(EndpointUpdate.class)));
+      assertEquals("FAILED 0", describe(module.next(EndpointUpdate.class)));
       assertTrue(discovery.requests.take().startsWith("GET /v1/servers?follow=1&since=41 HTTP/1.1\r\n"));
     }
   }
@@ -72,172 +72,174 @@
     "HTTP/1.1 200 OK~Content-Length: 9~~not JSON~",
     "HTTP/1.1 200 OK~Content-Length: 100~~{\"revision\":",
     "''"})
-  void everyFailureOfACallIsTold(String answer) throws Exception {
-    Script module = watching();
+  void everyFailedResponseIsReported(String rawResponse) throws Exception {
+    Script module = watchOnCached();
     try (StubServer discovery = new StubServer(c -> {
       c.next();
-      c.write(answer.replace("~", "\r\n"));
+      c.write(rawResponse.replace("~", "\r\n"));
     }); Rig rig = rig(discovery, "on_request", module)) {
       module.next(EndpointUpdate.class);
-      assertEquals("FAILED 0", word(module.next(EndpointUpdate.class)));
+      assertEquals("FAILED 0", describe(module.next(EndpointUpdate.class)));
     }
   }
 
   @Test
-  void aWatchThatFallsSilentHasFailed() throws Exception {
-    Script module = watching();
+  void unresponsiveWatchFails() throws Exception {
+    Script module = watchOnCached();
     try (StubServer discovery = new StubServer(c -> {
       c.next();
-      c.write(Discoveries.watch(Rig.list(42, false, A)));
+      c.write(Discoveries.watch(Rig.list(42, false, SERVER_A)));
       c.next();
     }); Rig rig = rig(discovery, "on_request", module)) {
       module.next(EndpointUpdate.class);
-      assertEquals("DELTA 1 READY", word(module.next(EndpointUpdate.class)));
-      assertEquals("FAILED 0", word(module.next(EndpointUpdate.class)));
+      assertEquals("DELTA 1 READY", describe(module.next(EndpointUpdate.class)));
+      assertEquals("FAILED 0", describe(module.next(EndpointUpdate.class)));
       assertTrue(discovery.connections.take().ends());
     }
   }
 
-  /** Lists may come indented, and the last object needs no line's end behind it before the connection is reset. */
+  /** Lists may be indented, and an object is complete without a newline after it. */
   @Test
-  void anIndentedListIsOneObjectWhereverItsLinesEnd() throws Exception {
-    Script module = watching();
-    String indented = Rig.list(42, true, A, Rig.member("s-}\\\"{", "127.0.0.1:2", "draining")).replace(",", ",\n  ").replace("{\"id", "{\n\t\"id");
-    String last = Rig.list(43, false, Rig.member("s-a", "127.0.0.1:1", "gone"));
+  void indentedListIsParsedRegardlessOfLineBreaks() throws Exception {
+    Script module = watchOnCached();
+    String indentedList = Rig.list(42, true, SERVER_A, Rig.member("s-}\\\"{", "127.0.0.1:2", "draining")).replace(",", ",\n  ")
+        .replace("{\"id", "{\n\t\"id");
+    String lastList = Rig.list(43, false, Rig.member("s-a", "127.0.0.1:1", "gone"));
     try (StubServer discovery = new StubServer(c -> {
       c.next();
-      c.write(Discoveries.watch(indented));
-      c.write(Integer.toHexString(last.length()) + "\r\n" + last + "\r\n");
+      c.write(Discoveries.watch(indentedList));
+      c.write(Integer.toHexString(lastList.length()) + "\r\n" + lastList + "\r\n");
       c.ends();
     }); Rig rig = rig(discovery, "on_request", module)) {
       module.next(EndpointUpdate.class);
-      assertEquals("FULL 2 READY", word(module.next(EndpointUpdate.class)));
-      assertEquals("DELTA 1 GONE", word(module.next(EndpointUpdate.class)), "told while the watch stands, without a line's end");
+      assertEquals("FULL 2 READY", describe(module.next(EndpointUpdate.class)));
+      assertEquals("DELTA 1 GONE", describe(module.next(EndpointUpdate.class)), "reported while the watch is open, without a trailing newline");
     }
   }
 
-  /** A drain in the last bytes before the connection is reset, without a line's end, is told, and then that the watch has failed. */
+  /** A draining state in the last bytes before a connection reset, without a newline, is reported before the failure of the watch. */
   @Test
-  void aDrainInTheLastBytesBeforeAResetIsTold() throws Exception {
-    Script module = watching();
-    String last = Rig.list(43, false, Rig.member("s-a", "127.0.0.1:1", "draining"));
+  void drainInLastBytesBeforeResetIsReported() throws Exception {
+    Script module = watchOnCached();
+    String lastList = Rig.list(43, false, Rig.member("s-a", "127.0.0.1:1", "draining"));
     try (StubServer discovery = new StubServer(c -> {
       c.next();
-      c.write(Discoveries.watch(Rig.list(42, true, A)) + Integer.toHexString(last.length()) + "\r\n" + last);
+      c.write(Discoveries.watch(Rig.list(42, true, SERVER_A)) + Integer.toHexString(lastList.length()) + "\r\n" + lastList);
       c.reset();
     }); Rig rig = rig(discovery, "on_request", module)) {
       module.next(EndpointUpdate.class);
-      assertEquals("FULL 1 READY", word(module.next(EndpointUpdate.class)));
-      assertEquals("DELTA 1 DRAINING", word(module.next(EndpointUpdate.class)));
-      assertEquals("FAILED 0", word(module.next(EndpointUpdate.class)));
+      assertEquals("FULL 1 READY", describe(module.next(EndpointUpdate.class)));
+      assertEquals("DELTA 1 DRAINING", describe(module.next(EndpointUpdate.class)));
+      assertEquals("FAILED 0", describe(module.next(EndpointUpdate.class)));
     }
   }
 
-  /** A watch may drip for ever without an object coming to its end: bytes alone are no sign of life within one. */
+  /** A watch may receive bytes forever without completing an object. Bytes within an object do not count as activity. */
   @Test
-  void anObjectThatNeverEndsIsASilentWatch() throws Exception {
-    Script module = watching();
+  void watchFailsWhenObjectNeverEnds() throws Exception {
+    Script module = watchOnCached();
     try (StubServer discovery = new StubServer(c -> {
       c.next();
-      c.write(Discoveries.watch(Rig.list(42, true, A)));
+      c.write(Discoveries.watch(Rig.list(42, true, SERVER_A)));
       c.write("1\r\n{\r\n");
       while (true) {
         c.write("1\r\n \r\n");
-        TimeUnit.MILLISECONDS.sleep(100); // The drip itself.
+        TimeUnit.MILLISECONDS.sleep(100); // Interval between bytes.
       }
     }); Rig rig = rig(discovery, "on_request", module)) {
       module.next(EndpointUpdate.class);
-      assertEquals("FULL 1 READY", word(module.next(EndpointUpdate.class)));
-      assertEquals("FAILED 0", word(module.next(EndpointUpdate.class)));
+      assertEquals("FULL 1 READY", describe(module.next(EndpointUpdate.class)));
+      assertEquals("FAILED 0", describe(module.next(EndpointUpdate.class)));
     }
   }
 
-  /** A watch that fell silent, a successor that hangs at connect, and the one after that, which tells what there is. */
+  /** The first watch is unresponsive, the second hangs while connecting, and the third receives the list. */
   @Test
-  void aSuccessorThatHangsAtConnectIsReplacedToo() throws Exception {
-    AtomicInteger watches = new AtomicInteger(); // Bounded: once the listener is closed each fails at once, and they took the machine's descriptors from the tests behind.
+  void watchThatHangsAtConnectIsReplaced() throws Exception {
+    // Bounded: once the listener is closed each watch fails at once, and unbounded retries exhausted the file descriptors of later tests.
+    AtomicInteger watches = new AtomicInteger();
     Script module = new Script((event, out) -> {
       if (event instanceof EndpointUpdate n && (n.kind() == ListKind.CACHED || n.kind() == ListKind.FAILED) && watches.getAndIncrement() < 20) {
         out.accept(new Watch(true));
       }
     });
     try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-        Rig rig = new Rig(Rig.config("127.0.0.1:" + listener.getLocalPort(), Rig.list(41, true, A)), module)) {
+        Rig rig = new Rig(Rig.config("127.0.0.1:" + listener.getLocalPort(), Rig.list(41, true, SERVER_A)), module)) {
       module.next(EndpointUpdate.class);
-      try (Socket silent = listener.accept(); AttemptTest.Silent queue = new AttemptTest.Silent(listener)) {
-        assertEquals("FAILED 0", word(module.next(EndpointUpdate.class)), "it never said a word");
-        assertEquals("FAILED 0", word(module.next(EndpointUpdate.class)), "its successor did not come up");
-        try (Socket third = queue.comesUp()) {
-          third.getOutputStream().write(Discoveries.watch(Rig.list(42, true, A, Rig.member("s-b", "127.0.0.1:2", "ready")))
+      try (Socket unresponsive = listener.accept(); AttemptTest.UnresponsiveServer server = new AttemptTest.UnresponsiveServer(listener)) {
+        assertEquals("FAILED 0", describe(module.next(EndpointUpdate.class)), "the first watch is unresponsive");
+        assertEquals("FAILED 0", describe(module.next(EndpointUpdate.class)), "the second watch does not connect");
+        try (Socket thirdConnection = server.acceptPending()) {
+          thirdConnection.getOutputStream().write(Discoveries.watch(Rig.list(42, true, SERVER_A, Rig.member("s-b", "127.0.0.1:2", "ready")))
               .getBytes(StandardCharsets.US_ASCII));
-          EndpointUpdate news = module.next(EndpointUpdate.class);
-          while (news.kind() == ListKind.FAILED) {
-            news = module.next(EndpointUpdate.class); // One more that hung until the queue was empty.
+          EndpointUpdate update = module.next(EndpointUpdate.class);
+          while (update.kind() == ListKind.FAILED) {
+            update = module.next(EndpointUpdate.class); // Another watch that hung until the queue was empty.
           }
-          assertEquals("FULL 2 READY", word(news));
+          assertEquals("FULL 2 READY", describe(update));
         }
       }
     }
   }
 
-  /** What the old address has still to say after a move is old news, of a call for the list as of a watch. */
+  /** After discovery has moved to another address, late responses from the old one are ignored, for a fetch as for a watch. */
   @Test
-  void aFetchIsNotAnsweredByTheAddressThatDiscoveryLeft() throws Exception {
-    CountDownLatch moved = new CountDownLatch(1);
+  void fetchIgnoresPreviousDiscoveryAddress() throws Exception {
+    CountDownLatch addressChanged = new CountDownLatch(1);
     Script module = new Script((event, out) -> {
       if (event instanceof EndpointUpdate n && n.kind() == ListKind.CACHED) {
         out.accept(new FetchEndpoints());
       }
     });
-    String half = StubServer.ok(Rig.list(50, true, A));
-    try (StubServer old = new StubServer(c -> {
+    String fullResponse = StubServer.ok(Rig.list(50, true, SERVER_A));
+    try (StubServer oldDiscovery = new StubServer(c -> {
       c.next();
-      c.write(half.substring(0, half.length() / 2));
-      moved.await();
-      c.write(half.substring(half.length() / 2));
+      c.write(fullResponse.substring(0, fullResponse.length() / 2));
+      addressChanged.await();
+      c.write(fullResponse.substring(fullResponse.length() / 2));
       c.ends();
-    }); StubServer fresh = StubServer.answering(StubServer.ok(Rig.list(60, true, A, Rig.member("s-b", "127.0.0.1:2", "ready"))));
-        Rig rig = rig(old, "on_request", module)) {
+    }); StubServer newDiscovery = StubServer.answering(StubServer.ok(Rig.list(60, true, SERVER_A, Rig.member("s-b", "127.0.0.1:2", "ready"))));
+        Rig rig = rig(oldDiscovery, "on_request", module)) {
       module.next(EndpointUpdate.class);
-      old.requests.take();
-      rig.server.reload(() -> Rig.config(fresh.address(), Rig.list(41, true, A)));
-      fresh.requests.take();
-      moved.countDown();
-      assertEquals("FULL 2 READY", word(module.next(EndpointUpdate.class)));
-      assertTrue(old.connections.take().awaitEnd());
+      oldDiscovery.requests.take();
+      rig.server.reload(() -> Rig.config(newDiscovery.address(), Rig.list(41, true, SERVER_A)));
+      newDiscovery.requests.take();
+      addressChanged.countDown();
+      assertEquals("FULL 2 READY", describe(module.next(EndpointUpdate.class)));
+      assertTrue(oldDiscovery.connections.take().awaitEnd());
     }
   }
 
   @Test
-  void theListIsFetchedOnce() throws Exception {
+  void fetchRequestsListOnce() throws Exception {
     Script module = new Script((event, out) -> {
       if (event instanceof EndpointUpdate n && n.kind() == ListKind.CACHED) {
         out.accept(new FetchEndpoints());
       }
     });
-    try (StubServer discovery = StubServer.answering(StubServer.ok(Rig.list(50, true, A)));
+    try (StubServer discovery = StubServer.answering(StubServer.ok(Rig.list(50, true, SERVER_A)));
         Rig rig = rig(discovery, "on_request", module)) {
       module.next(EndpointUpdate.class);
-      assertEquals("FULL 1 READY", word(module.next(EndpointUpdate.class)));
+      assertEquals("FULL 1 READY", describe(module.next(EndpointUpdate.class)));
       assertTrue(discovery.requests.take().startsWith("GET /v1/servers HTTP/1.1\r\n"));
     }
   }
 
   @Test
-  void whereListsArePushedTheAgentIsFollowedUnasked() throws Exception {
+  void pushedModeWatchesWithoutRequest() throws Exception {
     Script module = new Script((event, out) -> { });
     try (StubServer discovery = new StubServer(c -> {
       c.next();
-      c.write(Discoveries.watch(Rig.list(42, false, A)));
+      c.write(Discoveries.watch(Rig.list(42, false, SERVER_A)));
     }); Rig rig = rig(discovery, "pushed", module)) {
       module.next(EndpointUpdate.class);
-      assertEquals("DELTA 1 READY", word(module.next(EndpointUpdate.class)));
-      assertEquals("DELTA 1 READY", word(module.next(EndpointUpdate.class)), "again after the first watch ended");
+      assertEquals("DELTA 1 READY", describe(module.next(EndpointUpdate.class)));
+      assertEquals("DELTA 1 READY", describe(module.next(EndpointUpdate.class)), "reported again by the second watch");
     }
   }
 
   @Test
-  void startTimesKeepTheirDistanceAndRestartsShow() {
+  void startTimesKeepTheirIntervals() {
     Clock clock = new Clock();
     long second = TimeUnit.SECONDS.toNanos(1);
     long wall = System.currentTimeMillis();
--- a/http/src/test/java/cloverpulley/serve/IdleReusePolicyTest.java
+++ b/http/src/test/java/cloverpulley/serve/IdleReusePolicyTest.java
@@ -12,57 +12,57 @@
 class IdleReusePolicyTest {
 
   private static final long SECOND = TimeUnit.SECONDS.toNanos(1);
-  private static final long YOUNG = TimeUnit.MILLISECONDS.toNanos(100);
-  private static final long OLD = TimeUnit.MILLISECONDS.toNanos(1000);
-  private static final long OLDER = TimeUnit.MILLISECONDS.toNanos(3000);
+  private static final long SHORT_IDLE = TimeUnit.MILLISECONDS.toNanos(100);
+  private static final long LONG_IDLE = TimeUnit.MILLISECONDS.toNanos(1000);
+  private static final long LONGER_IDLE = TimeUnit.MILLISECONDS.toNanos(3000);
 
   @Test
-  void whatBreaksAtAnAgeIsNotUsedAtThatAgeNorBeyond() {
+  void idleTimesThatBreakConnectionsAreAvoided() {
     IdleReusePolicy reuse = new IdleReusePolicy();
     for (int i = 0; i < 3; i++) {
-      assertTrue(reuse.isReusable(0, OLD), "too few to tell");
-      reuse.recordReuse(0, OLD, true);
+      assertTrue(reuse.isReusable(0, LONG_IDLE), "too few samples");
+      reuse.recordReuse(0, LONG_IDLE, true);
     }
-    assertFalse(reuse.isReusable(0, OLD));
-    assertFalse(reuse.isReusable(0, OLDER));
-    assertTrue(reuse.isReusable(0, YOUNG));
+    assertFalse(reuse.isReusable(0, LONG_IDLE));
+    assertFalse(reuse.isReusable(0, LONGER_IDLE));
+    assertTrue(reuse.isReusable(0, SHORT_IDLE));
   }
 
   @Test
-  void aFewThatBreakAmongManyThatHoldAreNotTheirAge() {
+  void occasionalBreaksDoNotExcludeIdleTime() {
     IdleReusePolicy reuse = new IdleReusePolicy();
     for (int i = 0; i < 40; i++) {
-      reuse.recordReuse(0, OLD, i % 10 == 0);
+      reuse.recordReuse(0, LONG_IDLE, i % 10 == 0);
     }
-    assertTrue(reuse.isReusable(0, OLD));
+    assertTrue(reuse.isReusable(0, LONG_IDLE));
   }
 
   @Test
-  void itIsTriedAgainInTime() {
+  void samplesDecayOverTime() {
     IdleReusePolicy reuse = new IdleReusePolicy();
     for (int i = 0; i < 5; i++) {
-      reuse.recordReuse(0, OLD, true);
+      reuse.recordReuse(0, LONG_IDLE, true);
     }
-    assertFalse(reuse.isReusable(SECOND, OLD));
-    assertTrue(reuse.isReusable(60 * SECOND, OLD));
+    assertFalse(reuse.isReusable(SECOND, LONG_IDLE));
+    assertTrue(reuse.isReusable(60 * SECOND, LONG_IDLE));
   }
 
-  /** An upstream that forgets its connections as soon as they stand idle: most of what is asked is still served. */
+  /** Most requests are served even if the upstream drops every connection as soon as it is idle. */
   @Test
   @Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
-  void connectionsThatBreakWhenUsedAgainAreNotUsedAgain() throws Exception {
-    int asked = 400;
-    int broken = 0;
+  void reuseStopsWhenReusedConnectionsBreak() throws Exception {
+    int requests = 400;
+    int failures = 0;
     try (StubServer upstream = new StubServer(c -> {
       c.next();
       c.write(StubServer.ok("ok"));
       c.next();
     }); Rig rig = new Rig(Rig.config("127.0.0.1:1", Rig.list(1, true, Rig.member("s-1", upstream.address(), "ready"))),
         new Script(TimeUnit.SECONDS.toNanos(30))); Client client = rig.client()) {
-      for (int i = 0; i < asked; i++) {
-        broken += client.ask(Rig.get("t" + i, "")).startsWith("HTTP/1.1 200 ") ? 0 : 1;
+      for (int i = 0; i < requests; i++) {
+        failures += client.ask(Rig.get("t" + i, "")).startsWith("HTTP/1.1 200 ") ? 0 : 1;
       }
     }
-    assertTrue(broken < asked / 10, broken + " of " + asked + " broke");
+    assertTrue(failures < requests / 10, failures + " of " + requests + " requests failed");
   }
 }
--- a/http/src/test/java/cloverpulley/serve/MultipleBalancersTest.java
+++ b/http/src/test/java/cloverpulley/serve/MultipleBalancersTest.java
@@ -21,48 +21,48 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Several balancers before the same upstreams, over loopback sockets. */
+/** Several balancers in front of the same upstreams, over loopback sockets. */
 @Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
 class MultipleBalancersTest {
 
-  private static final String TURNED_AWAY = "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n";
+  private static final String NEVER_RAN_RESPONSE = "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n";
 
-  private final ExecutorService threads = Executors.newCachedThreadPool();
-  private final List<AutoCloseable> open = new ArrayList<>();
-  /** How often each request was begun, by its id. */
-  private final Map<String, Integer> begun = new ConcurrentHashMap<>();
+  private final ExecutorService executor = Executors.newCachedThreadPool();
+  private final List<AutoCloseable> resources = new ArrayList<>();
+  /** How often each request was started, by trace id. */
+  private final Map<String, Integer> startsById = new ConcurrentHashMap<>();
 
   @AfterEach
   void close() throws Exception {
-    for (AutoCloseable c : open) {
+    for (AutoCloseable c : resources) {
       c.close();
     }
-    threads.shutdownNow();
+    executor.shutdownNow();
   }
 
-  private <T extends AutoCloseable> T keep(T made) {
-    open.add(made);
-    return made;
+  private <T extends AutoCloseable> T closeAfterTest(T resource) {
+    resources.add(resource);
+    return resource;
   }
 
-  private static String id(String request) {
+  private static String traceId(String request) {
     return request.replaceAll("(?s).*X-Trace-Id: (\\S+).*", "$1");
   }
 
-  /** An upstream that holds so many connections and turns away the first request on any more. */
-  private StubServer upstream(int most, AtomicInteger turnedAway) throws IOException {
+  /** An upstream that serves up to {@code maxConnections} connections and rejects the first request on every further one. */
+  private StubServer upstream(int maxConnections, AtomicInteger rejections) throws IOException {
     AtomicInteger connections = new AtomicInteger();
-    return keep(new StubServer(c -> {
-      boolean room = connections.incrementAndGet() <= most;
+    return closeAfterTest(new StubServer(c -> {
+      boolean hasCapacity = connections.incrementAndGet() <= maxConnections;
       try {
         for (String request = c.next(); request != null; request = c.next()) {
-          if (!room) {
-            turnedAway.incrementAndGet();
-            c.write(TURNED_AWAY);
+          if (!hasCapacity) {
+            rejections.incrementAndGet();
+            c.write(NEVER_RAN_RESPONSE);
             return;
           }
-          begun.merge(id(request), 1, Integer::sum);
-          c.write(StubServer.ok(id(request)));
+          startsById.merge(traceId(request), 1, Integer::sum);
+          c.write(StubServer.ok(traceId(request)));
         }
       } finally {
         connections.decrementAndGet();
@@ -77,34 +77,34 @@
     }
     List<Rig> all = new ArrayList<>();
     for (int i = 0; i < n; i++) {
-      all.add(keep(new Rig(Rig.config("127.0.0.1:1", Rig.list(41, true, members)))));
+      all.add(closeAfterTest(new Rig(Rig.config("127.0.0.1:1", Rig.list(41, true, members)))));
     }
     return all;
   }
 
-  private static void await(List<Future<Void>> running) throws Exception {
+  private static void awaitAll(List<Future<Void>> running) throws Exception {
     for (Future<Void> f : running) {
       f.get(Rig.LIMIT_S, TimeUnit.SECONDS);
     }
   }
 
   /**
-   * Idle connections of one balancer take the room of the others. Who is turned away is served elsewhere, nobody is refused while
-   * there is room, and what has no room is not hammered.
+   * Idle connections of one balancer use up the connection limit for the others. Rejected requests are served by another upstream, no
+   * client is rejected while there is capacity, and an upstream at its limit is not flooded with attempts.
    */
   @Test
-  void upstreamsWithFewConnectionsServeAllOfThem() throws Exception {
-    AtomicInteger turnedAway = new AtomicInteger();
+  void connectionLimitedUpstreamsServeAllBalancers() throws Exception {
+    AtomicInteger rejections = new AtomicInteger();
     AtomicInteger served = new AtomicInteger();
-    StubServer scarce = upstream(2, turnedAway);
-    StubServer roomy = upstream(Integer.MAX_VALUE, turnedAway);
+    StubServer limitedUpstream = upstream(2, rejections);
+    StubServer unlimitedUpstream = upstream(Integer.MAX_VALUE, rejections);
     List<Future<Void>> running = new ArrayList<>();
     int requests = 150;
     int clients = 0;
-    for (Rig balancer : balancers(4, scarce, roomy)) {
+    for (Rig balancer : balancers(4, limitedUpstream, unlimitedUpstream)) {
       for (int c = 0; c < 3; c++) {
         String name = "c" + clients++ + "-";
-        running.add(threads.submit(() -> {
+        running.add(executor.submit(() -> {
           try (Rig.Client client = balancer.client()) {
             for (int i = 0; i < requests; i++) {
               String answer = client.ask(Rig.get(name + i, ""));
@@ -115,66 +115,66 @@
         }));
       }
     }
-    await(running);
-    assertTrue(turnedAway.get() > 0, "the scarce one was never full: this shows nothing");
-    assertEquals(clients * requests, served.get(), "turned away " + turnedAway);
-    assertTrue(turnedAway.get() <= clients * requests * 0.8, "hammered: " + turnedAway + " for " + clients * requests);
+    awaitAll(running);
+    assertTrue(rejections.get() > 0, "the limited upstream never reached its limit, so the test proves nothing");
+    assertEquals(clients * requests, served.get(), "rejections by upstreams: " + rejections);
+    assertTrue(rejections.get() <= clients * requests * 0.8, "too many rejected attempts: " + rejections + " for " + clients * requests);
   }
 
-  /** Four of five balancers stop under load: each request taken has its one answer, its own, and what was not taken did not run. */
+  /** Four of five balancers stop under load. Each accepted request gets exactly one response, its own, and requests not accepted never run. */
   @Test
-  void mostStopUnderLoad() throws Exception {
-    AtomicInteger none = new AtomicInteger();
-    List<Rig> all = balancers(5, upstream(Integer.MAX_VALUE, none), upstream(Integer.MAX_VALUE, none));
-    Rig stays = all.get(4);
-    CountDownLatch loaded = new CountDownLatch(200);
-    Set<String> unanswered = ConcurrentHashMap.newKeySet();
-    AtomicInteger answered = new AtomicInteger();
+  void balancersStopUnderLoad() throws Exception {
+    AtomicInteger unusedRejections = new AtomicInteger();
+    List<Rig> all = balancers(5, upstream(Integer.MAX_VALUE, unusedRejections), upstream(Integer.MAX_VALUE, unusedRejections));
+    Rig surviving = all.get(4);
+    CountDownLatch underLoad = new CountDownLatch(200);
+    Set<String> unansweredIds = ConcurrentHashMap.newKeySet();
+    AtomicInteger responses = new AtomicInteger();
     AtomicInteger stopped = new AtomicInteger();
     List<Future<Void>> running = new ArrayList<>();
     for (int c = 0; c < 20; c++) {
       Rig first = all.get(c % 5);
       String name = "c" + c + "-";
       Callable<Void> client = () -> {
-        Rig.Client to = first.client();
+        Rig.Client connection = first.client();
         for (int i = 0; stopped.get() < 4 || i < 50; i++) {
           String answer;
           try {
-            answer = to.ask(Rig.get(name + i, ""));
+            answer = connection.ask(Rig.get(name + i, ""));
           } catch (IOException e) {
             answer = null; // Its connection was closed before the request was read.
           }
           if (answer == null) {
-            unanswered.add(name + i);
-            to.close();
-            to = stays.client();
+            unansweredIds.add(name + i);
+            connection.close();
+            connection = surviving.client();
           } else {
-            answered.incrementAndGet();
-            boolean ours = answer.startsWith("HTTP/1.1 200") && answer.endsWith(name + i);
-            boolean refused = answer.startsWith("HTTP/1.1 429") || answer.startsWith("HTTP/1.1 503");
-            assertTrue(ours || refused && answer.contains("etry-"), name + i + " got " + answer);
+            responses.incrementAndGet();
+            boolean isOwnResponse = answer.startsWith("HTTP/1.1 200") && answer.endsWith(name + i);
+            boolean isRejection = answer.startsWith("HTTP/1.1 429") || answer.startsWith("HTTP/1.1 503");
+            assertTrue(isOwnResponse || isRejection && answer.contains("etry-"), name + i + " got " + answer);
           }
-          loaded.countDown();
+          underLoad.countDown();
         }
-        to.close();
+        connection.close();
         return null;
       };
-      running.add(threads.submit(client));
+      running.add(executor.submit(client));
     }
-    assertTrue(loaded.await(Rig.LIMIT_S, TimeUnit.SECONDS));
+    assertTrue(underLoad.await(Rig.LIMIT_S, TimeUnit.SECONDS));
     for (int i = 0; i < 4; i++) {
-      Rig stops = all.get(i);
-      running.add(threads.submit(() -> {
-        stops.server.stop();
+      Rig stopping = all.get(i);
+      running.add(executor.submit(() -> {
+        stopping.server.stop();
         stopped.incrementAndGet();
         return null;
       }));
     }
-    await(running);
-    assertTrue(answered.get() > 1000, "answered " + answered);
-    for (String id : unanswered) {
-      assertFalse(begun.containsKey(id), id + " has run and was never answered");
+    awaitAll(running);
+    assertTrue(responses.get() > 1000, "responses: " + responses);
+    for (String traceId : unansweredIds) {
+      assertFalse(startsById.containsKey(traceId), traceId + " has run but got no response");
     }
-    begun.forEach((id, times) -> assertEquals(1, times, id + " was begun so often"));
+    startsById.forEach((traceId, times) -> assertEquals(1, times, traceId + " was started more than once"));
   }
 }
--- a/http/src/test/java/cloverpulley/serve/SendDeadlineTest.java
+++ b/http/src/test/java/cloverpulley/serve/SendDeadlineTest.java
@@ -21,142 +21,146 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What has to have left by a time, as a repeat by the end of its window, does not leave later, whatever it waits for. */
+/** A request with a send deadline, such as a retry within its deduplication window, is never written after it, whatever delays it. */
 @Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
 class SendDeadlineTest {
 
-  private static final long SOON = TimeUnit.MILLISECONDS.toNanos(1);
-  /** For how long the loop stands still where that has to show in a time told. */
-  private static final long STALL_MILLIS = 300;
+  private static final long SHORT_SEND_WINDOW = TimeUnit.MILLISECONDS.toNanos(1);
+  /** How long the event loop is blocked in tests that expect the remaining time to shrink. */
+  private static final long LOOP_STALL_MILLIS = 300;
   /** More connections than are accepted in one turn of the loop. */
-  private static final int CROWD = 100;
-  private static final long LATER = TimeUnit.SECONDS.toNanos(1);
+  private static final int PENDING_CLIENTS = 100;
+  private static final long LONG_SEND_WINDOW = TimeUnit.SECONDS.toNanos(1);
 
-  private static Config to(String upstream) throws IOException {
+  private static Config configFor(String upstream) throws IOException {
     return Rig.config("127.0.0.1:1", Rig.list(1, true, Rig.member("s-1", upstream, "ready")), "on_request", 1000 * Rig.LIMIT_S, 1024, "");
   }
 
-  /** Sends each request to the one upstream, to leave soon; then does what {@code meanwhile} says. */
-  private static Script soon(long nanos, Runnable meanwhile) {
+  /** Sends each request to the only upstream with {@code nanos} until its send deadline, then runs {@code afterSend}. */
+  private static Script sendWithin(long nanos, Runnable afterSend) {
     Script[] module = new Script[1];
     module[0] = new Script((event, out) -> {
       if (event instanceof Request r) {
         out.accept(new Send(r.id(), module[0].upstreams.get(0), 0, module[0].now + nanos));
-        meanwhile.run();
-      } else if (event instanceof Outcome o && !o.finished()) {
-        out.accept(new Fail(o.id(), Reason.MAY_HAVE_RUN));
+        afterSend.run();
+      } else if (event instanceof Outcome outcome && !outcome.finished()) {
+        out.accept(new Fail(outcome.id(), Reason.MAY_HAVE_RUN));
       }
     });
     return module[0];
   }
 
-  /** Until the time by which it has to leave is over. */
-  private static void over(long nanos) {
+  /** Spins until so much time has passed. */
+  private static void spinFor(long nanos) {
     long since = System.nanoTime();
     while (System.nanoTime() - since <= nanos) {
       Thread.onSpinWait();
     }
   }
 
-  /** A connection that never comes up, or late: nothing waits for it past the time. */
+  /** A connection is never established, or too late: the attempt does not wait for it past the send deadline. */
   @Test
-  void whatStillConnectsIsCalledOff() throws Exception {
-    Script module = soon(SOON, () -> { });
-    try (AttemptTest.Silent upstream = new AttemptTest.Silent(); Rig rig = new Rig(to(upstream.address()), module); Client client = rig.client()) {
+  void attemptStillConnectingIsCancelled() throws Exception {
+    Script module = sendWithin(SHORT_SEND_WINDOW, () -> { });
+    try (AttemptTest.UnresponsiveServer upstream = new AttemptTest.UnresponsiveServer(); Rig rig = new Rig(configFor(upstream.address()), module);
+        Client client = rig.client()) {
       String answer = client.ask(Rig.post("t", "Idempotency-Key: k\r\n", "body"));
       assertEquals(Status.NOT_SENT, module.next(Outcome.class).status());
       assertTrue(answer.startsWith("HTTP/1.1 502 "), answer);
     }
   }
 
-  /** The connection is up and the time is over when the loop looks again, at the connection first. */
+  /** The connection is established and the deadline has passed when the loop runs again, and it handles the connection first. */
   @Test
-  void whatComesUpTooLateIsNotWritten() throws Exception {
-    Script module = soon(SOON, () -> over(SOON));
-    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(to(upstream.address()), module); Client client = rig.client()) {
+  void requestIsNotWrittenWhenConnectTakesTooLong() throws Exception {
+    Script module = sendWithin(SHORT_SEND_WINDOW, () -> spinFor(SHORT_SEND_WINDOW));
+    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(configFor(upstream.address()), module);
+        Client client = rig.client()) {
       client.ask(Rig.post("t", "Idempotency-Key: k\r\n", "body"));
       assertEquals(Status.NOT_SENT, module.next(Outcome.class).status());
       assertTrue(upstream.connections.take().ends());
-      assertNull(upstream.requests.poll(), "nothing came on it");
+      assertNull(upstream.requests.poll(), "nothing was written");
     }
   }
 
-  private static long told(String request) {
+  private static long expiresMillis(String request) {
     return Long.parseLong(request.replaceAll("(?is).*x-expires-in-ms: *([0-9]+).*", "$1"));
   }
 
   @Test
-  void theTimeToldIsWhatIsLeftOnceTheConnectionIsUp() throws Exception {
+  void expiresHeaderExcludesConnectTime() throws Exception {
     Script[] module = new Script[1];
     module[0] = new Script((event, out) -> {
       if (event instanceof Request r) {
         out.accept(new Send(r.id(), module[0].upstreams.get(0), 0));
-        over(TimeUnit.MILLISECONDS.toNanos(STALL_MILLIS));
+        spinFor(TimeUnit.MILLISECONDS.toNanos(LOOP_STALL_MILLIS));
       }
     });
-    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(to(upstream.address()), module[0]); Client client = rig.client()) {
+    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(configFor(upstream.address()), module[0]);
+        Client client = rig.client()) {
       client.ask(Rig.get("t", "X-Expires-In-Ms: 20000\r\n"));
-      long told = told(upstream.requests.take());
-      assertTrue(told <= 20_000 - STALL_MILLIS, told + " ms");
+      long expiresMillis = expiresMillis(upstream.requests.take());
+      assertTrue(expiresMillis <= 20_000 - LOOP_STALL_MILLIS, expiresMillis + " ms");
     }
   }
 
   @Test
-  void aRequestThatLayInItsSocketWhileTheLoopStoodStillHasSoMuchLessTime() throws Exception {
-    CountDownLatch stands = new CountDownLatch(1);
-    CountDownLatch written = new CountDownLatch(1);
+  void timeInSocketBufferDuringStallReducesDeadline() throws Exception {
+    CountDownLatch loopStalled = new CountDownLatch(1);
+    CountDownLatch requestWritten = new CountDownLatch(1);
     Script[] module = new Script[1];
     module[0] = new Script((event, out) -> {
       if (event instanceof Request r) {
         out.accept(new Send(r.id(), module[0].upstreams.get(0), 0));
-        if (stands.getCount() > 0) {
-          stands.countDown();
-          awaitUninterruptibly(written);
-          over(TimeUnit.MILLISECONDS.toNanos(STALL_MILLIS));
+        if (loopStalled.getCount() > 0) {
+          loopStalled.countDown();
+          awaitUninterruptibly(requestWritten);
+          spinFor(TimeUnit.MILLISECONDS.toNanos(LOOP_STALL_MILLIS));
         }
       }
     });
-    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(to(upstream.address()), module[0]);
+    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(configFor(upstream.address()), module[0]);
         Client first = rig.client(); Client second = rig.client()) {
       first.write(Rig.get("first", ""));
-      stands.await();
+      loopStalled.await();
       second.write(Rig.get("second", "X-Expires-In-Ms: 20000\r\n"));
-      written.countDown();
+      requestWritten.countDown();
       second.answer();
       String request = upstream.requests.take();
-      long told = told(request.contains("second") ? request : upstream.requests.take());
-      assertTrue(told <= 20_000 - STALL_MILLIS + 40, told + " ms");
+      long expiresMillis = expiresMillis(request.contains("second") ? request : upstream.requests.take());
+      assertTrue(expiresMillis <= 20_000 - LOOP_STALL_MILLIS + 40, expiresMillis + " ms");
     }
   }
 
   @Test
-  void aFirstRequestThatWaitedBehindACrowdToBeAcceptedHasSoMuchLessTime() throws Exception {
-    CountDownLatch stands = new CountDownLatch(1);
-    CountDownLatch written = new CountDownLatch(1);
+  void timeInAcceptQueueReducesDeadline() throws Exception {
+    CountDownLatch loopStalled = new CountDownLatch(1);
+    CountDownLatch requestWritten = new CountDownLatch(1);
     Script[] module = new Script[1];
     module[0] = new Script((event, out) -> {
       if (event instanceof Request r && r.id().equals("r0")) {
-        stands.countDown();
-        awaitUninterruptibly(written);
-        over(TimeUnit.MILLISECONDS.toNanos(STALL_MILLIS));
+        loopStalled.countDown();
+        awaitUninterruptibly(requestWritten);
+        spinFor(TimeUnit.MILLISECONDS.toNanos(LOOP_STALL_MILLIS));
         out.accept(new Fail(r.id(), Reason.NO_ROOM));
       } else if (event instanceof Request r) {
         out.accept(new Send(r.id(), module[0].upstreams.get(0), 0));
       }
     });
-    List<Client> crowd = new ArrayList<>();
-    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(to(upstream.address()), module[0]); Client first = rig.client()) {
+    List<Client> pendingClients = new ArrayList<>();
+    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(configFor(upstream.address()), module[0]);
+        Client first = rig.client()) {
       first.write(Rig.get("first", ""));
-      stands.await();
-      for (int i = 0; i < CROWD; i++) {
-        crowd.add(rig.client());
+      loopStalled.await();
+      for (int i = 0; i < PENDING_CLIENTS; i++) {
+        pendingClients.add(rig.client());
       }
-      crowd.get(CROWD - 1).write(Rig.get("last", "X-Expires-In-Ms: 20000\r\n"));
-      written.countDown();
-      long told = told(upstream.requests.take());
-      assertTrue(told <= 20_000 - STALL_MILLIS + 40, told + " ms");
+      pendingClients.get(PENDING_CLIENTS - 1).write(Rig.get("last", "X-Expires-In-Ms: 20000\r\n"));
+      requestWritten.countDown();
+      long expiresMillis = expiresMillis(upstream.requests.take());
+      assertTrue(expiresMillis <= 20_000 - LOOP_STALL_MILLIS + 40, expiresMillis + " ms");
     } finally {
-      for (Client c : crowd) {
+      for (Client c : pendingClients) {
         c.close();
       }
     }
@@ -170,60 +174,62 @@
     }
   }
 
-  /** The loop stood still between the decision and the sending. */
+  /** The event loop was blocked between the decision and the send. */
   @Test
-  void whatIsCarriedOutTooLateIsNotSent() throws Exception {
+  void lateSendDecisionIsNotCarriedOut() throws Exception {
     Script[] module = new Script[1];
     module[0] = new Script((event, out) -> {
       if (event instanceof Request r) {
-        long by = module[0].now + SOON;
-        over(SOON);
-        out.accept(new Send(r.id(), module[0].upstreams.get(0), 0, by));
-      } else if (event instanceof Outcome o && !o.finished()) {
-        out.accept(new Fail(o.id(), Reason.MAY_HAVE_RUN));
+        long sendBy = module[0].now + SHORT_SEND_WINDOW;
+        spinFor(SHORT_SEND_WINDOW);
+        out.accept(new Send(r.id(), module[0].upstreams.get(0), 0, sendBy));
+      } else if (event instanceof Outcome outcome && !outcome.finished()) {
+        out.accept(new Fail(outcome.id(), Reason.MAY_HAVE_RUN));
       }
     });
-    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(to(upstream.address()), module[0]); Client client = rig.client()) {
+    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(configFor(upstream.address()), module[0]);
+        Client client = rig.client()) {
       client.ask(Rig.post("t", "Idempotency-Key: k\r\n", "body"));
       assertEquals(Status.NOT_SENT, module[0].next(Outcome.class).status());
-      assertNull(upstream.connections.poll(), "not even a connection");
+      assertNull(upstream.connections.poll(), "no connection is opened");
     }
   }
 
-  /** The loop stood still from the decision until the client's time was over: what would be of no more use is not sent. */
+  /** The event loop was blocked from the decision until the client's deadline: a request that is of no more use is not sent. */
   @Test
-  void whatHasNoTimeLeftIsNotSent() throws Exception {
+  void requestPastItsDeadlineIsNotSent() throws Exception {
     Script[] module = new Script[1];
     module[0] = new Script((event, out) -> {
       if (event instanceof Request r) {
-        over(r.deadlineNanos() - module[0].now);
+        spinFor(r.deadlineNanos() - module[0].now);
         out.accept(new Send(r.id(), module[0].upstreams.get(0), 0));
-      } else if (event instanceof Outcome o && !o.finished()) {
-        out.accept(new Fail(o.id(), Reason.DEADLINE));
+      } else if (event instanceof Outcome outcome && !outcome.finished()) {
+        out.accept(new Fail(outcome.id(), Reason.DEADLINE));
       }
     });
-    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(to(upstream.address()), module[0]); Client client = rig.client()) {
+    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(configFor(upstream.address()), module[0]);
+        Client client = rig.client()) {
       String answer = client.ask(Rig.post("t", "Idempotency-Key: k\r\nX-Expires-In-Ms: 50\r\n", "body"));
       assertTrue(answer.startsWith("HTTP/1.1 504 "), answer);
       assertEquals(Status.NOT_SENT, module[0].next(Outcome.class).status());
-      assertNull(upstream.connections.poll(), "not even a connection");
+      assertNull(upstream.connections.poll(), "no connection is opened");
     }
   }
 
-  /** What has left in time is waited for as long as any other. */
+  /** For a request written in time, the send deadline does not shorten the wait for the response. */
   @Test
-  void whatHasLeftInTimeIsAnswered() throws Exception {
-    Script module = soon(LATER, () -> { });
-    CountDownLatch late = new CountDownLatch(1);
+  void requestWrittenInTimeIsServed() throws Exception {
+    Script module = sendWithin(LONG_SEND_WINDOW, () -> { });
+    CountDownLatch release = new CountDownLatch(1);
     try (StubServer upstream = new StubServer(c -> {
       c.next();
-      late.await();
+      release.await();
       c.write(StubServer.ok("x"));
-    }); Rig rig = new Rig(to(upstream.address()), module); Client client = rig.client()) {
+    }); Rig rig = new Rig(configFor(upstream.address()), module); Client client = rig.client()) {
       client.write(Rig.post("t", "Idempotency-Key: k\r\n", "body"));
       assertNotNull(upstream.requests.poll(Rig.LIMIT_S, TimeUnit.SECONDS));
-      over(LATER);
-      late.countDown();
+      spinFor(LONG_SEND_WINDOW);
+      release.countDown();
       assertTrue(client.answer().startsWith("HTTP/1.1 200 "));
     }
   }
