--- a/dnssd/src/main/java/cloverpulley/dnssd/HeldMembers.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/CachedMembers.java
@@ -10,12 +10,12 @@
 import java.util.List;
 
 /** The list last held, read back from the ids that membership gave: {@code INSTANCE|TARGET:PORT|BOOT-OR-ADDRESS}. */
-final class HeldMembers {
+final class CachedMembers {
 
   /** One of them, and the browse that it belongs to. */
   record Held(Member member, String domain, String boot) {}
 
-  private HeldMembers() {}
+  private CachedMembers() {}
 
   /** Those whose instance is within what is browsed; others are no more ours. */
   static List<Held> read(ServerList list, List<String> browses) {
--- a/dnssd/src/main/java/cloverpulley/dnssd/Contacts.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/ConnectionProber.java
@@ -16,7 +16,7 @@
  * Connects to servers that don't say when they started, and closes at once: one that refuses and is back has started anew. One that
  * is silent says nothing of a start, and is not this module's concern.
  */
-final class Contacts {
+final class ConnectionProber {
 
   private static final int CONNECT_MILLIS = 500;
   private static final int MOST_OPEN = 64;
@@ -25,7 +25,7 @@
   private final Consumer<Observation> sink;
   private final Set<String> open = new HashSet<>();
 
-  Contacts(EventLoop loop, Consumer<Observation> sink) {
+  ConnectionProber(EventLoop loop, Consumer<Observation> sink) {
     this.sink = sink;
     bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class)
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS).handler(new ChannelInboundHandlerAdapter() {
--- a/dnssd/src/main/java/cloverpulley/dnssd/DnsSdSource.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/DnsSdSource.java
@@ -52,7 +52,7 @@
   private final List<Push> pushes = new ArrayList<>();
   private final List<Change> changes = new ArrayList<>();
   private final ChangeLog log;
-  private final Contacts contacts;
+  private final ConnectionProber contacts;
   private final NotifyListener notify;
   private final Future<?> tick;
   private Consumer<Change> watcher = c -> { };
@@ -80,7 +80,7 @@
     client = new DnsClient(loop, clock, config.client());
     long now = now();
     startedAt = now;
-    HeldMembers.read(held, config.names()).forEach(h -> membership.restoreCached(now, h.member(), h.domain(), 0, h.boot()));
+    CachedMembers.read(held, config.names()).forEach(h -> membership.restoreCached(now, h.member(), h.domain(), 0, h.boot()));
     ready = !held.members().isEmpty();
     for (int i = 0; i < config.resolvers().size(); i++) {
       ResolverAddress r = config.resolvers().get(i);
@@ -90,7 +90,7 @@
         pushes.add(new Push(loop, i, r, config, reader, this::observe, this::now));
       }
     }
-    contacts = config.contactMillis() == 0 ? null : new Contacts(loop, this::observe);
+    contacts = config.contactMillis() == 0 ? null : new ConnectionProber(loop, this::observe);
     notify = config.notifyAt() == null ? null : new NotifyListener(loop, config, this::notified);
     tick = loop.scheduleWithFixedDelay(this::turn, 0, TICK_MILLIS, TimeUnit.MILLISECONDS);
     if (contacts != null) {
--- a/dnssd/src/main/java/cloverpulley/dnssd/Reader.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Reader.java
@@ -101,7 +101,7 @@
   private final InetSocketAddress address;
   private final DnsSdConfig config;
   private final DnsClient client;
-  private final RefreshScheduler<Key> refresh;
+  private final RefreshScheduler<RefreshKey> refresh;
   private final Consumer<Observation> sink;
   private final Map<String, Zone> zones = new LinkedHashMap<>();
   private final Map<String, Browse> browses = new LinkedHashMap<>();
@@ -109,8 +109,8 @@
   private final Map<String, Long> listSerials = new HashMap<>();
   private final Map<String, Instance> instances = new HashMap<>();
   private final Map<String, Target> targets = new HashMap<>();
-  private final ArrayDeque<Key> first = new ArrayDeque<>();
-  private final ArrayDeque<Key> queue = new ArrayDeque<>();
+  private final ArrayDeque<RefreshKey> first = new ArrayDeque<>();
+  private final ArrayDeque<RefreshKey> queue = new ArrayDeque<>();
   private final Counts counts = new Counts();
   private int open;
   private int silent;
@@ -131,8 +131,8 @@
       browses.put(b.name(), b);
       zones.computeIfAbsent(b.zone(), z -> new Zone()).browses.add(b);
     }
-    zones.keySet().forEach(z -> refresh.addIfAbsent(now, Key.serial(z)));
-    browses.keySet().forEach(b -> refresh.addIfAbsent(now, Key.browse(b)));
+    zones.keySet().forEach(z -> refresh.addIfAbsent(now, RefreshKey.serial(z)));
+    browses.keySet().forEach(b -> refresh.addIfAbsent(now, RefreshKey.browse(b)));
   }
 
   Counts counts() {
@@ -151,7 +151,7 @@
     now = millis;
     Zone z = zones.get(zone);
     if (z != null) {
-      refresh.refreshNow(now, Key.serial(zone));
+      refresh.refreshNow(now, RefreshKey.serial(zone));
       hurry(z);
       turn(millis);
     }
@@ -172,7 +172,7 @@
     now = millis;
     if (instances.containsKey(name)) {
       instances.get(name).serial = -1; // Asked for whatever the serial was.
-      refresh.refreshNow(now, Key.instance(name));
+      refresh.refreshNow(now, RefreshKey.instance(name));
       turn(millis);
     }
   }
@@ -182,7 +182,7 @@
     now = millis;
     if (targets.containsKey(name)) {
       targets.get(name).serial = -1;
-      refresh.refreshNow(now, Key.target(name));
+      refresh.refreshNow(now, RefreshKey.target(name));
       turn(millis);
     }
   }
@@ -192,7 +192,7 @@
     now = millis;
     if (browses.containsKey(browse)) {
       listSerials.put(browse, -1L);
-      refresh.refreshNow(now, Key.browse(browse));
+      refresh.refreshNow(now, RefreshKey.browse(browse));
       turn(millis);
     }
   }
@@ -209,12 +209,12 @@
 
   private void hurry(Zone z) {
     for (Browse b : z.browses) {
-      refresh.refreshNow(now, Key.browse(b.name()));
+      refresh.refreshNow(now, RefreshKey.browse(b.name()));
       for (String name : listed.getOrDefault(b.name(), Set.of())) {
-        refresh.refreshNow(now, Key.instance(name));
+        refresh.refreshNow(now, RefreshKey.instance(name));
         Instance i = instances.get(name);
         if (i != null && i.services != null) {
-          i.services.forEach(s -> refresh.refreshNow(now, Key.target(s.target())));
+          i.services.forEach(s -> refresh.refreshNow(now, RefreshKey.target(s.target())));
         }
       }
     }
@@ -224,24 +224,24 @@
     return silent >= DOWN_AFTER;
   }
 
-  private void due(Key key) {
+  private void due(RefreshKey key) {
     Zone z = zoneOf(key);
-    if (key.kind() != Key.Kind.SERIAL && isDown()) {
-      if (key.kind() == Key.Kind.BROWSE) {
+    if (key.kind() != RefreshKey.Kind.SERIAL && isDown()) {
+      if (key.kind() == RefreshKey.Kind.BROWSE) {
         sink.accept(new BrowseFailed(number, key.name()));
       }
       refresh.failed(now, key); // The serial tells when it is back.
-    } else if (z != null && key.kind() != Key.Kind.SERIAL && isSame(z, key)) {
+    } else if (z != null && key.kind() != RefreshKey.Kind.SERIAL && isSame(z, key)) {
       counts.saved++;
       refresh.answered(now, key, ttlOf(key));
-    } else if (key.kind() == Key.Kind.SERIAL || key.kind() == Key.Kind.BROWSE) {
+    } else if (key.kind() == RefreshKey.Kind.SERIAL || key.kind() == RefreshKey.Kind.BROWSE) {
       first.add(key);
     } else {
       queue.add(key);
     }
   }
 
-  private Zone zoneOf(Key key) {
+  private Zone zoneOf(RefreshKey key) {
     return switch (key.kind()) {
       case SERIAL -> zones.get(key.name());
       case BROWSE -> zones.get(browses.get(key.name()).zone());
@@ -252,7 +252,7 @@
   }
 
   /** Whether what was heard of it is from the zone as it still is. */
-  private boolean isSame(Zone z, Key key) {
+  private boolean isSame(Zone z, RefreshKey key) {
     long serial = switch (key.kind()) {
       case BROWSE -> listSerials.getOrDefault(key.name(), -1L);
       case INSTANCE -> instances.get(key.name()).serial;
@@ -262,7 +262,7 @@
     return z.authoritative && !Serial.isOlder(z.serial, z.newest) && serial >= 0 && serial == z.serial && now - z.verifiedAt < POLLS_SURE * config.pollMillis();
   }
 
-  private long ttlOf(Key key) {
+  private long ttlOf(RefreshKey key) {
     return switch (key.kind()) {
       case INSTANCE -> instances.get(key.name()).ttl;
       case TARGET -> targets.get(key.name()).ttl;
@@ -278,7 +278,7 @@
     }
     pumping = true;
     while (open < config.inFlight() && !(first.isEmpty() && queue.isEmpty())) {
-      Key key = first.isEmpty() ? queue.poll() : first.poll();
+      RefreshKey key = first.isEmpty() ? queue.poll() : first.poll();
       switch (key.kind()) {
         case SERIAL -> ask(key.name(), Type.SOA, (a, why) -> onSerial(key, a));
         case BROWSE -> {
@@ -328,7 +328,7 @@
 
   // ---- Answers -------------------------------------------------------------------------------------------
 
-  private void onSerial(Key key, Answer a) {
+  private void onSerial(RefreshKey key, Answer a) {
     Zone z = zones.get(key.name());
     long pollTtl = (long) (config.pollMillis() * POLL_TTL);
     if (a == null) {
@@ -362,7 +362,7 @@
     turn(now);
   }
 
-  private void onBrowse(Key key, Answer a, long serial) {
+  private void onBrowse(RefreshKey key, Answer a, long serial) {
     Browse b = browses.get(key.name());
     if (a == null) {
       sink.accept(new BrowseFailed(number, key.name()));
@@ -398,7 +398,7 @@
       if (came != null && i.open == 0) {
         take(n, i, came, serial);
       } else {
-        refresh.addIfAbsent(now, Key.instance(n));
+        refresh.addIfAbsent(now, RefreshKey.instance(n));
       }
     }
     refresh.answered(now, key, z.authoritative ? ttl : Math.min(ttl, (long) (config.pollMillis() * POLL_TTL)));
@@ -424,8 +424,8 @@
       t.users.add(name);
       t.ttl = i.ttl;
       t.serial = serial;
-      refresh.addIfAbsent(now, Key.target(s.target()));
-      refresh.answered(now, Key.target(s.target()), i.ttl);
+      refresh.addIfAbsent(now, RefreshKey.target(s.target()));
+      refresh.answered(now, RefreshKey.target(s.target()), i.ttl);
       for (boolean six : new boolean[] {false, true}) {
         List<String> figures = (six ? came.ipv6() : came.ipv4()).getOrDefault(s.target(), List.of());
         t.figures.put(six, figures);
@@ -434,8 +434,8 @@
     }
     sink.accept(new ServiceRecords(number, name, i.services));
     sink.accept(new TextRecord(number, name, i.pairs));
-    refresh.addIfAbsent(now, Key.instance(name));
-    refresh.answered(now, Key.instance(name), i.ttl);
+    refresh.addIfAbsent(now, RefreshKey.instance(name));
+    refresh.answered(now, RefreshKey.instance(name), i.ttl);
   }
 
   private void leave(String name, String browse) {
@@ -444,7 +444,7 @@
       return;
     }
     instances.remove(name);
-    refresh.cancel(Key.instance(name));
+    refresh.cancel(RefreshKey.instance(name));
     if (i.services != null) {
       i.services.forEach(s -> unuse(name, s.target()));
     }
@@ -454,13 +454,13 @@
     Target t = targets.get(target);
     if (t != null && t.users.remove(name) && t.users.isEmpty()) {
       targets.remove(target);
-      refresh.cancel(Key.target(target));
+      refresh.cancel(RefreshKey.target(target));
       sink.accept(new Addresses(number, target, false, List.of()));
       sink.accept(new Addresses(number, target, true, List.of()));
     }
   }
 
-  private void askInstance(Key key) {
+  private void askInstance(RefreshKey key) {
     Instance i = instances.get(key.name());
     if (i == null) {
       return; // It has left the list since.
@@ -490,7 +490,7 @@
     });
   }
 
-  private void part(Key key, Instance i, List<List<SrvRecord>> services, List<Map<String, String>> pairs, long ttl) {
+  private void part(RefreshKey key, Instance i, List<List<SrvRecord>> services, List<Map<String, String>> pairs, long ttl) {
     if (--i.open > 0 || instances.get(key.name()) != i) {
       pump();
       return;
@@ -512,8 +512,8 @@
     i.waitsFor.clear();
     for (SrvRecord s : i.services) {
       targets.computeIfAbsent(s.target(), t -> new Target()).users.add(key.name());
-      refresh.addIfAbsent(now, Key.target(s.target()));
-      if (refresh.isPending(now, Key.target(s.target()))) {
+      refresh.addIfAbsent(now, RefreshKey.target(s.target()));
+      if (refresh.isPending(now, RefreshKey.target(s.target()))) {
         i.waitsFor.add(s.target());
       }
     }
@@ -533,7 +533,7 @@
     sink.accept(new TextRecord(number, name, i.pairs));
   }
 
-  private void askTarget(Key key) {
+  private void askTarget(RefreshKey key) {
     Target t = targets.get(key.name());
     if (t == null) {
       return;
@@ -556,7 +556,7 @@
     }
   }
 
-  private void family(Key key, Target t, long ttl) {
+  private void family(RefreshKey key, Target t, long ttl) {
     if (--t.open > 0 || targets.get(key.name()) != t) {
       pump();
       return;
