--- a/dnssd/src/main/java/cloverpulley/dnssd/Answer.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Answer.java
@@ -26,65 +26,65 @@
 import org.xbill.DNS.Type;
 
 /**
- * What an answer says of the name that was asked for. Records of other names are not looked at, but for those that an alias leads
- * to (RFC 1034, 3.6.2; eight of them at most) and those beside a browse that are within the zone asked.
+ * The records of an answer that belong to the queried name. Records of other names are ignored, except those reached through CNAME
+ * records (RFC 1034, 3.6.2; at most eight) and those in the additional section of a browse answer that are within the browsed zone.
  */
 final class Answer {
 
-  private static final int MOST_ALIASES = 8;
-  /** Of one kind for one name; a server has one service record, and few addresses. */
-  private static final int MOST_RECORDS = 64;
+  private static final int MAX_ALIASES = 8;
+  /** Per name and type; a server has one SRV record and few addresses. */
+  private static final int MAX_RECORDS = 64;
 
   private final Message message;
   private final List<Record> records;
-  /** In milliseconds: the least of the records'; of an empty answer the zone's own (RFC 2308, 5). */
+  /** In milliseconds: the lowest TTL of the records; for an empty answer the negative TTL of the zone (RFC 2308, 5). */
   private final long ttl;
 
   /**
-   * Reads the records of a type.
+   * Parses a message and selects the records of a type.
    *
-   * @throws IOException where the answer is none, which is as if none had come
+   * @throws IOException if the answer is unusable, which callers treat like no answer
    */
-  Answer(byte[] octets, Name name, int type) throws IOException {
-    message = new Message(octets);
+  Answer(byte[] bytes, Name name, int type) throws IOException {
+    message = new Message(bytes);
     int rcode = message.getRcode();
     if (rcode != Rcode.NOERROR && rcode != Rcode.NXDOMAIN) {
       throw new IOException(Rcode.string(rcode));
     }
     records = new ArrayList<>();
-    Name at = name;
-    long least = Long.MAX_VALUE;
-    for (int i = 0; i <= MOST_ALIASES; i++) {
+    Name owner = name;
+    long minTtl = Long.MAX_VALUE;
+    for (int i = 0; i <= MAX_ALIASES; i++) {
       Name next = null;
       for (Record r : message.getSection(Section.ANSWER)) {
-        if (!r.getName().equals(at)) {
+        if (!r.getName().equals(owner)) {
           continue;
         } else if (r.getType() == type) {
           records.add(r);
-          least = Math.min(least, r.getTTL());
+          minTtl = Math.min(minTtl, r.getTTL());
         } else if (r instanceof CNAMERecord c) {
           next = c.getTarget();
-          least = Math.min(least, r.getTTL());
+          minTtl = Math.min(minTtl, r.getTTL());
         }
       }
       if (!records.isEmpty() || next == null) {
         break;
       }
-      at = next;
+      owner = next;
     }
     if (records.isEmpty()) {
-      least = Long.MAX_VALUE;
+      minTtl = Long.MAX_VALUE;
       for (Record r : message.getSection(Section.AUTHORITY)) {
         if (r instanceof SOARecord soa) {
-          least = Math.min(soa.getTTL(), soa.getMinimum());
+          minTtl = Math.min(soa.getTTL(), soa.getMinimum());
         }
       }
-      if (rcode == Rcode.NOERROR && least == Long.MAX_VALUE && !message.getHeader().getFlag(Flags.AA)
+      if (rcode == Rcode.NOERROR && minTtl == Long.MAX_VALUE && !message.getHeader().getFlag(Flags.AA)
           && !message.getSection(Section.AUTHORITY).isEmpty()) {
-        throw new IOException("a referral"); // Not an answer that there is nothing.
+        throw new IOException("referral instead of an answer"); // It does not mean that no record exists.
       }
     }
-    ttl = least == Long.MAX_VALUE ? 0 : least * 1000;
+    ttl = minTtl == Long.MAX_VALUE ? 0 : minTtl * 1000;
   }
 
   long ttlMillis() {
@@ -95,7 +95,7 @@
     return message.getHeader().getFlag(Flags.AA);
   }
 
-  /** The instances that a browse names. */
+  /** The instances that a browse answer lists. */
   Set<String> pointers() {
     Set<String> names = new LinkedHashSet<>();
     for (Record r : records) {
@@ -106,23 +106,23 @@
     return names;
   }
 
-  /** The zone's serial; -1 where the answer has none. */
+  /** The zone's serial; -1 if the answer has no SOA record. */
   long serial() {
     return records.isEmpty() || !(records.get(0) instanceof SOARecord soa) ? -1 : soa.getSerial();
   }
 
   List<SrvRecord> services() {
     List<SrvRecord> services = new ArrayList<>();
-    records.stream().limit(MOST_RECORDS).forEach(r -> {
-      // A target that is the root says that the service is not there (RFC 2782).
+    records.stream().limit(MAX_RECORDS).forEach(r -> {
+      // The root as target means that the service is not available (RFC 2782).
       if (r instanceof SRVRecord s && !s.getTarget().equals(Name.root) && s.getPort() > 0) {
-        services.add(srv(s));
+        services.add(toSrvRecord(s));
       }
     });
     return services;
   }
 
-  private static SrvRecord srv(SRVRecord s) {
+  private static SrvRecord toSrvRecord(SRVRecord s) {
     return new SrvRecord(s.getPriority(), s.getWeight(), DnsSdConfig.text(s.getTarget()), s.getPort());
   }
 
@@ -131,27 +131,28 @@
   }
 
   List<String> addresses() {
-    List<String> figures = new ArrayList<>();
-    records.stream().limit(MOST_RECORDS).forEach(r -> {
-      InetAddress a = r instanceof ARecord four ? four.getAddress() : r instanceof AAAARecord six ? six.getAddress() : null;
-      // Guards against a record that leads somewhere that is no one server.
+    List<String> addresses = new ArrayList<>();
+    records.stream().limit(MAX_RECORDS).forEach(r -> {
+      InetAddress a = r instanceof ARecord ipv4 ? ipv4.getAddress() : r instanceof AAAARecord ipv6 ? ipv6.getAddress() : null;
+      // Addresses that do not identify a single server are ignored.
       if (a != null && !a.isAnyLocalAddress() && !a.isMulticastAddress()) {
-        figures.add(a.getHostAddress());
+        addresses.add(a.getHostAddress());
       }
     });
-    return figures;
+    return addresses;
   }
 
-  /** What came beside a browse of one instance, all of it; null where a part is missing. */
-  record Beside(List<SrvRecord> services, Map<String, String> pairs, Map<String, List<String>> ipv4, Map<String, List<String>> ipv6,
+  /** All records of one instance, taken from the additional section of a browse answer. */
+  record CompleteInstance(List<SrvRecord> services, Map<String, String> pairs, Map<String, List<String>> ipv4, Map<String, List<String>> ipv6,
       long ttlMillis) {}
 
   /**
-   * The instances of a browse whose service, text and addresses came with it (RFC 6763, 12.1), within the zone (RFC 5452, 6).
+   * The browsed instances whose SRV, TXT and address records are all in the additional section (RFC 6763, 12.1). Records outside the zone
+   * are ignored (RFC 5452, 6).
    */
-  Map<String, Beside> beside(Set<String> names, Name zone) {
+  Map<String, CompleteInstance> completeInstances(Set<String> names, Name zone) {
     Map<String, List<SRVRecord>> services = new HashMap<>();
-    Map<String, TXTRecord> texts = new HashMap<>();
+    Map<String, TXTRecord> txtRecords = new HashMap<>();
     Map<String, List<Record>> addresses = new HashMap<>();
     for (Record r : message.getSection(Section.ADDITIONAL)) {
       if (r.getType() == Type.OPT || !r.getName().subdomain(zone)) {
@@ -161,38 +162,38 @@
       if (r instanceof SRVRecord s) {
         services.computeIfAbsent(owner, n -> new ArrayList<>()).add(s);
       } else if (r instanceof TXTRecord t) {
-        texts.putIfAbsent(owner, t);
+        txtRecords.putIfAbsent(owner, t);
       } else if (r instanceof ARecord || r instanceof AAAARecord) {
         addresses.computeIfAbsent(owner, n -> new ArrayList<>()).add(r);
       }
     }
-    Map<String, Beside> whole = new HashMap<>();
+    Map<String, CompleteInstance> instances = new HashMap<>();
     for (String name : names) {
-      List<SRVRecord> its = services.get(name);
-      TXTRecord text = texts.get(name);
-      if (its == null || text == null || its.size() > MOST_RECORDS) {
+      List<SRVRecord> srvRecords = services.get(name);
+      TXTRecord txt = txtRecords.get(name);
+      if (srvRecords == null || txt == null || srvRecords.size() > MAX_RECORDS) {
         continue;
       }
-      long least = text.getTTL();
-      List<SrvRecord> all = new ArrayList<>();
-      Map<String, List<String>> four = new HashMap<>();
-      Map<String, List<String>> six = new HashMap<>();
+      long minTtl = txt.getTTL();
+      List<SrvRecord> serviceRecords = new ArrayList<>();
+      Map<String, List<String>> ipv4 = new HashMap<>();
+      Map<String, List<String>> ipv6 = new HashMap<>();
       boolean complete = true;
-      for (SRVRecord s : its) {
-        least = Math.min(least, s.getTTL());
-        all.add(srv(s));
-        List<Record> where = addresses.getOrDefault(DnsSdConfig.text(s.getTarget()), List.of());
-        complete &= !where.isEmpty() && s.getPort() > 0;
-        for (Record r : where) {
-          least = Math.min(least, r.getTTL());
-          (r instanceof ARecord ? four : six).computeIfAbsent(DnsSdConfig.text(s.getTarget()), t -> new ArrayList<>())
+      for (SRVRecord s : srvRecords) {
+        minTtl = Math.min(minTtl, s.getTTL());
+        serviceRecords.add(toSrvRecord(s));
+        List<Record> targetAddresses = addresses.getOrDefault(DnsSdConfig.text(s.getTarget()), List.of());
+        complete &= !targetAddresses.isEmpty() && s.getPort() > 0;
+        for (Record r : targetAddresses) {
+          minTtl = Math.min(minTtl, r.getTTL());
+          (r instanceof ARecord ? ipv4 : ipv6).computeIfAbsent(DnsSdConfig.text(s.getTarget()), t -> new ArrayList<>())
               .add((r instanceof ARecord a ? a.getAddress() : ((AAAARecord) r).getAddress()).getHostAddress());
         }
       }
       if (complete) {
-        whole.put(name, new Beside(all, TextKeys.pairs(text.getStringsAsByteArrays()), four, six, least * 1000));
+        instances.put(name, new CompleteInstance(serviceRecords, TextKeys.pairs(txt.getStringsAsByteArrays()), ipv4, ipv6, minTtl * 1000));
       }
     }
-    return whole;
+    return instances;
   }
 }
--- a/dnssd/src/main/java/cloverpulley/dnssd/CachedMembers.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/CachedMembers.java
@@ -9,35 +9,36 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The list last held, read back from the ids that membership gave: {@code INSTANCE|TARGET:PORT|BOOT-OR-ADDRESS}. */
+/** Restores members from the cached list, by their ids as assigned by Membership: {@code INSTANCE|TARGET:PORT|BOOT-OR-ADDRESS}. */
 final class CachedMembers {
 
-  /** One of them, and the browse that it belongs to. */
-  record Held(Member member, String domain, String boot) {}
+  /** A cached member, the browse that it belongs to, and its boot ID; empty if it has none. */
+  record CachedMember(Member member, String domain, String bootId) {}
 
   private CachedMembers() {}
 
-  /** Those whose instance is within what is browsed; others are no more ours. */
-  static List<Held> read(ServerList list, List<String> browses) {
-    List<Held> held = new ArrayList<>();
+  /** The cached members whose instance belongs to a configured browse; others are dropped. */
+  static List<CachedMember> read(ServerList list, List<String> browses) {
+    List<CachedMember> cached = new ArrayList<>();
     for (Server s : list.members()) {
       String[] parts = s.id().split("\\|", -1);
-      int colon = parts.length == 3 ? parts[1].lastIndexOf(':') : -1;
-      String domain = colon < 0 ? null : browses.stream().filter(b -> parts[0].endsWith('.' + service(b))).findFirst().orElse(null);
+      int portSeparator = parts.length == 3 ? parts[1].lastIndexOf(':') : -1;
+      String domain = portSeparator < 0 ? null
+          : browses.stream().filter(browse -> parts[0].endsWith('.' + serviceName(browse))).findFirst().orElse(null);
       if (domain == null || !(s.address() instanceof InetSocketAddress address)) {
         continue;
       }
-      String figures = address.getAddress().getHostAddress();
+      String numericAddress = address.getAddress().getHostAddress();
       Phase phase = s.state() == State.READY ? Phase.READY : Phase.DRAINING;
-      held.add(new Held(new Member(s.id(), parts[0], parts[1].substring(0, colon), figures, address.getPort(), s.zone(), s.cell(),
-          s.size(), phase, s.upSinceMillis()), domain, parts[2].equals(figures) ? "" : parts[2]));
+      cached.add(new CachedMember(new Member(s.id(), parts[0], parts[1].substring(0, portSeparator), numericAddress, address.getPort(),
+          s.zone(), s.cell(), s.size(), phase, s.upSinceMillis()), domain, parts[2].equals(numericAddress) ? "" : parts[2]));
     }
-    return held;
+    return cached;
   }
 
-  /** The name below which the instances of a browse are: a subtype's are those of its service (RFC 6763, 7.1). */
-  private static String service(String browse) {
-    int sub = browse.indexOf("._sub.");
-    return sub < 0 ? browse : browse.substring(sub + "._sub.".length());
+  /** The parent name of a browse's instances; those of a subtype are directly below the service (RFC 6763, 7.1). */
+  private static String serviceName(String browse) {
+    int subtype = browse.indexOf("._sub.");
+    return subtype < 0 ? browse : browse.substring(subtype + "._sub.".length());
   }
 }
--- a/dnssd/src/main/java/cloverpulley/dnssd/ChangeLog.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/ChangeLog.java
@@ -18,25 +18,25 @@
 import java.util.logging.Logger;
 
 /**
- * The program's own records of what was believed when and why: a line of JSON for each change. A thread of its own writes; past a
- * bound of what waits, lines are dropped and the next one says how many. A file that has its size is kept once, as {@code FILE.1}.
+ * Logs every change of the server list with its reason, as one line of JSON. A dedicated thread writes; if its queue is full, lines
+ * are dropped and the next line contains their number. A file that has reached its maximum size is rotated once, to {@code FILE.1}.
  */
 final class ChangeLog implements AutoCloseable {
 
   private static final Logger LOG = Logger.getLogger(ChangeLog.class.getName());
-  private static final int MOST_WAITING = 100_000;
+  private static final int MAX_QUEUED = 100_000;
 
   private final Path file;
-  private final long mostBytes;
+  private final long maxBytes;
   private final AtomicLong dropped = new AtomicLong();
   private final ThreadPoolExecutor writer;
   private boolean failing;
 
-  /** {@code file} null for no records. */
-  ChangeLog(Path file, long mostBytes) {
+  /** Creates a log; {@code file} is null if changes are not logged. */
+  ChangeLog(Path file, long maxBytes) {
     this.file = file;
-    this.mostBytes = mostBytes;
-    writer = file == null ? null : new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(MOST_WAITING), task -> {
+    this.maxBytes = maxBytes;
+    writer = file == null ? null : new ThreadPoolExecutor(1, 1, 0, TimeUnit.SECONDS, new ArrayBlockingQueue<>(MAX_QUEUED), task -> {
       Thread thread = new Thread(task, "dns-sd records");
       thread.setDaemon(true);
       return thread;
@@ -52,7 +52,7 @@
 
   private void write(Change c) {
     try {
-      if (Files.exists(file) && Files.size(file) >= mostBytes) {
+      if (Files.exists(file) && Files.size(file) >= maxBytes) {
         Files.move(file, file.resolveSibling(file.getFileName() + ".1"), StandardCopyOption.REPLACE_EXISTING);
       }
       Files.writeString(file, json(c, dropped.getAndSet(0)) + "\n", StandardCharsets.UTF_8, StandardOpenOption.CREATE,
@@ -66,7 +66,7 @@
     }
   }
 
-  static String json(Change c, long lost) throws IOException {
+  static String json(Change c, long droppedBefore) throws IOException {
     Member m = c.member();
     StringWriter text = new StringWriter();
     try (JsonGenerator g = new JsonFactory().createGenerator(text)) {
@@ -82,15 +82,15 @@
         g.writeNumberField("resolver", c.resolver());
       }
       g.writeNumberField("up_since_ms", m.upSince());
-      if (lost > 0) {
-        g.writeNumberField("lost_before", lost);
+      if (droppedBefore > 0) {
+        g.writeNumberField("lost_before", droppedBefore);
       }
       g.writeEndObject();
     }
     return text.toString();
   }
 
-  /** Waits until what was said is written. */
+  /** Waits up to one second for queued lines to be written. */
   @Override
   public void close() {
     if (writer != null) {
--- a/dnssd/src/main/java/cloverpulley/dnssd/ConnectionProber.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/ConnectionProber.java
@@ -13,17 +13,17 @@
 import java.util.function.Consumer;
 
 /**
- * Connects to servers that don't say when they started, and closes at once: one that refuses and is back has started anew. One that
- * is silent says nothing of a start, and is not this module's concern.
+ * Detects restarts of servers that publish no start time: connects and closes at once. A server that refuses connections and accepts
+ * them again has restarted. A connect timeout is no sign of a restart and is not reported.
  */
 final class ConnectionProber {
 
   private static final int CONNECT_MILLIS = 500;
-  private static final int MOST_OPEN = 64;
+  private static final int MAX_PROBES = 64;
 
   private final Bootstrap bootstrap;
   private final Consumer<Observation> sink;
-  private final Set<String> open = new HashSet<>();
+  private final Set<String> probing = new HashSet<>();
 
   ConnectionProber(EventLoop loop, Consumer<Observation> sink) {
     this.sink = sink;
@@ -36,17 +36,17 @@
         });
   }
 
-  void look(Member m) {
-    if (open.size() >= MOST_OPEN || !open.add(m.instance())) {
+  void probe(Member member) {
+    if (probing.size() >= MAX_PROBES || !probing.add(member.instance())) {
       return;
     }
-    bootstrap.connect(DnsSdSource.server(m).address()).addListener((io.netty.channel.ChannelFuture f) -> {
-      open.remove(m.instance());
+    bootstrap.connect(DnsSdSource.server(member).address()).addListener((io.netty.channel.ChannelFuture f) -> {
+      probing.remove(member.instance());
       if (f.isSuccess()) {
         f.channel().close();
-        sink.accept(new Observation.ConnectionProbe(m.instance(), true));
+        sink.accept(new Observation.ConnectionProbe(member.instance(), true));
       } else if (f.cause() instanceof ConnectException && !(f.cause() instanceof io.netty.channel.ConnectTimeoutException)) {
-        sink.accept(new Observation.ConnectionProbe(m.instance(), false));
+        sink.accept(new Observation.ConnectionProbe(member.instance(), false));
       }
     });
   }
--- a/dnssd/src/main/java/cloverpulley/dnssd/DnsSdProvider.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/DnsSdProvider.java
@@ -4,7 +4,7 @@
 import cloverpulley.fleet.ListProvider;
 import java.security.SecureRandom;
 
-/** {@code [fleet.dnssd]} of an operators' file. */
+/** Provides the server list configured by {@code [fleet.dnssd]} in the operators' file. */
 public final class DnsSdProvider implements ListProvider {
 
   @Override
@@ -15,6 +15,6 @@
   @Override
   public Opener read(Section s) {
     DnsSdConfig config = DnsSdConfig.read(s);
-    return (loop, held, revision, news) -> new DnsSdSource(loop, config, held, revision, news, new SecureRandom().nextLong());
+    return (loop, cached, revision, updates) -> new DnsSdSource(loop, config, cached, revision, updates, new SecureRandom().nextLong());
   }
 }
--- a/dnssd/src/main/java/cloverpulley/dnssd/DnsSdSource.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/DnsSdSource.java
@@ -28,22 +28,22 @@
 import java.util.logging.Logger;
 
 /**
- * A fleet found through DNS-SD: resolvers are read, {@link Membership} decides, the list goes on as it changes. All of it runs on
- * the loop of the front that it serves.
+ * A server list discovered through DNS-SD: reads the resolvers, lets {@link Membership} decide which servers to use, and publishes the
+ * list and its changes. Everything runs on the event loop of the frontend that uses it.
  */
 public final class DnsSdSource implements Engine.ListSource, AutoCloseable {
 
   private static final Logger LOG = Logger.getLogger(DnsSdSource.class.getName());
 
-  /** How often what is due is looked at; what an answer brings is settled at once. */
+  /** The interval for timers and due queries; answers are processed at once. */
   private static final long TICK_MILLIS = 10;
-  /** A first list that is not whole waits for so many times the wait for a second resolver. */
-  private static final int WHOLE_WAITS = 5;
+  /** An incomplete first list is published after this many times the first wait. */
+  private static final int MAX_FIRST_WAITS = 5;
 
   private final EventLoop loop;
   private final DnsSdConfig config;
   private final LongSupplier revision;
-  private final BiConsumer<ListKind, ServerList> news;
+  private final BiConsumer<ListKind, ServerList> updates;
   private final Clock clock = new Clock();
   private final long originMillis = System.currentTimeMillis() - TimeUnit.NANOSECONDS.toMillis(clock.now());
   private final Membership membership;
@@ -51,37 +51,37 @@
   private final List<Reader> readers = new ArrayList<>();
   private final List<Push> pushes = new ArrayList<>();
   private final List<Change> changes = new ArrayList<>();
-  private final ChangeLog log;
-  private final ConnectionProber contacts;
-  private final NotifyListener notify;
-  private final Future<?> tick;
-  private Consumer<Change> watcher = c -> { };
+  private final ChangeLog changeLog;
+  private final ConnectionProber prober;
+  private final NotifyListener notifyListener;
+  private final Future<?> tickTask;
+  private Consumer<Change> changeListener = c -> { };
   private final long startedAt;
-  private boolean watching;
+  private boolean watched;
   private boolean ready;
-  private boolean settling;
+  private boolean reconcilePending;
   private boolean closed;
 
   /**
-   * Begins to read, on {@code loop}.
+   * Starts reading; to be called on {@code loop}.
    *
-   * @param held the list last held, which is believed until somebody speaks against it
-   * @param revision the version of the list that the front holds; each news has a later one
-   * @param news told of the whole list when it is asked for, and of changes while it is watched
+   * @param cached the cached list, used until a resolver contradicts it
+   * @param revision the revision of the frontend's list; every update has a later one
+   * @param updates receives the whole list when it is fetched, and changes while it is watched
    */
-  public DnsSdSource(EventLoop loop, DnsSdConfig config, ServerList held, LongSupplier revision,
-      BiConsumer<ListKind, ServerList> news, long seed) {
+  public DnsSdSource(EventLoop loop, DnsSdConfig config, ServerList cached, LongSupplier revision,
+      BiConsumer<ListKind, ServerList> updates, long seed) {
     this.loop = loop;
     this.config = config;
     this.revision = revision;
-    this.news = news;
-    log = new ChangeLog(config.records(), config.recordsMostBytes());
+    this.updates = updates;
+    changeLog = new ChangeLog(config.records(), config.recordsMostBytes());
     membership = new Membership(config.rules(), config.keys());
     client = new DnsClient(loop, clock, config.client());
     long now = now();
     startedAt = now;
-    CachedMembers.read(held, config.names()).forEach(h -> membership.restoreCached(now, h.member(), h.domain(), 0, h.boot()));
-    ready = !held.members().isEmpty();
+    CachedMembers.read(cached, config.names()).forEach(c -> membership.restoreCached(now, c.member(), c.domain(), 0, c.bootId()));
+    ready = !cached.members().isEmpty();
     for (int i = 0; i < config.resolvers().size(); i++) {
       ResolverAddress r = config.resolvers().get(i);
       Reader reader = new Reader(i, r.address(), config, client, now, seed + i, this::observe);
@@ -90,57 +90,57 @@
         pushes.add(new Push(loop, i, r, config, reader, this::observe, this::now));
       }
     }
-    contacts = config.contactMillis() == 0 ? null : new ConnectionProber(loop, this::observe);
-    notify = config.notifyAt() == null ? null : new NotifyListener(loop, config, this::notified);
-    tick = loop.scheduleWithFixedDelay(this::turn, 0, TICK_MILLIS, TimeUnit.MILLISECONDS);
-    if (contacts != null) {
-      loop.scheduleWithFixedDelay(this::look, config.contactMillis(), config.contactMillis(), TimeUnit.MILLISECONDS);
+    prober = config.contactMillis() == 0 ? null : new ConnectionProber(loop, this::observe);
+    notifyListener = config.notifyAt() == null ? null : new NotifyListener(loop, config, this::notifyReceived);
+    tickTask = loop.scheduleWithFixedDelay(this::tick, 0, TICK_MILLIS, TimeUnit.MILLISECONDS);
+    if (prober != null) {
+      loop.scheduleWithFixedDelay(this::probe, config.contactMillis(), config.contactMillis(), TimeUnit.MILLISECONDS);
     }
   }
 
-  /** Unix time as this process counts it: it never steps. */
+  /** Unix time derived from the monotonic clock, so that it never steps. */
   long now() {
     return originMillis + TimeUnit.NANOSECONDS.toMillis(clock.now());
   }
 
-  // ---- What is seen --------------------------------------------------------------------------------------
+  // ---- Observations --------------------------------------------------------------------------------------
 
   private void observe(Observation o) {
     if (closed) {
       return;
     }
     membership.observe(now(), o);
-    if (!settling) {
-      // Once for all that has come in one go: parts of one server are judged together.
-      settling = true;
-      loop.execute(this::settle);
+    if (!reconcilePending) {
+      // Reconciles once for all observations of this loop iteration, so that the records of one server are evaluated together.
+      reconcilePending = true;
+      loop.execute(this::reconcile);
     }
   }
 
-  private void turn() {
+  private void tick() {
     long now = now();
-    readers.forEach(r -> r.turn(now));
+    readers.forEach(r -> r.tick(now));
     if (membership.nextTimerAt() <= now || !ready) {
-      settle();
+      reconcile();
     }
   }
 
-  private void notified(int resolver, String zone) {
-    readers.get(resolver).changed(now(), zone);
+  private void notifyReceived(int resolver, String zone) {
+    readers.get(resolver).zoneChanged(now(), zone);
   }
 
-  private void look() {
+  private void probe() {
     for (Member m : membership.members()) {
       if (membership.cachedDetails(m).bootId().isEmpty()) {
-        contacts.look(m);
+        prober.probe(m);
       }
     }
   }
 
-  // ---- What comes of it ----------------------------------------------------------------------------------
+  // ---- Reconciliation ------------------------------------------------------------------------------------
 
-  private void settle() {
-    settling = false;
+  private void reconcile() {
+    reconcilePending = false;
     if (closed) {
       return;
     }
@@ -148,29 +148,30 @@
     changes.clear();
     membership.reconcile(now, changes::add);
     changes.forEach(c -> {
-      log.add(c);
-      watcher.accept(c);
+      changeLog.add(c);
+      changeListener.accept(c);
     });
-    if (!ready && membership.readyCount() > 0 && membership.hasInitialAnswers(now, config.names()) && isWhole(now)) {
+    if (!ready && membership.readyCount() > 0 && membership.hasInitialAnswers(now, config.names()) && isFirstListComplete(now)) {
       ready = true;
       LOG.info(() -> "dns-sd: first list, " + membership.readyCount() + " servers ready of " + membership.instances() + " named");
-      if (watching) {
-        tellAll();
+      if (watched) {
+        publishFullList();
       }
-    } else if (ready && watching && !changes.isEmpty()) {
+    } else if (ready && watched && !changes.isEmpty()) {
       List<Server> members = new ArrayList<>();
       changes.forEach(c -> members.add(server(c.member())));
-      news.accept(ListKind.DELTA, new ServerList(revision.getAsLong() + 1, false, members));
+      updates.accept(ListKind.DELTA, new ServerList(revision.getAsLong() + 1, false, members));
     }
   }
 
-  /** Guards rule 4: a first list of the few whose records came first would get all the work. */
-  private boolean isWhole(long now) {
-    return readers.stream().allMatch(Reader::isIdle) || now - startedAt >= WHOLE_WAITS * Math.max(1, config.rules().firstWaitMillis());
+  /** Prevents overload: if a partial first list were published, the few servers on it would receive all requests. */
+  private boolean isFirstListComplete(long now) {
+    return readers.stream().allMatch(Reader::isInitialReadComplete)
+        || now - startedAt >= MAX_FIRST_WAITS * Math.max(1, config.rules().firstWaitMillis());
   }
 
-  private void tellAll() {
-    news.accept(ListKind.FULL, new ServerList(revision.getAsLong() + 1, true, membership.members().stream().map(DnsSdSource::server).toList()));
+  private void publishFullList() {
+    updates.accept(ListKind.FULL, new ServerList(revision.getAsLong() + 1, true, membership.members().stream().map(DnsSdSource::server).toList()));
   }
 
   static Server server(Member m) {
@@ -179,89 +180,89 @@
       return new Server(m.id(), new InetSocketAddress(InetAddress.getByName(m.address()), m.port()), m.zone(), m.cell(), state,
           m.size(), m.upSince());
     } catch (UnknownHostException e) {
-      throw new IllegalStateException(e); // Figures are never looked up.
+      throw new IllegalStateException(e); // Cannot happen: numeric addresses need no lookup.
     }
   }
 
   @Override
   public void watch(boolean on) {
-    watching = on;
+    watched = on;
     if (on && ready) {
-      tellAll();
+      publishFullList();
     } else if (on) {
-      news.accept(ListKind.DELTA, new ServerList(0, false, List.of()));
+      updates.accept(ListKind.DELTA, new ServerList(0, false, List.of()));
     }
   }
 
   @Override
   public void fetch() {
     if (ready) {
-      tellAll();
+      publishFullList();
     } else {
-      news.accept(ListKind.FAILED, ServerList.EMPTY);
+      updates.accept(ListKind.FAILED, ServerList.EMPTY);
     }
   }
 
-  // ---- What can be asked, on the loop --------------------------------------------------------------------
+  // ---- Queries, to be called on the loop -----------------------------------------------------------------
 
-  /** Told of every change of what is believed. */
-  public void onChange(Consumer<Change> each) {
-    watcher = each;
+  /** Sets the listener that is notified of every change of the list. */
+  public void onChange(Consumer<Change> listener) {
+    changeListener = listener;
   }
 
-  /** Whether there has been a first list. */
+  /** Whether a first list has been published. */
   public boolean isReady() {
     return ready;
   }
 
-  /** The list as it is believed. */
+  /** The current list. */
   public List<Member> members() {
     return membership.members();
   }
 
-  /** What each resolver says of an instance, what is believed and why. */
+  /** What each resolver reports about an instance, its state on the list, and the reason for it. */
   public List<String> explain(String instance) {
     return membership.explain(now(), instance);
   }
 
-  /** Values that were ignored. */
+  /** Descriptions of ignored values. */
   public List<String> problems() {
     return membership.problems();
   }
 
-  /** Queries sent to all resolvers, those that failed, and those that the same serial made needless. */
+  /** The number of queries sent to all resolvers, of those that failed, and of those skipped because the serial was unchanged. */
   public long[] queries() {
     return new long[] {readers.stream().mapToLong(r -> r.counts().queries).sum(),
-      readers.stream().mapToLong(r -> r.counts().failures).sum(), readers.stream().mapToLong(r -> r.counts().saved).sum()};
+      readers.stream().mapToLong(r -> r.counts().failures).sum(), readers.stream().mapToLong(r -> r.counts().skipped).sum()};
   }
 
-  /** What each resolver lists, in the order of the resolvers. */
+  /** The instances that each resolver lists for a browse, in the order of the resolvers. */
   public List<java.util.Set<String>> listed(String browse) {
     List<java.util.Set<String>> all = new ArrayList<>();
     readers.forEach(r -> all.add(r.listed(browse)));
     return all;
   }
 
-  /** Where NOTIFY messages are taken; null for nowhere. */
+  /** The address that NOTIFY messages are received at; null if disabled. */
   public InetSocketAddress notifyAddress() {
-    return notify == null ? null : notify.address();
+    return notifyListener == null ? null : notifyListener.address();
   }
 
-  /** Push sessions that stand. */
+  /** The number of established push sessions. */
   public int pushSessions() {
     return (int) pushes.stream().filter(Push::isEstablished).count();
   }
 
-  /** Ends, on the loop. */
+  /** Stops reading; to be called on the loop. */
   @Override
   public void close() {
     closed = true;
-    tick.cancel(false);
+    tickTask.cancel(false);
     pushes.forEach(Push::close);
-    if (notify != null) {
-      notify.close();
+    if (notifyListener != null) {
+      notifyListener.close();
     }
     client.close();
-    log.close();
+    changeLog.close();
   }
 }
--- a/dnssd/src/main/java/cloverpulley/dnssd/DnsSdView.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/DnsSdView.java
@@ -16,24 +16,24 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** A look at what the resolvers say, for people: the source as a front would have it, with a thread of its own. */
+/** Inspects what the resolvers report, for the command line: a source like that of a frontend, on its own thread. */
 public final class DnsSdView implements AutoCloseable {
 
-  private static final long LOOK_MILLIS = 20;
+  private static final long POLL_MILLIS = 20;
 
   private final DnsSdConfig config;
   private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   private final EventLoop loop = group.next();
   private final DnsSdSource source;
 
-  /** Begins to look. */
+  /** Starts reading. */
   public DnsSdView(DnsSdConfig config) {
     this.config = config.aside();
     source = on(() -> new DnsSdSource(loop, this.config, ServerList.EMPTY, () -> 0, (kind, list) -> { },
         new java.security.SecureRandom().nextLong()));
   }
 
-  /** Runs on the source's loop. */
+  /** Runs a task on the source's event loop and waits for its result. */
   public <T> T on(Callable<T> task) {
     try {
       return loop.submit(task).get();
@@ -45,24 +45,24 @@
     }
   }
 
-  /** What is looked at; only to be used within {@link #on}. */
+  /** The source; may only be used within {@link #on}. */
   public DnsSdSource source() {
     return source;
   }
 
-  /** Waits for a first list; whether there is one. */
+  /** Waits for a first list; returns false on timeout. */
   public boolean awaitFirst(long millis) throws InterruptedException {
     long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
     while (!on(source::isReady)) {
       if (System.nanoTime() > until) {
         return false;
       }
-      TimeUnit.MILLISECONDS.sleep(LOOK_MILLIS);
+      TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
     }
     return true;
   }
 
-  /** The servers as they are believed, and how many each resolver names. */
+  /** The current server list, and the number of instances that each resolver lists. */
   public List<String> browse() {
     return on(() -> {
       List<String> lines = new ArrayList<>();
@@ -86,7 +86,7 @@
     return a.getAddress().getHostAddress() + ":" + a.getPort();
   }
 
-  /** Hands on every change from now; returns after so many seconds, with 0 never. */
+  /** Reports the current list and every change from now on; returns after the given seconds, or never if 0. */
   public void watch(Consumer<String> line, long seconds) throws InterruptedException {
     on(() -> {
       source.members().forEach(m -> line.accept(Instant.now() + " " + m.phase().name().toLowerCase(java.util.Locale.ROOT) + " " + m.id()));
@@ -101,19 +101,19 @@
     }
   }
 
-  /** What each resolver says of an instance; its first label is enough where it is the only one of that. */
+  /** What each resolver reports about the instances with this name or first label. */
   public List<String> explain(String name) {
     return on(() -> {
-      Set<String> all = new java.util.TreeSet<>();
+      Set<String> known = new java.util.TreeSet<>();
       for (DnsSdConfig.Browse b : config.browses()) {
-        source.listed(b.name()).forEach(all::addAll);
+        source.listed(b.name()).forEach(known::addAll);
       }
-      source.members().forEach(m -> all.add(m.instance()));
+      source.members().forEach(m -> known.add(m.instance()));
       String wanted = name.toLowerCase(java.util.Locale.ROOT);
-      List<String> fit = all.stream().filter(n -> n.equals(wanted) || n.equals(wanted + '.') || n.startsWith(wanted + '.')).toList();
+      List<String> matches = known.stream().filter(n -> n.equals(wanted) || n.equals(wanted + '.') || n.startsWith(wanted + '.')).toList();
       List<String> lines = new ArrayList<>();
-      fit.forEach(n -> lines.addAll(source.explain(n)));
-      return fit.isEmpty() ? List.of(name + ": nobody has named it") : lines;
+      matches.forEach(n -> lines.addAll(source.explain(n)));
+      return matches.isEmpty() ? List.of(name + ": nobody has named it") : lines;
     });
   }
 
--- a/dnssd/src/main/java/cloverpulley/dnssd/Dso.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Dso.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.xbill.DNS.Name;
 
-/** Messages of a stateful session (RFC 8490, 5.4) and of push (RFC 8765, 6), made and read. */
+/** Encodes and decodes DNS Stateful Operations messages (RFC 8490, 5.4), including those of DNS push (RFC 8765, 6). */
 final class Dso {
 
   static final int OPCODE = 6;
@@ -18,56 +18,56 @@
   static final int SUBSCRIBE = 0x0040;
   static final int PUSH = 0x0041;
   static final int UNSUBSCRIBE = 0x0042;
-  /** A response code: the primary TLV is of a type that the other does not implement. */
+  /** A response code: the receiver does not implement the type of the primary TLV. */
   static final int DSOTYPENI = 11;
 
-  private static final int TLV = Message.HEADER_LENGTH;
-  private static final int FIXED = 10;
+  private static final int TLV_OFFSET = Message.HEADER_LENGTH;
+  private static final int FIELDS_LENGTH = 10;
   private static final long REMOVE_ONE = 0xFFFF_FFFFL;
   private static final long REMOVE_ALL = 0xFFFF_FFFEL;
-  /** Changes in one message; with the least record of 11 octets no message holds more. */
-  private static final int MOST_CHANGES = 6000;
+  /** Changes per message; the smallest record has 11 octets, so no valid message holds more. */
+  private static final int MAX_CHANGES = 6000;
 
   /**
-   * A message that was read.
+   * A decoded message.
    *
-   * @param id 0 for one that wants no answer
-   * @param type of its primary TLV; -1 for an answer without one
+   * @param id 0 for a unidirectional message
+   * @param type of the primary TLV; -1 for a response without one
    */
-  record Read(int id, boolean response, int rcode, int type, byte[] value, byte[] octets) {}
+  record DsoMessage(int id, boolean response, int rcode, int type, byte[] value, byte[] bytes) {}
 
   /**
-   * A change that a server pushes.
+   * A change pushed by a server.
    *
-   * @param type 255 for all of the name's
-   * @param target of a pointer; null for others
-   * @param strings of a text
+   * @param type 255 if all records of the name were removed
+   * @param target of a PTR record; null for other types
+   * @param strings of a TXT record; empty for other types
    */
   record PushedRecord(String name, int type, boolean removed, String target, List<byte[]> strings) {}
 
   private Dso() {}
 
-  /** A request, or with id 0 a message that wants no answer. */
+  /** Encodes a request, or a unidirectional message if the id is 0. */
   static byte[] message(int id, int type, byte[] value) {
-    byte[] to = new byte[TLV + 4 + value.length];
-    Message.put16(to, 0, id);
-    to[2] = OPCODE << 3;
-    Message.put16(to, TLV, type);
-    Message.put16(to, TLV + 2, value.length);
-    System.arraycopy(value, 0, to, TLV + 4, value.length);
-    return to;
+    byte[] buffer = new byte[TLV_OFFSET + 4 + value.length];
+    Message.put16(buffer, 0, id);
+    buffer[2] = OPCODE << 3;
+    Message.put16(buffer, TLV_OFFSET, type);
+    Message.put16(buffer, TLV_OFFSET + 2, value.length);
+    System.arraycopy(value, 0, buffer, TLV_OFFSET + 4, value.length);
+    return buffer;
   }
 
-  /** An answer without a TLV. */
+  /** Encodes a response without a TLV. */
   static byte[] answer(int id, int rcode) {
-    byte[] to = new byte[TLV];
-    Message.put16(to, 0, id);
-    to[2] = (byte) (0x80 | OPCODE << 3);
-    to[3] = (byte) rcode;
-    return to;
+    byte[] buffer = new byte[TLV_OFFSET];
+    Message.put16(buffer, 0, id);
+    buffer[2] = (byte) (0x80 | OPCODE << 3);
+    buffer[3] = (byte) rcode;
+    return buffer;
   }
 
-  /** What is subscribed to, or no more. */
+  /** Encodes the name, type and class of a subscription. */
   static byte[] question(String name, int type) {
     byte[] wire;
     try {
@@ -75,97 +75,98 @@
     } catch (org.xbill.DNS.TextParseException e) {
       throw new IllegalArgumentException(e);
     }
-    byte[] to = new byte[wire.length + 4];
-    System.arraycopy(wire, 0, to, 0, wire.length);
-    Message.put16(to, wire.length, type);
-    Message.put16(to, wire.length + 2, Message.IN);
-    return to;
+    byte[] buffer = new byte[wire.length + 4];
+    System.arraycopy(wire, 0, buffer, 0, wire.length);
+    Message.put16(buffer, wire.length, type);
+    Message.put16(buffer, wire.length + 2, Message.IN);
+    return buffer;
   }
 
-  /** Two times in milliseconds: after which the session may be closed, and how often it has to be heard of. */
+  /** Encodes the inactivity timeout and the keepalive interval, both in milliseconds. */
   static byte[] keepalive(long inactivity, long interval) {
-    byte[] to = new byte[8];
-    Message.put32(to, 0, inactivity);
-    Message.put32(to, 4, interval);
-    return to;
+    byte[] buffer = new byte[8];
+    Message.put32(buffer, 0, inactivity);
+    Message.put32(buffer, 4, interval);
+    return buffer;
   }
 
   /**
-   * Reads a message.
+   * Decodes a message.
    *
-   * @throws MalformedException where it is none of a session, counts records, or its TLVs run over its end
+   * @throws MalformedException if it is not a DSO message, a record count is not zero, or a TLV exceeds the message
    */
-  static Read read(byte[] b) throws MalformedException {
-    if (b.length < Message.HEADER_LENGTH || Message.opcode(b) != OPCODE) {
-      throw new MalformedException("no message of a session");
+  static DsoMessage read(byte[] bytes) throws MalformedException {
+    if (bytes.length < Message.HEADER_LENGTH || Message.opcode(bytes) != OPCODE) {
+      throw new MalformedException("not a DSO message");
     }
-    for (int at = 4; at < Message.HEADER_LENGTH; at += 2) {
-      if (Message.get16(b, at) != 0) {
-        throw new MalformedException("a message of a session that counts records"); // RFC 8490, 5.4
+    for (int offset = 4; offset < Message.HEADER_LENGTH; offset += 2) {
+      if (Message.get16(bytes, offset) != 0) {
+        throw new MalformedException("DSO message with a record count other than zero"); // RFC 8490, 5.4
       }
     }
     int type = -1;
     byte[] value = new byte[0];
-    for (int at = TLV; at < b.length; ) {
-      if (at + 4 > b.length || at + 4 + Message.get16(b, at + 2) > b.length) {
-        throw new MalformedException("a TLV runs over the end");
+    for (int offset = TLV_OFFSET; offset < bytes.length; ) {
+      if (offset + 4 > bytes.length || offset + 4 + Message.get16(bytes, offset + 2) > bytes.length) {
+        throw new MalformedException("TLV exceeds the message");
       }
-      int end = at + 4 + Message.get16(b, at + 2);
+      int end = offset + 4 + Message.get16(bytes, offset + 2);
       if (type < 0) {
-        type = Message.get16(b, at);
-        value = java.util.Arrays.copyOfRange(b, at + 4, end);
+        type = Message.get16(bytes, offset);
+        value = java.util.Arrays.copyOfRange(bytes, offset + 4, end);
       }
-      at = end;
+      offset = end;
     }
-    return new Read(Message.get16(b, 0), Message.isResponse(b), b[3] & 0xF, type, value, b);
+    return new DsoMessage(Message.get16(bytes, 0), Message.isResponse(bytes), bytes[3] & 0xF, type, value, bytes);
   }
 
-  /** A number of 32 bits. */
-  static long get32(byte[] b, int at) throws MalformedException {
-    if (at + 4 > b.length) {
-      throw new MalformedException("shorter than its number");
+  /** Reads an unsigned 32-bit number. */
+  static long get32(byte[] bytes, int offset) throws MalformedException {
+    if (offset + 4 > bytes.length) {
+      throw new MalformedException("too short for a 32-bit number");
     }
-    return (long) Message.get16(b, at) << 16 | Message.get16(b, at + 2);
+    return (long) Message.get16(bytes, offset) << 16 | Message.get16(bytes, offset + 2);
   }
 
-  /** The changes of a push; its names may be compressed against the whole message. */
-  static List<PushedRecord> changes(Read push) throws MalformedException {
-    byte[] b = push.octets();
+  /** Decodes the changes of a push message; names may be compressed with pointers into the whole message. */
+  static List<PushedRecord> changes(DsoMessage push) throws MalformedException {
+    byte[] bytes = push.bytes();
     List<PushedRecord> changes = new ArrayList<>();
-    int end = TLV + 4 + push.value().length;
-    int at = TLV + 4;
-    while (at < end) {
-      byte[] owner = Names.read(b, at);
-      int fixed = Names.skip(b, at);
-      if (fixed + FIXED > end || fixed + FIXED + Message.get16(b, fixed + 8) > end || changes.size() == MOST_CHANGES) {
-        throw new MalformedException("a change runs over the end");
+    int end = TLV_OFFSET + 4 + push.value().length;
+    int offset = TLV_OFFSET + 4;
+    while (offset < end) {
+      byte[] owner = Names.read(bytes, offset);
+      int fields = Names.skip(bytes, offset);
+      if (fields + FIELDS_LENGTH > end || fields + FIELDS_LENGTH + Message.get16(bytes, fields + 8) > end
+          || changes.size() == MAX_CHANGES) {
+        throw new MalformedException("change exceeds the message");
       }
-      int type = Message.get16(b, fixed);
-      long ttl = get32(b, fixed + 4);
-      int data = fixed + FIXED;
-      int dataEnd = data + Message.get16(b, fixed + 8);
+      int type = Message.get16(bytes, fields);
+      long ttl = get32(bytes, fields + 4);
+      int data = fields + FIELDS_LENGTH;
+      int dataEnd = data + Message.get16(bytes, fields + 8);
       String target = null;
       List<byte[]> strings = new ArrayList<>();
       if (type == org.xbill.DNS.Type.PTR && dataEnd > data) {
-        target = text(Names.read(b, data));
-        if (Names.skip(b, data) != dataEnd) {
-          throw new MalformedException("a pointer's data does not fill its length");
+        target = canonicalName(Names.read(bytes, data));
+        if (Names.skip(bytes, data) != dataEnd) {
+          throw new MalformedException("PTR data does not match its length");
         }
       } else if (type == org.xbill.DNS.Type.TXT) {
-        for (int i = data; i < dataEnd; i += 1 + (b[i] & 0xFF)) {
-          if (i + 1 + (b[i] & 0xFF) > dataEnd) {
-            throw new MalformedException("a text runs over its record");
+        for (int i = data; i < dataEnd; i += 1 + (bytes[i] & 0xFF)) {
+          if (i + 1 + (bytes[i] & 0xFF) > dataEnd) {
+            throw new MalformedException("TXT string exceeds its record");
           }
-          strings.add(java.util.Arrays.copyOfRange(b, i + 1, i + 1 + (b[i] & 0xFF)));
+          strings.add(java.util.Arrays.copyOfRange(bytes, i + 1, i + 1 + (bytes[i] & 0xFF)));
         }
       }
-      changes.add(new PushedRecord(text(owner), type, ttl == REMOVE_ONE || ttl == REMOVE_ALL, target, strings));
-      at = dataEnd;
+      changes.add(new PushedRecord(canonicalName(owner), type, ttl == REMOVE_ONE || ttl == REMOVE_ALL, target, strings));
+      offset = dataEnd;
     }
     return changes;
   }
 
-  private static String text(byte[] name) throws MalformedException {
+  private static String canonicalName(byte[] name) throws MalformedException {
     try {
       return DnsSdConfig.text(new Name(name));
     } catch (java.io.IOException e) {
@@ -173,7 +174,7 @@
     }
   }
 
-  /** One record of a push, uncompressed; for servers. */
+  /** Encodes one change of a push message without compression, as a server sends it. */
   static byte[] change(String name, int type, boolean removed, byte[] data) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     out.writeBytes(question(name, type));
--- a/dnssd/src/main/java/cloverpulley/dnssd/NotifyListener.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/NotifyListener.java
@@ -17,8 +17,8 @@
 import org.xbill.DNS.Name;
 
 /**
- * Takes NOTIFY messages (RFC 1996) of the resolvers that are read, by the address that they come from; others get no answer. They
- * are hints and nothing more: what has changed is asked for.
+ * Receives NOTIFY messages (RFC 1996) from the configured resolvers, identified by their source address; others get no answer. A NOTIFY
+ * is only a hint: the zone's records are queried again.
  */
 final class NotifyListener implements AutoCloseable {
 
@@ -26,12 +26,12 @@
   private static final int NOTIFY = Message.NOTIFY << 11;
 
   private final DnsSdConfig config;
-  private final BiConsumer<Integer, String> told;
+  private final BiConsumer<Integer, String> listener;
   private final Channel channel;
 
-  NotifyListener(EventLoop loop, DnsSdConfig config, BiConsumer<Integer, String> told) {
+  NotifyListener(EventLoop loop, DnsSdConfig config, BiConsumer<Integer, String> listener) {
     this.config = config;
-    this.told = told;
+    this.listener = listener;
     var bind = new Bootstrap().group(loop).channel(NioDatagramChannel.class).handler(new SimpleChannelInboundHandler<DatagramPacket>() {
       @Override
       protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
@@ -40,42 +40,42 @@
 
       @Override
       public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-        // A datagram that can't be sent or read is one less: the poll tells all the same.
+        // A lost datagram is harmless: the next poll finds the change.
       }
     }).bind(config.notifyAt());
     channel = bind.channel();
     bind.addListener(f -> {
       if (!f.isSuccess()) {
-        LOG.warning("no NOTIFY is heard at " + config.notifyAt() + ": " + f.cause().getMessage());
+        LOG.warning("can't receive NOTIFY at " + config.notifyAt() + ": " + f.cause().getMessage());
       }
     });
   }
 
   private void read(ChannelHandlerContext context, DatagramPacket packet) {
     ByteBuf content = packet.content();
-    byte[] octets = new byte[Math.min(Message.MAX_LENGTH, content.readableBytes())];
-    content.readBytes(octets);
+    byte[] bytes = new byte[Math.min(Message.MAX_LENGTH, content.readableBytes())];
+    content.readBytes(bytes);
     Message m;
     try {
-      m = Message.read(octets);
+      m = Message.read(bytes);
     } catch (MalformedException e) {
       return;
     }
     if (m.isResponse() || m.opcode() != Message.NOTIFY || m.question() == null) {
       return;
     }
-    boolean known = false;
+    boolean knownResolver = false;
     for (int i = 0; i < config.resolvers().size(); i++) {
       if (config.resolvers().get(i).address().getAddress().equals(packet.sender().getAddress())) {
-        known = true;
+        knownResolver = true;
         try {
-          told.accept(i, DnsSdConfig.text(new Name(m.question().name())));
+          listener.accept(i, DnsSdConfig.text(new Name(m.question().name())));
         } catch (java.io.IOException e) {
-          return; // The reader of messages has passed it.
+          return; // Cannot happen: Message.read has validated the name.
         }
       }
     }
-    if (known) {
+    if (knownResolver) {
       byte[] answer = Message.empty(m.id(), NOTIFY | Message.AA, Message.NOERROR, m.question(), null);
       context.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(answer), packet.sender()));
     }
--- a/dnssd/src/main/java/cloverpulley/dnssd/PublishConfig.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/PublishConfig.java
@@ -14,13 +14,13 @@
 import org.xbill.DNS.TextParseException;
 
 /**
- * What {@code [publish]} of an operators' file says: where and how the program registers itself.
+ * The section {@code [publish]} of an operators' file: where and how the process registers itself.
  *
- * @param primary takes updates of the zone
- * @param key signs them; null where the primary trusts addresses
- * @param port 0 for the one at which the program listens
- * @param text pairs of the instance's text record, beside those that the program knows itself
- * @param fleet whether the servers written under {@code [fleet]} are registered as well
+ * @param primary receives updates of the zone
+ * @param key signs updates; null if the primary authenticates by address
+ * @param port 0 for the port that the process listens on
+ * @param text additional pairs of the instance's TXT record
+ * @param fleet whether the servers configured under {@code [fleet]} are registered as well
  */
 public record PublishConfig(InetSocketAddress primary, Name zone, String service, String instance, Name target, InetAddress address,
     int port, int priority, int weight, long ttlSeconds, long leaseMillis, long withdrawMillis, TSIG key,
@@ -28,12 +28,12 @@
 
   private static final Map<String, Name> ALGORITHMS =
       Map.of("hmac-sha256", TSIG.HMAC_SHA256, "hmac-sha384", TSIG.HMAC_SHA384, "hmac-sha512", TSIG.HMAC_SHA512);
-  private static final int MOST_PAIR = 255;
+  private static final int MAX_PAIR_LENGTH = 255;
 
-  /** One server to be registered. */
+  /** A server to register. */
   record Registration(String instance, Name target, InetAddress address, int port, int priority, int weight, Map<String, String> text) {}
 
-  /** Reads the section. */
+  /** Reads the section and reports its errors. */
   public static PublishConfig read(Section s) {
     InetSocketAddress primary = s.address("primary", null);
     Name zone = name(s, "zone", s.text("zone"));
@@ -47,15 +47,15 @@
       s.wrong("instance", "expected 63 octets at most (RFC 6763, 4.1.1)");
       instance = "wrong";
     }
-    String host = s.text("target", "");
-    Name target = host.isEmpty() ? below(s, "instance", instance.toLowerCase(java.util.Locale.ROOT).replaceAll("[^a-z0-9-]", "-"), zone)
-        : name(s, "target", host);
+    String targetName = s.text("target", "");
+    Name target = targetName.isEmpty() ? child(s, "instance", instance.toLowerCase(java.util.Locale.ROOT).replaceAll("[^a-z0-9-]", "-"), zone)
+        : name(s, "target", targetName);
     InetSocketAddress address = s.address("address", "127.0.0.1:0");
     Map<String, String> text = new LinkedHashMap<>();
     for (String pair : s.texts("text", List.of())) {
       int equals = pair.indexOf('=');
-      if (equals < 1 || pair.getBytes(java.nio.charset.StandardCharsets.UTF_8).length > MOST_PAIR) {
-        s.wrong("text", "expected key=value of " + MOST_PAIR + " octets at most, got \"" + pair + '"');
+      if (equals < 1 || pair.getBytes(java.nio.charset.StandardCharsets.UTF_8).length > MAX_PAIR_LENGTH) {
+        s.wrong("text", "expected key=value of " + MAX_PAIR_LENGTH + " octets at most, got \"" + pair + '"');
       } else {
         text.put(pair.substring(0, equals), pair.substring(equals + 1));
       }
@@ -74,11 +74,11 @@
     }
   }
 
-  private static Name below(Section s, String key, String label, Name zone) {
+  private static Name child(Section s, String key, String label, Name zone) {
     try {
       return Name.fromString(label, zone);
     } catch (TextParseException e) {
-      s.wrong(key, "no name can be made of it: " + e.getMessage());
+      s.wrong(key, "expected a label for a domain name: " + e.getMessage());
       return zone;
     }
   }
@@ -94,19 +94,19 @@
       if (secret.length >= 16) {
         return new TSIG(algorithm, name, secret);
       }
-      s.wrong("tsig_secret", "expected 16 octets at least");
+      s.wrong("tsig_secret", "expected at least 16 bytes");
     } catch (IllegalArgumentException e) {
       s.wrong("tsig_secret", "expected base64");
     }
     return null;
   }
 
-  /** The service's own name. */
+  /** The name of the service in the zone. */
   Name serviceName() {
-    return below(service, zone);
+    return child(service, zone);
   }
 
-  private static Name below(String label, Name zone) {
+  private static Name child(String label, Name zone) {
     try {
       return Name.fromString(label, zone);
     } catch (TextParseException e) {
@@ -114,20 +114,20 @@
     }
   }
 
-  /** This program, listening there, started then. */
-  Registration self(int listening, long startedMillis) {
-    Map<String, String> all = new LinkedHashMap<>();
-    all.put("started", Long.toString(startedMillis));
-    all.put("phase", "ready");
-    all.putAll(text);
-    return new Registration(instance, target, address, port == 0 ? listening : port, priority, weight, all);
+  /** The registration of this process. */
+  Registration self(int listenPort, long startedMillis) {
+    Map<String, String> pairs = new LinkedHashMap<>();
+    pairs.put("started", Long.toString(startedMillis));
+    pairs.put("phase", "ready");
+    pairs.putAll(text);
+    return new Registration(instance, target, address, port == 0 ? listenPort : port, priority, weight, pairs);
   }
 
-  /** The servers of a written list. */
-  List<Registration> servers(List<Server> servers) {
+  /** The registrations of configured servers. */
+  List<Registration> registrations(List<Server> servers) {
     List<Registration> all = new ArrayList<>();
     for (Server s : servers) {
-      InetSocketAddress at = (InetSocketAddress) s.address();
+      InetSocketAddress socketAddress = (InetSocketAddress) s.address();
       Map<String, String> pairs = new LinkedHashMap<>();
       pairs.put("locality", s.zone());
       pairs.put("cell", Integer.toString(s.cell()));
@@ -136,8 +136,8 @@
       if (s.upSinceMillis() > 0) {
         pairs.put("started", Long.toString(s.upSinceMillis()));
       }
-      Name host = below(s.id().toLowerCase(java.util.Locale.ROOT).replaceAll("[^a-z0-9-]", "-"), zone);
-      all.add(new Registration(s.id(), host, at.getAddress(), at.getPort(), 0, 0, pairs));
+      Name targetName = child(s.id().toLowerCase(java.util.Locale.ROOT).replaceAll("[^a-z0-9-]", "-"), zone);
+      all.add(new Registration(s.id(), targetName, socketAddress.getAddress(), socketAddress.getPort(), 0, 0, pairs));
     }
     return all;
   }
--- a/dnssd/src/main/java/cloverpulley/dnssd/Publisher.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Publisher.java
@@ -24,18 +24,19 @@
 import org.xbill.DNS.Type;
 
 /**
- * Keeps servers registered with a zone's primary for as long as the program runs: updates go over TCP, signed where there is a key,
- * and an answer that is not signed by it counts as none. Has a thread of its own; when what is done is {@link RegistrationLease}'s.
+ * Keeps servers registered with a zone's primary for as long as the process runs. Updates are sent over TCP and signed if a key is
+ * configured; an answer without a valid signature counts as a failure. Runs on its own thread; {@link RegistrationLease} schedules
+ * registrations, renewals and the withdrawal.
  */
 public final class Publisher implements AutoCloseable {
 
   private static final Logger LOG = Logger.getLogger(Publisher.class.getName());
 
   private static final long TICK_MILLIS = 10;
-  private static final long ASK_MILLIS = 3000;
+  private static final long UPDATE_TIMEOUT_MILLIS = 3000;
   private static final long BACK_OFF_MILLIS = 500;
-  private static final long MOST_BACK_OFF_MILLIS = 10_000;
-  private static final long CLOSE_MILLIS = 1000;
+  private static final long MAX_BACK_OFF_MILLIS = 10_000;
+  private static final long CLOSE_TIMEOUT_MILLIS = 1000;
 
   private final PublishConfig config;
   private final List<Registration> servers;
@@ -43,88 +44,88 @@
   private final EventLoop loop = group.next();
   private final Clock clock = new Clock();
   private final RegistrationLease lease;
-  private final CountDownLatch first = new CountDownLatch(1);
-  private final CountDownLatch over = new CountDownLatch(1);
+  private final CountDownLatch firstRegistration = new CountDownLatch(1);
+  private final CountDownLatch finished = new CountDownLatch(1);
   private DnsClient client;
   private boolean failing;
 
   private Publisher(PublishConfig config, List<Registration> servers, long seed) {
     this.config = config;
     this.servers = List.copyOf(servers);
-    lease = new RegistrationLease(now(), config.leaseMillis(), BACK_OFF_MILLIS, MOST_BACK_OFF_MILLIS, seed);
+    lease = new RegistrationLease(now(), config.leaseMillis(), BACK_OFF_MILLIS, MAX_BACK_OFF_MILLIS, seed);
   }
 
-  /** Begins to register the program itself. */
-  public static Publisher self(PublishConfig config, int listening, long startedMillis, List<cloverpulley.engine.ServerList.Server> fleet) {
-    List<Registration> all = new java.util.ArrayList<>();
-    all.add(config.self(listening, startedMillis));
+  /** Starts registering this process, and the configured fleet if {@link PublishConfig#fleet} is set. */
+  public static Publisher self(PublishConfig config, int listenPort, long startedMillis, List<cloverpulley.engine.ServerList.Server> fleet) {
+    List<Registration> registrations = new java.util.ArrayList<>();
+    registrations.add(config.self(listenPort, startedMillis));
     if (config.fleet()) {
-      all.addAll(config.servers(fleet));
+      registrations.addAll(config.registrations(fleet));
     }
-    return start(config, all);
+    return start(config, registrations);
   }
 
-  /** Begins to register servers. */
+  /** Starts registering the given servers. */
   static Publisher start(PublishConfig config, List<Registration> servers) {
-    Publisher p = new Publisher(config, servers, new java.security.SecureRandom().nextLong());
-    p.loop.execute(p::wire);
-    return p;
+    Publisher publisher = new Publisher(config, servers, new java.security.SecureRandom().nextLong());
+    publisher.loop.execute(publisher::open);
+    return publisher;
   }
 
-  private void wire() {
-    client = new DnsClient(loop, clock, new ClientConfig(1, 1000, 16, 20, 1232, 2, 16, TimeUnit.MILLISECONDS.toNanos(CLOSE_MILLIS),
+  private void open() {
+    client = new DnsClient(loop, clock, new ClientConfig(1, 1000, 16, 20, 1232, 2, 16, TimeUnit.MILLISECONDS.toNanos(CLOSE_TIMEOUT_MILLIS),
         TimeUnit.SECONDS.toNanos(5), TimeUnit.SECONDS.toNanos(5), TimeUnit.SECONDS.toNanos(1), false, TimeUnit.MINUTES.toNanos(15)));
-    loop.scheduleWithFixedDelay(this::turn, 0, TICK_MILLIS, TimeUnit.MILLISECONDS);
+    loop.scheduleWithFixedDelay(this::tick, 0, TICK_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   private long now() {
     return TimeUnit.NANOSECONDS.toMillis(clock.now());
   }
 
-  private void turn() {
-    Action todo = lease.nextAction(now());
+  private void tick() {
+    Action action = lease.nextAction(now());
     if (lease.isFinished()) {
-      over.countDown();
-    } else if (todo != Action.NOTHING) {
-      send(todo);
+      finished.countDown();
+    } else if (action != Action.NOTHING) {
+      send(action);
     }
   }
 
-  private void send(Action todo) {
-    Message update = todo == Action.REGISTER ? UpdateMessage.register(config, servers) : UpdateMessage.withdraw(config, servers);
+  private void send(Action action) {
+    Message update = action == Action.REGISTER ? UpdateMessage.register(config, servers) : UpdateMessage.withdraw(config, servers);
     if (config.key() != null) {
       config.key().apply(update, null);
     }
-    byte[] raw = update.toWire();
+    byte[] wire = update.toWire();
     Question zone = new Question(config.zone().toWire(), Type.SOA, DClass.IN);
-    UpstreamQuery.Spec asked = new UpstreamQuery.Spec(raw, zone, 0, false, true);
-    client.query(0, config.primary(), asked, TimeUnit.MILLISECONDS.toNanos(ASK_MILLIS), (status, answer, why) -> {
-      String wrong = status == Status.SERVED ? refusal(update, answer.bytes()) : why;
-      if (wrong != null) {
+    UpstreamQuery.Spec spec = new UpstreamQuery.Spec(wire, zone, 0, false, true);
+    client.query(0, config.primary(), spec, TimeUnit.MILLISECONDS.toNanos(UPDATE_TIMEOUT_MILLIS), (status, answer, failure) -> {
+      String error = status == Status.SERVED ? verifyAnswer(update, answer.bytes()) : failure;
+      if (error != null) {
         lease.failed(now());
         if (!failing) {
-          LOG.warning("dns-sd: " + todo.name().toLowerCase(java.util.Locale.ROOT) + " at " + config.primary() + " failed: " + wrong);
+          LOG.warning("dns-sd: " + action.name().toLowerCase(java.util.Locale.ROOT) + " at " + config.primary() + " failed: " + error);
         }
         failing = true;
         return;
       }
-      lease.succeeded(now(), granted(answer.bytes()));
-      if (failing || first.getCount() > 0) {
+      lease.succeeded(now(), grantedMillis(answer.bytes()));
+      if (failing || firstRegistration.getCount() > 0) {
         LOG.info(() -> "dns-sd: " + servers.size() + " servers registered at " + config.primary());
       }
       failing = false;
-      first.countDown();
-      turn();
+      firstRegistration.countDown();
+      tick();
     });
   }
 
-  private String refusal(Message update, byte[] octets) {
+  private String verifyAnswer(Message update, byte[] bytes) {
     try {
-      Message answer = new Message(octets);
+      Message answer = new Message(bytes);
       if (config.key() != null) {
-        int verified = config.key().verify(answer, octets, update.getTSIG());
+        int verified = config.key().verify(answer, bytes, update.getTSIG());
         if (verified != Rcode.NOERROR) {
-          return "its answer is not signed by the key: " + Rcode.TSIGstring(verified);
+          return "the answer has no valid signature by the key: " + Rcode.TSIGstring(verified);
         }
       }
       return answer.getRcode() == Rcode.NOERROR ? null : Rcode.string(answer.getRcode());
@@ -133,28 +134,28 @@
     }
   }
 
-  private static long granted(byte[] octets) {
+  private static long grantedMillis(byte[] bytes) {
     try {
-      return UpdateMessage.granted(new Message(octets));
+      return UpdateMessage.grantedMillis(new Message(bytes));
     } catch (IOException e) {
-      return 0; // It has been read just now.
+      return 0; // Cannot happen: it was parsed before.
     }
   }
 
-  /** Waits until it has been registered once; whether it has. */
+  /** Waits for the first successful registration; returns false on timeout. */
   public boolean awaitRegistered(long millis) throws InterruptedException {
-    return first.await(millis, TimeUnit.MILLISECONDS);
+    return firstRegistration.await(millis, TimeUnit.MILLISECONDS);
   }
 
-  /** Withdraws, and returns once the primary has done so or the time for that is over. */
+  /** Withdraws the registration; returns once the primary has confirmed it or the withdrawal deadline has passed. */
   public void withdraw() throws InterruptedException {
     loop.execute(() -> lease.withdraw(now(), now() + config.withdrawMillis()));
-    if (!over.await(config.withdrawMillis() + CLOSE_MILLIS, TimeUnit.MILLISECONDS) || failing) {
-      LOG.warning("dns-sd: not withdrawn in time, the lease runs out by itself");
+    if (!finished.await(config.withdrawMillis() + CLOSE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS) || failing) {
+      LOG.warning("dns-sd: not withdrawn in time, the registration stays until its lease expires");
     }
   }
 
-  /** Ends at once, registered or not. */
+  /** Closes at once without withdrawing the registration. */
   @Override
   public void close() {
     loop.execute(() -> {
@@ -162,6 +163,6 @@
         client.close();
       }
     });
-    group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(CLOSE_MILLIS);
+    group.shutdownGracefully(0, 1, TimeUnit.SECONDS).awaitUninterruptibly(CLOSE_TIMEOUT_MILLIS);
   }
 }
--- a/dnssd/src/main/java/cloverpulley/dnssd/Push.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Push.java
@@ -34,9 +34,9 @@
 import org.xbill.DNS.Type;
 
 /**
- * A push session with one resolver (RFC 8765). What it takes away is handed on as it is: an instance that leaves the list, a text
- * that says that it drains. All else is a hint: what it speaks of is asked for. A server that does not speak it is asked again
- * after a while, and polled meanwhile as if there were none.
+ * A DNS push session with one resolver (RFC 8765). Changes that withdraw a server are reported as pushed: an instance removed from the
+ * list, a TXT record that marks it as draining. All other changes are hints, and the affected records are queried. A server without
+ * push support is retried with back-off, and polled as usual meanwhile.
  */
 final class Push implements AutoCloseable {
 
@@ -46,19 +46,19 @@
   private static final long TICK_MILLIS = 20;
   private static final int CONNECT_MILLIS = 2000;
   private static final long BACK_OFF_MILLIS = 500;
-  private static final long MOST_BACK_OFF_MILLIS = 60_000;
-  /** What a server that says nothing of it is taken to want (RFC 8490, 6.2). */
+  private static final long MAX_BACK_OFF_MILLIS = 60_000;
+  /** The keepalive interval assumed until the server sends one (RFC 8490, 6.2). */
   private static final long KEEPALIVE_MILLIS = 15_000;
-  private static final long LEAST_KEEPALIVE_MILLIS = 10;
-  /** A server that does not answer a request within this has gone silent. */
-  private static final long ANSWER_MILLIS = 5000;
-  private static final int MOST_PENDING = 256;
-  private static final int ANY = 255;
+  private static final long MIN_KEEPALIVE_MILLIS = 10;
+  /** A session on which a request is not answered within this time is closed. */
+  private static final long RESPONSE_TIMEOUT_MILLIS = 5000;
+  private static final int MAX_PENDING = 256;
+  private static final int TYPE_ANY = 255;
 
-  private record Subject(String name, int type) {}
+  private record Subscription(String name, int type) {}
 
   private final EventLoop loop;
-  private final int number;
+  private final int resolverIndex;
   private final ResolverAddress resolver;
   private final DnsSdConfig config;
   private final Reader reader;
@@ -66,56 +66,56 @@
   private final LongSupplier clock;
   private final RefreshScheduler<String> sessions;
   private final Future<?> tick;
-  private final Map<Integer, Subject> pending = new HashMap<>();
-  private final Map<Subject, Integer> subscribed = new HashMap<>();
-  private final Set<Subject> refused = new HashSet<>();
+  private final Map<Integer, Subscription> pending = new HashMap<>();
+  private final Map<Subscription, Integer> subscribed = new HashMap<>();
+  private final Set<Subscription> rejected = new HashSet<>();
   private Channel channel;
   private boolean connecting;
   private boolean established;
-  private int nextId = 1;
-  private long wroteAt;
-  private long heardAt;
+  private int lastMessageId = 1;
+  private long lastWriteAt;
+  private long lastReadAt;
   private long keepaliveMillis = KEEPALIVE_MILLIS;
   private boolean closed;
 
-  Push(EventLoop loop, int number, ResolverAddress resolver, DnsSdConfig config, Reader reader, Consumer<Observation> sink,
+  Push(EventLoop loop, int resolverIndex, ResolverAddress resolver, DnsSdConfig config, Reader reader, Consumer<Observation> sink,
       LongSupplier clock) {
     this.loop = loop;
-    this.number = number;
+    this.resolverIndex = resolverIndex;
     this.resolver = resolver;
     this.config = config;
     this.reader = reader;
     this.sink = sink;
     this.clock = clock;
-    sessions = new RefreshScheduler<>(clock.getAsLong(), 1, Long.MAX_VALUE, BACK_OFF_MILLIS, MOST_BACK_OFF_MILLIS, number);
+    sessions = new RefreshScheduler<>(clock.getAsLong(), 1, Long.MAX_VALUE, BACK_OFF_MILLIS, MAX_BACK_OFF_MILLIS, resolverIndex);
     sessions.addIfAbsent(clock.getAsLong(), SESSION);
-    tick = loop.scheduleWithFixedDelay(this::turn, 0, TICK_MILLIS, TimeUnit.MILLISECONDS);
+    tick = loop.scheduleWithFixedDelay(this::onTick, 0, TICK_MILLIS, TimeUnit.MILLISECONDS);
   }
 
-  /** Whether the server has agreed to push at least one list. */
+  /** Whether the server has accepted at least one subscription. */
   boolean isEstablished() {
     return established;
   }
 
-  private void turn() {
+  private void onTick() {
     long now = clock.getAsLong();
     sessions.forEachDue(now, s -> connect());
     if (channel == null || connecting) {
       return;
     }
-    if (!pending.isEmpty() && now - Math.max(heardAt, wroteAt) > ANSWER_MILLIS) {
-      over("no answer");
+    if (!pending.isEmpty() && now - Math.max(lastReadAt, lastWriteAt) > RESPONSE_TIMEOUT_MILLIS) {
+      endSession("no response in time");
       return;
     }
     subscribe();
-    if (established && now - wroteAt >= keepaliveMillis) {
-      write(Dso.message(id(), Dso.KEEPALIVE, Dso.keepalive(KEEPALIVE_MILLIS, KEEPALIVE_MILLIS)), null);
+    if (established && now - lastWriteAt >= keepaliveMillis) {
+      write(Dso.message(nextMessageId(), Dso.KEEPALIVE, Dso.keepalive(KEEPALIVE_MILLIS, KEEPALIVE_MILLIS)), null);
     }
   }
 
-  private int id() {
-    nextId = nextId == 0xFFFF ? 1 : nextId + 1;
-    return nextId;
+  private int nextMessageId() {
+    lastMessageId = lastMessageId == 0xFFFF ? 1 : lastMessageId + 1;
+    return lastMessageId;
   }
 
   private void connect() {
@@ -136,7 +136,7 @@
             if (context != null) {
               c.pipeline().addLast(context.newHandler(c.alloc(), resolver.pushName(), resolver.pushAddress().getPort()));
             }
-            c.pipeline().addLast(new LengthFieldBasedFrameDecoder(Message.MAX_LENGTH + 2, 0, 2, 0, 2), new Incoming());
+            c.pipeline().addLast(new LengthFieldBasedFrameDecoder(Message.MAX_LENGTH + 2, 0, 2, 0, 2), new MessageHandler());
           }
         }).connect(resolver.pushAddress()).addListener((io.netty.channel.ChannelFuture f) -> {
           connecting = false;
@@ -146,35 +146,35 @@
             return;
           }
           channel = f.channel();
-          wroteAt = clock.getAsLong();
-          heardAt = wroteAt;
+          lastWriteAt = clock.getAsLong();
+          lastReadAt = lastWriteAt;
           subscribe();
         });
   }
 
-  /** Subscribes to what is listed now, and ends what isn't listed any more. */
+  /** Subscribes to the browses and the instances listed now, and unsubscribes from those no longer listed. */
   private void subscribe() {
-    Set<Subject> wanted = new HashSet<>();
+    Set<Subscription> wanted = new HashSet<>();
     for (Browse b : config.browses()) {
-      wanted.add(new Subject(b.name(), Type.PTR));
+      wanted.add(new Subscription(b.name(), Type.PTR));
       if (established) {
-        reader.listed(b.name()).forEach(n -> wanted.add(new Subject(n, ANY)));
+        reader.listed(b.name()).forEach(n -> wanted.add(new Subscription(n, TYPE_ANY)));
       }
     }
-    for (Subject s : Set.copyOf(subscribed.keySet())) {
+    for (Subscription s : Set.copyOf(subscribed.keySet())) {
       if (!wanted.contains(s)) {
-        byte[] which = new byte[2];
-        Message.put16(which, 0, subscribed.remove(s));
-        write(Dso.message(0, Dso.UNSUBSCRIBE, which), null);
+        byte[] messageId = new byte[2];
+        Message.put16(messageId, 0, subscribed.remove(s));
+        write(Dso.message(0, Dso.UNSUBSCRIBE, messageId), null);
       }
     }
-    refused.retainAll(wanted);
-    for (Subject s : wanted) {
-      if (pending.size() >= MOST_PENDING) {
+    rejected.retainAll(wanted);
+    for (Subscription s : wanted) {
+      if (pending.size() >= MAX_PENDING) {
         return;
       }
-      if (!subscribed.containsKey(s) && !refused.contains(s) && !pending.containsValue(s)) {
-        int id = id();
+      if (!subscribed.containsKey(s) && !rejected.contains(s) && !pending.containsValue(s)) {
+        int id = nextMessageId();
         if (!pending.containsKey(id) && !subscribed.containsValue(id)) {
           write(Dso.message(id, Dso.SUBSCRIBE, Dso.question(s.name, s.type)), s);
         }
@@ -182,57 +182,57 @@
     }
   }
 
-  private void write(byte[] message, Subject subject) {
+  private void write(byte[] message, Subscription subscription) {
     byte[] length = {(byte) (message.length >> 8), (byte) message.length};
-    if (subject != null) {
-      pending.put(Message.get16(message, 0), subject);
+    if (subscription != null) {
+      pending.put(Message.get16(message, 0), subscription);
     }
-    wroteAt = clock.getAsLong();
+    lastWriteAt = clock.getAsLong();
     channel.writeAndFlush(Unpooled.wrappedBuffer(length, message));
   }
 
-  private void over(String why) {
+  private void endSession(String reason) {
     if (channel == null) {
       return;
     }
-    LOG.fine(() -> "push from " + resolver.pushAddress() + " is over: " + why);
+    LOG.fine(() -> "push from " + resolver.pushAddress() + " ended: " + reason);
     Channel old = channel;
     channel = null;
-    boolean was = established;
+    boolean wasEstablished = established;
     established = false;
     pending.clear();
     subscribed.clear();
-    refused.clear();
+    rejected.clear();
     old.close();
     if (!closed) {
       sessions.failed(clock.getAsLong(), SESSION);
-      if (was) {
-        // What changed since is not known: asked for at once.
-        reader.zones().forEach(z -> reader.changed(clock.getAsLong(), z));
+      if (wasEstablished) {
+        // Changes may have been missed: everything is queried at once.
+        reader.zones().forEach(z -> reader.zoneChanged(clock.getAsLong(), z));
       }
     }
   }
 
-  private final class Incoming extends SimpleChannelInboundHandler<ByteBuf> {
+  private final class MessageHandler extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
       if (context.channel() != channel) {
         return;
       }
-      byte[] octets = new byte[frame.readableBytes()];
-      frame.readBytes(octets);
-      heardAt = clock.getAsLong();
+      byte[] bytes = new byte[frame.readableBytes()];
+      frame.readBytes(bytes);
+      lastReadAt = clock.getAsLong();
       try {
-        read(Dso.read(octets));
+        handleMessage(Dso.read(bytes));
       } catch (MalformedException e) {
-        over(e.getMessage()); // RFC 8490, 5.4: a session with an error in it is aborted.
+        endSession(e.getMessage()); // RFC 8490, 5.4: a malformed message is fatal to the session.
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
       if (context.channel() == channel) {
-        over("closed");
+        endSession("closed");
       }
     }
 
@@ -242,59 +242,59 @@
     }
   }
 
-  private void read(Dso.Read m) throws MalformedException {
+  private void handleMessage(Dso.DsoMessage m) throws MalformedException {
     if (m.response()) {
-      Subject s = pending.remove(m.id());
+      Subscription s = pending.remove(m.id());
       if (m.type() == Dso.KEEPALIVE) {
-        keepalive(m.value());
+        handleKeepalive(m.value());
       }
       if (s != null && m.rcode() == 0) {
         subscribed.put(s, m.id());
         if (!established) {
           established = true;
           sessions.resetBackOff(SESSION);
-          reader.zones().forEach(z -> reader.changed(clock.getAsLong(), z));
+          reader.zones().forEach(z -> reader.zoneChanged(clock.getAsLong(), z));
         }
       } else if (s != null) {
-        refused.add(s);
+        rejected.add(s);
         if (!established) {
-          over("the server does not push: " + m.rcode());
+          endSession("subscription rejected, rcode " + m.rcode());
         }
       }
     } else if (m.type() == Dso.PUSH && m.id() == 0) {
       for (Dso.PushedRecord r : Dso.changes(m)) {
-        pushed(r);
+        handleChange(r);
       }
     } else if (m.type() == Dso.KEEPALIVE) {
-      keepalive(m.value());
+      handleKeepalive(m.value());
     } else if (m.type() == Dso.RETRY_DELAY) {
-      over("the server wants to be left alone");
+      endSession("the server requested a retry delay");
     } else if (m.id() != 0) {
       write(Dso.answer(m.id(), Dso.DSOTYPENI), null);
     }
   }
 
-  private void keepalive(byte[] value) throws MalformedException {
-    keepaliveMillis = Math.max(LEAST_KEEPALIVE_MILLIS, Dso.get32(value, 4));
+  private void handleKeepalive(byte[] value) throws MalformedException {
+    keepaliveMillis = Math.max(MIN_KEEPALIVE_MILLIS, Dso.get32(value, 4));
   }
 
-  private void pushed(Dso.PushedRecord r) {
+  private void handleChange(Dso.PushedRecord r) {
     long now = clock.getAsLong();
     boolean browse = config.browses().stream().anyMatch(b -> b.name().equals(r.name()));
     if (browse && r.removed() && r.target() != null) {
-      sink.accept(new Observation.Pushed(number, r.name(), r.target(), false));
-      reader.changedList(now, r.name());
+      sink.accept(new Observation.Pushed(resolverIndex, r.name(), r.target(), false));
+      reader.browseChanged(now, r.name());
     } else if (browse) {
-      reader.changedList(now, r.name());
+      reader.browseChanged(now, r.name());
     } else {
-      if (r.type() == Type.TXT && !r.removed() && reader.knows(r.name())) {
+      if (r.type() == Type.TXT && !r.removed() && reader.isListed(r.name())) {
         Map<String, String> pairs = TextKeys.pairs(r.strings());
         if (config.keys().parse(pairs).draining()) {
-          sink.accept(new Observation.TextRecord(number, r.name(), pairs));
+          sink.accept(new Observation.TextRecord(resolverIndex, r.name(), pairs));
         }
       }
-      reader.changedInstance(now, r.name());
-      reader.changedTarget(now, r.name());
+      reader.instanceChanged(now, r.name());
+      reader.targetChanged(now, r.name());
     }
   }
 
--- a/dnssd/src/main/java/cloverpulley/dnssd/Reader.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Reader.java
@@ -35,30 +35,30 @@
 import org.xbill.DNS.Type;
 
 /**
- * Asks one resolver for all that is browsed, and words its answers. An instance's service and text are handed on together, and
- * after the addresses of its target: half of a new server beside half of an old one would be a third that never was. A text that
- * says that it drains is handed on at once.
+ * Queries one resolver for all configured browses and reports its answers as observations. The SRV and TXT records of an instance are
+ * reported together, and after the addresses of its targets: old and new records mixed would describe a server that never existed. A TXT
+ * record that marks the instance as draining is reported at once.
  *
- * <p>Where the resolver is the zone's primary or a secondary (its answers are authoritative), nothing is asked again while the
- * zone's serial stays; where the serial grows, all of the zone is.
+ * <p>If the resolver is the zone's primary or a secondary (its answers are authoritative), no record is queried again while the zone's
+ * serial is unchanged; when the serial changes, the whole zone is.
  */
 final class Reader {
 
-  /** The list is asked again once a serial has not been confirmed for so many polls. */
-  private static final int POLLS_SURE = 3;
-  /** A missing text is done without after so many failures. */
-  private static final int TEXT_FAILURES = 3;
-  /** Without an answer to this many queries in a row nothing is asked but the serial. */
-  private static final int DOWN_AFTER = 3;
-  /** A TTL of which four fifths are the poll: refreshes come at that part. */
-  private static final double POLL_TTL = 1.25;
+  /** Records are queried again once the serial has not been confirmed for this many poll intervals. */
+  private static final int SERIAL_VALID_POLLS = 3;
+  /** After this many failed attempts an instance is reported without its TXT record. */
+  private static final int MAX_TXT_FAILURES = 3;
+  /** After this many consecutive queries without an answer only the serial is queried. */
+  private static final int UNRESPONSIVE_AFTER = 3;
+  /** TTL per poll interval: records are refreshed at 80% of their TTL, which is then one poll interval. */
+  private static final double POLL_TTL_FACTOR = 1.25;
 
   private static final class Zone {
     long serial = -1;
-    /** The newest that was seen: an older one after it may be a zone made anew, whose answers have to be told again. */
-    long newest = -1;
+    /** The newest serial seen. An older one after it may be a recreated zone, whose answers have to be reported again. */
+    long newestSerial = -1;
     boolean authoritative;
-    long verifiedAt = Long.MIN_VALUE / 2;
+    long serialConfirmedAt = Long.MIN_VALUE / 2;
     final List<Browse> browses = new ArrayList<>();
   }
 
@@ -67,13 +67,13 @@
     final String zone;
     List<SrvRecord> services;
     Map<String, String> pairs;
-    int open;
+    int inFlight;
     int failures;
     long ttl;
-    long asked;
+    long querySerial;
     long serial = -1;
-    /** Its parts wait for the addresses of these. */
-    final Set<String> waitsFor = new HashSet<>();
+    /** The targets whose addresses must be known before the instance is reported. */
+    final Set<String> pendingTargets = new HashSet<>();
 
     Instance(String zone) {
       this.zone = zone;
@@ -81,23 +81,23 @@
   }
 
   private static final class Target {
-    final Set<String> users = new LinkedHashSet<>();
-    final Map<Boolean, List<String>> figures = new HashMap<>();
-    int open;
-    int got;
+    final Set<String> referrers = new LinkedHashSet<>();
+    final Map<Boolean, List<String>> addresses = new HashMap<>();
+    int inFlight;
+    int answers;
     long ttl;
     long serial = -1;
-    long serialAsked = -1;
+    long querySerial = -1;
   }
 
-  /** What came of asking so far; owned by the loop. */
+  /** Query counters; owned by the event loop. */
   static final class Counts {
     long queries;
     long failures;
-    long saved;
+    long skipped;
   }
 
-  private final int number;
+  private final int resolver;
   private final InetSocketAddress address;
   private final DnsSdConfig config;
   private final DnsClient client;
@@ -109,17 +109,17 @@
   private final Map<String, Long> listSerials = new HashMap<>();
   private final Map<String, Instance> instances = new HashMap<>();
   private final Map<String, Target> targets = new HashMap<>();
-  private final ArrayDeque<RefreshKey> first = new ArrayDeque<>();
+  private final ArrayDeque<RefreshKey> urgent = new ArrayDeque<>();
   private final ArrayDeque<RefreshKey> queue = new ArrayDeque<>();
   private final Counts counts = new Counts();
-  private int open;
-  private int silent;
-  private boolean pumping;
+  private int inFlight;
+  private int consecutiveFailures;
+  private boolean sending;
   private long now;
 
-  Reader(int number, InetSocketAddress address, DnsSdConfig config, DnsClient client, long startMillis, long seed,
+  Reader(int resolver, InetSocketAddress address, DnsSdConfig config, DnsClient client, long startMillis, long seed,
       Consumer<Observation> sink) {
-    this.number = number;
+    this.resolver = resolver;
     this.address = address;
     this.config = config;
     this.client = client;
@@ -139,75 +139,75 @@
     return counts;
   }
 
-  /** Asks what is due. */
-  void turn(long millis) {
+  /** Sends the queries that are due. */
+  void tick(long millis) {
     now = millis;
-    refresh.forEachDue(now, this::due);
-    pump();
+    refresh.forEachDue(now, this::onDue);
+    sendQueued();
   }
 
-  /** Something has changed in a zone, or may have: all of it is asked for. */
-  void changed(long millis, String zone) {
+  /** Refreshes a whole zone that has, or may have, changed. */
+  void zoneChanged(long millis, String zone) {
     now = millis;
     Zone z = zones.get(zone);
     if (z != null) {
       refresh.refreshNow(now, RefreshKey.serial(zone));
-      hurry(z);
-      turn(millis);
+      refreshAll(z);
+      tick(millis);
     }
   }
 
-  /** Whether all instances that it knows have been asked for once, or it gets no answers. */
-  boolean isIdle() {
-    return isDown() || instances.values().stream().noneMatch(i -> i.services == null && i.failures == 0 || !i.waitsFor.isEmpty());
+  /** Whether every known instance has been queried once, or the resolver does not respond. */
+  boolean isInitialReadComplete() {
+    return isUnresponsive() || instances.values().stream().noneMatch(i -> i.services == null && i.failures == 0 || !i.pendingTargets.isEmpty());
   }
 
-  /** The zones that are read here. */
+  /** The zones that are read from this resolver. */
   Set<String> zones() {
     return zones.keySet();
   }
 
-  /** One instance may have changed. */
-  void changedInstance(long millis, String name) {
+  /** Refreshes an instance that may have changed. */
+  void instanceChanged(long millis, String name) {
     now = millis;
     if (instances.containsKey(name)) {
-      instances.get(name).serial = -1; // Asked for whatever the serial was.
+      instances.get(name).serial = -1; // Forces the query even if the zone's serial is unchanged.
       refresh.refreshNow(now, RefreshKey.instance(name));
-      turn(millis);
+      tick(millis);
     }
   }
 
-  /** The addresses of a target may have changed. */
-  void changedTarget(long millis, String name) {
+  /** Refreshes the addresses of a target, which may have changed. */
+  void targetChanged(long millis, String name) {
     now = millis;
     if (targets.containsKey(name)) {
       targets.get(name).serial = -1;
       refresh.refreshNow(now, RefreshKey.target(name));
-      turn(millis);
+      tick(millis);
     }
   }
 
-  /** The list of a browse may have changed. */
-  void changedList(long millis, String browse) {
+  /** Refreshes the instance list of a browse, which may have changed. */
+  void browseChanged(long millis, String browse) {
     now = millis;
     if (browses.containsKey(browse)) {
       listSerials.put(browse, -1L);
       refresh.refreshNow(now, RefreshKey.browse(browse));
-      turn(millis);
+      tick(millis);
     }
   }
 
-  /** Whether an instance is on one of its lists. */
-  boolean knows(String instance) {
+  /** Whether the resolver lists the instance for any browse. */
+  boolean isListed(String instance) {
     return instances.containsKey(instance);
   }
 
-  /** The list of a browse, as it was last told. */
+  /** The instances of a browse in the resolver's last answer. */
   Set<String> listed(String browse) {
     return listed.getOrDefault(browse, Set.of());
   }
 
-  private void hurry(Zone z) {
+  private void refreshAll(Zone z) {
     for (Browse b : z.browses) {
       refresh.refreshNow(now, RefreshKey.browse(b.name()));
       for (String name : listed.getOrDefault(b.name(), Set.of())) {
@@ -220,22 +220,22 @@
     }
   }
 
-  private boolean isDown() {
-    return silent >= DOWN_AFTER;
+  private boolean isUnresponsive() {
+    return consecutiveFailures >= UNRESPONSIVE_AFTER;
   }
 
-  private void due(RefreshKey key) {
+  private void onDue(RefreshKey key) {
     Zone z = zoneOf(key);
-    if (key.kind() != RefreshKey.Kind.SERIAL && isDown()) {
+    if (key.kind() != RefreshKey.Kind.SERIAL && isUnresponsive()) {
       if (key.kind() == RefreshKey.Kind.BROWSE) {
-        sink.accept(new BrowseFailed(number, key.name()));
+        sink.accept(new BrowseFailed(resolver, key.name()));
       }
-      refresh.failed(now, key); // The serial tells when it is back.
-    } else if (z != null && key.kind() != RefreshKey.Kind.SERIAL && isSame(z, key)) {
-      counts.saved++;
+      refresh.failed(now, key); // The serial query detects when the resolver responds again.
+    } else if (z != null && key.kind() != RefreshKey.Kind.SERIAL && isCurrent(z, key)) {
+      counts.skipped++;
       refresh.answered(now, key, ttlOf(key));
     } else if (key.kind() == RefreshKey.Kind.SERIAL || key.kind() == RefreshKey.Kind.BROWSE) {
-      first.add(key);
+      urgent.add(key);
     } else {
       queue.add(key);
     }
@@ -251,15 +251,16 @@
     };
   }
 
-  /** Whether what was heard of it is from the zone as it still is. */
-  private boolean isSame(Zone z, RefreshKey key) {
+  /** Whether the last answer for this key comes from the zone's current serial, and that serial was confirmed recently. */
+  private boolean isCurrent(Zone z, RefreshKey key) {
     long serial = switch (key.kind()) {
       case BROWSE -> listSerials.getOrDefault(key.name(), -1L);
       case INSTANCE -> instances.get(key.name()).serial;
       case TARGET -> targets.containsKey(key.name()) ? targets.get(key.name()).serial : -1;
       case SERIAL -> -1;
     };
-    return z.authoritative && !Serial.isOlder(z.serial, z.newest) && serial >= 0 && serial == z.serial && now - z.verifiedAt < POLLS_SURE * config.pollMillis();
+    return z.authoritative && !Serial.isOlder(z.serial, z.newestSerial) && serial >= 0 && serial == z.serial
+        && now - z.serialConfirmedAt < SERIAL_VALID_POLLS * config.pollMillis();
   }
 
   private long ttlOf(RefreshKey key) {
@@ -270,59 +271,59 @@
     };
   }
 
-  // ---- Asking --------------------------------------------------------------------------------------------
+  // ---- Queries -------------------------------------------------------------------------------------------
 
-  private void pump() {
-    if (pumping) {
-      return; // An answer may come from within a question: what is left is asked by the loop below.
+  private void sendQueued() {
+    if (sending) {
+      return; // A query may complete synchronously; the loop below sends what is still queued.
     }
-    pumping = true;
-    while (open < config.inFlight() && !(first.isEmpty() && queue.isEmpty())) {
-      RefreshKey key = first.isEmpty() ? queue.poll() : first.poll();
+    sending = true;
+    while (inFlight < config.inFlight() && !(urgent.isEmpty() && queue.isEmpty())) {
+      RefreshKey key = urgent.isEmpty() ? queue.poll() : urgent.poll();
       switch (key.kind()) {
-        case SERIAL -> ask(key.name(), Type.SOA, (a, why) -> onSerial(key, a));
+        case SERIAL -> sendQuery(key.name(), Type.SOA, (a, error) -> onSerial(key, a));
         case BROWSE -> {
           long serial = zones.get(browses.get(key.name()).zone()).serial;
-          ask(key.name(), Type.PTR, (a, why) -> onBrowse(key, a, serial));
+          sendQuery(key.name(), Type.PTR, (a, error) -> onBrowse(key, a, serial));
         }
-        case INSTANCE -> askInstance(key);
-        case TARGET -> askTarget(key);
+        case INSTANCE -> queryInstance(key);
+        case TARGET -> queryTarget(key);
       }
     }
-    pumping = false;
+    sending = false;
   }
 
-  private interface Done {
-    /** {@code answer} is null where none came. */
-    void done(Answer answer, String why);
+  private interface QueryCallback {
+    /** Called when the query has ended; {@code answer} is null if there was no usable answer. */
+    void completed(Answer answer, String error);
   }
 
-  private void ask(String text, int type, Done done) {
+  private void sendQuery(String text, int type, QueryCallback callback) {
     Name name;
     try {
       name = Name.fromString(text);
     } catch (TextParseException e) {
-      throw new IllegalStateException(e); // It has been a name before.
+      throw new IllegalStateException(e); // Cannot happen: it was parsed before.
     }
-    open++;
+    inFlight++;
     counts.queries++;
-    UpstreamQuery.Spec asked = new UpstreamQuery.Spec(null, new Question(name.toWire(), type, Message.IN), Message.RD, false, false);
-    client.query(number, address, asked, TimeUnit.MILLISECONDS.toNanos(config.askMillis()), (status, message, why) -> {
-      open--;
+    UpstreamQuery.Spec spec = new UpstreamQuery.Spec(null, new Question(name.toWire(), type, Message.IN), Message.RD, false, false);
+    client.query(resolver, address, spec, TimeUnit.MILLISECONDS.toNanos(config.askMillis()), (status, message, error) -> {
+      inFlight--;
       Answer answer = null;
-      String told = why;
+      String failure = error;
       if (status == Status.SERVED) {
         try {
           answer = new Answer(message.bytes(), name, type);
         } catch (IOException e) {
-          told = e.getMessage();
+          failure = e.getMessage();
         }
       }
-      silent = status == Status.SERVED ? 0 : silent + 1;
+      consecutiveFailures = status == Status.SERVED ? 0 : consecutiveFailures + 1;
       if (answer == null) {
         counts.failures++;
       }
-      done.done(answer, told);
+      callback.completed(answer, failure);
     });
   }
 
@@ -330,44 +331,44 @@
 
   private void onSerial(RefreshKey key, Answer a) {
     Zone z = zones.get(key.name());
-    long pollTtl = (long) (config.pollMillis() * POLL_TTL);
+    long pollTtl = (long) (config.pollMillis() * POLL_TTL_FACTOR);
     if (a == null) {
       z.authoritative = false;
       refresh.failed(now, key);
-      pump();
+      sendQueued();
       return;
     }
     long before = z.serial;
-    boolean was = z.authoritative;
+    boolean wasAuthoritative = z.authoritative;
     z.serial = a.serial();
-    z.newest = z.newest < 0 || Serial.isOlder(z.newest, z.serial) ? z.serial : z.newest;
+    z.newestSerial = z.newestSerial < 0 || Serial.isOlder(z.newestSerial, z.serial) ? z.serial : z.newestSerial;
     z.authoritative = a.isAuthoritative() && z.serial >= 0;
     refresh.answered(now, key, pollTtl);
     if (z.authoritative) {
-      z.browses.forEach(b -> sink.accept(new ZoneSerial(number, b.name(), z.serial)));
+      z.browses.forEach(b -> sink.accept(new ZoneSerial(resolver, b.name(), z.serial)));
     }
-    if (z.serial != before || !was) {
-      hurry(z);
+    if (z.serial != before || !wasAuthoritative) {
+      refreshAll(z);
     } else if (z.authoritative) {
-      z.verifiedAt = now;
+      z.serialConfirmedAt = now;
       for (Browse b : z.browses) {
         if (listSerials.getOrDefault(b.name(), -1L) == z.serial) {
-          sink.accept(new Unchanged(number, b.name(), Math.max(config.leastTtlMillis(), POLLS_SURE * config.pollMillis())));
+          sink.accept(new Unchanged(resolver, b.name(), Math.max(config.leastTtlMillis(), SERIAL_VALID_POLLS * config.pollMillis())));
         }
       }
     }
     if (z.authoritative) {
-      z.verifiedAt = now;
+      z.serialConfirmedAt = now;
     }
-    turn(now);
+    tick(now);
   }
 
   private void onBrowse(RefreshKey key, Answer a, long serial) {
     Browse b = browses.get(key.name());
     if (a == null) {
-      sink.accept(new BrowseFailed(number, key.name()));
+      sink.accept(new BrowseFailed(resolver, key.name()));
       refresh.failed(now, key);
-      pump();
+      sendQueued();
       return;
     }
     Zone z = zones.get(b.zone());
@@ -377,68 +378,68 @@
     listSerials.put(key.name(), z.authoritative ? serial : -1L);
     before.forEach(n -> {
       if (!names.contains(n)) {
-        leave(n, key.name());
+        removeFromBrowse(n, key.name());
       }
     });
     long ttl = Math.max(config.leastTtlMillis(), a.ttlMillis());
-    // The list before the parts: of what no list names nothing is kept.
-    sink.accept(new Browsed(number, key.name(), names, z.authoritative ? serial : -1, Math.max(ttl, POLLS_SURE * config.pollMillis())));
-    Map<String, Answer.Beside> beside = beside(a, names, b);
-    int most = config.rules().maxInstances();
+    // The list first: records of an instance that no list contains are not kept.
+    sink.accept(new Browsed(resolver, key.name(), names, z.authoritative ? serial : -1, Math.max(ttl, SERIAL_VALID_POLLS * config.pollMillis())));
+    Map<String, Answer.CompleteInstance> completeInstances = completeInstances(a, names, b);
+    int maxInstances = config.rules().maxInstances();
     for (String n : names) {
       Instance i = instances.get(n);
-      if (i == null && instances.size() >= most) {
-        continue; // The module counts them and says so.
+      if (i == null && instances.size() >= maxInstances) {
+        continue; // Membership enforces and reports the same limit.
       } else if (i == null) {
         i = new Instance(b.zone());
         instances.put(n, i);
       }
       i.browses.add(key.name());
-      Answer.Beside came = beside.get(n);
-      if (came != null && i.open == 0) {
-        take(n, i, came, serial);
+      Answer.CompleteInstance complete = completeInstances.get(n);
+      if (complete != null && i.inFlight == 0) {
+        applyComplete(n, i, complete, serial);
       } else {
         refresh.addIfAbsent(now, RefreshKey.instance(n));
       }
     }
-    refresh.answered(now, key, z.authoritative ? ttl : Math.min(ttl, (long) (config.pollMillis() * POLL_TTL)));
-    turn(now);
+    refresh.answered(now, key, z.authoritative ? ttl : Math.min(ttl, (long) (config.pollMillis() * POLL_TTL_FACTOR)));
+    tick(now);
   }
 
-  private static Map<String, Answer.Beside> beside(Answer a, Set<String> names, Browse b) {
+  private static Map<String, Answer.CompleteInstance> completeInstances(Answer a, Set<String> names, Browse b) {
     try {
-      return a.beside(names, Name.fromString(b.zone()));
+      return a.completeInstances(names, Name.fromString(b.zone()));
     } catch (TextParseException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  /** All parts of an instance have come with the list. */
-  private void take(String name, Instance i, Answer.Beside came, long serial) {
-    i.services = came.services();
-    i.pairs = came.pairs();
-    i.ttl = Math.max(config.leastTtlMillis(), came.ttlMillis());
+  /** Stores and reports an instance whose records all came in the additional section of the browse answer. */
+  private void applyComplete(String name, Instance i, Answer.CompleteInstance complete, long serial) {
+    i.services = complete.services();
+    i.pairs = complete.pairs();
+    i.ttl = Math.max(config.leastTtlMillis(), complete.ttlMillis());
     i.serial = serial;
     for (SrvRecord s : i.services) {
       Target t = targets.computeIfAbsent(s.target(), x -> new Target());
-      t.users.add(name);
+      t.referrers.add(name);
       t.ttl = i.ttl;
       t.serial = serial;
       refresh.addIfAbsent(now, RefreshKey.target(s.target()));
       refresh.answered(now, RefreshKey.target(s.target()), i.ttl);
-      for (boolean six : new boolean[] {false, true}) {
-        List<String> figures = (six ? came.ipv6() : came.ipv4()).getOrDefault(s.target(), List.of());
-        t.figures.put(six, figures);
-        sink.accept(new Addresses(number, s.target(), six, figures));
+      for (boolean ipv6 : new boolean[] {false, true}) {
+        List<String> addresses = (ipv6 ? complete.ipv6() : complete.ipv4()).getOrDefault(s.target(), List.of());
+        t.addresses.put(ipv6, addresses);
+        sink.accept(new Addresses(resolver, s.target(), ipv6, addresses));
       }
     }
-    sink.accept(new ServiceRecords(number, name, i.services));
-    sink.accept(new TextRecord(number, name, i.pairs));
+    sink.accept(new ServiceRecords(resolver, name, i.services));
+    sink.accept(new TextRecord(resolver, name, i.pairs));
     refresh.addIfAbsent(now, RefreshKey.instance(name));
     refresh.answered(now, RefreshKey.instance(name), i.ttl);
   }
 
-  private void leave(String name, String browse) {
+  private void removeFromBrowse(String name, String browse) {
     Instance i = instances.get(name);
     if (i == null || !i.browses.remove(browse) || !i.browses.isEmpty()) {
       return;
@@ -446,136 +447,136 @@
     instances.remove(name);
     refresh.cancel(RefreshKey.instance(name));
     if (i.services != null) {
-      i.services.forEach(s -> unuse(name, s.target()));
+      i.services.forEach(s -> releaseTarget(name, s.target()));
     }
   }
 
-  private void unuse(String name, String target) {
+  private void releaseTarget(String name, String target) {
     Target t = targets.get(target);
-    if (t != null && t.users.remove(name) && t.users.isEmpty()) {
+    if (t != null && t.referrers.remove(name) && t.referrers.isEmpty()) {
       targets.remove(target);
       refresh.cancel(RefreshKey.target(target));
-      sink.accept(new Addresses(number, target, false, List.of()));
-      sink.accept(new Addresses(number, target, true, List.of()));
+      sink.accept(new Addresses(resolver, target, false, List.of()));
+      sink.accept(new Addresses(resolver, target, true, List.of()));
     }
   }
 
-  private void askInstance(RefreshKey key) {
+  private void queryInstance(RefreshKey key) {
     Instance i = instances.get(key.name());
     if (i == null) {
-      return; // It has left the list since.
+      return; // It has been removed from the list meanwhile.
     }
-    i.open = 2;
-    i.asked = zones.get(i.zone).serial;
+    i.inFlight = 2;
+    i.querySerial = zones.get(i.zone).serial;
     List<List<SrvRecord>> services = new ArrayList<>();
     List<Map<String, String>> pairs = new ArrayList<>();
     long[] ttl = {Long.MAX_VALUE};
-    ask(key.name(), Type.SRV, (a, why) -> {
+    sendQuery(key.name(), Type.SRV, (a, error) -> {
       if (a != null) {
         services.add(a.services());
         ttl[0] = Math.min(ttl[0], a.ttlMillis());
       }
-      part(key, i, services, pairs, ttl[0]);
+      instanceQueryEnded(key, i, services, pairs, ttl[0]);
     });
-    ask(key.name(), Type.TXT, (a, why) -> {
+    sendQuery(key.name(), Type.TXT, (a, error) -> {
       if (a != null) {
         pairs.add(a.pairs());
         ttl[0] = Math.min(ttl[0], a.ttlMillis());
-        // Rule 3: what says that it drains waits for nothing.
+        // No new requests may go to a draining server: that state is reported without waiting for the SRV answer.
         if (config.keys().parse(a.pairs()).draining() && instances.get(key.name()) == i && i.services != null) {
-          sink.accept(new TextRecord(number, key.name(), a.pairs()));
+          sink.accept(new TextRecord(resolver, key.name(), a.pairs()));
         }
       }
-      part(key, i, services, pairs, ttl[0]);
+      instanceQueryEnded(key, i, services, pairs, ttl[0]);
     });
   }
 
-  private void part(RefreshKey key, Instance i, List<List<SrvRecord>> services, List<Map<String, String>> pairs, long ttl) {
-    if (--i.open > 0 || instances.get(key.name()) != i) {
-      pump();
+  private void instanceQueryEnded(RefreshKey key, Instance i, List<List<SrvRecord>> services, List<Map<String, String>> pairs, long ttl) {
+    if (--i.inFlight > 0 || instances.get(key.name()) != i) {
+      sendQueued();
       return;
     }
-    boolean noText = pairs.isEmpty() && i.pairs == null && i.failures + 1 >= TEXT_FAILURES;
-    if (services.isEmpty() || pairs.isEmpty() && !noText) {
+    boolean withoutTxt = pairs.isEmpty() && i.pairs == null && i.failures + 1 >= MAX_TXT_FAILURES;
+    if (services.isEmpty() || pairs.isEmpty() && !withoutTxt) {
       i.failures++;
       refresh.failed(now, key);
-      pump();
+      sendQueued();
       return;
     }
     i.failures = 0;
-    i.serial = i.asked;
+    i.serial = i.querySerial;
     i.ttl = Math.max(config.leastTtlMillis(), ttl);
     refresh.answered(now, key, i.ttl);
     List<SrvRecord> before = i.services == null ? List.of() : i.services;
     i.services = services.get(0);
     i.pairs = pairs.isEmpty() ? Map.of() : pairs.get(0);
-    i.waitsFor.clear();
+    i.pendingTargets.clear();
     for (SrvRecord s : i.services) {
-      targets.computeIfAbsent(s.target(), t -> new Target()).users.add(key.name());
+      targets.computeIfAbsent(s.target(), t -> new Target()).referrers.add(key.name());
       refresh.addIfAbsent(now, RefreshKey.target(s.target()));
       if (refresh.isPending(now, RefreshKey.target(s.target()))) {
-        i.waitsFor.add(s.target());
+        i.pendingTargets.add(s.target());
       }
     }
     for (SrvRecord s : before) {
       if (i.services.stream().noneMatch(x -> x.target().equals(s.target()))) {
-        unuse(key.name(), s.target());
+        releaseTarget(key.name(), s.target());
       }
     }
-    if (i.waitsFor.isEmpty()) {
-      handOn(key.name(), i);
+    if (i.pendingTargets.isEmpty()) {
+      reportInstance(key.name(), i);
     }
-    turn(now);
+    tick(now);
   }
 
-  private void handOn(String name, Instance i) {
-    sink.accept(new ServiceRecords(number, name, i.services));
-    sink.accept(new TextRecord(number, name, i.pairs));
+  private void reportInstance(String name, Instance i) {
+    sink.accept(new ServiceRecords(resolver, name, i.services));
+    sink.accept(new TextRecord(resolver, name, i.pairs));
   }
 
-  private void askTarget(RefreshKey key) {
+  private void queryTarget(RefreshKey key) {
     Target t = targets.get(key.name());
     if (t == null) {
       return;
     }
-    t.open = 2;
-    t.got = 0;
+    t.inFlight = 2;
+    t.answers = 0;
     Zone z = zoneOf(key);
-    t.serialAsked = z == null ? -1 : z.serial;
+    t.querySerial = z == null ? -1 : z.serial;
     long[] ttl = {Long.MAX_VALUE};
-    for (boolean six : new boolean[] {false, true}) {
-      ask(key.name(), six ? Type.AAAA : Type.A, (a, why) -> {
+    for (boolean ipv6 : new boolean[] {false, true}) {
+      sendQuery(key.name(), ipv6 ? Type.AAAA : Type.A, (a, error) -> {
         if (a != null) {
-          t.got++;
-          t.figures.put(six, a.addresses());
-          // One family that is not there says nothing of how long the other is good.
+          t.answers++;
+          t.addresses.put(ipv6, a.addresses());
+          // The negative TTL of a missing address family does not limit the TTL of the other one.
           ttl[0] = a.addresses().isEmpty() ? ttl[0] : Math.min(ttl[0], a.ttlMillis());
         }
-        family(key, t, ttl[0]);
+        addressQueryEnded(key, t, ttl[0]);
       });
     }
   }
 
-  private void family(RefreshKey key, Target t, long ttl) {
-    if (--t.open > 0 || targets.get(key.name()) != t) {
-      pump();
+  private void addressQueryEnded(RefreshKey key, Target t, long ttl) {
+    if (--t.inFlight > 0 || targets.get(key.name()) != t) {
+      sendQueued();
       return;
     }
-    if (t.got == 0) {
+    if (t.answers == 0) {
       refresh.failed(now, key);
     } else {
-      t.serial = t.got == 2 ? t.serialAsked : -1;
+      t.serial = t.answers == 2 ? t.querySerial : -1;
       t.ttl = Math.max(config.leastTtlMillis(), ttl == Long.MAX_VALUE ? 0 : ttl);
       refresh.answered(now, key, t.ttl);
-      t.figures.forEach((six, figures) -> sink.accept(new Addresses(number, key.name(), six, figures)));
+      t.addresses.forEach((ipv6, addresses) -> sink.accept(new Addresses(resolver, key.name(), ipv6, addresses)));
     }
-    // What waited goes on in any case: with the addresses that are known, or none.
-    for (String user : List.copyOf(t.users)) {
-      Instance i = instances.get(user);
-      if (i != null && i.waitsFor.remove(key.name()) && i.waitsFor.isEmpty() && i.open == 0) {
-        handOn(user, i);
+    // Waiting instances are reported even if the queries failed, with the addresses known so far, or none.
+    for (String referrer : List.copyOf(t.referrers)) {
+      Instance i = instances.get(referrer);
+      if (i != null && i.pendingTargets.remove(key.name()) && i.pendingTargets.isEmpty() && i.inFlight == 0) {
+        reportInstance(referrer, i);
       }
     }
-    turn(now);
+    tick(now);
   }
 }
--- a/dnssd/src/main/java/cloverpulley/dnssd/RefreshKey.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/RefreshKey.java
@@ -1,16 +1,16 @@
 package cloverpulley.dnssd;
 
-/** Something that a resolver is asked again and again; its parts are asked together. */
+/** A set of records that is queried periodically, all of them together. */
 record RefreshKey(Kind kind, String name) {
 
   enum Kind {
-    /** The serial of a zone. */
+    /** The SOA serial of a zone. */
     SERIAL,
-    /** The list of a service's instances. */
+    /** The PTR records that list a service's instances. */
     BROWSE,
-    /** An instance's service and text records. */
+    /** The SRV and TXT records of an instance. */
     INSTANCE,
-    /** A target's addresses, of both families. */
+    /** The A and AAAA records of a target. */
     TARGET
   }
 
--- a/dnssd/src/main/java/cloverpulley/dnssd/UpdateMessage.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/UpdateMessage.java
@@ -24,7 +24,7 @@
 import org.xbill.DNS.Type;
 import org.xbill.DNS.Update;
 
-/** Updates (RFC 2136) that register servers under a service and withdraw them, with a lease (RFC 9664). */
+/** Builds the updates (RFC 2136) that register servers under a service and withdraw them, with a lease (RFC 9664). */
 final class UpdateMessage {
 
   private static final int LEASE_OPTION = 2;
@@ -32,14 +32,14 @@
 
   private UpdateMessage() {}
 
-  /** The name of an instance, its label whatever it holds. */
-  static Name instance(PublishConfig config, String label) {
-    byte[] octets = label.getBytes(StandardCharsets.UTF_8);
+  /** The name of an instance. It is built in wire format, because the label may contain any character. */
+  static Name instanceName(PublishConfig config, String label) {
+    byte[] labelBytes = label.getBytes(StandardCharsets.UTF_8);
     byte[] service = config.serviceName().toWire();
-    byte[] wire = new byte[octets.length + 1 + service.length];
-    wire[0] = (byte) octets.length;
-    System.arraycopy(octets, 0, wire, 1, octets.length);
-    System.arraycopy(service, 0, wire, 1 + octets.length, service.length);
+    byte[] wire = new byte[labelBytes.length + 1 + service.length];
+    wire[0] = (byte) labelBytes.length;
+    System.arraycopy(labelBytes, 0, wire, 1, labelBytes.length);
+    System.arraycopy(service, 0, wire, 1 + labelBytes.length, service.length);
     try {
       return new Name(wire);
     } catch (java.io.IOException e) {
@@ -47,59 +47,59 @@
     }
   }
 
-  /** Puts the servers' records in place of what there is under their names. */
+  /** Builds an update that replaces all records under the servers' names with those of the servers. */
   static Message register(PublishConfig config, List<Registration> servers) {
     Update update = new Update(config.zone());
     Name service = config.serviceName();
     long ttl = config.ttlSeconds();
     for (Registration r : servers) {
-      Name name = instance(config, r.instance());
+      Name name = instanceName(config, r.instance());
       update.delete(name);
       update.add(new SRVRecord(name, DClass.IN, ttl, r.priority(), r.weight(), r.port(), r.target()));
-      update.add(new TXTRecord(name, DClass.IN, ttl, strings(r.text())));
+      update.add(new TXTRecord(name, DClass.IN, ttl, txtStrings(r.text())));
       if (r.target().subdomain(config.zone())) {
-        boolean four = r.address() instanceof Inet4Address;
-        update.delete(r.target(), four ? Type.A : Type.AAAA);
-        update.add(four ? new ARecord(r.target(), DClass.IN, ttl, r.address()) : new AAAARecord(r.target(), DClass.IN, ttl, r.address()));
+        boolean ipv4 = r.address() instanceof Inet4Address;
+        update.delete(r.target(), ipv4 ? Type.A : Type.AAAA);
+        update.add(ipv4 ? new ARecord(r.target(), DClass.IN, ttl, r.address()) : new AAAARecord(r.target(), DClass.IN, ttl, r.address()));
       }
-      // Last: who browses finds all that the pointer leads to.
+      // The PTR record comes last, so that the records that it leads to exist when a client finds it.
       update.add(new PTRRecord(service, DClass.IN, ttl, name));
     }
-    lease(update, config.leaseMillis());
+    addLease(update, config.leaseMillis());
     return update;
   }
 
-  private static List<String> strings(Map<String, String> pairs) {
-    List<String> strings = new ArrayList<>();
-    pairs.forEach((k, v) -> strings.add(k + '=' + v));
-    return strings.isEmpty() ? List.of("") : strings;
+  private static List<String> txtStrings(Map<String, String> pairs) {
+    List<String> txtStrings = new ArrayList<>();
+    pairs.forEach((k, v) -> txtStrings.add(k + '=' + v));
+    return txtStrings.isEmpty() ? List.of("") : txtStrings;
   }
 
-  /** Takes the servers out of the service's list, and all that was registered of them. */
+  /** Builds an update that removes the servers from the service, with all records registered for them. */
   static Message withdraw(PublishConfig config, List<Registration> servers) {
     Update update = new Update(config.zone());
     for (Registration r : servers) {
-      Name name = instance(config, r.instance());
+      Name name = instanceName(config, r.instance());
       update.delete(new PTRRecord(config.serviceName(), DClass.IN, 0, name));
       update.delete(name);
       if (r.target().subdomain(config.zone())) {
         update.delete(r.target(), r.address() instanceof Inet4Address ? Type.A : Type.AAAA);
       }
     }
-    lease(update, 0);
+    addLease(update, 0);
     return update;
   }
 
-  private static void lease(Message update, long millis) {
+  private static void addLease(Message update, long millis) {
     byte[] seconds = ByteBuffer.allocate(4).putInt((int) TimeUnit.MILLISECONDS.toSeconds(millis)).array();
     update.addRecord(new OPTRecord(UDP_SIZE, 0, 0, 0, List.of(new GenericEDNSOption(LEASE_OPTION, seconds))), Section.ADDITIONAL);
   }
 
-  /** The lease that an answer grants, in milliseconds; 0 where it speaks of none. */
-  static long granted(Message answer) {
+  /** The lease time granted by an answer, in milliseconds; 0 if it contains none. */
+  static long grantedMillis(Message answer) {
     OPTRecord opt = answer.getOPT();
-    for (EDNSOption o : opt == null ? List.<EDNSOption>of() : opt.getOptions(LEASE_OPTION)) {
-      byte[] wire = o.toWire(); // Code and length, two octets each, then what it holds.
+    for (EDNSOption option : opt == null ? List.<EDNSOption>of() : opt.getOptions(LEASE_OPTION)) {
+      byte[] wire = option.toWire(); // Code and length of two octets each, then the value.
       if (wire.length >= 8) {
         return TimeUnit.SECONDS.toMillis(ByteBuffer.wrap(wire, 4, 4).getInt() & 0xFFFF_FFFFL);
       }
@@ -107,7 +107,7 @@
     return 0;
   }
 
-  /** The records of an update, for people. */
+  /** The records of an update. */
   static List<Record> records(Message update) {
     return update.getSection(Section.UPDATE);
   }
--- a/dnssd/src/main/java/cloverpulley/dnssd/package-info.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Servers found through DNS-SD (RFC 6763): records are read from several resolvers, what they say is decided on by
- * {@code cloverpulley.membership}, and the list goes to whichever front asks for it. Nothing is decided here.
+ * Server discovery through DNS-SD (RFC 6763): reads records from several resolvers, passes them to {@code cloverpulley.membership},
+ * which decides which servers to use, and provides the resulting list to the frontends. Also registers servers in a zone.
  */
 package cloverpulley.dnssd;
