--- a/dnssd/src/main/java/cloverpulley/dnssd/Answer.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Answer.java
@@ -100,7 +100,7 @@
     Set<String> names = new LinkedHashSet<>();
     for (Record r : records) {
       if (r instanceof PTRRecord p) {
-        names.add(DnsSdConfig.text(p.getTarget()));
+        names.add(DnsSdConfig.canonicalName(p.getTarget()));
       }
     }
     return names;
@@ -123,7 +123,7 @@
   }
 
   private static SrvRecord toSrvRecord(SRVRecord s) {
-    return new SrvRecord(s.getPriority(), s.getWeight(), DnsSdConfig.text(s.getTarget()), s.getPort());
+    return new SrvRecord(s.getPriority(), s.getWeight(), DnsSdConfig.canonicalName(s.getTarget()), s.getPort());
   }
 
   Map<String, String> pairs() {
@@ -158,7 +158,7 @@
       if (r.getType() == Type.OPT || !r.getName().subdomain(zone)) {
         continue;
       }
-      String owner = DnsSdConfig.text(r.getName());
+      String owner = DnsSdConfig.canonicalName(r.getName());
       if (r instanceof SRVRecord s) {
         services.computeIfAbsent(owner, n -> new ArrayList<>()).add(s);
       } else if (r instanceof TXTRecord t) {
@@ -182,11 +182,11 @@
       for (SRVRecord s : srvRecords) {
         minTtl = Math.min(minTtl, s.getTTL());
         serviceRecords.add(toSrvRecord(s));
-        List<Record> targetAddresses = addresses.getOrDefault(DnsSdConfig.text(s.getTarget()), List.of());
+        List<Record> targetAddresses = addresses.getOrDefault(DnsSdConfig.canonicalName(s.getTarget()), List.of());
         complete &= !targetAddresses.isEmpty() && s.getPort() > 0;
         for (Record r : targetAddresses) {
           minTtl = Math.min(minTtl, r.getTTL());
-          (r instanceof ARecord ? ipv4 : ipv6).computeIfAbsent(DnsSdConfig.text(s.getTarget()), t -> new ArrayList<>())
+          (r instanceof ARecord ? ipv4 : ipv6).computeIfAbsent(DnsSdConfig.canonicalName(s.getTarget()), t -> new ArrayList<>())
               .add((r instanceof ARecord a ? a.getAddress() : ((AAAARecord) r).getAddress()).getHostAddress());
         }
       }
--- a/dnssd/src/main/java/cloverpulley/dnssd/DnsSdConfig.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/DnsSdConfig.java
@@ -16,103 +16,105 @@
 import org.xbill.DNS.TextParseException;
 
 /**
- * What {@code [fleet.dnssd]} of an operators' file says.
+ * The section {@code [fleet.dnssd]} of an operators' file.
  *
- * @param browses what is browsed
- * @param pollMillis how often each resolver is asked for a zone's serial, and for the list where it has none to tell
- * @param leastTtlMillis records with less are kept this long
- * @param askMillis one query's time, UDP and TCP together
- * @param inFlight queries open at one resolver at one time
- * @param contactMillis how often instances that don't say when they started are connected to; 0 for never
- * @param notifyAt where NOTIFY messages are taken; null for nowhere
- * @param records the file that believed changes are written to; null for none
+ * @param browses the services to browse, one per domain
+ * @param pollMillis interval at which each resolver is queried for a zone's serial, and for the list if its answers are not authoritative
+ * @param minTtlMillis records with a lower TTL are kept this long
+ * @param queryTimeoutMillis time limit of a query, UDP and TCP together
+ * @param maxInFlight queries in flight per resolver
+ * @param probeIntervalMillis interval of connection probes to instances that publish no start time; 0 to disable
+ * @param notifyAddress the address to receive NOTIFY messages at; null to disable
+ * @param recordsFile the file that changes of the list are logged to; null to disable
  */
-public record DnsSdConfig(List<Browse> browses, List<ResolverAddress> resolvers, Rules rules, TextKeys keys, long pollMillis,
-    long leastTtlMillis, long backOffMillis, long mostBackOffMillis, long askMillis, int inFlight, long contactMillis,
-    InetSocketAddress notifyAt, Path records, long recordsMostBytes, ClientConfig client) {
+public record DnsSdConfig(List<Browse> browses, List<ResolverConfig> resolvers, Rules rules, TextKeys keys, long pollMillis,
+    long minTtlMillis, long backOffMillis, long maxBackOffMillis, long queryTimeoutMillis, int maxInFlight, long probeIntervalMillis,
+    InetSocketAddress notifyAddress, Path recordsFile, long maxRecordsBytes, ClientConfig client) {
 
-  /** What is asked for. All names are in lower case, with a dot at their end. */
+  /** A service in a domain. Both names are in lower case, with a trailing dot. */
   public record Browse(String name, String zone) {}
 
   /**
-   * One resolver.
+   * A resolver.
    *
-   * @param pushName whom its certificate has to name; empty where push does without TLS
+   * @param pushName the name that its certificate must contain; empty if push does not use TLS
    */
-  public record ResolverAddress(InetSocketAddress address, PushMode push, InetSocketAddress pushAddress, String pushName) {}
+  public record ResolverConfig(InetSocketAddress address, PushMode push, InetSocketAddress pushAddress, String pushName) {}
 
-  /** How changes are heard of. */
+  /** The transport of DNS push. */
   public enum PushMode {
-    /** Asked for again and again. */
+    /** No push: the resolver is polled. */
     OFF,
-    /** DNS push over TCP without TLS, which RFC 8765 allows to nobody: for loopback and tests. */
+    /** DNS push over TCP without TLS, which RFC 8765 does not allow: only for loopback and tests. */
     TCP,
-    /** DNS push over TLS; the resolver's certificate is one that the platform trusts. */
+    /** DNS push over TLS; the resolver's certificate must be trusted by the platform. */
     TLS
   }
 
-  private static final long DAY_MS = 86_400_000;
-  private static final Map<String, PushMode> MODES = Map.of("off", PushMode.OFF, "tcp", PushMode.TCP, "tls", PushMode.TLS);
+  private static final long MILLIS_PER_DAY = 86_400_000;
+  private static final Map<String, PushMode> PUSH_MODES = Map.of("off", PushMode.OFF, "tcp", PushMode.TCP, "tls", PushMode.TLS);
 
-  /** Reads the section. */
+  /** Reads the section and reports its errors. */
   public static DnsSdConfig read(Section s) {
     List<Browse> browses = browses(s);
-    List<ResolverAddress> resolvers = new ArrayList<>();
+    List<ResolverConfig> resolvers = new ArrayList<>();
     List<Double> weights = new ArrayList<>();
-    Set<InetSocketAddress> known = new LinkedHashSet<>();
+    Set<InetSocketAddress> addresses = new LinkedHashSet<>();
     List<Section> tables = s.tables("resolver");
-    for (Section r : tables) {
-      InetSocketAddress address = r.address("address", null);
-      if (!known.add(address)) {
-        r.wrong("address", "two resolvers have the address " + address.getHostString() + ":" + address.getPort());
+    for (Section resolver : tables) {
+      InetSocketAddress address = resolver.address("address", null);
+      if (!addresses.add(address)) {
+        resolver.wrong("address", "two resolvers have the address " + address.getHostString() + ":" + address.getPort());
       }
-      PushMode push = r.word("push", MODES, PushMode.OFF);
+      PushMode push = resolver.word("push", PUSH_MODES, PushMode.OFF);
       if (push == PushMode.TCP && !address.getAddress().isLoopbackAddress()) {
-        r.wrong("push", "expected \"tls\" beyond loopback (RFC 8765, 3)");
+        resolver.wrong("push", "expected \"tls\" beyond loopback (RFC 8765, 3)");
       }
-      String name = r.text("push_name", "");
+      String name = resolver.text("push_name", "");
       if (push == PushMode.TLS && name.isEmpty()) {
-        r.wrong("push_name", "expected the name in the resolver's certificate");
+        resolver.wrong("push_name", "expected the name in the resolver's certificate");
       }
-      InetSocketAddress pushAt = r.has("push_address") ? r.address("push_address", null) : address;
-      resolvers.add(new ResolverAddress(address, push, pushAt, name));
-      weights.add(r.number("weight", 0, 1, tables.size() == 1 ? 1 : 1.0 / tables.size()));
+      InetSocketAddress pushAddress = resolver.has("push_address") ? resolver.address("push_address", null) : address;
+      resolvers.add(new ResolverConfig(address, push, pushAddress, name));
+      weights.add(resolver.number("weight", 0, 1, tables.size() == 1 ? 1 : 1.0 / tables.size()));
     }
     if (resolvers.isEmpty()) {
       s.wrong("resolver", "expected at least one [[" + "fleet.dnssd.resolver]], got nothing");
       weights.add(1.0);
     }
-    int n = weights.size();
-    Section t = s.table("trust");
-    Rules u = Rules.of(n);
-    int witnesses = (int) t.whole("witnesses", 1, n, u.witnesses());
-    int empty = (int) t.whole("empty_witnesses", 1, n, Math.max(witnesses, u.emptyWitnesses()));
-    if (empty < witnesses) {
-      t.wrong("empty_witnesses", "expected no less than witnesses, got " + empty);
-      empty = witnesses;
+    int resolverCount = weights.size();
+    Section trust = s.table("trust");
+    Rules defaultRules = Rules.of(resolverCount);
+    int witnesses = (int) trust.whole("witnesses", 1, resolverCount, defaultRules.witnesses());
+    int emptyWitnesses = (int) trust.whole("empty_witnesses", 1, resolverCount, Math.max(witnesses, defaultRules.emptyWitnesses()));
+    if (emptyWitnesses < witnesses) {
+      trust.wrong("empty_witnesses", "expected no less than witnesses, got " + emptyWitnesses);
+      emptyWitnesses = witnesses;
     }
-    Rules rules = new Rules(weights, t.number("floor_share", 0, 1, u.floorShare()), witnesses, empty,
-        millis(t, "confirm_ms", 0, u.confirmMillis()), millis(t, "settle_ms", 0, u.settleMillis()),
-        millis(t, "longest_ttl_ms", 1000, u.longestTtlMillis()), t.whole("stale_ms", 0, 30 * DAY_MS, u.staleMillis()),
-        millis(t, "clock_skew_ms", 0, u.clockSkewMillis()), millis(t, "first_wait_ms", 0, u.firstWaitMillis()),
-        millis(t, "lone_wait_ms", 0, u.loneWaitMillis()), (int) t.whole("reserve_below", 1, 100_000, u.reserveBelow()),
-        (int) t.whole("instances", 1, 1_000_000, u.maxInstances()));
-    Section k = s.table("text");
-    TextKeys d = TextKeys.DEFAULT;
-    TextKeys keys = new TextKeys(k.text("locality", d.locality()), k.text("flavor", d.flavor()), k.text("cell", d.cell()),
-        k.text("size", d.size()), k.text("phase", d.phase()), k.text("started", d.started()));
-    String file = s.text("records_file", "");
-    long poll = millis(s, "poll_ms", 10, 1000);
-    return new DnsSdConfig(browses, resolvers, rules, keys, poll, millis(s, "least_ttl_ms", 10, 1000),
+    Rules rules = new Rules(weights, trust.number("floor_share", 0, 1, defaultRules.floorShare()), witnesses, emptyWitnesses,
+        millis(trust, "confirm_ms", 0, defaultRules.confirmMillis()), millis(trust, "settle_ms", 0, defaultRules.settleMillis()),
+        millis(trust, "longest_ttl_ms", 1000, defaultRules.longestTtlMillis()),
+        trust.whole("stale_ms", 0, 30 * MILLIS_PER_DAY, defaultRules.staleMillis()),
+        millis(trust, "clock_skew_ms", 0, defaultRules.clockSkewMillis()), millis(trust, "first_wait_ms", 0, defaultRules.firstWaitMillis()),
+        millis(trust, "lone_wait_ms", 0, defaultRules.loneWaitMillis()), (int) trust.whole("reserve_below", 1, 100_000, defaultRules.reserveBelow()),
+        (int) trust.whole("instances", 1, 1_000_000, defaultRules.maxInstances()));
+    Section textTable = s.table("text");
+    TextKeys defaultKeys = TextKeys.DEFAULT;
+    TextKeys keys = new TextKeys(textTable.text("locality", defaultKeys.locality()), textTable.text("flavor", defaultKeys.flavor()),
+        textTable.text("cell", defaultKeys.cell()),
+        textTable.text("size", defaultKeys.size()), textTable.text("phase", defaultKeys.phase()), textTable.text("started", defaultKeys.started()));
+    String recordsPath = s.text("records_file", "");
+    long pollMillis = millis(s, "poll_ms", 10, 1000);
+    return new DnsSdConfig(browses, resolvers, rules, keys, pollMillis, millis(s, "least_ttl_ms", 10, 1000),
         millis(s, "back_off_ms", 10, 500), millis(s, "most_back_off_ms", 10, 30_000), millis(s, "ask_ms", 10, 2000),
         (int) s.whole("in_flight", 1, 4096, 128), millis(s, "contact_ms", 0, 0), s.has("notify") ? s.address("notify", null) : null,
-        file.isEmpty() ? null : Path.of(file), s.whole("records_most_mb", 1, 100_000, 64) << 20,
+        recordsPath.isEmpty() ? null : Path.of(recordsPath), s.whole("records_most_mb", 1, 100_000, 64) << 20,
         new ClientConfig(4, 5000, 4096, 20, 1232, 1, 128, TimeUnit.MILLISECONDS.toNanos(1000), TimeUnit.SECONDS.toNanos(5),
         TimeUnit.SECONDS.toNanos(10), TimeUnit.SECONDS.toNanos(5), s.flag("mix_case", true), TimeUnit.MINUTES.toNanos(15)));
   }
 
-  private static long millis(Section s, String key, long least, long absent) {
-    return s.whole(key, least, DAY_MS, absent);
+  private static long millis(Section s, String key, long minimum, long defaultValue) {
+    return s.whole(key, minimum, MILLIS_PER_DAY, defaultValue);
   }
 
   private static List<Browse> browses(Section s) {
@@ -133,10 +135,10 @@
     List<Browse> browses = new ArrayList<>();
     for (String domain : domains) {
       try {
-        String zone = text(Name.fromString(domain, Name.root));
-        String name = text(Name.fromString((subtype.isEmpty() ? "" : subtype + "._sub.") + service + '.' + domain, Name.root));
+        String zone = canonicalName(Name.fromString(domain, Name.root));
+        String name = canonicalName(Name.fromString((subtype.isEmpty() ? "" : subtype + "._sub.") + service + '.' + domain, Name.root));
         if (browses.stream().anyMatch(b -> b.name.equals(name))) {
-          s.wrong("domains", "\"" + domain + "\" is there twice");
+          s.wrong("domains", "\"" + domain + "\" is listed twice");
         }
         browses.add(new Browse(name, zone));
       } catch (TextParseException e) {
@@ -146,19 +148,19 @@
     return List.copyOf(browses);
   }
 
-  /** A name as all of this module writes it. What is not ASCII is escaped there, so that case can't be lost. */
-  static String text(Name name) {
+  /** The canonical form of a name in this module: lower case. Non-ASCII characters are escaped, so only ASCII letters are folded. */
+  static String canonicalName(Name name) {
     return name.toString().toLowerCase(java.util.Locale.ROOT);
   }
 
-  /** The same for a look beside a front that reads as well: without its records and the door for NOTIFY. */
-  DnsSdConfig aside() {
-    return new DnsSdConfig(browses, resolvers, rules, keys, pollMillis, leastTtlMillis, backOffMillis, mostBackOffMillis, askMillis,
-        inFlight, 0, null, null, recordsMostBytes, client);
+  /** A copy for inspection while a frontend runs with the same settings: without change log, NOTIFY listener and connection probes. */
+  DnsSdConfig withoutSideEffects() {
+    return new DnsSdConfig(browses, resolvers, rules, keys, pollMillis, minTtlMillis, backOffMillis, maxBackOffMillis, queryTimeoutMillis,
+        maxInFlight, 0, null, null, maxRecordsBytes, client);
   }
 
-  /** The names that are browsed. */
-  List<String> names() {
+  /** The names of all browses. */
+  List<String> browseNames() {
     return browses.stream().map(Browse::name).toList();
   }
 }
--- a/dnssd/src/main/java/cloverpulley/dnssd/DnsSdSource.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/DnsSdSource.java
@@ -4,7 +4,7 @@
 import cloverpulley.Balancer.State;
 import cloverpulley.dns.client.DnsClient;
 import cloverpulley.dnssd.DnsSdConfig.PushMode;
-import cloverpulley.dnssd.DnsSdConfig.ResolverAddress;
+import cloverpulley.dnssd.DnsSdConfig.ResolverConfig;
 import cloverpulley.engine.Clock;
 import cloverpulley.engine.Engine;
 import cloverpulley.engine.ServerList;
@@ -75,26 +75,26 @@
     this.config = config;
     this.revision = revision;
     this.updates = updates;
-    changeLog = new ChangeLog(config.records(), config.recordsMostBytes());
+    changeLog = new ChangeLog(config.recordsFile(), config.maxRecordsBytes());
     membership = new Membership(config.rules(), config.keys());
     client = new DnsClient(loop, clock, config.client());
     long now = now();
     startedAt = now;
-    CachedMembers.read(cached, config.names()).forEach(c -> membership.restoreCached(now, c.member(), c.domain(), 0, c.bootId()));
+    CachedMembers.read(cached, config.browseNames()).forEach(c -> membership.restoreCached(now, c.member(), c.domain(), 0, c.bootId()));
     ready = !cached.members().isEmpty();
     for (int i = 0; i < config.resolvers().size(); i++) {
-      ResolverAddress r = config.resolvers().get(i);
+      ResolverConfig r = config.resolvers().get(i);
       Reader reader = new Reader(i, r.address(), config, client, now, seed + i, this::observe);
       readers.add(reader);
       if (r.push() != PushMode.OFF) {
         pushes.add(new Push(loop, i, r, config, reader, this::observe, this::now));
       }
     }
-    prober = config.contactMillis() == 0 ? null : new ConnectionProber(loop, this::observe);
-    notifyListener = config.notifyAt() == null ? null : new NotifyListener(loop, config, this::notifyReceived);
+    prober = config.probeIntervalMillis() == 0 ? null : new ConnectionProber(loop, this::observe);
+    notifyListener = config.notifyAddress() == null ? null : new NotifyListener(loop, config, this::notifyReceived);
     tickTask = loop.scheduleWithFixedDelay(this::tick, 0, TICK_MILLIS, TimeUnit.MILLISECONDS);
     if (prober != null) {
-      loop.scheduleWithFixedDelay(this::probe, config.contactMillis(), config.contactMillis(), TimeUnit.MILLISECONDS);
+      loop.scheduleWithFixedDelay(this::probe, config.probeIntervalMillis(), config.probeIntervalMillis(), TimeUnit.MILLISECONDS);
     }
   }
 
@@ -151,7 +151,7 @@
       changeLog.add(c);
       changeListener.accept(c);
     });
-    if (!ready && membership.readyCount() > 0 && membership.hasInitialAnswers(now, config.names()) && isFirstListComplete(now)) {
+    if (!ready && membership.readyCount() > 0 && membership.hasInitialAnswers(now, config.browseNames()) && isFirstListComplete(now)) {
       ready = true;
       LOG.info(() -> "dns-sd: first list, " + membership.readyCount() + " servers ready of " + membership.instances() + " named");
       if (watched) {
--- a/dnssd/src/main/java/cloverpulley/dnssd/DnsSdView.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/DnsSdView.java
@@ -28,7 +28,7 @@
 
   /** Starts reading. */
   public DnsSdView(DnsSdConfig config) {
-    this.config = config.aside();
+    this.config = config.withoutSideEffects();
     source = on(() -> new DnsSdSource(loop, this.config, ServerList.EMPTY, () -> 0, (kind, list) -> { },
         new java.security.SecureRandom().nextLong()));
   }
--- a/dnssd/src/main/java/cloverpulley/dnssd/Dso.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Dso.java
@@ -168,7 +168,7 @@
 
   private static String canonicalName(byte[] name) throws MalformedException {
     try {
-      return DnsSdConfig.text(new Name(name));
+      return DnsSdConfig.canonicalName(new Name(name));
     } catch (java.io.IOException e) {
       throw new MalformedException(e.getMessage());
     }
--- a/dnssd/src/main/java/cloverpulley/dnssd/NotifyListener.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/NotifyListener.java
@@ -42,11 +42,11 @@
       public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
         // A lost datagram is harmless: the next poll finds the change.
       }
-    }).bind(config.notifyAt());
+    }).bind(config.notifyAddress());
     channel = bind.channel();
     bind.addListener(f -> {
       if (!f.isSuccess()) {
-        LOG.warning("can't receive NOTIFY at " + config.notifyAt() + ": " + f.cause().getMessage());
+        LOG.warning("can't receive NOTIFY at " + config.notifyAddress() + ": " + f.cause().getMessage());
       }
     });
   }
@@ -69,7 +69,7 @@
       if (config.resolvers().get(i).address().getAddress().equals(packet.sender().getAddress())) {
         knownResolver = true;
         try {
-          listener.accept(i, DnsSdConfig.text(new Name(m.question().name())));
+          listener.accept(i, DnsSdConfig.canonicalName(new Name(m.question().name())));
         } catch (java.io.IOException e) {
           return; // Cannot happen: Message.read has validated the name.
         }
--- a/dnssd/src/main/java/cloverpulley/dnssd/Push.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Push.java
@@ -4,7 +4,7 @@
 import cloverpulley.dns.wire.Message;
 import cloverpulley.dnssd.DnsSdConfig.Browse;
 import cloverpulley.dnssd.DnsSdConfig.PushMode;
-import cloverpulley.dnssd.DnsSdConfig.ResolverAddress;
+import cloverpulley.dnssd.DnsSdConfig.ResolverConfig;
 import cloverpulley.membership.Observation;
 import cloverpulley.membership.RefreshScheduler;
 import cloverpulley.membership.TextKeys;
@@ -59,7 +59,7 @@
 
   private final EventLoop loop;
   private final int resolverIndex;
-  private final ResolverAddress resolver;
+  private final ResolverConfig resolver;
   private final DnsSdConfig config;
   private final Reader reader;
   private final Consumer<Observation> sink;
@@ -78,7 +78,7 @@
   private long keepaliveMillis = KEEPALIVE_MILLIS;
   private boolean closed;
 
-  Push(EventLoop loop, int resolverIndex, ResolverAddress resolver, DnsSdConfig config, Reader reader, Consumer<Observation> sink,
+  Push(EventLoop loop, int resolverIndex, ResolverConfig resolver, DnsSdConfig config, Reader reader, Consumer<Observation> sink,
       LongSupplier clock) {
     this.loop = loop;
     this.resolverIndex = resolverIndex;
--- a/dnssd/src/main/java/cloverpulley/dnssd/Reader.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Reader.java
@@ -125,8 +125,8 @@
     this.client = client;
     this.sink = sink;
     now = startMillis;
-    refresh = new RefreshScheduler<>(startMillis, Math.min(config.leastTtlMillis(), config.pollMillis()), config.rules().longestTtlMillis(),
-        config.backOffMillis(), config.mostBackOffMillis(), seed);
+    refresh = new RefreshScheduler<>(startMillis, Math.min(config.minTtlMillis(), config.pollMillis()), config.rules().longestTtlMillis(),
+        config.backOffMillis(), config.maxBackOffMillis(), seed);
     for (Browse b : config.browses()) {
       browses.put(b.name(), b);
       zones.computeIfAbsent(b.zone(), z -> new Zone()).browses.add(b);
@@ -278,7 +278,7 @@
       return; // A query may complete synchronously; the loop below sends what is still queued.
     }
     sending = true;
-    while (inFlight < config.inFlight() && !(urgent.isEmpty() && queue.isEmpty())) {
+    while (inFlight < config.maxInFlight() && !(urgent.isEmpty() && queue.isEmpty())) {
       RefreshKey key = urgent.isEmpty() ? queue.poll() : urgent.poll();
       switch (key.kind()) {
         case SERIAL -> sendQuery(key.name(), Type.SOA, (a, error) -> onSerial(key, a));
@@ -308,7 +308,7 @@
     inFlight++;
     counts.queries++;
     UpstreamQuery.Spec spec = new UpstreamQuery.Spec(null, new Question(name.toWire(), type, Message.IN), Message.RD, false, false);
-    client.query(resolver, address, spec, TimeUnit.MILLISECONDS.toNanos(config.askMillis()), (status, message, error) -> {
+    client.query(resolver, address, spec, TimeUnit.MILLISECONDS.toNanos(config.queryTimeoutMillis()), (status, message, error) -> {
       inFlight--;
       Answer answer = null;
       String failure = error;
@@ -353,7 +353,7 @@
       z.serialConfirmedAt = now;
       for (Browse b : z.browses) {
         if (listSerials.getOrDefault(b.name(), -1L) == z.serial) {
-          sink.accept(new Unchanged(resolver, b.name(), Math.max(config.leastTtlMillis(), SERIAL_VALID_POLLS * config.pollMillis())));
+          sink.accept(new Unchanged(resolver, b.name(), Math.max(config.minTtlMillis(), SERIAL_VALID_POLLS * config.pollMillis())));
         }
       }
     }
@@ -381,7 +381,7 @@
         removeFromBrowse(n, key.name());
       }
     });
-    long ttl = Math.max(config.leastTtlMillis(), a.ttlMillis());
+    long ttl = Math.max(config.minTtlMillis(), a.ttlMillis());
     // The list first: records of an instance that no list contains are not kept.
     sink.accept(new Browsed(resolver, key.name(), names, z.authoritative ? serial : -1, Math.max(ttl, SERIAL_VALID_POLLS * config.pollMillis())));
     Map<String, Answer.CompleteInstance> completeInstances = completeInstances(a, names, b);
@@ -418,7 +418,7 @@
   private void applyComplete(String name, Instance i, Answer.CompleteInstance complete, long serial) {
     i.services = complete.services();
     i.pairs = complete.pairs();
-    i.ttl = Math.max(config.leastTtlMillis(), complete.ttlMillis());
+    i.ttl = Math.max(config.minTtlMillis(), complete.ttlMillis());
     i.serial = serial;
     for (SrvRecord s : i.services) {
       Target t = targets.computeIfAbsent(s.target(), x -> new Target());
@@ -505,7 +505,7 @@
     }
     i.failures = 0;
     i.serial = i.querySerial;
-    i.ttl = Math.max(config.leastTtlMillis(), ttl);
+    i.ttl = Math.max(config.minTtlMillis(), ttl);
     refresh.answered(now, key, i.ttl);
     List<SrvRecord> before = i.services == null ? List.of() : i.services;
     i.services = services.get(0);
@@ -566,7 +566,7 @@
       refresh.failed(now, key);
     } else {
       t.serial = t.answers == 2 ? t.querySerial : -1;
-      t.ttl = Math.max(config.leastTtlMillis(), ttl == Long.MAX_VALUE ? 0 : ttl);
+      t.ttl = Math.max(config.minTtlMillis(), ttl == Long.MAX_VALUE ? 0 : ttl);
       refresh.answered(now, key, t.ttl);
       t.addresses.forEach((ipv6, addresses) -> sink.accept(new Addresses(resolver, key.name(), ipv6, addresses)));
     }
