--- a/dist/src/main/java/cloverpulley/cli/DnsCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/DnsCommand.java
@@ -40,7 +40,7 @@
     CountDownLatch term = Signals.term();
     Signals.onHup(() -> reload(server));
     System.out.println("dns listening on " + server.address().getAddress().getHostAddress() + ":" + server.address().getPort());
-    Publisher publisher = operators.publish() == null ? null : Publisher.self(operators.publish(), server.address().getPort(),
+    Publisher publisher = operators.publish() == null ? null : Publisher.startSelf(operators.publish(), server.address().getPort(),
         System.currentTimeMillis(), operators.fleet() == null ? List.of() : operators.fleet().list().members());
     term.await();
     if (publisher != null) {
--- a/dist/src/main/java/cloverpulley/cli/ProcessCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/ProcessCommand.java
@@ -54,7 +54,7 @@
     Signals.onHup(() -> reload(server));
     System.out.println("process listening on " + server.address().getAddress().getHostAddress() + ":"
         + server.address().getPort());
-    Publisher publisher = operators.publish() == null ? null : Publisher.self(operators.publish(), server.address().getPort(),
+    Publisher publisher = operators.publish() == null ? null : Publisher.startSelf(operators.publish(), server.address().getPort(),
         System.currentTimeMillis(), operators.fleet() == null ? List.of() : operators.fleet().list().members());
     term.await();
     if (publisher != null) {
--- a/dnssd/src/main/java/cloverpulley/dnssd/PublishConfig.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/PublishConfig.java
@@ -115,7 +115,7 @@
   }
 
   /** The registration of this process. */
-  Registration self(int listenPort, long startedMillis) {
+  Registration selfRegistration(int listenPort, long startedMillis) {
     Map<String, String> pairs = new LinkedHashMap<>();
     pairs.put("started", Long.toString(startedMillis));
     pairs.put("phase", "ready");
--- a/dnssd/src/main/java/cloverpulley/dnssd/Publisher.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Publisher.java
@@ -56,9 +56,9 @@
   }
 
   /** Starts registering this process, and the configured fleet if {@link PublishConfig#fleet} is set. */
-  public static Publisher self(PublishConfig config, int listenPort, long startedMillis, List<cloverpulley.engine.ServerList.Server> fleet) {
+  public static Publisher startSelf(PublishConfig config, int listenPort, long startedMillis, List<cloverpulley.engine.ServerList.Server> fleet) {
     List<Registration> registrations = new java.util.ArrayList<>();
-    registrations.add(config.self(listenPort, startedMillis));
+    registrations.add(config.selfRegistration(listenPort, startedMillis));
     if (config.fleet()) {
       registrations.addAll(config.registrations(fleet));
     }
--- a/dnssd/src/test/java/cloverpulley/dnssd/PushAndPublishTest.java
+++ b/dnssd/src/test/java/cloverpulley/dnssd/PushAndPublishTest.java
@@ -134,7 +134,7 @@
     StandInZone z = rig.zone();
     z.key(new TSIG(TSIG.HMAC_SHA256, Name.fromString("ashdeck.key."), SECRET));
     rig.start(z);
-    Publisher p = rig.keep(Publisher.self(publish(z, signed()), 9002, 1_700_000_000_000L, List.of()));
+    Publisher p = rig.keep(Publisher.startSelf(publish(z, signed()), 9002, 1_700_000_000_000L, List.of()));
     assertTrue(p.awaitRegistered(10_000));
     Rig.await("it is found by its own reader", () -> rig.ready() == 1);
     assertEquals(9002, ((java.net.InetSocketAddress) rig.list.values().iterator().next().address()).getPort());
@@ -151,7 +151,7 @@
   void aPrimaryThatFailsIsTriedAgain() throws Exception {
     StandInZone z = rig.zone();
     z.fault(Fault.SERVFAIL);
-    Publisher p = rig.keep(Publisher.self(publish(z, ""), 9002, 0, List.of()));
+    Publisher p = rig.keep(Publisher.startSelf(publish(z, ""), 9002, 0, List.of()));
     Rig.await("it has tried", () -> z.server().seen().stream().filter(s -> s.opcode() == 5).count() >= 2);
     assertFalse(p.awaitRegistered(0));
     z.fault(Fault.NONE);
@@ -162,7 +162,7 @@
   void aKeyThatThePrimaryDoesNotKnowRegistersNothing() throws Exception {
     StandInZone z = rig.zone();
     z.key(new TSIG(TSIG.HMAC_SHA256, Name.fromString("other.key."), SECRET));
-    Publisher p = rig.keep(Publisher.self(publish(z, signed()), 9002, 0, List.of()));
+    Publisher p = rig.keep(Publisher.startSelf(publish(z, signed()), 9002, 0, List.of()));
     Rig.await("it has tried", () -> z.server().seen().stream().filter(s -> s.opcode() == 5).count() >= 2);
     assertFalse(p.awaitRegistered(0));
     assertEquals(List.of(), z.at(Rig.SERVICE));
@@ -174,7 +174,7 @@
     List<ServerList.Server> fleet = List.of(
         new ServerList.Server("q-1", new java.net.InetSocketAddress("127.0.0.1", 8001), "a", 3, State.READY, 2, 1000),
         new ServerList.Server("q-2", new java.net.InetSocketAddress("127.0.0.1", 8002), "b", 4, State.DRAINING, 1, 0));
-    Publisher p = rig.keep(Publisher.self(publish(z, "fleet = true"), 9002, 1000, fleet));
+    Publisher p = rig.keep(Publisher.startSelf(publish(z, "fleet = true"), 9002, 1000, fleet));
     assertTrue(p.awaitRegistered(10_000));
     rig.start(z);
     Rig.await("all three", () -> rig.list.size() == 3);
