--- a/decision/src/main/java/cloverpulley/membership/Membership.java
+++ b/decision/src/main/java/cloverpulley/membership/Membership.java
@@ -1222,12 +1222,12 @@
   public List<String> explain(long now, String name) {
     Instance i = instances.get(name);
     if (i == null) {
-      return List.of(name + ": nobody has named it");
+      return List.of(name + ": no resolver lists it");
     }
     List<String> lines = new ArrayList<>();
     lines.add(name + ": " + (i.published == null ? "not on the list" : i.published.phase().name().toLowerCase(java.util.Locale.ROOT)
         + " at " + i.published.address() + ":" + i.published.port()) + (i.reason == null ? "" : ", " + i.reason.code())
-        + (i.reasonResolver < 0 ? "" : ", on the word of resolver " + i.reasonResolver));
+        + (i.reasonResolver < 0 ? "" : ", reported by resolver " + i.reasonResolver));
     if (i.published != null) {
       lines.add("  id " + i.published.id() + ", up since " + (i.published.upSince() == 0 ? "long ago" : i.published.upSince())
           + ", priority " + i.current.srv().priority() + ", size " + i.published.size());
@@ -1236,9 +1236,9 @@
       Report report = i.reports[r];
       Incarnation reported = views[r].incarnation(name, null);
       TextKeys.Attributes attributes = views[r].attributes.get(name);
-      lines.add("  resolver " + r + (hasLiveList(r, i, now) ? "" : " (unresponsive)") + ": " + (report.listed ? "names it"
-          : report.absentSince >= 0 ? "names it no more" + (report.needsCorroboration ? ", in an answer that needs corroboration" : "")
-          : "has not named it")
+      lines.add("  resolver " + r + (hasLiveList(r, i, now) ? "" : " (unresponsive)") + ": " + (report.listed ? "lists it"
+          : report.absentSince >= 0 ? "no longer lists it" + (report.needsCorroboration ? ", in an answer that needs corroboration" : "")
+          : "does not list it")
           + (reported == null ? ", no SRV or address record" : ", " + reported.identity() + " at " + reported.address())
           + (attributes != null && attributes.draining() ? ", draining" : "")
           + (attributes == null || attributes.unknownKeys().isEmpty() ? "" : ", other keys " + attributes.unknownKeys()));
--- a/dnssd/src/main/java/cloverpulley/dnssd/DnsSdView.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/DnsSdView.java
@@ -113,7 +113,7 @@
       List<String> matches = known.stream().filter(n -> n.equals(wanted) || n.equals(wanted + '.') || n.startsWith(wanted + '.')).toList();
       List<String> lines = new ArrayList<>();
       matches.forEach(n -> lines.addAll(source.explain(n)));
-      return matches.isEmpty() ? List.of(name + ": nobody has named it") : lines;
+      return matches.isEmpty() ? List.of(name + ": no resolver lists it") : lines;
     });
   }
 
