--- a/dnssd/src/test/java/cloverpulley/dnssd/Rig.java
+++ b/dnssd/src/test/java/cloverpulley/dnssd/Rig.java
@@ -18,36 +18,36 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-/** A source on a loop of its own with stand-in zones for resolvers; what it tells is kept as a front would. */
+/** A source on its own event loop, with stand-in zones as resolvers. Applies the updates to a list as a frontend does. */
 final class Rig implements AutoCloseable {
 
-  /** A generous limit for what has to happen: no test passes by its running out. */
-  static final int LIMIT_S = 30;
+  /** A generous timeout for conditions that must come true; no test passes because it expires. */
+  static final int TIMEOUT_S = 30;
   static final String ORIGIN = "example.";
   static final String SERVICE = "_quote._tcp.example.";
-  /** Quick figures: what takes seconds in service takes a fraction of one here. */
-  static final String QUICK = "poll_ms = 50\nleast_ttl_ms = 50\nback_off_ms = 20\nmost_back_off_ms = 100\nask_ms = 400\n";
-  static final String TRUST = "[fleet.dnssd.trust]\nfirst_wait_ms = 300\nsettle_ms = 200\nconfirm_ms = 400\nlone_wait_ms = 60000\n";
+  /** Short intervals, so that what takes seconds in production takes a fraction of a second in tests. */
+  static final String FAST_SETTINGS = "poll_ms = 50\nleast_ttl_ms = 50\nback_off_ms = 20\nmost_back_off_ms = 100\nask_ms = 400\n";
+  static final String TRUST_SECTION = "[fleet.dnssd.trust]\nfirst_wait_ms = 300\nsettle_ms = 200\nconfirm_ms = 400\nlone_wait_ms = 60000\n";
 
   final EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
   final Map<String, Server> list = new ConcurrentSkipListMap<>();
   private final List<AutoCloseable> closing = new ArrayList<>();
   private volatile long revision;
-  /** How many the first list had. */
-  volatile int firstList;
+  /** The number of servers on the first list. */
+  volatile int firstListSize;
   DnsSdSource source;
 
   StandInZone zone() {
     return keep(new StandInZone(group, ORIGIN));
   }
 
-  /** The section for these resolvers; {@code more} are keys of {@code [fleet.dnssd]}, {@code tables} come after. */
-  static String section(String more, String tables, StandInZone... zones) {
-    StringBuilder text = new StringBuilder("[fleet.dnssd]\ndomains = [\"example\"]\n" + QUICK + more + "\n");
+  /** The settings for these resolvers; {@code settings} are added to {@code [fleet.dnssd]}, {@code tables} follow at the end. */
+  static String section(String settings, String tables, StandInZone... zones) {
+    StringBuilder text = new StringBuilder("[fleet.dnssd]\ndomains = [\"example\"]\n" + FAST_SETTINGS + settings + "\n");
     for (StandInZone z : zones) {
       text.append("[[fleet.dnssd.resolver]]\naddress = \"127.0.0.1:").append(z.address().getPort()).append("\"\n");
     }
-    return text + TRUST + tables;
+    return text + TRUST_SECTION + tables;
   }
 
   static DnsSdConfig config(String text) throws BadFileException {
@@ -58,31 +58,31 @@
     return start(section("", "", zones), ServerList.EMPTY);
   }
 
-  DnsSdSource start(String text, ServerList held) throws Exception {
+  DnsSdSource start(String text, ServerList cached) throws Exception {
     DnsSdConfig config = config(text);
     var loop = group.next();
     source = loop.submit(() -> {
-      DnsSdSource s = new DnsSdSource(loop, config, held, () -> revision, this::told, 7);
+      DnsSdSource s = new DnsSdSource(loop, config, cached, () -> revision, this::applyUpdate, 7);
       s.watch(true);
       return s;
     }).get();
-    DnsSdSource mine = source;
-    closing.add(0, () -> loop.submit(mine::close).get());
+    DnsSdSource started = source;
+    closing.add(0, () -> loop.submit(started::close).get());
     return source;
   }
 
-  private void told(ListKind kind, ServerList news) {
+  private void applyUpdate(ListKind kind, ServerList update) {
     if (kind == ListKind.FULL) {
       list.clear();
     }
-    firstList = firstList == 0 ? news.members().size() : firstList;
-    if (kind == ListKind.FULL || kind == ListKind.DELTA && !news.members().isEmpty()) {
-      if (news.revision() <= revision) {
-        throw new AssertionError("revision " + news.revision() + " after " + revision);
+    firstListSize = firstListSize == 0 ? update.members().size() : firstListSize;
+    if (kind == ListKind.FULL || kind == ListKind.DELTA && !update.members().isEmpty()) {
+      if (update.revision() <= revision) {
+        throw new AssertionError("revision " + update.revision() + " after " + revision);
       }
-      revision = news.revision();
+      revision = update.revision();
     }
-    for (Server s : news.members()) {
+    for (Server s : update.members()) {
       if (s.state() == State.GONE) {
         list.remove(s.id());
       } else {
@@ -91,22 +91,22 @@
     }
   }
 
-  /** The server that an instance's label has on the list; null for none. */
-  Server of(String label) {
+  /** The listed server with this instance label; null if there is none. */
+  Server server(String label) {
     return list.values().stream().filter(s -> s.id().startsWith(label + '.' + SERVICE)).findFirst().orElse(null);
   }
 
   State state(String label) {
-    Server s = of(label);
+    Server s = server(label);
     return s == null ? null : s.state();
   }
 
   int port(String label) {
-    Server s = of(label);
+    Server s = server(label);
     return s == null ? 0 : ((InetSocketAddress) s.address()).getPort();
   }
 
-  long ready() {
+  long readyCount() {
     return list.values().stream().filter(s -> s.state() == State.READY).count();
   }
 
@@ -115,23 +115,23 @@
     return closeable;
   }
 
-  static void await(String what, BooleanSupplier condition) throws InterruptedException {
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_S);
+  static void await(String description, BooleanSupplier condition) throws InterruptedException {
+    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
     while (!condition.getAsBoolean()) {
-      if (System.nanoTime() > until) {
-        throw new AssertionError("never: " + what);
+      if (System.nanoTime() > deadline) {
+        throw new AssertionError("timed out waiting for: " + description);
       }
       TimeUnit.MILLISECONDS.sleep(2);
     }
   }
 
-  /** Waits until a resolver has been asked so many times more for a name: what it says has then been heard. */
-  static void awaitAsked(StandInZone zone, String name, int times) throws InterruptedException {
-    long before = asked(zone, name);
-    await(name + " is asked for", () -> asked(zone, name) >= before + times);
+  /** Waits for this many further queries for a name, after which the resolver's answers have been processed. */
+  static void awaitQueries(StandInZone zone, String name, int times) throws InterruptedException {
+    long before = queryCount(zone, name);
+    await(name + " to be queried", () -> queryCount(zone, name) >= before + times);
   }
 
-  private static long asked(StandInZone zone, String name) {
+  private static long queryCount(StandInZone zone, String name) {
     return zone.server().seen().stream().filter(s -> s.name().equals(name)).count();
   }
 
--- a/dnssd/src/test/java/cloverpulley/dnssd/RulesTest.java
+++ b/dnssd/src/test/java/cloverpulley/dnssd/RulesTest.java
@@ -38,8 +38,8 @@
 import org.xbill.DNS.SimpleResolver;
 import org.xbill.DNS.Type;
 
-/** Rules 3 and 4 for fleets found through DNS-SD, through fronts, as the servers themselves count. */
-@Timeout(value = 3 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
+/** No requests to draining servers and slow start, for fleets discovered through DNS-SD: through a frontend, counted at the servers. */
+@Timeout(value = 3 * Rig.TIMEOUT_S, unit = TimeUnit.SECONDS)
 class RulesTest {
 
   private static final long GRACE_NANOS = TimeUnit.SECONDS.toNanos(2);
@@ -51,10 +51,10 @@
       deadline_ms = 40000
       """;
 
-  private record Told(Settings settings, ProcessorConfig processor, FleetSource fleet, DnsConfig dns) {
-    static Told read(Section file) {
+  private record TestConfig(Settings settings, ProcessorConfig processor, FleetSource fleet, DnsConfig dns) {
+    static TestConfig read(Section file) {
       Settings settings = ServiceSection.read(file);
-      return new Told(settings, ProcessorConfig.read(file.table("processor"), 1), FleetSource.read(file.table("fleet")),
+      return new TestConfig(settings, ProcessorConfig.read(file.table("processor"), 1), FleetSource.read(file.table("fleet")),
           file.has("dns") ? DnsConfig.read(file.table("dns"), settings) : null);
     }
   }
@@ -72,139 +72,141 @@
     return rig.keep(new StandInUpstream(rig.group, r -> Answer.ok(2)));
   }
 
-  private static int port(StandInUpstream u) {
-    return Integer.parseInt(u.address().substring(u.address().lastIndexOf(':') + 1));
+  private static int port(StandInUpstream upstream) {
+    return Integer.parseInt(upstream.address().substring(upstream.address().lastIndexOf(':') + 1));
   }
 
-  private void list(StandInZone z, String label, StandInUpstream u, String... more) {
+  private void register(StandInZone z, String label, StandInUpstream upstream, String... attributes) {
     List<String> text = new ArrayList<>(List.of("started=boot-" + label, "locality=a"));
-    text.addAll(List.of(more));
-    z.server(label, label + "h.example.", port(u), "127.0.0.1", text.toArray(String[]::new));
+    text.addAll(List.of(attributes));
+    z.server(label, label + "h.example.", port(upstream), "127.0.0.1", text.toArray(String[]::new));
   }
 
   private StandInProxy proxy(String service, String section) throws Exception {
-    Told told = OperatorsFile.parse("test", CLASS + service + "[processor]\nlisten = \"127.0.0.1:0\"\n" + section, Told::read);
-    ProcessorServer server = rig.keep(ProcessorServer.start(told.processor, told.settings, told.fleet, 7));
+    TestConfig config = OperatorsFile.parse("test", CLASS + service + "[processor]\nlisten = \"127.0.0.1:0\"\n" + section, TestConfig::read);
+    ProcessorServer server = rig.keep(ProcessorServer.start(config.processor, config.settings, config.fleet, 7));
     return rig.keep(new StandInProxy(server.address(), StandInProxy.Config.of(2)));
   }
 
-  private CompletableFuture<HttpResponse<String>> ask(StandInProxy proxy) {
+  private CompletableFuture<HttpResponse<String>> send(StandInProxy proxy) {
     String id = "r" + ids.getAndIncrement();
     return http.sendAsync(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + proxy.address().getPort() + "/api"))
-        .timeout(Duration.ofSeconds(Rig.LIMIT_S)).header("x-request-id", id).header("x-qos", "safe").build(),
+        .timeout(Duration.ofSeconds(Rig.TIMEOUT_S)).header("x-request-id", id).header("x-qos", "safe").build(),
         HttpResponse.BodyHandlers.ofString());
   }
 
-  private void some(StandInProxy proxy) {
-    List<CompletableFuture<HttpResponse<String>>> asked = new ArrayList<>();
+  private void sendBatch(StandInProxy proxy) {
+    List<CompletableFuture<HttpResponse<String>>> responses = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
-      asked.add(ask(proxy));
+      responses.add(send(proxy));
     }
-    asked.forEach(CompletableFuture::join);
+    responses.forEach(CompletableFuture::join);
   }
 
   private void awaitServing(StandInProxy proxy) throws InterruptedException {
-    Rig.await("it serves", () -> ask(proxy).join().statusCode() == 200);
+    Rig.await("a served request", () -> send(proxy).join().statusCode() == 200);
   }
 
   @Test
-  void nothingNewReachesADrainedOrWithdrawnServer() throws Exception {
-    StandInZone fresh = rig.zone();
+  void noNewRequestsReachADrainingOrWithdrawnServer() throws Exception {
+    StandInZone current = rig.zone();
     StandInZone stale = rig.zone();
-    StandInUpstream[] u = {upstream(), upstream(), upstream(), upstream()};
-    for (int i = 0; i < u.length; i++) {
-      list(fresh, "s" + i, u[i]);
+    StandInUpstream[] upstreams = {upstream(), upstream(), upstream(), upstream()};
+    for (int i = 0; i < upstreams.length; i++) {
+      register(current, "s" + i, upstreams[i]);
     }
-    stale.transfer(fresh);
-    StandInProxy proxy = proxy("", Rig.section("", "", fresh, stale));
+    stale.transfer(current);
+    StandInProxy proxy = proxy("", Rig.section("", "", current, stale));
     awaitServing(proxy);
-    while (u[0].seen().size() < 10 || u[1].seen().size() < 10) {
-      some(proxy);
+    while (upstreams[0].seen().size() < 10 || upstreams[1].seen().size() < 10) {
+      sendBatch(proxy);
     }
-    list(fresh, "s0", u[0], "phase=draining");
-    fresh.withdraw("s1");
-    // By polls: two seconds after the answer that said so, which is one poll later at the latest.
-    Rig.awaitAsked(fresh, Rig.SERVICE, 1);
-    long told = System.nanoTime();
-    int before = u[2].seen().size() + u[3].seen().size();
-    while (System.nanoTime() < told + GRACE_NANOS + TimeUnit.MILLISECONDS.toNanos(700)) {
-      some(proxy);
+    register(current, "s0", upstreams[0], "phase=draining");
+    current.withdraw("s1");
+    // Changes are found by polling: the grace of two seconds starts at the next query, one poll interval later at most.
+    Rig.awaitQueries(current, Rig.SERVICE, 1);
+    long reportedAt = System.nanoTime();
+    int before = upstreams[2].seen().size() + upstreams[3].seen().size();
+    while (System.nanoTime() < reportedAt + GRACE_NANOS + TimeUnit.MILLISECONDS.toNanos(700)) {
+      sendBatch(proxy);
     }
-    assertTrue(u[2].seen().size() + u[3].seen().size() > before + 20, "the others served meanwhile");
+    assertTrue(upstreams[2].seen().size() + upstreams[3].seen().size() > before + 20, "the other servers received requests meanwhile");
     for (int i = 0; i < 2; i++) {
-      List<Seen> late = u[i].seen().stream().filter(s -> s.atNanos() > told + GRACE_NANOS).toList();
-      assertEquals(List.of(), late, "s" + i);
+      List<Seen> lateRequests = upstreams[i].seen().stream().filter(s -> s.atNanos() > reportedAt + GRACE_NANOS).toList();
+      assertEquals(List.of(), lateRequests, "s" + i);
     }
   }
 
-  /** Two processors with a source each: a successor under an old name gets its first work from both within the cold rule. */
+  /** Two processors with a source each: a successor under an old name starts slowly although both send to it. */
   @Test
-  void aSuccessorUnderAnOldNameStartsGently() throws Exception {
+  void aSuccessorUnderAnOldNameStartsSlowly() throws Exception {
     StandInZone z = rig.zone();
-    StandInUpstream[] u = {upstream(), upstream(), upstream(), upstream()};
+    StandInUpstream[] upstreams = {upstream(), upstream(), upstream(), upstream()};
     for (int i = 0; i < 3; i++) {
-      list(z, "s" + i, u[i]);
+      register(z, "s" + i, upstreams[i]);
     }
     StandInProxy[] proxies = new StandInProxy[2];
     for (int i = 0; i < 2; i++) {
       proxies[i] = proxy("[service]\nprocesses = 2\nnumber = " + i + "\nzone = \"a\"\n", Rig.section("", "", z));
       awaitServing(proxies[i]);
     }
-    // The line has to know what usual is.
+    // The rate curve needs samples of the usual rate.
     for (int n = 0; n < 100; n++) {
-      some(proxies[0]);
-      some(proxies[1]);
+      sendBatch(proxies[0]);
+      sendBatch(proxies[1]);
     }
-    Rig.awaitAsked(z, Rig.ORIGIN, 8);
-    z.server("s2", "s2h.example.", port(u[3]), "127.0.0.1", "started=second", "locality=a");
-    Rig.await("its first work", () -> {
-      some(proxies[0]);
-      some(proxies[1]);
-      return !u[3].seen().isEmpty();
+    Rig.awaitQueries(z, Rig.ORIGIN, 8);
+    z.server("s2", "s2h.example.", port(upstreams[3]), "127.0.0.1", "started=second", "locality=a");
+    Rig.await("the successor's first request", () -> {
+      sendBatch(proxies[0]);
+      sendBatch(proxies[1]);
+      return !upstreams[3].seen().isEmpty();
     });
-    long first = u[3].seen().get(0).atNanos();
-    while (System.nanoTime() < first + TimeUnit.SECONDS.toNanos(1)) {
-      some(proxies[0]);
-      some(proxies[1]);
+    long firstRequestAt = upstreams[3].seen().get(0).atNanos();
+    while (System.nanoTime() < firstRequestAt + TimeUnit.SECONDS.toNanos(1)) {
+      sendBatch(proxies[0]);
+      sendBatch(proxies[1]);
     }
-    long toCold = u[3].seen().stream().filter(s -> s.atNanos() < first + TimeUnit.SECONDS.toNanos(1)).count();
-    long toWarm = u[0].seen().stream().filter(s -> s.atNanos() >= first && s.atNanos() < first + TimeUnit.SECONDS.toNanos(1)).count();
-    assertTrue(toCold < toWarm, "the cold one got " + toCold + ", a warm one " + toWarm);
-    long old = u[2].seen().stream().filter(s -> s.atNanos() > first + GRACE_NANOS).count();
-    assertEquals(0, old, "its predecessor gets nothing any more");
+    long toSuccessor = upstreams[3].seen().stream().filter(s -> s.atNanos() < firstRequestAt + TimeUnit.SECONDS.toNanos(1)).count();
+    long toWarmedUp = upstreams[0].seen().stream().filter(s -> s.atNanos() >= firstRequestAt
+        && s.atNanos() < firstRequestAt + TimeUnit.SECONDS.toNanos(1)).count();
+    assertTrue(toSuccessor < toWarmedUp, "the successor got " + toSuccessor + ", a warmed-up server " + toWarmedUp);
+    long toPredecessor = upstreams[2].seen().stream().filter(s -> s.atNanos() > firstRequestAt + GRACE_NANOS).count();
+    assertEquals(0, toPredecessor, "the predecessor must not get requests any more");
   }
 
   @Test
-  void theDnsFrontTakesTheSameSource() throws Exception {
+  void theDnsFrontendUsesTheSameSource() throws Exception {
     StandInZone z = rig.zone();
-    StandInDns[] d = new StandInDns[2];
+    StandInDns[] upstreams = new StandInDns[2];
     for (int i = 0; i < 2; i++) {
-      d[i] = rig.keep(new StandInDns(rig.group, StandInDns.addresses("10.0.0." + i)));
-      z.server("d" + i, "d" + i + "h.example.", d[i].address().getPort(), "127.0.0.1", "started=b" + i);
+      upstreams[i] = rig.keep(new StandInDns(rig.group, StandInDns.addresses("10.0.0." + i)));
+      z.server("d" + i, "d" + i + "h.example.", upstreams[i].address().getPort(), "127.0.0.1", "started=b" + i);
     }
     String section = Rig.section("", "", z).replace("fleet.dnssd", "dns.fleet.dnssd");
-    Told told = OperatorsFile.parse("test", CLASS + "[fleet]\n[[fleet.server]]\nid = \"x\"\naddress = \"127.0.0.1:1\"\n[dns]\nlisten = \"127.0.0.1:0\"\n"
+    TestConfig config = OperatorsFile.parse("test",
+        CLASS + "[fleet]\n[[fleet.server]]\nid = \"x\"\naddress = \"127.0.0.1:1\"\n[dns]\nlisten = \"127.0.0.1:0\"\n"
         + "[[dns.class]]\nname = \"query\"\neffect = \"safe\"\naim_ms = 1000\ndeadline_ms = 3000\n"
-        // One client asks as fast as it can: past the usual limit of a prefix it would get no answer to some.
-        + "[dns.limits]\nudp_per_prefix_per_s = 0\n[dns.fleet]\n" + section, Told::read);
-    DnsServer front = rig.keep(DnsServer.start(told.dns, null, 7));
-    SimpleResolver client = new SimpleResolver(front.address());
-    client.setTimeout(Duration.ofSeconds(Rig.LIMIT_S));
-    AtomicInteger names = new AtomicInteger();
-    Rig.await("an answer", () -> answered(client, names));
+        // A single client sends as fast as it can; with the default limit per prefix some queries would get no answer.
+        + "[dns.limits]\nudp_per_prefix_per_s = 0\n[dns.fleet]\n" + section, TestConfig::read);
+    DnsServer frontend = rig.keep(DnsServer.start(config.dns, null, 7));
+    SimpleResolver client = new SimpleResolver(frontend.address());
+    client.setTimeout(Duration.ofSeconds(Rig.TIMEOUT_S));
+    AtomicInteger nameCounter = new AtomicInteger();
+    Rig.await("an answer", () -> answered(client, nameCounter));
     z.withdraw("d0");
-    Rig.awaitAsked(z, Rig.SERVICE, 1);
-    long told0 = System.nanoTime();
-    while (System.nanoTime() < told0 + GRACE_NANOS + TimeUnit.MILLISECONDS.toNanos(300)) {
-      answered(client, names);
+    Rig.awaitQueries(z, Rig.SERVICE, 1);
+    long reportedAt = System.nanoTime();
+    while (System.nanoTime() < reportedAt + GRACE_NANOS + TimeUnit.MILLISECONDS.toNanos(300)) {
+      answered(client, nameCounter);
     }
-    assertEquals(0, d[0].seen().stream().filter(s -> s.atNanos() > told0 + GRACE_NANOS).count());
-    assertTrue(d[1].seen().stream().anyMatch(s -> s.atNanos() > told0 + GRACE_NANOS));
+    assertEquals(0, upstreams[0].seen().stream().filter(s -> s.atNanos() > reportedAt + GRACE_NANOS).count());
+    assertTrue(upstreams[1].seen().stream().anyMatch(s -> s.atNanos() > reportedAt + GRACE_NANOS));
   }
 
-  private static boolean answered(SimpleResolver client, AtomicInteger names) {
+  private static boolean answered(SimpleResolver client, AtomicInteger nameCounter) {
     try {
-      Message m = client.send(Message.newQuery(Record.newRecord(Name.fromString("n" + names.getAndIncrement() + ".test."), Type.A, 1)));
+      Message m = client.send(Message.newQuery(Record.newRecord(Name.fromString("n" + nameCounter.getAndIncrement() + ".test."), Type.A, 1)));
       return m.getRcode() == Rcode.NOERROR;
     } catch (java.io.IOException e) {
       throw new AssertionError(e);
