--- a/bench/src/main/java/cloverpulley/bench/DnsSdBench.java
+++ b/bench/src/main/java/cloverpulley/bench/DnsSdBench.java
@@ -171,7 +171,7 @@
       }
       double first = (System.nanoTime() - start) / 1e6;
       double cpu = (threads.getThreadCpuTime(thread) - cpuBefore) / 1e6;
-      long queries = on(loop, () -> rig.source.queries()[0]);
+      long queries = on(loop, () -> rig.source.queryCounts()[0]);
       double perMinute = 0;
       double atRest = 0;
       double heap = 0;
@@ -179,9 +179,9 @@
         heap = (heap() - heapBefore) / 1e6;
         long cpuAt = threads.getThreadCpuTime(thread);
         long restAt = System.nanoTime();
-        long asked = on(loop, () -> rig.source.queries()[0]);
+        long asked = on(loop, () -> rig.source.queryCounts()[0]);
         TimeUnit.SECONDS.sleep(restSeconds);
-        perMinute = (on(loop, () -> rig.source.queries()[0]) - asked) * 60e9 / (System.nanoTime() - restAt);
+        perMinute = (on(loop, () -> rig.source.queryCounts()[0]) - asked) * 60e9 / (System.nanoTime() - restAt);
         atRest = (threads.getThreadCpuTime(thread) - cpuAt) / (double) (System.nanoTime() - restAt);
       }
       double last = 0;
--- a/dist/src/main/java/cloverpulley/cli/DnsSdCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/DnsSdCommand.java
@@ -38,7 +38,7 @@
         throw new IOException(config + ": fleet.dnssd: expected a table [fleet.dnssd], got nothing");
       }
       try (DnsSdView view = new DnsSdView(operators.dnssd())) {
-        boolean found = view.awaitFirst(waitMillis);
+        boolean found = view.awaitFirstList(waitMillis);
         int status = show(view);
         if (!found) {
           throw new IOException("no list in " + waitMillis + " ms");
--- a/dnssd/src/main/java/cloverpulley/dnssd/ConnectionProber.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/ConnectionProber.java
@@ -40,7 +40,7 @@
     if (probing.size() >= MAX_PROBES || !probing.add(member.instance())) {
       return;
     }
-    bootstrap.connect(DnsSdSource.server(member).address()).addListener((io.netty.channel.ChannelFuture f) -> {
+    bootstrap.connect(DnsSdSource.toServer(member).address()).addListener((io.netty.channel.ChannelFuture f) -> {
       probing.remove(member.instance());
       if (f.isSuccess()) {
         f.channel().close();
--- a/dnssd/src/main/java/cloverpulley/dnssd/DnsSdSource.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/DnsSdSource.java
@@ -159,7 +159,7 @@
       }
     } else if (ready && watched && !changes.isEmpty()) {
       List<Server> members = new ArrayList<>();
-      changes.forEach(c -> members.add(server(c.member())));
+      changes.forEach(c -> members.add(toServer(c.member())));
       updates.accept(ListKind.DELTA, new ServerList(revision.getAsLong() + 1, false, members));
     }
   }
@@ -171,10 +171,11 @@
   }
 
   private void publishFullList() {
-    updates.accept(ListKind.FULL, new ServerList(revision.getAsLong() + 1, true, membership.members().stream().map(DnsSdSource::server).toList()));
+    updates.accept(ListKind.FULL, new ServerList(revision.getAsLong() + 1, true,
+        membership.members().stream().map(DnsSdSource::toServer).toList()));
   }
 
-  static Server server(Member m) {
+  static Server toServer(Member m) {
     try {
       State state = m.phase() == Phase.READY ? State.READY : m.phase() == Phase.DRAINING ? State.DRAINING : State.GONE;
       return new Server(m.id(), new InetSocketAddress(InetAddress.getByName(m.address()), m.port()), m.zone(), m.cell(), state,
@@ -231,7 +232,7 @@
   }
 
   /** The number of queries sent to all resolvers, of those that failed, and of those skipped because the serial was unchanged. */
-  public long[] queries() {
+  public long[] queryCounts() {
     return new long[] {readers.stream().mapToLong(r -> r.counts().queries).sum(),
       readers.stream().mapToLong(r -> r.counts().failures).sum(), readers.stream().mapToLong(r -> r.counts().skipped).sum()};
   }
--- a/dnssd/src/main/java/cloverpulley/dnssd/DnsSdView.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/DnsSdView.java
@@ -29,12 +29,12 @@
   /** Starts reading. */
   public DnsSdView(DnsSdConfig config) {
     this.config = config.withoutSideEffects();
-    source = on(() -> new DnsSdSource(loop, this.config, ServerList.EMPTY, () -> 0, (kind, list) -> { },
+    source = runOnLoop(() -> new DnsSdSource(loop, this.config, ServerList.EMPTY, () -> 0, (kind, list) -> { },
         new java.security.SecureRandom().nextLong()));
   }
 
   /** Runs a task on the source's event loop and waits for its result. */
-  public <T> T on(Callable<T> task) {
+  public <T> T runOnLoop(Callable<T> task) {
     try {
       return loop.submit(task).get();
     } catch (InterruptedException e) {
@@ -45,16 +45,16 @@
     }
   }
 
-  /** The source; may only be used within {@link #on}. */
+  /** The source; may only be used within {@link #runOnLoop}. */
   public DnsSdSource source() {
     return source;
   }
 
   /** Waits for a first list; returns false on timeout. */
-  public boolean awaitFirst(long millis) throws InterruptedException {
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
-    while (!on(source::isReady)) {
-      if (System.nanoTime() > until) {
+  public boolean awaitFirstList(long millis) throws InterruptedException {
+    long deadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(millis);
+    while (!runOnLoop(source::isReady)) {
+      if (System.nanoTime() > deadline) {
         return false;
       }
       TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
@@ -64,7 +64,7 @@
 
   /** The current server list, and the number of instances that each resolver lists. */
   public List<String> browse() {
-    return on(() -> {
+    return runOnLoop(() -> {
       List<String> lines = new ArrayList<>();
       for (DnsSdConfig.Browse b : config.browses()) {
         List<Set<String>> listed = source.listed(b.name());
@@ -88,7 +88,7 @@
 
   /** Reports the current list and every change from now on; returns after the given seconds, or never if 0. */
   public void watch(Consumer<String> line, long seconds) throws InterruptedException {
-    on(() -> {
+    runOnLoop(() -> {
       source.members().forEach(m -> line.accept(Instant.now() + " " + m.phase().name().toLowerCase(java.util.Locale.ROOT) + " " + m.id()));
       source.onChange(c -> line.accept(Instant.ofEpochMilli(c.at()) + " " + c.member().phase().name().toLowerCase(java.util.Locale.ROOT)
           + " " + c.member().id() + " why=" + c.reason().code() + (c.resolver() < 0 ? "" : " resolver=" + c.resolver())));
@@ -103,7 +103,7 @@
 
   /** What each resolver reports about the instances with this name or first label. */
   public List<String> explain(String name) {
-    return on(() -> {
+    return runOnLoop(() -> {
       Set<String> known = new java.util.TreeSet<>();
       for (DnsSdConfig.Browse b : config.browses()) {
         source.listed(b.name()).forEach(known::addAll);
@@ -119,7 +119,7 @@
 
   @Override
   public void close() {
-    on(() -> {
+    runOnLoop(() -> {
       source.close();
       return null;
     });
--- a/dnssd/src/main/java/cloverpulley/dnssd/PublishConfig.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/PublishConfig.java
@@ -19,7 +19,7 @@
  * @param primary receives updates of the zone
  * @param key signs updates; null if the primary authenticates by address
  * @param port 0 for the port that the process listens on
- * @param text additional pairs of the instance's TXT record
+ * @param text pairs of the instance's TXT record, in addition to those that the process sets itself
  * @param fleet whether the servers configured under {@code [fleet]} are registered as well
  */
 public record PublishConfig(InetSocketAddress primary, Name zone, String service, String instance, Name target, InetAddress address,
--- a/dnssd/src/test/java/cloverpulley/dnssd/PushAndPublishTest.java
+++ b/dnssd/src/test/java/cloverpulley/dnssd/PushAndPublishTest.java
@@ -195,7 +195,7 @@
     secondary.transfer(z);
     java.nio.file.Path records = dir.resolve("records");
     try (DnsSdView view = new DnsSdView(Rig.config(Rig.section("records_file = \"" + records + '"', "", z, secondary)))) {
-      assertTrue(view.awaitFirst(20_000));
+      assertTrue(view.awaitFirstList(20_000));
       String browse = String.join("\n", view.browse());
       assertTrue(browse.contains("resolver 1 at " + secondary.server().hostPort() + " names 3"), browse);
       assertTrue(browse.contains("127.0.0.1:8002") && browse.contains("ignored: s0." + Rig.SERVICE + " size"), browse);
--- a/dnssd/src/test/java/cloverpulley/dnssd/ReaderTest.java
+++ b/dnssd/src/test/java/cloverpulley/dnssd/ReaderTest.java
@@ -93,7 +93,7 @@
     long before = z.server().seen().stream().filter(s -> s.type() != Type.SOA).count();
     Rig.awaitQueries(z, Rig.ORIGIN, 40);
     assertEquals(before, z.server().seen().stream().filter(s -> s.type() != Type.SOA).count(), "two TTLs have expired");
-    long skipped = rig.group.next().submit(() -> rig.source.queries()[2]).get();
+    long skipped = rig.group.next().submit(() -> rig.source.queryCounts()[2]).get();
     assertTrue(skipped > 0);
   }
 
