--- a/decision/src/main/java/cloverpulley/quota/Dimension.java
+++ b/decision/src/main/java/cloverpulley/quota/Dimension.java
@@ -2,7 +2,7 @@
 
 import java.util.Locale;
 
-/** Dimension of a limit. */
+/** What a limit counts. */
 public enum Dimension {
   REQUESTS, BYTES_IN, BYTES_OUT,
   /** Server time in milliseconds, from the cost hint of a request. */
--- a/decision/src/main/java/cloverpulley/quota/LeaseHolder.java
+++ b/decision/src/main/java/cloverpulley/quota/LeaseHolder.java
@@ -20,16 +20,16 @@
   private long validFrom;
   private long seq;
 
-  /** @param firstSeq higher than any number before a restart, such as a clock reading */
-  public LeaseHolder(QuotaPlan plan, Terms terms, String instance, long now, long firstSeq) {
+  /** @param initialSeq start of the sequence numbers, higher than any number before a restart, such as a clock reading */
+  public LeaseHolder(QuotaPlan plan, Terms terms, String instance, long now, long initialSeq) {
     startedAt = now;
     this.plan = plan;
     this.terms = terms;
     this.instance = instance;
-    seq = firstSeq;
+    seq = initialSeq;
   }
 
-  /** Accepts a lease that answers a report sent at {@code sentAt}, from when it is valid. The answer to an older report is ignored. */
+  /** Accepts a lease that answers a report sent at {@code sentAt}; its validity starts then. The answer to an older report is ignored. */
   public boolean accept(long sentAt, Lease next) {
     if (lease != null && sentAt <= validFrom || next.validNanos() <= 0) {
       return false;
@@ -45,7 +45,8 @@
     double evenShare = total / terms.instances();
     double[] leased = lease == null ? null : lease.allowances().get(path);
     if (leased == null || lane >= leased.length || !(leased[lane] >= 0)) {
-      // Before a restart it may have had less than its even share, and others the rest until their leases must have fallen back.
+      // Before a restart it may have had less than its even share, and others the rest. Until their leases must have fallen back, it uses
+      // the minimum share only.
       return now - startedAt <= 3 * terms.validNanos() + terms.fallNanos() ? Leases.MIN_SHARE_RATIO * evenShare : evenShare;
     }
     // Never more than the guarantee, whichever coordinator issued it.
--- a/decision/src/main/java/cloverpulley/quota/Leases.java
+++ b/decision/src/main/java/cloverpulley/quota/Leases.java
@@ -20,7 +20,7 @@
  */
 public final class Leases {
 
-  /** Minimum part of its even share for each reporting instance: one without demand may have some at any moment. */
+  /** Minimum lease of a reporting instance, as a ratio of its even share: an instance without demand may get requests at any moment. */
   static final double MIN_SHARE_RATIO = 0.2;
   /** A lease exceeds the demand by this factor where enough is available. */
   private static final double HEADROOM = 1.2;
@@ -77,13 +77,13 @@
   private long majoritySince;
   private long lastNumber;
 
-  /** @param firstNumber lower bound of lease numbers, such as a clock reading, so that none of an earlier coordinator's is used again */
-  public Leases(QuotaPlan plan, Terms terms, long now, long firstNumber) {
+  /** @param initialNumber start of the lease numbers, such as a clock reading, so that no number of an earlier coordinator is used again */
+  public Leases(QuotaPlan plan, Terms terms, long now, long initialNumber) {
     this.plan = plan;
     this.terms = terms;
     startedAt = now;
     majoritySince = now;
-    lastNumber = firstNumber;
+    lastNumber = initialNumber;
   }
 
   /** Processes a report and returns the lease that answers it; null for an outdated report. */
@@ -249,7 +249,7 @@
     return Math.min(own, level) + surplus;
   }
 
-  /** Returns the upper bound of what all known instances may be using of a node, for tests and figures. */
+  /** Returns the upper bound of what all known instances may be using of a node, for tests and metrics. */
   public double allocatedUpperBound(String path, int lane, long now) {
     double evenShare = plan.nodes().get(path).guarantee()[lane] / terms.instances;
     double sum = 0;
--- a/decision/src/main/java/cloverpulley/quota/Lending.java
+++ b/decision/src/main/java/cloverpulley/quota/Lending.java
@@ -41,7 +41,10 @@
     return n.accounts[lane];
   }
 
-  /** Returns the lead of a child that tries to borrow: 0 at the bound of lag, 1 where no sibling has borrowed more per unit of weight. */
+  /**
+   * Records that a child tries to borrow and returns its lead: 0 at the bound of lag, 1 where no sibling has borrowed more per unit of
+   * weight.
+   */
   double lead(Node child, int lane, double units, long now) {
     Node.Account a = account(child.parent, lane);
     Node.Borrower b = borrower(child, now);
@@ -59,7 +62,7 @@
     while (n.guarantee[lane] <= 0 && n.parent != null) {
       n = n.parent;
     }
-    return MAX_LAG_SECONDS * rate(n, lane) / childWeight(parent);
+    return MAX_LAG_SECONDS * rate(n, lane) / totalChildWeight(parent);
   }
 
   double rate(Node n, int lane) {
@@ -80,11 +83,11 @@
     Node.Borrower b = borrower(child, now);
     b.borrowed[lane] += units / child.weight;
     a.maxBorrowed = Math.max(a.maxBorrowed, b.borrowed[lane]);
-    a.lentPerWeight += units / childWeight(child.parent);
+    a.lentPerWeight += units / totalChildWeight(child.parent);
   }
 
   /** Returns the total weight of the children: the configured ones, or with a template at least that of all existing children. */
-  double childWeight(Node n) {
+  double totalChildWeight(Node n) {
     return n.childTemplate == null ? Math.max(n.configuredWeight, 1e-9) : Math.max(n.configuredWeight, n.childCount * n.childTemplate.weight());
   }
 }
--- a/decision/src/main/java/cloverpulley/quota/Node.java
+++ b/decision/src/main/java/cloverpulley/quota/Node.java
@@ -44,7 +44,7 @@
   int inFlight;
   /** Total weight of the configured children. */
   double configuredWeight;
-  /** Units requested since demand was last taken; null for none and in dynamic nodes. */
+  /** Units requested since the last {@link Quotas#takeDemand}; null for none and in dynamic nodes. */
   double[] demand;
   /** Whether it has been charged since its last snapshot. */
   boolean changed;
--- a/decision/src/main/java/cloverpulley/quota/QuotaPlan.java
+++ b/decision/src/main/java/cloverpulley/quota/QuotaPlan.java
@@ -12,7 +12,7 @@
  */
 public final class QuotaPlan {
 
-  /** Maximum number of lanes: the lender of each takes bits of a grant. */
+  /** Maximum number of lanes: a grant encodes the lender of each. */
   public static final int MAX_LANES = 8;
   /** Maximum number of levels below the root. */
   public static final int MAX_DEPTH = 8;
@@ -24,14 +24,14 @@
    *
    * @param guarantee units per window of a lane that are always available; 0 for none
    * @param ceiling units that are not exceeded in any window; infinite for none
-   * @param weight share of borrowed units among its siblings
+   * @param weight weight among its siblings for borrowed units
    * @param childTemplate what each child that is not in the plan gets; null where those share the node {@code others}
    */
   public record NodeSpec(String path, double weight, double[] guarantee, double[] ceiling, ChildTemplate childTemplate) {}
 
   /**
-   * Limits of a child that is not in the plan: its ratio of the parent's guarantee, of which all children together may exceed 1, and its
-   * weight.
+   * Weight and limits of a child that is not in the plan. Its guarantee is a ratio of the parent's; the ratios of all such children may add
+   * up to more than 1.
    */
   public record ChildTemplate(double weight, double guaranteeRatio, double[] ceiling) {}
 
--- a/decision/src/main/java/cloverpulley/quota/Quotas.java
+++ b/decision/src/main/java/cloverpulley/quota/Quotas.java
@@ -590,25 +590,25 @@
   public void restore(long at, long ageNanos, List<NodeSnapshot> snapshots) {
     now = Math.max(now, at);
     long age = Math.max(0, ageNanos); // A timestamp in the future counts as now.
-    for (NodeSnapshot k : snapshots) {
-      Node n = findOrCreateNode(k.path());
-      if (!n.path.equals(k.path())) {
+    for (NodeSnapshot s : snapshots) {
+      Node n = findOrCreateNode(s.path());
+      if (!n.path.equals(s.path())) {
         continue; // Its node is no longer in the plan, and none can be created for it.
       }
       refill(n);
-      for (int i = 0; i < Math.min(lanes.size(), k.used().length); i++) {
+      for (int i = 0; i < Math.min(lanes.size(), s.used().length); i++) {
         if (!lanes.get(i).isConcurrency()) {
-          double remaining = k.used()[i] - n.guarantee[i] * ((double) age / lanes.get(i).windowNanos());
+          double remaining = s.used()[i] - n.guarantee[i] * ((double) age / lanes.get(i).windowNanos());
           n.tokens[i] = Math.max(-MAX_DEBT_WINDOWS * n.guarantee[i], Math.min(n.tokens[i], n.guarantee[i] - Math.max(0, remaining)));
         }
-        if (k.windowUsage()[i] > 0 && !lanes.get(i).isConcurrency() && age < lanes.get(i).windowNanos()) {
+        if (s.windowUsage()[i] > 0 && !lanes.get(i).isConcurrency() && age < lanes.get(i).windowNanos()) {
           // The time of use within the window is unknown, so all of it counts as used now.
-          window(n, i).add(now, k.windowUsage()[i]);
+          window(n, i).add(now, s.windowUsage()[i]);
         }
-        if (n.parent != null && k.lag()[i] + k.credit()[i] > 0) {
+        if (n.parent != null && s.lag()[i] + s.credit()[i] > 0) {
           // Relative to the current account of the parent; a node without lag or credit is assumed to have borrowed most.
           Node.Account a = lending.account(n.parent, i);
-          lending.borrower(n, now).lentMark[i] = a.lentPerWeight - k.credit()[i] - k.lag()[i];
+          lending.borrower(n, now).lentMark[i] = a.lentPerWeight - s.credit()[i] - s.lag()[i];
         }
       }
     }
--- a/decision/src/test/java/cloverpulley/quota/FluidTest.java
+++ b/decision/src/test/java/cloverpulley/quota/FluidTest.java
@@ -14,7 +14,7 @@
 /**
  * Compares the shares with a slow and simple reference, a fluid model: each node gets its guarantee up to its demand, and the rest of a
  * parent is divided by weight among the children with more demand until none has any. Random trees and constant demands; a failing seed can
- * be replayed. {@code -Dquota.trees=N} sets the number of trees.
+ * be replayed. {@code -Dquota.trees=N} runs more trees than CI does, which uses the default.
  */
 class FluidTest {
 
@@ -22,7 +22,10 @@
   /** The buckets that are full at the start are used up by then. */
   private static final double WARMUP_SECONDS = 40;
   private static final double SECONDS = 70;
-  /** Difference in a steady state from rounding to requests, random slots and full buckets, as a ratio of the total. */
+  /**
+   * Allowed difference in a steady state, as a ratio of the total. It comes from the order of the requests, the slot that each falls into
+   * and buckets that are full.
+   */
   private static final double TOLERANCE = 0.02;
 
   /** Reference model of a tree. */
--- a/decision/src/test/java/cloverpulley/quota/QuotasTest.java
+++ b/decision/src/test/java/cloverpulley/quota/QuotasTest.java
@@ -299,17 +299,17 @@
         .node("agro", 1, of(5000), null, null).build();
     Quotas q = new Quotas(plan, 20_000, START);
     int agro = 0;
-    int asked = 0;
+    int requested = 0;
     for (int i = 0; i < 200_000; i++) {
       long at = START + i * (SECOND / 20_000);
       q.tryAcquire(at, "steppe/t" + i, of(1));
       if (i % 5 == 0) {
-        asked++;
+        requested++;
         agro += Quotas.isRejected(q.tryAcquire(at, "agro", of(1))) ? 0 : 1;
       }
     }
     assertTrue(q.nodeCount() <= 20_003, "" + q.nodeCount());
-    assertTrue(agro >= 0.97 * asked, agro + " of " + asked);
+    assertTrue(agro >= 0.97 * requested, agro + " of " + requested);
     for (int i = 0; i < 40_000; i++) { // Idle nodes are evicted as others come.
       q.tryAcquire(START + 100 * SECOND + i * 1_000_000L, "steppe/u" + i, of(1));
     }
@@ -323,7 +323,7 @@
     Quotas q = new Quotas(plan, 10, START);
     int granted = 0;
     for (int i = 0; i < 50; i++) {
-      granted += Quotas.isRejected(q.tryAcquire(START, "nobody" + i, of(1))) ? 0 : 1;
+      granted += Quotas.isRejected(q.tryAcquire(START, "missing" + i, of(1))) ? 0 : 1;
     }
     assertEquals(5, granted);
     assertTrue(Quotas.isRejected(q.tryAcquire(START, "", of(1))), "an empty path is unknown and not the root");
--- a/decision/src/test/java/cloverpulley/quota/Simulation.java
+++ b/decision/src/test/java/cloverpulley/quota/Simulation.java
@@ -57,8 +57,8 @@
   }
 
   /**
-   * Adds a client with a rate in requests per second as a function of the second; {@code steady} at even intervals, else as a Poisson
-   * process.
+   * Adds a client whose requests have the given cost each, at a rate per second as a function of the second; {@code steady} at even
+   * intervals, else as a Poisson process.
    */
   Simulation client(String path, DoubleUnaryOperator rate, boolean steady, double... cost) {
     paths.add(path);
@@ -109,8 +109,8 @@
     return usages.values().stream().mapToDouble(usage -> usage.granted(from, to)).sum();
   }
 
-  static double[] of(double... figures) {
-    return figures;
+  static double[] of(double... values) {
+    return values;
   }
 
   /**
--- a/decision/src/test/java/cloverpulley/quota/SizeEstimatorTest.java
+++ b/decision/src/test/java/cloverpulley/quota/SizeEstimatorTest.java
@@ -25,7 +25,7 @@
   }
 
   @Test
-  void oneLargeAnswerMovesItByASixteenth() {
+  void oneLargeResponseMovesTheMeanByASixteenth() {
     SizeEstimator e = new SizeEstimator(10, 1e6);
     for (int i = 0; i < 100; i++) {
       e.record("a", 100);
--- a/quota/src/main/java/cloverpulley/quota/service/QuotaConfig.java
+++ b/quota/src/main/java/cloverpulley/quota/service/QuotaConfig.java
@@ -14,7 +14,7 @@
 /**
  * Quotas of an installation: {@code [quota]} of the operators' file.
  *
- * @param maxDynamicNodes limit of nodes that are not in the plan
+ * @param maxDynamicNodes maximum number of dynamic nodes, which are not in the plan
  * @param journal file of the state that survives a restart; null for none
  * @param force whether each write of the journal is forced to the disk
  * @param listen address of the rate limit service; null for none
--- a/quota/src/main/java/cloverpulley/quota/service/QuotaJournal.java
+++ b/quota/src/main/java/cloverpulley/quota/service/QuotaJournal.java
@@ -29,7 +29,7 @@
  */
 public final class QuotaJournal implements AutoCloseable {
 
-  private static final long MAGIC = 0x4153_4851_5543_0001L; // "ASHQ" and a version in the last bytes.
+  private static final long MAGIC = 0x4153_4851_5543_0001L; // "ASHQUC" and the version in the last two bytes.
   private static final int FRAME_MAGIC = 0x51F0_A3E7;
   private static final int HEADER_BYTES = 20;
   private static final int MAX_FRAME_BYTES = 64 << 20;
@@ -125,9 +125,9 @@
         continue;
       }
       inCorruptRegion = false;
-      for (NodeSnapshot k : decodeFrame(bytes, at + HEADER_BYTES, length)) {
-        latest.remove(k.path());
-        latest.put(k.path(), new TimestampedSnapshot(k, unixMillis));
+      for (NodeSnapshot s : decodeFrame(bytes, at + HEADER_BYTES, length)) {
+        latest.remove(s.path());
+        latest.put(s.path(), new TimestampedSnapshot(s, unixMillis));
       }
       frames++;
       at += HEADER_BYTES + length;
@@ -177,9 +177,9 @@
     ByteBuffer frame = encodeFrame(unixMillis, snapshots);
     writeFully(channel, frame, size);
     size += frame.limit();
-    snapshots.forEach(k -> {
-      latest.remove(k.path());
-      latest.put(k.path(), new TimestampedSnapshot(k, unixMillis));
+    snapshots.forEach(s -> {
+      latest.remove(s.path());
+      latest.put(s.path(), new TimestampedSnapshot(s, unixMillis));
     });
     if (force) {
       channel.force(false);
@@ -193,14 +193,14 @@
     ByteArrayOutputStream output = new ByteArrayOutputStream();
     DataOutputStream data = new DataOutputStream(output);
     data.writeInt(snapshots.size());
-    for (NodeSnapshot k : snapshots) {
-      data.writeUTF(k.path());
-      data.writeByte(k.used().length);
-      for (int i = 0; i < k.used().length; i++) {
-        data.writeFloat((float) k.used()[i]);
-        data.writeFloat((float) k.lag()[i]);
-        data.writeFloat((float) k.credit()[i]);
-        data.writeFloat((float) k.windowUsage()[i]);
+    for (NodeSnapshot s : snapshots) {
+      data.writeUTF(s.path());
+      data.writeByte(s.used().length);
+      for (int i = 0; i < s.used().length; i++) {
+        data.writeFloat((float) s.used()[i]);
+        data.writeFloat((float) s.lag()[i]);
+        data.writeFloat((float) s.credit()[i]);
+        data.writeFloat((float) s.windowUsage()[i]);
       }
     }
     byte[] body = output.toByteArray();
--- a/quota/src/main/java/cloverpulley/quota/service/QuotaKeeper.java
+++ b/quota/src/main/java/cloverpulley/quota/service/QuotaKeeper.java
@@ -208,7 +208,7 @@
     long now = unixMillis();
     writer.execute(() -> {
       // Snapshots of a failed write are written with the next one; only the latest of each node counts.
-      snapshots.forEach(k -> unwritten.put(k.path(), k));
+      snapshots.forEach(s -> unwritten.put(s.path(), s));
       try {
         journal.append(now, unwritten.values());
         unwritten.clear();
--- a/quota/src/test/java/cloverpulley/quota/service/QuotaJournalTest.java
+++ b/quota/src/test/java/cloverpulley/quota/service/QuotaJournalTest.java
@@ -159,7 +159,7 @@
     assertEquals(Map.of("new", 199.0), read(file, new QuotaJournal.Recovery[1]));
   }
 
-  /** The disk is full in the middle of a frame and of a compaction: the file stays readable. */
+  /** The disk is full when a compaction opens its new file: the failure is reported and the old file stays in use and readable. */
   @Test
   void fullDiskLosesNoCompleteFrame() throws IOException {
     Path file = directory.resolve("q.journal");
--- a/quota/src/test/java/cloverpulley/quota/service/RateLimitServerTest.java
+++ b/quota/src/test/java/cloverpulley/quota/service/RateLimitServerTest.java
@@ -116,7 +116,7 @@
     assertTrue(rejected.getStatuses(0).getDurationUntilReset().getSeconds() > 0, rejected.toString());
     assertEquals("RateLimit", rejected.getResponseHeadersToAdd(0).getKey());
     assertTrue(rejected.getResponseHeadersToAdd(0).getValue().matches("\"requests\";r=0;t=\\d+"), rejected.toString());
-    assertEquals(Code.OK, requestDecision(1, "whoever").getOverallCode());
+    assertEquals(Code.OK, requestDecision(1, "missing").getOverallCode());
     assertEquals(Code.OVER_LIMIT, requestDecision(1, "another").getOverallCode(), "unknown paths share one node");
     nanos.addAndGet(TimeUnit.SECONDS.toNanos(rejected.getStatuses(0).getDurationUntilReset().getSeconds() + 10));
     assertEquals(Code.OK, requestDecision(1, "steppe", "almaty").getOverallCode());
@@ -172,7 +172,7 @@
   void configurationErrorsNameTheSettings() {
     BadFileException e = assertThrows(BadFileException.class, () -> OperatorsFile.parse("f", """
         [quota]
-        others = "nobody"
+        others = "missing"
         [[quota.lane]]
         dimension = "requests"
         total = 100.0
--- a/records/src/main/java/cloverpulley/records/Recorder.java
+++ b/records/src/main/java/cloverpulley/records/Recorder.java
@@ -33,8 +33,9 @@
 
 /**
  * Records the events of the engine and of a frontend. Callers put a record into a bounded multi-producer queue (JCTools) without locking or
- * waiting, and a dedicated thread writes the records to the store. As the queue fills up, records of low priority are dropped first and
- * final answers last. Dropped records are counted by kind, and the counts are recorded as soon as possible.
+ * waiting, and a dedicated thread writes the records to the store. As the queue fills up, records of low priority are dropped first: a
+ * request's final answer outlasts its other records, and state changes outlast all requests. Dropped records are counted by kind, and the
+ * counts are recorded as soon as possible.
  */
 public final class Recorder implements EngineListener, AutoCloseable {
 
@@ -178,10 +179,10 @@
   @Override
   public void requestAccepted(Exchange x) {
     if (queue != null) {
-      Exchange.RequestInfo f = x.info();
-      long left = f.deadline() <= 0 ? 0 : f.requestClass().deadlineNanos() / 1000;
-      enqueue(new Entry(origin, 0, clockMicros.getAsLong(), Kind.TAKEN, x.number(), x.clientRequestId(), f.requestClass().name(), f.tenant(), hash(f.key()),
-          0, 0, null, null, left, f.hintNanos() / 1000));
+      Exchange.RequestInfo info = x.info();
+      long deadlineMicros = info.deadline() <= 0 ? 0 : info.requestClass().deadlineNanos() / 1000;
+      enqueue(new Entry(origin, 0, clockMicros.getAsLong(), Kind.TAKEN, x.number(), x.clientRequestId(), info.requestClass().name(),
+          info.tenant(), hash(info.key()), 0, 0, null, null, deadlineMicros, info.hintNanos() / 1000));
     }
   }
 
@@ -189,8 +190,8 @@
   public void attemptSent(Attempt a) {
     if (queue != null) {
       Exchange x = a.exchange();
-      enqueue(new Entry(origin, 0, clockMicros.getAsLong(), Kind.SENT, x.number(), x.clientRequestId(), x.info().requestClass().name(), x.info().tenant(), 0,
-          a.number(), a.upstream(), serverName(a.upstream()), null, 0, 0));
+      enqueue(new Entry(origin, 0, clockMicros.getAsLong(), Kind.SENT, x.number(), x.clientRequestId(), x.info().requestClass().name(),
+          x.info().tenant(), 0, a.number(), a.upstream(), serverName(a.upstream()), null, 0, 0));
     }
   }
 
@@ -198,16 +199,16 @@
   public void attemptEnded(Attempt a, Status status, long latencyNanos) {
     if (queue != null) {
       Exchange x = a.exchange();
-      enqueue(new Entry(origin, 0, clockMicros.getAsLong(), Kind.OUTCOME, x.number(), x.clientRequestId(), x.info().requestClass().name(), x.info().tenant(),
-          0, a.number(), a.upstream(), serverName(a.upstream()), STATUS_NAMES[status.ordinal()], latencyNanos / 1000, 0));
+      enqueue(new Entry(origin, 0, clockMicros.getAsLong(), Kind.OUTCOME, x.number(), x.clientRequestId(), x.info().requestClass().name(),
+          x.info().tenant(), 0, a.number(), a.upstream(), serverName(a.upstream()), STATUS_NAMES[status.ordinal()], latencyNanos / 1000, 0));
     }
   }
 
   @Override
   public void requestEnded(Exchange x, Completion end, Reason reason) {
     if (queue != null) {
-      enqueue(new Entry(origin, 0, clockMicros.getAsLong(), Kind.ENDED, x.number(), x.clientRequestId(), x.info().requestClass().name(), x.info().tenant(), 0,
-          0, 0, null, reason == null ? end == Completion.SERVED ? "served" : "gone" : reason.code(), 0, end.ordinal()));
+      enqueue(new Entry(origin, 0, clockMicros.getAsLong(), Kind.ENDED, x.number(), x.clientRequestId(), x.info().requestClass().name(),
+          x.info().tenant(), 0, 0, 0, null, reason == null ? end == Completion.SERVED ? "served" : "gone" : reason.code(), 0, end.ordinal()));
     }
   }
 
--- a/records/src/main/java/cloverpulley/records/Rows.java
+++ b/records/src/main/java/cloverpulley/records/Rows.java
@@ -36,7 +36,7 @@
 
   private Rows() {}
 
-  /** Encodes the records of one block after the other. */
+  /** Encodes the records of one block; {@link #clear} starts the next. */
   static final class Writer {
 
     final VarintBuffer buffer;
--- a/records/src/main/java/cloverpulley/records/SegmentReader.java
+++ b/records/src/main/java/cloverpulley/records/SegmentReader.java
@@ -210,7 +210,10 @@
     return blocks;
   }
 
-  /** Also checked for blocks that are skipped by their time range, because the header of a corrupt block cannot be trusted. */
+  /**
+   * Whether the checksum of a frame matches. Blocks that are skipped by their time range are checked too, because the header of a corrupt
+   * block can't be trusted.
+   */
   private boolean hasValidChecksum(long offset, Frame f) throws IOException {
     return f.checksumMatches(read(offset, Frame.SIZE + f.storedSize()), 0);
   }
--- a/records/src/test/java/cloverpulley/records/RecorderTest.java
+++ b/records/src/test/java/cloverpulley/records/RecorderTest.java
@@ -40,7 +40,7 @@
   private static void await(String what, BooleanSupplier condition) throws InterruptedException {
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(40);
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < until, "never: " + what);
+      assertTrue(System.nanoTime() < until, "timed out: " + what);
       TimeUnit.MILLISECONDS.sleep(2);
     }
   }
