--- a/decision/src/main/java/cloverpulley/Balancer.java
+++ b/decision/src/main/java/cloverpulley/Balancer.java
@@ -193,7 +193,7 @@
 
   /**
    * An operator sets an upstream administratively offline: it gets no new requests, whatever the list says, until it is set online. It
-   * need not be listed. {@code offlineNanos} is how long it has been offline already; it is ignored if the upstream is offline here.
+   * need not be listed. {@code offlineNanos} is how long it has been offline already; it is ignored if the upstream is offline already.
    */
   record UpstreamSetOffline(long upstream, long offlineNanos) implements Event {}
 
@@ -237,7 +237,7 @@
   /** Final answer: rejected; the client can retry safely. {@code retryAfterNanos} 0: no advice. */
   record Reject(String id, long retryAfterNanos, Reason reason) implements Action {}
 
-  /** Final answer: failed; the request may have run. */
+  /** Final answer: failed; the request may have run, and a retry may not be safe. */
   record Fail(String id, Reason reason) implements Action {}
 
   /** Request a {@link TimerFired} event at a clock reading. */
--- a/decision/src/main/java/cloverpulley/Logic.java
+++ b/decision/src/main/java/cloverpulley/Logic.java
@@ -42,7 +42,8 @@
   private static final double BASELINE_WINDOWS = 2;
   /** Bounded load: an upstream may have half as much again as the mean load in flight. */
   private static final double LOAD_SLACK = 0.5;
-  /** Upstreams that a key may use: this many, plus this many times its share of all traffic. */
+  /** Upstreams that a key may use: this many, plus this many times the part of the ready upstreams that
+   * corresponds to its share of the traffic. */
   private static final int KEY_SPREAD = 2;
   /** Slowness of an upstream relative to the fleet: a mean over SLOWNESS_MEAN_NANOS. One sample moves it by
    * at most MAX_SLOWNESS_STEP and counts as at most MAX_SLOWNESS_SAMPLE times the fleet's mean. It decays
@@ -291,7 +292,7 @@
     boolean weighted = settings.weightKind() == WeightKind.NOMINAL
         || settings.weightKind() == WeightKind.ROUGH;
     if (referenceWeight == 0 && readyCount > 0) {
-      // Never changes, so that an update of the list moves the keys of the changed upstreams only.
+      // Set once, so that an update of the list moves the keys of the changed upstreams only.
       referenceWeight =
           Arrays.stream(readyUpstreams).mapToDouble(u -> u.endpoint.weight()).sorted()
               .toArray()[readyCount / 2];
--- a/decision/src/main/java/cloverpulley/Reason.java
+++ b/decision/src/main/java/cloverpulley/Reason.java
@@ -14,7 +14,7 @@
   NO_UPSTREAM,
   /** No upstream had capacity while the request could be queued. */
   NO_ROOM,
-  /** Its deadline has passed. */
+  /** Its deadline has passed, or is too close for a further attempt. */
   DEADLINE,
   /** It has used all its attempts. */
   ATTEMPTS,
@@ -26,7 +26,7 @@
   UNKNOWN_EARLIER,
   /** A request with the same id is in progress. */
   IN_HAND,
-  /** The table of attempt records is full, and none of them may be evicted. */
+  /** The table that recognises retries of a request is full, and this request must not run without a record there. */
   RECORD_FULL,
   /** It is malformed. */
   BAD_REQUEST,
--- a/decision/src/main/java/cloverpulley/RetryRules.java
+++ b/decision/src/main/java/cloverpulley/RetryRules.java
@@ -3,7 +3,8 @@
 import cloverpulley.Balancer.DedupScope;
 import cloverpulley.Balancer.Effect;
 
-/** Rule 2: which further attempts a request may have, and whether it may be rejected with the promise that it has not run. */
+/** Rule 2: which further attempts a request may have, and whether it may be rejected, which tells the client that a retry
+ * is safe. */
 final class RetryRules {
 
   private RetryRules() {}
@@ -25,7 +26,8 @@
     return sendDeadline != 0 && now >= sendDeadline || r.type.effect() == Effect.UNSAFE && r.mayHaveRun();
   }
 
-  /** Whether a further attempt may go to an upstream; an upstream is used twice only if no other ready one is left. */
+  /** Whether a further attempt may go to an upstream. One that had an attempt is used again only if that has ended and there
+   * are no more ready upstreams than attempts. */
   static boolean allowsAttempt(PendingRequest r, Upstream u, int readyCount, long now, long tickNanos) {
     for (Attempt a : r.attempts) {
       if (a.upstream == u && (a.inFlight || readyCount > r.attempts.size())) {
--- a/decision/src/main/java/cloverpulley/Ring.java
+++ b/decision/src/main/java/cloverpulley/Ring.java
@@ -28,8 +28,8 @@
   }
 
   /** Returns the member at an index; indexes past the last point wrap around. */
-  int member(int place) {
-    return (int) (points[place % points.length] & MEMBER_BITS);
+  int member(int index) {
+    return (int) (points[index % points.length] & MEMBER_BITS);
   }
 
   /** Mixes the bits of a number. */
--- a/decision/src/main/java/cloverpulley/TenantQuotas.java
+++ b/decision/src/main/java/cloverpulley/TenantQuotas.java
@@ -48,7 +48,8 @@
   }
 
   /** How many times its equal part of the traffic this balancer carries, by the median of the other tenants' request rates
-   * relative to their quotas. Keeps requests within quota from being rejected where traffic is uneven or peers fail. */
+   * (lower bounds) relative to their quotas. Keeps requests within quota from being rejected where traffic is uneven or
+   * peers fail. */
   private double trafficRatio(long now, String tenant) {
     double[] ratios = new double[quotas.size()];
     int others = 0;
--- a/decision/src/main/java/cloverpulley/Upstreams.java
+++ b/decision/src/main/java/cloverpulley/Upstreams.java
@@ -87,7 +87,7 @@
   }
 
   void restore(long now, List<UpstreamSnapshot> snapshots) {
-    snapshots.stream().filter(k -> upstreams.containsKey(k.upstream()))
-        .forEach(k -> upstreams.get(k.upstream()).restore(now, k));
+    snapshots.stream().filter(s -> upstreams.containsKey(s.upstream()))
+        .forEach(s -> upstreams.get(s.upstream()).restore(now, s));
   }
 }
--- a/decision/src/main/java/cloverpulley/Window.java
+++ b/decision/src/main/java/cloverpulley/Window.java
@@ -57,7 +57,8 @@
     }
   }
 
-  /** Rate per second less one standard deviation of the count: a lower bound of the true rate. */
+  /** Rate per second less one standard deviation of the count: random arrivals alone seldom cause a higher result than the
+   * true rate. */
   double lowerBoundRate(long now, Metric metric) {
     double count = total(now, metric);
     return (count - Math.sqrt(count)) * 1e9 / (slotNanos * SLOTS);
--- a/decision/src/main/java/cloverpulley/repeats/AttemptTracker.java
+++ b/decision/src/main/java/cloverpulley/repeats/AttemptTracker.java
@@ -51,7 +51,7 @@
   /** The previous call of the request is still undecided, or the id is in use by a request of another class. */
   public record InProgress() implements Result {}
 
-  /** No record is free for the request: it has not run. */
+  /** The table is full, so that later retries could not be recognised: the request must not be sent. Nothing of it has run. */
   public record TableFull() implements Result {}
 
   private final Config config;
@@ -121,7 +121,7 @@
     if (r.undecided || !r.className.equals(className)) {
       return new InProgress();
     }
-    // A gap in the numbers means that the caller has made attempts through another process.
+    // A number that does not follow the latest one means that the caller has made attempts through another process.
     r.incomplete |= count > 1 && r.count > 0 && count != r.count + 1 || r.attempts.size() >= MAX_ATTEMPTS;
     r.count = count > 0 ? count : r.count;
     return r.incomplete && effect != Effect.SAFE ? new UnknownHistory() : begin(r);
@@ -143,7 +143,7 @@
       return new FirstCall();
     }
     List<PriorAttempt> priorAttempts = new ArrayList<>(r.attempts.size());
-    r.attempts.forEach(t -> priorAttempts.add(new PriorAttempt(t.upstream, t.zone, t.cell, t.sentAt, t.mayHaveRun)));
+    r.attempts.forEach(a -> priorAttempts.add(new PriorAttempt(a.upstream, a.zone, a.cell, a.sentAt, a.mayHaveRun)));
     return new Retry(List.copyOf(priorAttempts));
   }
 
--- a/decision/src/main/java/cloverpulley/state/BalancerSnapshot.java
+++ b/decision/src/main/java/cloverpulley/state/BalancerSnapshot.java
@@ -4,12 +4,12 @@
 import java.util.Map;
 
 /**
- * What an instance of the decision module knows that a successor process needs: ages instead of clock readings, in nanoseconds, so that
- * it means the same in another process. Bounded: upstreams by the list, windows by {@link #MAX_WINDOWS}.
+ * State of an instance of the decision module that a successor process needs. It has ages in nanoseconds instead of clock readings, so
+ * that it means the same in another process. Bounded: upstreams by the list, windows by {@link #MAX_WINDOWS}.
  *
- * @param upstreams of those on the list
- * @param windows what was counted in the last window, by name, the name used last at the end; figures in the order of the module's metrics
- * @param fleet the same for all together
+ * @param upstreams the upstreams on the list
+ * @param windows totals of the last window by window name, the most recently used at the end; each array is in the order of the metrics
+ * @param fleet totals of all requests together, likewise
  * @param baselineInFlight load that a ready upstream usually has from this balancer
  * @param baselineSendRate attempts per second that it usually gets
  * @param meanHint mean work hint of a request; 0 for unknown
@@ -20,11 +20,11 @@
     double baselineSendRate, double meanHint, double referenceWeight, double retryTokens) {
 
   public static final int MAX_WINDOWS = 1000;
-  /** The figures of a window. */
+  /** Number of totals of a window. */
   public static final int METRICS = 5;
 
   /**
-   * What is known of one upstream.
+   * State of one upstream.
    *
    * @param ageNanos time since its start; -1 for long ago
    * @param startEstimated whether an operator brought it back online and the list has not reported its start yet; it was set offline
--- a/decision/src/test/java/cloverpulley/AdmissionTest.java
+++ b/decision/src/test/java/cloverpulley/AdmissionTest.java
@@ -135,11 +135,11 @@
   }
 
   /** Returns the rejections of a tenant; each tenant has a quota of one request per second, and those that send use ten times as much. */
-  private static int rejectedOf(String tenant, String... asking) {
+  private static int rejectedOf(String tenant, String... senders) {
     Driver d = new Driver(Driver.settings(false, List.of(new Tenant("a", 1, 1), new Tenant("b", 1, 1),
         new Tenant("c", 1, 1)), Driver.type("c", Effect.SAFE, DedupScope.ALL))).upstreams(5);
     for (int i = 0; i < 300; i++) {
-      for (String t : asking) {
+      for (String t : senders) {
         d.request(t + d.nextId(), "c", t, "k" + i % 50, 0);
       }
       d.serveFor(100 * Driver.MS, Status.SERVED, 140 * Driver.MS);
--- a/decision/src/test/java/cloverpulley/LargeFleetTest.java
+++ b/decision/src/test/java/cloverpulley/LargeFleetTest.java
@@ -68,9 +68,9 @@
       }
     }
     int sum = calls.values().stream().mapToInt(n -> n).sum();
-    int most = calls.values().stream().mapToInt(n -> n).max().orElse(0);
+    int max = calls.values().stream().mapToInt(n -> n).max().orElse(0);
     assertTrue(sum >= BALANCERS * 10 && sum <= BALANCERS * 35, "seed " + seed + ": calls in 20 s " + sum);
-    assertTrue(most <= BALANCERS * 2 / 3, "seed " + seed + ": within 0.1 s " + most + " of " + BALANCERS);
+    assertTrue(max <= BALANCERS * 2 / 3, "seed " + seed + ": within 0.1 s " + max + " of " + BALANCERS);
   }
 
   /**
@@ -106,8 +106,8 @@
           from++;
         }
         double part = Math.min(1, SLOW_START_MIN_RATIO + (1 - SLOW_START_MIN_RATIO) * (sends.get(from) - started) / (SLOW_START_MS * MS));
-        double most = OVERLOAD_MULTIPLE * part * usual * OVERLOAD_WINDOW_MS / 1000;
-        assertTrue(i - from + 1 <= most, "seed " + seed + ": " + (i - from + 1) + " sent to " + id + " within 3 s, most " + most);
+        double max = OVERLOAD_MULTIPLE * part * usual * OVERLOAD_WINDOW_MS / 1000;
+        assertTrue(i - from + 1 <= max, "seed " + seed + ": " + (i - from + 1) + " sent to " + id + " within 3 s, most " + max);
       }
     }
     assertEquals(7, starting, "upstreams in slow start are used");
--- a/decision/src/test/java/cloverpulley/OfflineTest.java
+++ b/decision/src/test/java/cloverpulley/OfflineTest.java
@@ -88,7 +88,7 @@
     assertTrue(!sendsTo(X, d, 500).isEmpty());
   }
 
-  /** It gets no retries or hedged requests either. */
+  /** It gets no retries or hedged requests either; attempts that are in flight there continue. */
   @Test
   void aRetryGoesElsewhere() {
     Driver d = new Driver(Driver.safe()).upstreams(2);
@@ -106,7 +106,7 @@
   @ValueSource(strings = {"before", "after", "never"})
   void itComesBackInSlowStart(String reported) {
     Driver d = new Driver(Driver.safe()).upstreams(4);
-    int warm = sendsTo(X, d, 8000).size();
+    int warmedUp = sendsTo(X, d, 8000).size();
     d.step(new UpstreamSetOffline(X, 0));
     for (int i = 0; i < 3; i++) {
       sendsTo(X, d, 500);
@@ -123,9 +123,9 @@
     }
     sends.addAll(sendsTo(X, d, 500));
     assertTrue(!sends.isEmpty(), "no attempt within 2 s");
-    assertTrue(sends.size() < 0.75 * warm / 4, sends.size() + " sends in 2 s, of " + warm + " in 8 s while warmed up");
+    assertTrue(sends.size() < 0.75 * warmedUp / 4, sends.size() + " sends in 2 s, of " + warmedUp + " in 8 s while warmed up");
     int later = sendsTo(X, d, 10_000).size();
-    assertTrue(later > 0.6 * warm * 10 / 8, later + " sends in the last 10 s, of " + warm + " in 8 s while warmed up");
+    assertTrue(later > 0.6 * warmedUp * 10 / 8, later + " sends in the last 10 s, of " + warmedUp + " in 8 s while warmed up");
   }
 
   /** Failures and slowness from before it was set offline do not count. */
--- a/decision/src/test/java/cloverpulley/PriorAttemptsTest.java
+++ b/decision/src/test/java/cloverpulley/PriorAttemptsTest.java
@@ -30,11 +30,11 @@
   /** Upstream 1 (zone a, cell 1), 2 (same cell), 3 (same zone), 4 (elsewhere). */
   private static Driver fleet(Effect effect, DedupScope scope, long... ids) {
     Driver d = new Driver(Driver.settings(false, List.of(), Driver.type("c", effect, scope)));
-    Endpoint[] listed = new Endpoint[ids.length];
+    Endpoint[] endpoints = new Endpoint[ids.length];
     for (int i = 0; i < ids.length; i++) {
-      listed[i] = new Endpoint(ids[i], ids[i] == 4 ? "b" : "a", ids[i] <= 2 ? 1 : (int) ids[i], State.READY, 0, 1);
+      endpoints[i] = new Endpoint(ids[i], ids[i] == 4 ? "b" : "a", ids[i] <= 2 ? 1 : (int) ids[i], State.READY, 0, 1);
     }
-    d.list(ListKind.CACHED, listed);
+    d.list(ListKind.CACHED, endpoints);
     return d;
   }
 
--- a/decision/src/test/java/cloverpulley/RandomEventsTest.java
+++ b/decision/src/test/java/cloverpulley/RandomEventsTest.java
@@ -194,7 +194,7 @@
         assertTrue(!e.answered, "one final answer");
         boolean mayHaveRun = e.outcomes.stream().anyMatch(x -> x == null || !x.provesNotRun());
         assertTrue(!mayHaveRun || e.type.effect() == Effect.SAFE
-            || e.type.effect() == Effect.KEYED && e.type.dedupScope() == DedupScope.ALL, "rejected although it may have run");
+            || e.type.effect() == Effect.KEYED && e.type.dedupScope() == DedupScope.ALL, "rejected although a retry is not safe");
         e.answered = true;
       } else if (action instanceof Fail f) {
         assertTrue(!requests.get(f.id()).answered, "one final answer");
@@ -210,7 +210,7 @@
     assertTrue(!e.answered, "sent after the final answer");
     assertEquals(State.READY, to.state(), "sent to a draining or gone upstream");
     assertTrue(e.attempts.size() < settings.limits().maxAttempts(), "too many attempts");
-    assertTrue(e.inFlight() == 0 || settings.limits().hedging(), "hedged request");
+    assertTrue(e.inFlight() == 0 || settings.limits().hedging(), "hedged although hedging is off");
     assertTrue(now < e.deadline, "sent past the deadline");
     for (int i = 0; i < e.attempts.size(); i++) {
       SentAttempt t = e.attempts.get(i);
--- a/decision/src/test/java/cloverpulley/SnapshotTest.java
+++ b/decision/src/test/java/cloverpulley/SnapshotTest.java
@@ -29,11 +29,11 @@
   }
 
   private static Driver successor(Driver of, Endpoint... list) {
-    BalancerSnapshot k = snapshot(of);
+    BalancerSnapshot snapshot = snapshot(of);
     Driver d = new Driver(Driver.safe(), 8);
     d.now = 5_000_000_000_000L;
     d.list(ListKind.CACHED, list);
-    d.step(new SnapshotRestored(k));
+    d.step(new SnapshotRestored(snapshot));
     return d;
   }
 
@@ -50,15 +50,15 @@
   @Test
   void aStartThatNoListReportsIsRestored() {
     Driver old = new Driver(Driver.safe()).upstreams(4);
-    int warm = sendsTo(101, old, 8000);
+    int warmedUp = sendsTo(101, old, 8000);
     old.step(new UpstreamSetOffline(101, 0));
     sendsTo(100, old, 1000);
     old.step(new UpstreamSetOnline(101));
     sendsTo(100, old, 200);
     Driver d = successor(old, Driver.up(100), Driver.up(101), Driver.up(102), Driver.up(103));
-    int cold = sendsTo(101, d, 1500);
-    assertTrue(cold > 0, "it gets no requests");
-    assertTrue(cold < 0.6 * warm * 1.5 / 8, cold + " sends in 1.5 s, of " + warm + " in 8 s while warmed up");
+    int starting = sendsTo(101, d, 1500);
+    assertTrue(starting > 0, "it gets no requests");
+    assertTrue(starting < 0.6 * warmedUp * 1.5 / 8, starting + " sends in 1.5 s, of " + warmedUp + " in 8 s while warmed up");
   }
 
   /** Two processes together send an upstream in slow start no more than one alone would. */
--- a/decision/src/test/java/cloverpulley/repeats/AttemptTrackerTest.java
+++ b/decision/src/test/java/cloverpulley/repeats/AttemptTrackerTest.java
@@ -109,24 +109,24 @@
   void neverForgetsAttemptsThatMayHaveRun(long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     Map<String, Integer> mayHaveRun = new HashMap<>();
-    Map<String, Long> touched = new HashMap<>();
+    Map<String, Long> lastUsed = new HashMap<>();
     long now = 0;
     for (int step = 0; step < 20_000; step++) {
       now += random.nextInt(40);
       String id = "i" + random.nextInt(12);
-      boolean live = touched.containsKey(id) && now - touched.get(id) < RETENTION;
-      Result found = call(now, id, Effect.UNSAFE, 0);
-      String what = "seed " + seed + " step " + step + " " + id + " " + found;
+      boolean live = lastUsed.containsKey(id) && now - lastUsed.get(id) < RETENTION;
+      Result result = call(now, id, Effect.UNSAFE, 0);
+      String what = "seed " + seed + " step " + step + " " + id + " " + result;
       if (live && mayHaveRun.getOrDefault(id, 0) > 0) {
-        assertTrue(found instanceof UnknownHistory || found instanceof Retry j
-            && j.priorAttempts().stream().filter(PriorAttempt::mayHaveRun).count() == mayHaveRun.get(id), what);
+        assertTrue(result instanceof UnknownHistory || result instanceof Retry retry
+            && retry.priorAttempts().stream().filter(PriorAttempt::mayHaveRun).count() == mayHaveRun.get(id), what);
       }
       assertTrue(tracker.size() <= 4, what);
-      if (found instanceof FirstCall || found instanceof Retry) {
+      if (result instanceof FirstCall || result instanceof Retry) {
         if (!live) {
           mayHaveRun.remove(id);
         }
-        touched.put(id, now);
+        lastUsed.put(id, now);
         if (random.nextBoolean()) {
           tracker.onSent(now, id, step, "z", 0);
           mayHaveRun.merge(id, 1, Integer::sum);
@@ -137,8 +137,8 @@
         } else {
           tracker.onNotSent(now, id);
         }
-      } else if (!(found instanceof TableFull)) {
-        touched.put(id, now);
+      } else if (!(result instanceof TableFull)) {
+        lastUsed.put(id, now);
       }
     }
   }
