--- a/decision/src/main/java/cloverpulley/Balancer.java
+++ b/decision/src/main/java/cloverpulley/Balancer.java
@@ -117,7 +117,7 @@
       check(contract.drainGraceNanos >= 0, "drain grace must not be negative");
       check(contract.slowStartMinRatio > 0 && contract.slowStartMinRatio <= 1, "cold-from must be above 0 and at most 1");
       check(contract.slowStartNanos >= 0, "warm-within must not be negative");
-      check(contract.overloadMultiple > 0 && contract.overloadWindowNanos >= 0, "fall figures must not be negative");
+      check(contract.overloadMultiple > 0 && contract.overloadWindowNanos >= 0, "fall-multiple must be above 0, its window must not be negative");
       check(tickNanos >= 0, "tick must not be negative");
     }
 
@@ -193,7 +193,7 @@
 
   /**
    * An operator sets an upstream administratively offline: it gets no new requests, whatever the list says, until it is set online. It
-   * need not be listed. {@code offlineNanos} is how long it has been offline already; it is ignored if the upstream is offline already.
+   * need not be listed. The event may be repeated until then; {@code offlineNanos}, how long it has been offline, counts in the first only.
    */
   record UpstreamSetOffline(long upstream, long offlineNanos) implements Event {}
 
