--- a/engine/src/main/java/cloverpulley/engine/Engine.java
+++ b/engine/src/main/java/cloverpulley/engine/Engine.java
@@ -348,7 +348,7 @@
       try {
         module.handle(clock.now(), event, this::perform);
       } catch (RuntimeException e) {
-        LOG.log(Level.SEVERE, "module failed to handle " + event.getClass().getSimpleName(), e);
+        LOG.log(Level.SEVERE, "module failed at " + EventNames.of(event.getClass()), e);
         replaceModule(event);
       }
       if (event instanceof Outcome o) {
@@ -377,7 +377,7 @@
       loop.execute(() -> Runtime.getRuntime().halt(1));
       return;
     }
-    listener.moduleReplaced(cause.getClass().getSimpleName());
+    listener.moduleReplaced(EventNames.of(cause.getClass()));
     List<Exchange> all = List.copyOf(exchanges.values());
     for (Exchange x : all) {
       x.attempts.forEach(Engine::cancel);
