--- a/balancer/src/test/java/cloverpulley/JarIT.java
+++ b/balancer/src/test/java/cloverpulley/JarIT.java
@@ -63,7 +63,7 @@
     assertEquals("", text("err"));
   }
 
-  /** Classes and dependencies that only other frontends need would slow down the balancer's start and use memory: they are not in its jar. */
+  /** Guards the balancer's start time and memory: classes and dependencies that only other frontends need must not be in its jar. */
   @Test
   void theJarHoldsNothingOfOtherFrontends() throws IOException {
     try (JarFile jar = new JarFile(System.getProperty("jar"))) {
--- a/balancer/src/test/java/cloverpulley/UploadsIT.java
+++ b/balancer/src/test/java/cloverpulley/UploadsIT.java
@@ -206,7 +206,10 @@
     return socket;
   }
 
-  /** Sends a body as fast as the socket accepts it, then reads the status; returns "ended" if none came and "left" if it stopped early. */
+  /**
+   * Sends a body as fast as the socket accepts it, then reads and returns the status. Returns "ended" if none came, and "left" if the client
+   * disconnected after {@code stopAt} bytes.
+   */
   private String upload(int number, boolean chunked, int stopAt) throws IOException {
     long from = System.nanoTime();
     try (Socket socket = connect()) {
@@ -242,7 +245,7 @@
     }
   }
 
-  private long[] small(AtomicBoolean until, int minRequests, Map<String, Integer> statuses) throws IOException {
+  private long[] sendSmallRequests(AtomicBoolean until, int minRequests, Map<String, Integer> statuses) throws IOException {
     List<Long> nanos = new ArrayList<>();
     try (Socket socket = connect()) {
       for (int i = 0; i < minRequests || !until.get(); i++) {
@@ -272,12 +275,12 @@
     Process process = serve(how, how == Reads.NOT_AT_ALL ? 3000 : 30_000);
     try {
       Map<String, Integer> smallStatuses = new TreeMap<>();
-      long[] before = small(new AtomicBoolean(true), 100, smallStatuses);
+      long[] before = sendSmallRequests(new AtomicBoolean(true), 100, smallStatuses);
       AtomicBoolean stopped = new AtomicBoolean();
       CompletableFuture<long[]> concurrent = new CompletableFuture<>();
       threads.execute(() -> {
         try {
-          concurrent.complete(small(stopped, 50, smallStatuses));
+          concurrent.complete(sendSmallRequests(stopped, 50, smallStatuses));
         } catch (IOException e) {
           concurrent.completeExceptionally(e);
         }
--- a/engine/src/main/java/cloverpulley/engine/Clock.java
+++ b/engine/src/main/java/cloverpulley/engine/Clock.java
@@ -6,7 +6,7 @@
 /** The clock of a balancer: monotonic, with an origin that allows readings for upstreams that started before the process. */
 public final class Clock {
 
-  /** The reading at the process start. An upstream that started longer before it counts as this old, which makes no difference to the module. */
+  /** The reading at the process start. An upstream that started more than a day earlier counts as started a day earlier; the module needs no more. */
   private static final long ORIGIN = TimeUnit.DAYS.toNanos(1);
 
   private final LongSupplier monotonic;
--- a/engine/src/main/java/cloverpulley/engine/Engine.java
+++ b/engine/src/main/java/cloverpulley/engine/Engine.java
@@ -74,7 +74,7 @@
   private final Map<String, Exchange> exchanges = new HashMap<>();
   /** Events that the module has not handled yet; each is built when its turn comes. */
   private final ArrayDeque<Supplier<Event>> queue = new ArrayDeque<>();
-  private Consumer<BalancerSnapshot> snapshotConsumer = k -> { };
+  private Consumer<BalancerSnapshot> snapshotConsumer = snapshot -> { };
   private boolean processingScheduled;
   private Balancer module;
   private long generation;
@@ -130,11 +130,11 @@
     x.maxAttempts = settings.limits().maxAttempts();
     exchanges.put(x.id, x);
     listener.requestAccepted(x);
-    Exchange.RequestInfo f = x.info();
-    long due = f.answerBy() > 0 ? Math.min(f.answerBy(), f.deadline()) : f.deadline();
+    Exchange.RequestInfo info = x.info();
+    long due = info.answerBy() > 0 ? Math.min(info.answerBy(), info.deadline()) : info.deadline();
     scheduleExpiry(x, due);
-    enqueue(() -> x.isEnded() ? null : new Request(x.id, f.requestClass().name(), f.tenant(), f.key(), f.deadline(), f.hintNanos(),
-        f.retry(), f.answerBy(), f.priorAttempts()));
+    enqueue(() -> x.isEnded() ? null : new Request(x.id, info.requestClass().name(), info.tenant(), info.key(), info.deadline(),
+        info.hintNanos(), info.retry(), info.answerBy(), info.priorAttempts()));
   }
 
   /** The client has disconnected, or its frontend has answered it without the module. */
--- a/engine/src/main/java/cloverpulley/engine/EngineListener.java
+++ b/engine/src/main/java/cloverpulley/engine/EngineListener.java
@@ -52,6 +52,6 @@
   /** A source has reported a list; {@code servers} are the entries that were applied, none if the list was implausible or the source failed. */
   void serverListUpdated(ListKind kind, ServerList list, List<NumberedServer> servers);
 
-  /** The module failed to handle an event and was replaced. */
+  /** The module failed to handle an event and was replaced; {@code event} is the event's name in records. */
   void moduleReplaced(String event);
 }
--- a/engine/src/main/java/cloverpulley/engine/Exchange.java
+++ b/engine/src/main/java/cloverpulley/engine/Exchange.java
@@ -62,7 +62,7 @@
     return id;
   }
 
-  /** Its number within the engine, from 1; 0 before it is accepted. */
+  /** Its number within the engine, from 1, by which records refer to it; 0 before it is accepted. */
   public final long number() {
     return number;
   }
--- a/engine/src/main/java/cloverpulley/engine/Fleet.java
+++ b/engine/src/main/java/cloverpulley/engine/Fleet.java
@@ -21,7 +21,7 @@
   /** Names that are remembered, including those that have left the list. Bounds the memory if every name that is listed is a new one. */
   public static final int MAX_NAMES = 20_000;
 
-  /** The longest delay assumed between a server's start and its listing: a new start that is reported as earlier than this is moved up to it. */
+  /** The longest delay assumed between a server's start and its listing: a new start reported as longer ago than this counts as this long ago. */
   private static final long MAX_LISTING_DELAY_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   /** The start of a server as the list reports it, and as a reading of this process's clock; 0 for long ago. */
@@ -88,7 +88,7 @@
     names.stream().filter(name -> !everListed.containsKey(name)).forEach(name -> rememberListed(name, new Start(0, 0)));
   }
 
-  /** Takes over from a predecessor that a server, as listed there, started {@code agoNanos} nanoseconds ago; negative for long ago. */
+  /** Adds a predecessor's record of when a server on its list started: {@code agoNanos} nanoseconds ago, negative for long ago. */
   public void recordStart(Server server, long agoNanos) {
     rememberListed(server.id(), new Start(server.upSinceMillis(), agoNanos < 0 ? 0 : clock.now() - agoNanos));
   }
--- a/engine/src/main/java/cloverpulley/engine/SocketBudget.java
+++ b/engine/src/main/java/cloverpulley/engine/SocketBudget.java
@@ -10,7 +10,7 @@
    * until the next select. With no free descriptor the acceptor would pause for a second.
    */
   private static final int SPARE_DESCRIPTORS = 32;
-  /** The share of the rest that clients may hold while others could be closed: each request needs one more socket, to an upstream. */
+  /** The share of the rest up to which clients are accepted without closing another connection: each request needs a socket to an upstream too. */
   private static final double CLIENT_RATIO = 0.5;
 
   private final int processLimit;
@@ -63,7 +63,7 @@
     return open > limit - OWN_DESCRIPTORS - SPARE_DESCRIPTORS / 2;
   }
 
-  /** How many client connections may be kept; the same while another process shares the limit, as clients of this one can't be moved there. */
+  /** How many client connections may be kept. Not reduced while another process shares the limit: clients of this one can't be moved there. */
   public int maxClientConnections() {
     return (int) ((processLimit - OWN_DESCRIPTORS - SPARE_DESCRIPTORS) * CLIENT_RATIO);
   }
--- a/handover/src/main/java/cloverpulley/handover/HandoverSnapshot.java
+++ b/handover/src/main/java/cloverpulley/handover/HandoverSnapshot.java
@@ -45,7 +45,7 @@
   private static final long MAX_AGE_MILLIS = 10_000;
   private static final int STRING_OVERHEAD_BYTES = 2;
 
-  /** An encoding can't be used; the message gives the reason. */
+  /** Thrown if an encoding can't be used; the message gives the reason. */
   public static final class UnusableSnapshotException extends IOException {
     private static final long serialVersionUID = 1;
 
--- a/handover/src/main/java/cloverpulley/handover/OfflineUpstreams.java
+++ b/handover/src/main/java/cloverpulley/handover/OfflineUpstreams.java
@@ -66,7 +66,7 @@
     return bytes.length > 0 && bytes.length <= MAX_NAME_BYTES;
   }
 
-  /** Takes an upstream offline; one that is already offline keeps its time. Returns false if the maximum number is offline. */
+  /** Takes an upstream offline; one that is already offline keeps the time of the first call. Returns false if the maximum number is offline. */
   public boolean setOffline(String id) {
     if (isOffline(id)) {
       return true;
--- a/handover/src/main/java/cloverpulley/handover/ProcessRegistry.java
+++ b/handover/src/main/java/cloverpulley/handover/ProcessRegistry.java
@@ -53,7 +53,7 @@
   private static final String JOINING_PREFIX = "joins-";
   private static final String SNAPSHOT_PREFIX = "left-";
   private static final String NEW_SNAPSHOT_PREFIX = "new-";
-  /** The maximum number of files examined in one scan; this program never creates more. */
+  /** The maximum number of files examined in one scan; this program never needs as many. */
   private static final int MAX_FILES = 64;
   private static final int RECORD_BYTES = 1 + Integer.BYTES;
   /** Added to readings of the monotonic clock in names, so that they sort after those of releases that used wall-clock time. */
--- a/handover/src/test/java/cloverpulley/handover/ProcessRegistryTest.java
+++ b/handover/src/test/java/cloverpulley/handover/ProcessRegistryTest.java
@@ -37,7 +37,7 @@
   }
 
   @Test
-  void processesSeeOneAnotherForAsLongAsTheyLive() throws IOException {
+  void processesSeeEachOtherWhileTheyRun() throws IOException {
     try (ProcessRegistry first = ProcessRegistry.of(folder, 1000, 7)) {
       assertEquals(List.of(), first.refresh(Lifecycle.STARTING, 0));
       try (ProcessRegistry second = ProcessRegistry.of(folder, 1001, 3)) {
@@ -115,8 +115,8 @@
       try {
         for (int i = 0; i < 3000; i++) {
           int number = i;
-          try (ProcessRegistry joins = ProcessRegistry.of(folder, 2000, number)) {
-            joins.refresh(Lifecycle.STARTING, 0);
+          try (ProcessRegistry joining = ProcessRegistry.of(folder, 2000, number)) {
+            joining.refresh(Lifecycle.STARTING, 0);
             assertTrue(first.refresh(Lifecycle.SERVING, 0).stream().anyMatch(o -> o.name().endsWith(String.format("%019d", number))),
                 "the " + i + "th was removed");
           }
