--- a/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
@@ -22,7 +22,7 @@
 import cloverpulley.outs.MemberKind;
 import cloverpulley.outs.MembershipReconciler;
 import cloverpulley.records.Recorder;
-import cloverpulley.serve.Balance;
+import cloverpulley.serve.EmbeddedBalancer;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
@@ -137,9 +137,9 @@
     EngineListener witness = ears == null ? recorder : new CompositeEngineListener(recorder, ears);
     BalanceConfig b = operators.balance();
     FleetSource fleet = operators.fleet();
-    Balance.Lists lists = (loop, f, news) -> open(fleet, held, loop, f, news);
+    EmbeddedBalancer.Lists lists = (loop, f, news) -> open(fleet, held, loop, f, news);
     // The ledger is heard before clients are: one that starts must not send to what is out.
-    Balance balance = Balance.start(new Balance.Given(agree == null ? "balance" : agree.name(), b.listen(), b.management(), b.folder(), b.sockets(),
+    EmbeddedBalancer balance = EmbeddedBalancer.start(new EmbeddedBalancer.Given(agree == null ? "balance" : agree.name(), b.listen(), b.management(), b.folder(), b.sockets(),
         (long) b.memoryMb() << 20, fleet.first(), operators.settings(), TimeUnit.MILLISECONDS.toNanos(b.idleMillis()),
         new SecureRandom().nextLong(), lists, witness, wired -> {
           if (agree == null) {
@@ -192,7 +192,7 @@
     }
   }
 
-  private static Follower.Upstreams upstreams(Balance.Acts balance) {
+  private static Follower.Upstreams upstreams(EmbeddedBalancer.Acts balance) {
     return new Follower.Upstreams() {
       @Override
       public CompletableFuture<Void> setOffline(String id, long forMillis) {
@@ -223,7 +223,7 @@
     return new Discovery(bootstrap, source.discovery(), fleet::revision, kept);
   }
 
-  private void reload(Balance balance) {
+  private void reload(EmbeddedBalancer balance) {
     try {
       FleetSource read = Operators.read(config).fleet();
       if (read.isWritten()) {
--- a/http/src/main/java/cloverpulley/serve/Balance.java
+++ b/http/src/main/java/cloverpulley/serve/EmbeddedBalancer.java
@@ -16,7 +16,7 @@
 import java.util.function.Consumer;
 
 /** The HTTP balancer as a part of another program: the same front and engine as the platform's, told where its lists come from. */
-public final class Balance {
+public final class EmbeddedBalancer {
 
   /** Where lists come from. */
   public interface Lists {
@@ -54,15 +54,15 @@
 
   private final Server server;
 
-  private Balance(Server server) {
+  private EmbeddedBalancer(Server server) {
     this.server = server;
   }
 
   /** Starts one and returns once it listens. */
-  public static Balance start(Given g) {
+  public static EmbeddedBalancer start(Given g) {
     Config config = new Config(g.name(), g.listen(), null, g.seed(), g.sockets(), g.memoryBytes(), null, List.of(), null, g.known(),
         g.settings(), g.idleNanos(), false, g.management(), g.shared(), null);
-    return new Balance(Server.start(config, n -> new Logic(g.settings(), g.seed() + n), g.lists(), g.witness(), s -> g.wired().accept(new Acts() {
+    return new EmbeddedBalancer(Server.start(config, n -> new Logic(g.settings(), g.seed() + n), g.lists(), g.witness(), s -> g.wired().accept(new Acts() {
       @Override
       public CompletableFuture<Void> takeOut(String id, long forNanos) {
         return s.agreedOut(id, forNanos);
--- a/http/src/main/java/cloverpulley/serve/Frontend.java
+++ b/http/src/main/java/cloverpulley/serve/Frontend.java
@@ -447,7 +447,7 @@
       } else {
         // No client waits for longer than its class's deadline, and nothing is kept for longer.
         long whole = Math.min(type.deadlineNanos(), TimeUnit.MILLISECONDS.toNanos(Math.min(expires, MOST_MILLIS)));
-        long wait = Math.max(0, WholeRequest.left(request, whole) - Math.max(queuedNanos, stalls.stalledNanos()));
+        long wait = Math.max(0, BufferedRequest.left(request, whole) - Math.max(queuedNanos, stalls.stalledNanos()));
         queuedNanos = 0;
         long hint = Math.max(0, wholeNumber(headers.get(HINT, "0")));
         // Of a body that is still coming the end is not known; its client's time counts from there.
--- a/http/src/main/java/cloverpulley/serve/RequestReader.java
+++ b/http/src/main/java/cloverpulley/serve/RequestReader.java
@@ -164,7 +164,7 @@
         rest = null;
         done.end();
       } else {
-        FullHttpRequest whole = new WholeRequest(head, body);
+        FullHttpRequest whole = new BufferedRequest(head, body);
         head = null;
         body = null;
         emit(context, whole);
--- a/http/src/main/java/cloverpulley/serve/Server.java
+++ b/http/src/main/java/cloverpulley/serve/Server.java
@@ -100,7 +100,7 @@
   private Frontend frontend;
   private Discovery discovery;
   /** Where lists come from in place of discovery; null for discovery. */
-  private Balance.Lists lists;
+  private EmbeddedBalancer.Lists lists;
   private EngineListener witness = EngineListener.NO_OP;
   /** Upstreams that are out by agreement of the fleet: the management endpoint's word alone does not bring them back. */
   private final Set<String> agreed = ConcurrentHashMap.newKeySet();
@@ -140,7 +140,7 @@
    * The same with lists from elsewhere than the platform's discovery, where {@code lists} is not null; {@code wired} is run before clients
    * are heard.
    */
-  static Server start(Config config, LongFunction<Balancer> modules, Balance.Lists lists, EngineListener witness, Consumer<Server> wired) {
+  static Server start(Config config, LongFunction<Balancer> modules, EmbeddedBalancer.Lists lists, EngineListener witness, Consumer<Server> wired) {
     Server server = new Server();
     server.lists = lists;
     server.witness = witness;
--- a/http/src/test/java/cloverpulley/serve/AttemptTest.java
+++ b/http/src/test/java/cloverpulley/serve/AttemptTest.java
@@ -252,14 +252,14 @@
     try (Silent upstream = new Silent(); StubServer discovery = new StubServer(c -> {
       c.next();
       drain.await();
-      c.write(Discoveries.watch(Rig.list(2, false, Rig.member("s-1", upstream.address(), "draining"))));
+      c.write(DiscoveryFixture.watch(Rig.list(2, false, Rig.member("s-1", upstream.address(), "draining"))));
       c.next();
     })) {
       Script module = new Script((event, out) -> {
         if (event instanceof EndpointUpdate n && n.kind() == ListKind.CACHED) {
           out.accept(new Watch(true));
         } else if (event instanceof Request r) {
-          out.accept(new Send(r.id(), Discoveries.number("s-1"), 0));
+          out.accept(new Send(r.id(), DiscoveryFixture.number("s-1"), 0));
         } else if (event instanceof Outcome o) {
           out.accept(new Fail(o.id(), Reason.NO_ROOM));
         }
@@ -283,7 +283,7 @@
       if (event instanceof Request r) {
         held[0] = r.id();
       } else if (event instanceof UpstreamSetOffline) {
-        out.accept(new Send(held[0], Discoveries.number("s-1"), 0));
+        out.accept(new Send(held[0], DiscoveryFixture.number("s-1"), 0));
       } else if (event instanceof Outcome o && !o.finished()) {
         out.accept(new Fail(o.id(), Reason.NO_ROOM));
       }
@@ -316,7 +316,7 @@
   private static Script cancelling() {
     return new Script((event, out) -> {
       if (event instanceof Request r) {
-        out.accept(new Send(r.id(), Discoveries.number("s-1"), 0));
+        out.accept(new Send(r.id(), DiscoveryFixture.number("s-1"), 0));
       } else if (event instanceof ClientGone g) {
         out.accept(new Cancel(g.id(), 0));
       }
@@ -396,9 +396,9 @@
   void moreAttemptsThanAllowedAreNotSent() throws Exception {
     Script module = new Script((event, out) -> {
       if (event instanceof Request r) {
-        out.accept(new Send(r.id(), Discoveries.number("s-1"), 0));
+        out.accept(new Send(r.id(), DiscoveryFixture.number("s-1"), 0));
       } else if (event instanceof Outcome o && o.attempt() < 6) {
-        out.accept(new Send(o.id(), Discoveries.number("s-1"), 0));
+        out.accept(new Send(o.id(), DiscoveryFixture.number("s-1"), 0));
       } else if (event instanceof Outcome o) {
         out.accept(new Fail(o.id(), Reason.NO_ROOM));
       }
@@ -429,8 +429,8 @@
   void probesAskForHealthWithoutAnId() throws Exception {
     Script module = new Script((event, out) -> {
       if (event instanceof Request r) {
-        out.accept(new Probe(Discoveries.number("s-1")));
-        out.accept(new CloseIdle(Discoveries.number("s-1")));
+        out.accept(new Probe(DiscoveryFixture.number("s-1")));
+        out.accept(new CloseIdle(DiscoveryFixture.number("s-1")));
         out.accept(new Fail(r.id(), Reason.NO_ROOM));
       }
     });
@@ -449,7 +449,7 @@
   void atTheSocketBudgetIdleConnectionsGoAndThenAttemptsFail() throws Exception {
     Script module = new Script((event, out) -> {
       if (event instanceof Request r) {
-        out.accept(new Send(r.id(), Discoveries.number("true".equals(r.tenant()) ? "s-2" : "s-1"), 0));
+        out.accept(new Send(r.id(), DiscoveryFixture.number("true".equals(r.tenant()) ? "s-2" : "s-1"), 0));
       } else if (event instanceof Outcome o && !o.finished()) {
         out.accept(new Fail(o.id(), Reason.NO_ROOM));
       }
--- a/http/src/test/java/cloverpulley/serve/LeftTest.java
+++ b/http/src/test/java/cloverpulley/serve/ClientDisconnectTest.java
@@ -32,7 +32,7 @@
 
 /** A request whose client has left while it waited is not sent on, whatever it waited for and however its client left. */
 @Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
-class LeftTest {
+class ClientDisconnectTest {
 
   private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
 
--- a/http/src/test/java/cloverpulley/serve/CountsTest.java
+++ b/http/src/test/java/cloverpulley/serve/CountsTest.java
@@ -78,9 +78,9 @@
     LOG.addHandler(lines);
     try (StubServer discovery = new StubServer(c -> {
       c.next();
-      c.write(Discoveries.watch(Rig.list(40, true, Rig.member("s-old", "127.0.0.1:2", "ready"))));
-      c.write(Discoveries.chunk(Rig.list(50, true)));
-      c.write(Discoveries.chunk(Rig.list(42, false)));
+      c.write(DiscoveryFixture.watch(Rig.list(40, true, Rig.member("s-old", "127.0.0.1:2", "ready"))));
+      c.write(DiscoveryFixture.chunk(Rig.list(50, true)));
+      c.write(DiscoveryFixture.chunk(Rig.list(42, false)));
       c.next();
     }); Rig rig = new Rig(Rig.config(discovery.address(), known))) {
       StringBuilder seen = new StringBuilder();
--- a/http/src/test/java/cloverpulley/serve/Discoveries.java
+++ b/http/src/test/java/cloverpulley/serve/DiscoveryFixture.java
@@ -6,9 +6,9 @@
 import java.util.List;
 
 /** What discovery says, and the numbers that its names get. */
-final class Discoveries {
+final class DiscoveryFixture {
 
-  private Discoveries() {}
+  private DiscoveryFixture() {}
 
   /** The start of a watch with its first line; further ones are chunks of their own. */
   static String watch(String line) {
--- a/http/src/test/java/cloverpulley/serve/DiscoveryTest.java
+++ b/http/src/test/java/cloverpulley/serve/DiscoveryTest.java
@@ -52,9 +52,9 @@
     Script module = watching();
     try (StubServer discovery = new StubServer(c -> {
       c.next();
-      String gone = Discoveries.chunk(Rig.list(43, false, Rig.member("s-a", "127.0.0.1:1", "gone")));
-      c.write(Discoveries.watch(Rig.list(42, true, A, Rig.member("s-b", "127.0.0.1:2", "draining"))));
-      c.write(Discoveries.chunk(""));
+      String gone = DiscoveryFixture.chunk(Rig.list(43, false, Rig.member("s-a", "127.0.0.1:1", "gone")));
+      c.write(DiscoveryFixture.watch(Rig.list(42, true, A, Rig.member("s-b", "127.0.0.1:2", "draining"))));
+      c.write(DiscoveryFixture.chunk(""));
       c.write(gone.substring(0, 20));
       c.write(gone.substring(20));
     }); Rig rig = rig(discovery, "on_request", module)) {
@@ -88,7 +88,7 @@
     Script module = watching();
     try (StubServer discovery = new StubServer(c -> {
       c.next();
-      c.write(Discoveries.watch(Rig.list(42, false, A)));
+      c.write(DiscoveryFixture.watch(Rig.list(42, false, A)));
       c.next();
     }); Rig rig = rig(discovery, "on_request", module)) {
       module.next(EndpointUpdate.class);
@@ -106,7 +106,7 @@
     String last = Rig.list(43, false, Rig.member("s-a", "127.0.0.1:1", "gone"));
     try (StubServer discovery = new StubServer(c -> {
       c.next();
-      c.write(Discoveries.watch(indented));
+      c.write(DiscoveryFixture.watch(indented));
       c.write(Integer.toHexString(last.length()) + "\r\n" + last + "\r\n");
       c.ends();
     }); Rig rig = rig(discovery, "on_request", module)) {
@@ -123,7 +123,7 @@
     String last = Rig.list(43, false, Rig.member("s-a", "127.0.0.1:1", "draining"));
     try (StubServer discovery = new StubServer(c -> {
       c.next();
-      c.write(Discoveries.watch(Rig.list(42, true, A)) + Integer.toHexString(last.length()) + "\r\n" + last);
+      c.write(DiscoveryFixture.watch(Rig.list(42, true, A)) + Integer.toHexString(last.length()) + "\r\n" + last);
       c.reset();
     }); Rig rig = rig(discovery, "on_request", module)) {
       module.next(EndpointUpdate.class);
@@ -139,7 +139,7 @@
     Script module = watching();
     try (StubServer discovery = new StubServer(c -> {
       c.next();
-      c.write(Discoveries.watch(Rig.list(42, true, A)));
+      c.write(DiscoveryFixture.watch(Rig.list(42, true, A)));
       c.write("1\r\n{\r\n");
       while (true) {
         c.write("1\r\n \r\n");
@@ -168,7 +168,7 @@
         assertEquals("FAILED 0", word(module.next(EndpointUpdate.class)), "it never said a word");
         assertEquals("FAILED 0", word(module.next(EndpointUpdate.class)), "its successor did not come up");
         try (Socket third = queue.comesUp()) {
-          third.getOutputStream().write(Discoveries.watch(Rig.list(42, true, A, Rig.member("s-b", "127.0.0.1:2", "ready")))
+          third.getOutputStream().write(DiscoveryFixture.watch(Rig.list(42, true, A, Rig.member("s-b", "127.0.0.1:2", "ready")))
               .getBytes(StandardCharsets.US_ASCII));
           EndpointUpdate news = module.next(EndpointUpdate.class);
           while (news.kind() == ListKind.FAILED) {
@@ -228,7 +228,7 @@
     Script module = new Script((event, out) -> { });
     try (StubServer discovery = new StubServer(c -> {
       c.next();
-      c.write(Discoveries.watch(Rig.list(42, false, A)));
+      c.write(DiscoveryFixture.watch(Rig.list(42, false, A)));
     }); Rig rig = rig(discovery, "pushed", module)) {
       module.next(EndpointUpdate.class);
       assertEquals("DELTA 1 READY", word(module.next(EndpointUpdate.class)));
--- a/http/src/test/java/cloverpulley/serve/ServeTest.java
+++ b/http/src/test/java/cloverpulley/serve/EndToEndTest.java
@@ -30,7 +30,7 @@
 
 /** What a client sees, over real connections. */
 @Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
-class ServeTest {
+class EndToEndTest {
 
   private static final String NOWHERE = "127.0.0.1:1";
 
--- a/http/src/test/java/cloverpulley/serve/RunLineTest.java
+++ b/http/src/test/java/cloverpulley/serve/LaunchCommandTest.java
@@ -25,7 +25,7 @@
  * are refused, it has to become the virtual machine with nothing but what the shell itself has.
  */
 @Timeout(value = Rig.LIMIT_S, unit = TimeUnit.SECONDS)
-class RunLineTest {
+class LaunchCommandTest {
 
   @TempDir
   private Path folder;
--- a/http/src/test/java/cloverpulley/serve/ClientTest.java
+++ b/http/src/test/java/cloverpulley/serve/MisbehavingClientTest.java
@@ -19,7 +19,7 @@
 
 /** Clients that send what can't be used, or nothing: each gets an error or a close, and no one else notices. */
 @Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
-class ClientTest {
+class MisbehavingClientTest {
 
   private static final String NOWHERE = "127.0.0.1:1";
   private static final String TENANTS = "\"projects\":[{\"name\":\"acme\",\"portion\":1.0,\"quota-per-s\":100000.0}],";
--- a/http/src/test/java/cloverpulley/serve/ReloadTest.java
+++ b/http/src/test/java/cloverpulley/serve/ReloadTest.java
@@ -33,7 +33,7 @@
     return new StubServer(c -> {
       c.next();
       for (int i = 0; i < lines.length; i++) {
-        c.write(i == 0 ? Discoveries.watch(lines[i]) : Discoveries.chunk(lines[i]));
+        c.write(i == 0 ? DiscoveryFixture.watch(lines[i]) : DiscoveryFixture.chunk(lines[i]));
       }
       c.ends();
     });
--- a/http/src/test/java/cloverpulley/serve/RetuneTest.java
+++ b/http/src/test/java/cloverpulley/serve/SettingsReloadTest.java
@@ -27,7 +27,7 @@
 
 /** Settings that are read again while the balancer serves: taken whole or turned down whole. */
 @Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
-class RetuneTest {
+class SettingsReloadTest {
 
   private static final String GOOD = text("");
   private static final Pattern DEADLINE = Pattern.compile("(\"(?:deadline-ns|max-attempts)\": ?)([0-9]+)");
--- a/http/src/test/java/cloverpulley/serve/StartStopTest.java
+++ b/http/src/test/java/cloverpulley/serve/StartStopTest.java
@@ -180,7 +180,7 @@
   void whereListsArePushedClientsAreHeardOnceTheFirstHasCome() throws Exception {
     try (StubServer agent = new StubServer(c -> {
       c.next();
-      c.write(Discoveries.watch(Rig.list(2, true, Rig.member("s-1", "127.0.0.1:1", "draining"))));
+      c.write(DiscoveryFixture.watch(Rig.list(2, true, Rig.member("s-1", "127.0.0.1:1", "draining"))));
       c.ends();
     })) {
       Rig.Script module = new Rig.Script(0);
--- a/http/src/test/java/cloverpulley/serve/LongBodyTest.java
+++ b/http/src/test/java/cloverpulley/serve/StreamingTest.java
@@ -33,7 +33,7 @@
 
 /** Bodies and answers that are longer than is held, byte for byte over loopback. */
 @Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
-class LongBodyTest {
+class StreamingTest {
 
   private static final int LONG = 3 << 20;
   private static final String OK = "HTTP/1.1 200 OK\r\n";
