--- a/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
@@ -137,10 +137,10 @@
     EngineListener witness = ears == null ? recorder : new CompositeEngineListener(recorder, ears);
     BalanceConfig b = operators.balance();
     FleetSource fleet = operators.fleet();
-    EmbeddedBalancer.Lists lists = (loop, f, news) -> open(fleet, held, loop, f, news);
+    EmbeddedBalancer.ListSourceFactory lists = (loop, f, news) -> open(fleet, held, loop, f, news);
     // The ledger is heard before clients are: one that starts must not send to what is out.
-    EmbeddedBalancer balance = EmbeddedBalancer.start(new EmbeddedBalancer.Given(agree == null ? "balance" : agree.name(), b.listen(), b.management(), b.folder(), b.sockets(),
-        (long) b.memoryMb() << 20, fleet.first(), operators.settings(), TimeUnit.MILLISECONDS.toNanos(b.idleMillis()),
+    EmbeddedBalancer balance = EmbeddedBalancer.start(new EmbeddedBalancer.Options(agree == null ? "balance" : agree.name(), b.listen(),
+        b.management(), b.folder(), b.sockets(), (long) b.memoryMb() << 20, fleet.first(), operators.settings(), TimeUnit.MILLISECONDS.toNanos(b.idleMillis()),
         new SecureRandom().nextLong(), lists, witness, wired -> {
           if (agree == null) {
             return;
@@ -192,16 +192,16 @@
     }
   }
 
-  private static Follower.Upstreams upstreams(EmbeddedBalancer.Acts balance) {
+  private static Follower.Upstreams upstreams(EmbeddedBalancer.OfflineControl balance) {
     return new Follower.Upstreams() {
       @Override
       public CompletableFuture<Void> setOffline(String id, long forMillis) {
-        return balance.takeOut(id, TimeUnit.MILLISECONDS.toNanos(forMillis));
+        return balance.setOffline(id, TimeUnit.MILLISECONDS.toNanos(forMillis));
       }
 
       @Override
       public CompletableFuture<Void> setOnline(String id) {
-        return balance.callBack(id);
+        return balance.setOnline(id);
       }
     };
   }
@@ -227,7 +227,7 @@
     try {
       FleetSource read = Operators.read(config).fleet();
       if (read.isWritten()) {
-        balance.listed(read.list()).get(BACK_MILLIS, TimeUnit.MILLISECONDS);
+        balance.updateServerList(read.list()).get(BACK_MILLIS, TimeUnit.MILLISECONDS);
         LOG.info("list of servers read again: {}", read.list().members().size());
       }
     } catch (BadFileException | ExecutionException | TimeoutException e) {
--- a/http/src/main/java/cloverpulley/serve/BodyStream.java
+++ b/http/src/main/java/cloverpulley/serve/BodyStream.java
@@ -23,9 +23,9 @@
   /** So much may wait before its client is read no further. */
   private static final int MOST_WAITING = 32 * 1024;
   /** What one may hold of the direct memory: what waits, the read that passes its mark, and as much again at the upstream's socket. */
-  static final int OCTETS = MOST_WAITING + 3 * Server.MOST_READ;
+  static final int OCTETS = MOST_WAITING + 3 * Server.MAX_READ;
   /** Smaller pieces that have to wait are put together: each would else cost a buffer of its own. */
-  private static final int SMALL = Server.MOST_READ / 2;
+  private static final int SMALL = Server.MAX_READ / 2;
 
   private final ArrayDeque<ByteBuf> waiting = new ArrayDeque<>();
   private final Runnable demand;
--- a/http/src/main/java/cloverpulley/serve/Counts.java
+++ b/http/src/main/java/cloverpulley/serve/Counts.java
@@ -88,17 +88,17 @@
   }
 
   /** A new connection to an upstream is tried. */
-  void opened(long upstream) {
+  void connectionOpened(long upstream) {
     opened.merge(upstream, 1, Integer::sum);
   }
 
   /** The first request on a new connection was turned away: the upstream holds as many connections as it may, or is full. */
-  void noRoom(long upstream) {
+  void newConnectionRejected(long upstream) {
     noRoom.merge(upstream, 1, Integer::sum);
   }
 
   /** A long body found no room in time. */
-  void uploadTurnedAway() {
+  void uploadRejected() {
     turnedAway++;
   }
 
@@ -109,7 +109,7 @@
   }
 
   /** So many connections to upstreams wait for use, as last seen. */
-  void idle(int connections) {
+  void setIdleConnections(int connections) {
     idle = connections;
   }
 
--- a/http/src/main/java/cloverpulley/serve/EmbeddedBalancer.java
+++ b/http/src/main/java/cloverpulley/serve/EmbeddedBalancer.java
@@ -19,7 +19,7 @@
 public final class EmbeddedBalancer {
 
   /** Where lists come from. */
-  public interface Lists {
+  public interface ListSourceFactory {
     /** Opens the source, on the loop, where all of it runs. */
     Engine.ListSource open(EventLoop loop, Fleet fleet, BiConsumer<ListKind, ServerList> news);
   }
@@ -33,23 +33,23 @@
    * @param memoryBytes what its bounds are counted from
    * @param known the list it starts with
    * @param idleNanos after this an upstream may close a connection that stands idle
-   * @param witness told of what happens
-   * @param wired run once there is an engine, before clients are heard
+   * @param listener told of what happens
+   * @param beforeListen run once there is an engine, before clients are heard
    */
-  public record Given(String name, InetSocketAddress listen, InetSocketAddress management, Path shared, int sockets, long memoryBytes,
-      ServerList known, Settings settings, long idleNanos, long seed, Lists lists, EngineListener witness, Consumer<Acts> wired) {}
+  public record Options(String name, InetSocketAddress listen, InetSocketAddress management, Path shared, int sockets, long memoryBytes,
+      ServerList known, Settings settings, long idleNanos, long seed, ListSourceFactory lists, EngineListener listener, Consumer<OfflineControl> beforeListen) {}
 
   /** What the fleet's agreement does to it. */
-  public interface Acts {
+  public interface OfflineControl {
     /**
      * Nothing new goes to this upstream any more, whatever lists say; it was out for so long already.
      *
      * @return done once the module has been told
      */
-    CompletableFuture<Void> takeOut(String id, long forNanos);
+    CompletableFuture<Void> setOffline(String id, long forNanos);
 
     /** It may serve again, and is taken for cold; out it stays where the management endpoint says so. */
-    CompletableFuture<Void> callBack(String id);
+    CompletableFuture<Void> setOnline(String id);
   }
 
   private final Server server;
@@ -59,17 +59,17 @@
   }
 
   /** Starts one and returns once it listens. */
-  public static EmbeddedBalancer start(Given g) {
+  public static EmbeddedBalancer start(Options g) {
     Config config = new Config(g.name(), g.listen(), null, g.seed(), g.sockets(), g.memoryBytes(), null, List.of(), null, g.known(),
         g.settings(), g.idleNanos(), false, g.management(), g.shared(), null);
-    return new EmbeddedBalancer(Server.start(config, n -> new Logic(g.settings(), g.seed() + n), g.lists(), g.witness(), s -> g.wired().accept(new Acts() {
+    return new EmbeddedBalancer(Server.start(config, n -> new Logic(g.settings(), g.seed() + n), g.lists(), g.listener(), s -> g.beforeListen().accept(new OfflineControl() {
       @Override
-      public CompletableFuture<Void> takeOut(String id, long forNanos) {
+      public CompletableFuture<Void> setOffline(String id, long forNanos) {
         return s.agreedOut(id, forNanos);
       }
 
       @Override
-      public CompletableFuture<Void> callBack(String id) {
+      public CompletableFuture<Void> setOnline(String id) {
         return s.agreedBack(id);
       }
     })));
@@ -85,14 +85,14 @@
   }
 
   /** A list that was written in a file has changed. */
-  public CompletableFuture<Void> listed(ServerList list) {
-    return server.tell(engine -> engine.serverListUpdated(ListKind.FULL, list));
+  public CompletableFuture<Void> updateServerList(ServerList list) {
+    return server.runOnLoop(engine -> engine.serverListUpdated(ListKind.FULL, list));
   }
 
   /** Attempts under way now, by the engine's own count. */
   public CompletableFuture<Integer> inFlight() {
     CompletableFuture<Integer> count = new CompletableFuture<>();
-    server.tell(engine -> count.complete(engine.inFlightAttempts()));
+    server.runOnLoop(engine -> count.complete(engine.inFlightAttempts()));
     return count;
   }
 
--- a/http/src/main/java/cloverpulley/serve/Frontend.java
+++ b/http/src/main/java/cloverpulley/serve/Frontend.java
@@ -61,7 +61,7 @@
   static final String EXPIRES = "X-Expires-In-Ms";
   static final String HEALTH = "/healthz";
   /** The longest answer that is held whole, so that one which breaks off can be made good elsewhere. */
-  static final int MOST_BODY = 64 * 1024;
+  static final int MAX_BUFFERED_RESPONSE = 64 * 1024;
   static final String API = "/api";
   static final String ID = "X-Trace-Id";
   static final String CLASS = "X-Qos";
@@ -405,8 +405,8 @@
       String path = query < 0 ? uri : uri.substring(0, query);
       if (!request.decoderResult().isSuccess()) {
         answer(status(request.decoderResult().cause()), "malformed request");
-      } else if (request instanceof StreamedRequest s && s.turnedAway) {
-        counts.uploadTurnedAway();
+      } else if (request instanceof StreamedRequest s && s.rejected) {
+        counts.uploadRejected();
         answer(HttpResponseStatus.SERVICE_UNAVAILABLE, UPLOAD_AGAIN_NANOS, null, Unpooled.EMPTY_BUFFER);
       } else if (path.equals(HEALTH)) {
         boolean serves = isReady();
--- a/http/src/main/java/cloverpulley/serve/ManagementServer.java
+++ b/http/src/main/java/cloverpulley/serve/ManagementServer.java
@@ -43,7 +43,7 @@
   private static final Logger LOG = Logger.getLogger(ManagementServer.class.getName());
 
   /** Callers at one time; who comes beyond them takes the place of the one that has said nothing whole for longest. */
-  static final int MOST_CALLERS = 16;
+  static final int MAX_CONNECTIONS = 16;
   /** A call's head. */
   private static final int MOST_LINE = 1024;
   private static final int MOST_HEADERS = 8192;
@@ -81,7 +81,7 @@
         .childOption(ChannelOption.TCP_NODELAY, true).childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
-            if (++callers > MOST_CALLERS) {
+            if (++callers > MAX_CONNECTIONS) {
               if (waiting.isEmpty()) {
                 channel.close(); // All have their answers and are about to leave: there is room in a moment.
               } else {
--- a/http/src/main/java/cloverpulley/serve/PipelinedRequests.java
+++ b/http/src/main/java/cloverpulley/serve/PipelinedRequests.java
@@ -15,7 +15,7 @@
   /** Requests that may wait on one connection. */
   private static final int MAX_REQUESTS = 32;
   /** Bytes of bodies that may be held on a connection, those of the request that is served included. */
-  private static final long MAX_BODY_BYTES = 2 * RequestReader.MOST_KEPT;
+  private static final long MAX_BODY_BYTES = 2 * RequestReader.MAX_BUFFERED_BODY;
   /** The part of the heap that the heads of waiting requests may take over all connections. */
   private static final int HEAP_PART = 8;
   /** What a request and each of its header lines take in the heap beside their text, in bytes. */
--- a/http/src/main/java/cloverpulley/serve/RequestReader.java
+++ b/http/src/main/java/cloverpulley/serve/RequestReader.java
@@ -27,9 +27,9 @@
 final class RequestReader extends ChannelInboundHandlerAdapter {
 
   /** The longest body that is kept, and so can be sent again to the last. */
-  static final int MOST_KEPT = 256 * 1024;
+  static final int MAX_BUFFERED_BODY = 256 * 1024;
   /** The longest that is taken at all: what the protocol allows, and what a sender may be off by. */
-  static final long MOST_BODY = 33L << 20;
+  static final long MAX_BODY = 33L << 20;
 
   /** Room for a body at first; it grows as it comes, whatever length was told. */
   private static final int FIRST = 4096;
@@ -97,12 +97,12 @@
       return;
     }
     long length = HttpUtil.getContentLength(request, -1L);
-    if (length > MOST_BODY) {
+    if (length > MAX_BODY) {
       fail(context, DecoderResult.failure(new TooLongHttpContentException("the body is too large")));
       return;
     }
     head = request;
-    if (length > MOST_KEPT) {
+    if (length > MAX_BUFFERED_BODY) {
       body = Unpooled.EMPTY_BUFFER;
       pass(null);
     } else {
@@ -143,7 +143,7 @@
   private void add(ChannelHandlerContext context, HttpContent content) {
     int bytes = content.content().readableBytes();
     came += bytes;
-    if (!content.decoderResult().isSuccess() || came > MOST_BODY) {
+    if (!content.decoderResult().isSuccess() || came > MAX_BODY) {
       fail(context, content.decoderResult().isSuccess()
           ? DecoderResult.failure(new TooLongHttpContentException("the body is too large")) : content.decoderResult());
       return;
@@ -152,7 +152,7 @@
       if (bytes > 0) {
         rest.add(content.content().retain());
       }
-    } else if (bytes > 0 && (came > MOST_KEPT || !keep(content.content()))) {
+    } else if (bytes > 0 && (came > MAX_BUFFERED_BODY || !keep(content.content()))) {
       // Guards the memory against many bodies at once: what there is no room for goes on as it comes.
       came -= bytes;
       pass(content);
@@ -191,14 +191,14 @@
     }
   }
 
-  private void stream(boolean turnedAway) {
+  private void stream(boolean rejected) {
     waits = false;
-    if (!turnedAway) {
+    if (!rejected) {
       goOn();
     }
     rest = new BodyStream(demand, place::leave);
     place = null;
-    StreamedRequest request = new StreamedRequest(head, body, rest, turnedAway);
+    StreamedRequest request = new StreamedRequest(head, body, rest, rejected);
     head = null;
     body = null;
     emit(context, request);
--- a/http/src/main/java/cloverpulley/serve/Server.java
+++ b/http/src/main/java/cloverpulley/serve/Server.java
@@ -60,7 +60,7 @@
   private static final WriteBufferWaterMark MARKS = new WriteBufferWaterMark(8 * 1024, 16 * 1024);
   private static final int LEAST_READ = 512;
   private static final int FIRST_READ = 2048;
-  static final int MOST_READ = 16 * 1024;
+  static final int MAX_READ = 16 * 1024;
   private static final int READS_A_TURN = 2;
   private static final int DISCOVERY_CONNECT_MILLIS = 2000;
   /** Where lists are pushed nobody asks for them but this program: it comes to its agent so far apart at least, and at once where it last came before that. */
@@ -100,7 +100,7 @@
   private Frontend frontend;
   private Discovery discovery;
   /** Where lists come from in place of discovery; null for discovery. */
-  private EmbeddedBalancer.Lists lists;
+  private EmbeddedBalancer.ListSourceFactory lists;
   private EngineListener witness = EngineListener.NO_OP;
   /** Upstreams that are out by agreement of the fleet: the management endpoint's word alone does not bring them back. */
   private final Set<String> agreed = ConcurrentHashMap.newKeySet();
@@ -123,7 +123,7 @@
 
   /** How a connection is read. Guards small requests: a long body is read a little in each turn, not all that its socket holds. */
   private static RecvByteBufAllocator reads() {
-    return new AdaptiveRecvByteBufAllocator(LEAST_READ, FIRST_READ, MOST_READ).maxMessagesPerRead(READS_A_TURN);
+    return new AdaptiveRecvByteBufAllocator(LEAST_READ, FIRST_READ, MAX_READ).maxMessagesPerRead(READS_A_TURN);
   }
 
   /** Starts a balancer and returns once it listens. */
@@ -140,7 +140,7 @@
    * The same with lists from elsewhere than the platform's discovery, where {@code lists} is not null; {@code wired} is run before clients
    * are heard.
    */
-  static Server start(Config config, LongFunction<Balancer> modules, EmbeddedBalancer.Lists lists, EngineListener witness, Consumer<Server> wired) {
+  static Server start(Config config, LongFunction<Balancer> modules, EmbeddedBalancer.ListSourceFactory lists, EngineListener witness, Consumer<Server> wired) {
     Server server = new Server();
     server.lists = lists;
     server.witness = witness;
@@ -208,7 +208,7 @@
     stopMillis = stopMillis(config.settings());
     Clock clock = new Clock();
     Fleet fleet = new Fleet(clock);
-    SocketBudget sockets = new SocketBudget(config.sockets() - (config.management() == null ? 0 : ManagementServer.MOST_CALLERS));
+    SocketBudget sockets = new SocketBudget(config.sockets() - (config.management() == null ? 0 : ManagementServer.MAX_CONNECTIONS));
     Counts counts = new Counts(fleet, config.settings().contract().slowStartNanos());
     counts.writeOn(loop);
     Bootstrap connections = new Bootstrap().group(group).channelFactory(UpstreamSocket::new)
@@ -380,7 +380,7 @@
   }
 
   /** Has the engine do something on its loop; done once the module has been told what it has to know of that. */
-  CompletableFuture<Void> tell(Consumer<Engine> what) {
+  CompletableFuture<Void> runOnLoop(Consumer<Engine> what) {
     CompletableFuture<Void> told = new CompletableFuture<>();
     loop.execute(() -> {
       try {
@@ -396,13 +396,13 @@
   /** The fleet has agreed that this upstream is out. */
   CompletableFuture<Void> agreedOut(String id, long forNanos) {
     agreed.add(id);
-    return tell(engine -> engine.setOffline(id, forNanos));
+    return runOnLoop(engine -> engine.setOffline(id, forNanos));
   }
 
   /** The fleet has agreed that it is back; out it stays where this one's management endpoint says so. */
   CompletableFuture<Void> agreedBack(String id) {
     agreed.remove(id);
-    return tell(engine -> {
+    return runOnLoop(engine -> {
       if (operations == null || !operations.isOffline(id)) {
         engine.setOnline(id);
       }
--- a/http/src/main/java/cloverpulley/serve/StreamedRequest.java
+++ b/http/src/main/java/cloverpulley/serve/StreamedRequest.java
@@ -10,11 +10,11 @@
 
   final BodyStream rest;
   /** There was no room for it in time: it is to be answered so, and what comes of it dropped. */
-  final boolean turnedAway;
+  final boolean rejected;
 
-  StreamedRequest(HttpRequest head, ByteBuf beginning, BodyStream rest, boolean turnedAway) {
+  StreamedRequest(HttpRequest head, ByteBuf beginning, BodyStream rest, boolean rejected) {
     super(head.protocolVersion(), head.method(), head.uri(), beginning, head.headers(), EmptyHttpHeaders.INSTANCE);
     this.rest = rest;
-    this.turnedAway = turnedAway;
+    this.rejected = rejected;
   }
 }
--- a/http/src/main/java/cloverpulley/serve/UpstreamPool.java
+++ b/http/src/main/java/cloverpulley/serve/UpstreamPool.java
@@ -67,7 +67,7 @@
   private static final int MOST_INFORMATIONAL = 16;
   /** From here on an answer needs a place of so many octets: what is held of it at most, or what passes. */
   private static final int SHORT_ANSWER = 8 * 1024;
-  private static final int ANSWER_OCTETS = Frontend.MOST_BODY;
+  private static final int ANSWER_OCTETS = Frontend.MAX_BUFFERED_RESPONSE;
   private final Bootstrap bootstrap;
   private final SocketBudget sockets;
   private long idleNanos;
@@ -133,7 +133,7 @@
       return;
     }
     connecting.add(call);
-    counts.opened(call.upstream);
+    counts.connectionOpened(call.upstream);
     call.channel = connect.channel();
     sockets.opened();
     call.channel.closeFuture().addListener(f -> sockets.closed());
@@ -226,7 +226,7 @@
 
   private void closeOld() {
     idle.closeOlderThan(idleNanos);
-    counts.idle(idle.size());
+    counts.setIdleConnections(idle.size());
   }
 
   /** One connection, and the call on it. */
@@ -447,7 +447,7 @@
       } else {
         if (message instanceof HttpResponse response) {
           head = response;
-          if (HttpUtil.getContentLength(response, -1L) > RequestReader.MOST_BODY) {
+          if (HttpUtil.getContentLength(response, -1L) > RequestReader.MAX_BODY) {
             spoilt();
           }
         }
@@ -470,11 +470,11 @@
         } else {
           nothingBegun();
         }
-      } else if (came > RequestReader.MOST_BODY) {
+      } else if (came > RequestReader.MAX_BODY) {
         spoilt();
       } else if (passes || pass()) {
         pass(content.content(), last);
-      } else if (came > Frontend.MOST_BODY) {
+      } else if (came > Frontend.MAX_BUFFERED_RESPONSE) {
         spoilt(); // Too long to be held, and nobody takes it as it comes.
       } else {
         if (held == null) {
@@ -497,7 +497,7 @@
 
     /** Whether the answer is passed on from here: it is good, longer than is held, and wanted. */
     private boolean pass() {
-      boolean isLong = came > Frontend.MOST_BODY || HttpUtil.getContentLength(head, -1L) > Frontend.MOST_BODY;
+      boolean isLong = came > Frontend.MAX_BUFFERED_RESPONSE || HttpUtil.getContentLength(head, -1L) > Frontend.MAX_BUFFERED_RESPONSE;
       if (!isLong || !head.status().equals(HttpResponseStatus.OK) || !call.written || call.passing == null
           || !call.passing.begins(head)) {
         return false;
@@ -557,7 +557,7 @@
         status = Status.RESET;
       }
       if (fresh && status == Status.FULL) {
-        counts.noRoom(upstream);
+        counts.newConnectionRejected(upstream);
       }
       fresh = false;
       release(answered, status != Status.RESET && HttpUtil.isKeepAlive(response));
--- a/http/src/main/java/cloverpulley/serve/Warmup.java
+++ b/http/src/main/java/cloverpulley/serve/Warmup.java
@@ -122,7 +122,7 @@
     listeners.childHandler(new ChannelInitializer<Channel>() {
       @Override
       protected void initChannel(Channel channel) {
-        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(Frontend.MOST_BODY), new Upstream());
+        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(Frontend.MAX_BUFFERED_RESPONSE), new Upstream());
       }
     }).bind(upstream);
     frontend.listen(listeners, balancer).addListener(f -> {
@@ -130,7 +130,7 @@
           .handler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
-              channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(Frontend.MOST_BODY), client);
+              channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(Frontend.MAX_BUFFERED_RESPONSE), client);
             }
           });
       for (int i = 0; i < CLIENTS; i++) {
--- a/http/src/test/java/cloverpulley/serve/AttemptTest.java
+++ b/http/src/test/java/cloverpulley/serve/AttemptTest.java
@@ -291,7 +291,7 @@
     try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(one(upstream.address()), module); Client client = rig.client()) {
       client.write(Rig.get("t", ""));
       module.next(Request.class);
-      rig.server.tell(engine -> engine.setOffline("s-1", 0));
+      rig.server.runOnLoop(engine -> engine.setOffline("s-1", 0));
       assertEquals(Status.NOT_SENT, module.next(Outcome.class).status());
       assertTrue(client.answer().startsWith("HTTP/1.1 502 "));
       assertTrue(upstream.requests.isEmpty(), "nothing came on its connection");
--- a/http/src/test/java/cloverpulley/serve/ClientDisconnectTest.java
+++ b/http/src/test/java/cloverpulley/serve/ClientDisconnectTest.java
@@ -202,7 +202,7 @@
       Thread stop = new Thread(rig.server::stop);
       stop.start();
       rig.server.awaitStopping();
-      rig.server.tell(engine -> engine.setOffline("s-none", 0));
+      rig.server.runOnLoop(engine -> engine.setOffline("s-none", 0));
       assertTrue(looks.await(Rig.LIMIT_S, TimeUnit.SECONDS));
       leave(client, reset);
       left.countDown();
--- a/http/src/test/java/cloverpulley/serve/EndToEndTest.java
+++ b/http/src/test/java/cloverpulley/serve/EndToEndTest.java
@@ -89,7 +89,7 @@
 
   @Test
   void aBodyOfTheLargestSizePasses() throws Exception {
-    String body = "b".repeat(Frontend.MOST_BODY);
+    String body = "b".repeat(Frontend.MAX_BUFFERED_RESPONSE);
     try (StubServer upstream = StubServer.answering(StubServer.ok(body));
         Rig rig = new Rig(one(upstream)); Client client = rig.client()) {
       String answer = client.ask(Rig.post("t", "Idempotency-Key: k\r\n", body));
--- a/http/src/test/java/cloverpulley/serve/OperationsTest.java
+++ b/http/src/test/java/cloverpulley/serve/OperationsTest.java
@@ -117,7 +117,7 @@
   void whoFinishesNoCallKeepsNobodyOut() throws Exception {
     List<Socket> idle = new ArrayList<>();
     try (Rig rig = new Rig(config("127.0.0.1:0", Rig.member("s-a", "127.0.0.1:1", "ready")))) {
-      for (int i = 0; i < 3 * ManagementServer.MOST_CALLERS; i++) {
+      for (int i = 0; i < 3 * ManagementServer.MAX_CONNECTIONS; i++) {
         Socket socket = caller(rig.server);
         idle.add(socket);
         socket.getOutputStream().write("GET /control/re".substring(0, i % 15).getBytes(StandardCharsets.ISO_8859_1));
--- a/http/src/test/java/cloverpulley/serve/StartStopTest.java
+++ b/http/src/test/java/cloverpulley/serve/StartStopTest.java
@@ -108,7 +108,7 @@
         client.write(Rig.get("t", ""));
         upstream.requests.take();
         rig.server.reload(() -> shorter);
-        rig.server.tell(e -> { }).get();
+        rig.server.runOnLoop(e -> { }).get();
         Thread stop = new Thread(rig.server::stop);
         stop.start();
         assertTrue(client.answer().startsWith("HTTP/1.1 500 "), "its own deadline of 40 s is not waited for");
@@ -166,7 +166,7 @@
       stop.start();
       rig.server.awaitStopping();
       rig.server.reload(() -> Config.parse(text.replace("40000000000", deadline).replace("\"max-attempts\":6", "\"max-attempts\":5"), Map.of()));
-      rig.server.tell(engine -> { }).join();
+      rig.server.runOnLoop(engine -> { }).join();
       done.countDown();
       assertTrue(client.answer().startsWith("HTTP/1.1 200 "));
       assertNull(client.answer());
@@ -186,7 +186,7 @@
       Rig.Script module = new Rig.Script(0);
       List<String> before = new ArrayList<>();
       Server server = Server.start(Rig.config(agent.address(), Rig.list(1, true, Rig.member("s-1", "127.0.0.1:1", "ready")), "pushed", 200, 1024, ""),
-          n -> module, null, EngineListener.NO_OP, s -> s.tell(engine -> before.add("serves " + engine.canServe())).join());
+          n -> module, null, EngineListener.NO_OP, s -> s.runOnLoop(engine -> before.add("serves " + engine.canServe())).join());
       try {
         assertEquals(List.of("serves false"), before, "the only one drains, and that is known before clients are heard");
       } finally {
--- a/http/src/test/java/cloverpulley/serve/StreamingTest.java
+++ b/http/src/test/java/cloverpulley/serve/StreamingTest.java
@@ -174,7 +174,7 @@
   @ParameterizedTest
   @ValueSource(strings = {"length", "chunks", "octets"})
   void aLongBodyPassesWhileItComes(String form) throws Exception {
-    byte[] body = bytes(form.equals("octets") ? RequestReader.MOST_KEPT + 3000 : LONG);
+    byte[] body = bytes(form.equals("octets") ? RequestReader.MAX_BUFFERED_BODY + 3000 : LONG);
     Script module = new Script(0);
     Semaphore got = new Semaphore(0);
     try (StubServer upstream = new StubServer(c -> {
