--- a/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
@@ -140,8 +140,8 @@
     EmbeddedBalancer.ListSourceFactory lists = (loop, f, news) -> open(fleet, held, loop, f, news);
     // The ledger is heard before clients are: one that starts must not send to what is out.
     EmbeddedBalancer balance = EmbeddedBalancer.start(new EmbeddedBalancer.Options(agree == null ? "balance" : agree.name(), b.listen(),
-        b.management(), b.folder(), b.sockets(), (long) b.memoryMb() << 20, fleet.first(), operators.settings(), TimeUnit.MILLISECONDS.toNanos(b.idleMillis()),
-        new SecureRandom().nextLong(), lists, witness, wired -> {
+        b.management(), b.folder(), b.sockets(), (long) b.memoryMb() << 20, fleet.first(), operators.settings(),
+        TimeUnit.MILLISECONDS.toNanos(b.idleMillis()), new SecureRandom().nextLong(), lists, witness, wired -> {
           if (agree == null) {
             return;
           }
--- a/http/src/main/java/cloverpulley/serve/Binding.java
+++ b/http/src/main/java/cloverpulley/serve/Binding.java
@@ -13,16 +13,16 @@
 
   /** How long it is tried: a predecessor has gone by then. */
   private static final long MAX_MILLIS = 4000;
-  private static final long AGAIN_MILLIS = 50;
+  private static final long RETRY_MILLIS = 50;
   /** The system's words for addresses that can't be had at any time (EADDRNOTAVAIL, EACCES). */
-  private static final List<String> FOR_GOOD = List.of("Cannot assign requested address", "Permission denied");
+  private static final List<String> PERMANENT_ERRORS = List.of("Cannot assign requested address", "Permission denied");
 
   private Binding() {}
 
   /** Whether it is of no use to try again. */
-  static boolean isForGood(Throwable cause) {
+  static boolean isPermanent(Throwable cause) {
     String message = String.valueOf(cause.getMessage());
-    return FOR_GOOD.stream().anyMatch(message::contains);
+    return PERMANENT_ERRORS.stream().anyMatch(message::contains);
   }
 
   /** Binds, again and again where that fails for now; throws the last failure. Not to be called on an event loop. */
@@ -33,14 +33,14 @@
       if (bound.isSuccess()) {
         return bound;
       }
-      if (isForGood(bound.cause()) || System.nanoTime() - begun > TimeUnit.MILLISECONDS.toNanos(MAX_MILLIS)) {
+      if (isPermanent(bound.cause()) || System.nanoTime() - begun > TimeUnit.MILLISECONDS.toNanos(MAX_MILLIS)) {
         return bound.syncUninterruptibly();
       }
       if (first) {
         LOG.warning(what + " can't be bound yet, it is tried again: " + bound.cause());
       }
       try {
-        TimeUnit.MILLISECONDS.sleep(AGAIN_MILLIS);
+        TimeUnit.MILLISECONDS.sleep(RETRY_MILLIS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         return bound.syncUninterruptibly();
--- a/http/src/main/java/cloverpulley/serve/ClientSocket.java
+++ b/http/src/main/java/cloverpulley/serve/ClientSocket.java
@@ -10,9 +10,9 @@
 final class ClientSocket extends NioSocketChannel {
 
   /** What one look reads at most. */
-  private static final int LOOK_OCTETS = 1024;
+  private static final int PROBE_BYTES = 1024;
   /** Looks that may find something before the end of a connection that is not read otherwise: bounds what is held beyond its marks. */
-  private static final int MOST_LOOKS = 16;
+  private static final int MAX_PROBES = 16;
 
   private final long queuedNanos;
 
@@ -32,18 +32,18 @@
    * while their requests waited: the loop hears of an end only where it reads, and behind what it has not read yet. What is found
    * comes on as if the loop had read it. Not to be called while a read of this connection is on its way.
    */
-  boolean isThere() {
-    for (int i = 0; isActive() && i < MOST_LOOKS; i++) {
-      ByteBuf found = alloc().ioBuffer(LOOK_OCTETS);
-      int octets;
+  boolean isClientConnected() {
+    for (int i = 0; isActive() && i < MAX_PROBES; i++) {
+      ByteBuf found = alloc().ioBuffer(PROBE_BYTES);
+      int count;
       try {
-        octets = found.writeBytes(javaChannel(), LOOK_OCTETS);
+        count = found.writeBytes(javaChannel(), PROBE_BYTES);
       } catch (IOException e) {
-        octets = -1;
+        count = -1;
       }
-      if (octets <= 0) {
+      if (count <= 0) {
         found.release();
-        if (octets < 0) {
+        if (count < 0) {
           close();
         }
         break;
--- a/http/src/main/java/cloverpulley/serve/Clients.java
+++ b/http/src/main/java/cloverpulley/serve/Clients.java
@@ -17,29 +17,29 @@
   /** A client's connection. */
   interface Client {
     /** It has not sent a whole request in time. */
-    void overdue();
+    void onTimeout();
 
     void close();
 
     /** A part of a request has come. */
-    boolean hasBegun();
+    boolean hasPartialRequest();
   }
 
   /** A client is owed an error or a close 3 s after it connected if nothing whole has come by then; it may take 2 s for a head, and
    * pause for as long within a body. */
-  static final long READING_NANOS = TimeUnit.MILLISECONDS.toNanos(2500);
+  static final long READ_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(2500);
   /** After an error a client has this long to read it: closing at once, over what it still sends, would destroy it. */
-  private static final long LEAVING_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  private static final long LINGER_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
   /** A sweep that comes so long after the last tells of this process's own pause, not of its clients. */
-  private static final long LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  private static final long MAX_SWEEP_GAP_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
   /** A client that has not asked for this long won't miss its connection. */
-  private static final long IDLE_NANOS = TimeUnit.SECONDS.toNanos(60);
+  private static final long IDLE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(60);
 
   /** The time of the last move comes first in each, so that the longest in a state is at its head. */
   private final Map<State, Map<Client, Long>> since = new EnumMap<>(State.class);
 
   private final LongSupplier clock;
-  private long swept;
+  private long sweptAt;
 
   Clients() {
     this(System::nanoTime);
@@ -48,7 +48,7 @@
   /** {@code clock} counts nanoseconds and does not go back. */
   Clients(LongSupplier clock) {
     this.clock = clock;
-    swept = clock.getAsLong();
+    sweptAt = clock.getAsLong();
     for (State state : State.values()) {
       since.put(state, new LinkedHashMap<>());
     }
@@ -63,16 +63,16 @@
   }
 
   /** It does something else from now on; a state that it is in already starts anew. */
-  void move(Client client, State to) {
+  void setState(Client client, State to) {
     remove(client);
     since.get(to).put(client, clock.getAsLong());
   }
 
   /** It is read again: it could do nothing while it was not, and what it sent meanwhile has not been seen yet. */
-  void resumed(Client client) {
+  void readResumed(Client client) {
     for (State state : List.of(State.READING, State.UPLOADING)) {
       if (is(client, state)) {
-        move(client, state);
+        setState(client, state);
         return;
       }
     }
@@ -91,7 +91,7 @@
   }
 
   /** Closes the one that is missed least; false if all are being served. Closing it has to remove it. */
-  boolean shed() {
+  boolean closeLeastUseful() {
     for (State state : State.values()) {
       if (state.compareTo(State.UPLOADING) < 0 && !since.get(state).isEmpty()) {
         since.get(state).keySet().iterator().next().close();
@@ -102,20 +102,20 @@
   }
 
   /** Ends what has gone on for too long. */
-  void sweep() {
+  void closeTimedOut() {
     long now = clock.getAsLong();
-    boolean late = now - swept > LATE_NANOS;
-    swept = now;
+    boolean late = now - sweptAt > MAX_SWEEP_GAP_NANOS;
+    sweptAt = now;
     if (late) {
       return; // Guards clients whose bytes lie in their sockets while this process stood still: one more turn reads them.
     }
-    longer(State.LEAVING, LEAVING_NANOS).forEach(Client::close);
-    longer(State.READING, READING_NANOS).forEach(Client::overdue);
-    longer(State.UPLOADING, READING_NANOS).forEach(Client::overdue);
-    longer(State.IDLE, IDLE_NANOS).forEach(Client::close);
+    inStateLongerThan(State.LEAVING, LINGER_NANOS).forEach(Client::close);
+    inStateLongerThan(State.READING, READ_TIMEOUT_NANOS).forEach(Client::onTimeout);
+    inStateLongerThan(State.UPLOADING, READ_TIMEOUT_NANOS).forEach(Client::onTimeout);
+    inStateLongerThan(State.IDLE, IDLE_TIMEOUT_NANOS).forEach(Client::close);
   }
 
-  private List<Client> longer(State state, long nanos) {
+  private List<Client> inStateLongerThan(State state, long nanos) {
     long now = clock.getAsLong();
     List<Client> found = new ArrayList<>();
     for (Map.Entry<Client, Long> entry : since.get(state).entrySet()) {
@@ -138,9 +138,9 @@
    * Closes all that are owed nothing and have begun no request. Guards a request whose last bytes are on their way while this is decided: what
    * has begun comes in whole and is answered, or its time ends.
    */
-  void closeUnserved() {
+  void closeWithoutRequest() {
     for (State state : List.of(State.READING, State.IDLE)) {
-      List.copyOf(since.get(state).keySet()).stream().filter(c -> !c.hasBegun()).forEach(Client::close);
+      List.copyOf(since.get(state).keySet()).stream().filter(c -> !c.hasPartialRequest()).forEach(Client::close);
     }
   }
 }
--- a/http/src/main/java/cloverpulley/serve/Config.java
+++ b/http/src/main/java/cloverpulley/serve/Config.java
@@ -36,10 +36,10 @@
     Fields source) {
 
   /** Keys of the file that need not come again: the list as it was once known. */
-  private static final Set<String> FREE = Set.of("known");
-  private static final int SOCKETS = 1024;
-  private static final int MEMORY_MB = 192;
-  private static final long IDLE_NANOS = 5_000_000_000L;
+  private static final Set<String> OPTIONAL_KEYS = Set.of("known");
+  private static final int DEFAULT_SOCKETS = 1024;
+  private static final int DEFAULT_MEMORY_MB = 192;
+  private static final long DEFAULT_IDLE_NANOS = 5_000_000_000L;
 
   /**
    * Reads the file that the environment names. The file comes first, the environment states only what it lacks: the file
@@ -73,19 +73,19 @@
         text(f, "name", environment.get("ROUTER_NAME")),
         ListDecoder.address("listen", text(f, "listen", environment.get("ROUTER_LISTEN"))),
         ListDecoder.address("discovery", text(f, "discovery", environment.get("ROUTER_DISCOVERY"))),
-        seed(f.text("seed")), f.nested("limits").int32("sockets", SOCKETS),
-        f.nested("limits").integer("memory_mb", MEMORY_MB) << 20,
+        seed(f.text("seed")), f.nested("limits").int32("sockets", DEFAULT_SOCKETS),
+        f.nested("limits").integer("memory_mb", DEFAULT_MEMORY_MB) << 20,
         f.has("peer_listen") ? ListDecoder.address("peer_listen", f.text("peer_listen")) : null, peers,
         f.has("peers_all") ? ListDecoder.address("peers_all", f.text("peers_all")) : null,
         f.has("known") ? ListDecoder.list(f.nested("known")) : ServerList.EMPTY,
-        SettingsDecoder.settings(settings), settings.nested("limits").integer("conn-idle-ns", IDLE_NANOS),
+        SettingsDecoder.settings(settings), settings.nested("limits").integer("conn-idle-ns", DEFAULT_IDLE_NANOS),
         !settings.nested("report").text("how", "none").equals("none"), management(f, environment),
         environment.containsKey("TMPDIR") ? Path.of(environment.get("TMPDIR"), "ashdeck") : null, f);
   }
 
   /** Checks that this one may take another's place: all that was told there is told here. Throws a {@link WireException} where not. */
-  void checkReplaces(Config before) {
-    SchemaValidator.check(before.source, source, FREE);
+  void checkCanReplace(Config before) {
+    SchemaValidator.check(before.source, source, OPTIONAL_KEYS);
   }
 
   private static InetSocketAddress management(Fields f, Map<String, String> environment) {
@@ -93,12 +93,12 @@
     return text.isEmpty() ? null : ListDecoder.address("management", text);
   }
 
-  private static String text(Fields f, String name, String otherwise) {
-    return f.has(name) || otherwise == null ? f.text(name) : otherwise;
+  private static String text(Fields f, String name, String fallback) {
+    return f.has(name) || fallback == null ? f.text(name) : fallback;
   }
 
   /** What a file that can't be used lacks, in one line. */
-  static String complaint(Throwable e) {
+  static String describeFailure(Throwable e) {
     String what = e instanceof WireException || e instanceof IllegalArgumentException ? e.getMessage()
         : e instanceof EOFException ? e.getMessage() : e instanceof JsonProcessingException j ? "configuration: not JSON: " + j.getOriginalMessage() : e.toString();
     return what.lines().findFirst().orElse("");
--- a/http/src/main/java/cloverpulley/serve/Counts.java
+++ b/http/src/main/java/cloverpulley/serve/Counts.java
@@ -27,37 +27,37 @@
   private static final Logger LOG = Logger.getLogger(Counts.class.getName());
 
   /** Upstreams named in a line; the rest is one figure. Bounds the line in a fleet of any size. */
-  private static final int NAMED = 12;
-  private static final int LONGEST_NAME = 32;
+  private static final int MAX_NAMED_UPSTREAMS = 12;
+  private static final int MAX_NAME_LENGTH = 32;
   private static final Status[] STATUSES = Status.values();
   private static final Reason[] REASONS = Reason.values();
 
   private final Fleet fleet;
-  private final long warmNanos;
+  private final long slowStartNanos;
   private final int[] statuses = new int[STATUSES.length];
-  private final int[] refused = new int[REASONS.length];
+  private final int[] rejected = new int[REASONS.length];
   private final int[] failed = new int[REASONS.length];
-  private final Map<Long, Integer> opened = new HashMap<>();
-  private final Map<Long, Integer> noRoom = new HashMap<>();
-  private final Map<Long, Integer> cold = new HashMap<>();
-  private int closedForAnother;
-  private int closedLate;
-  private int turnedAway;
-  private int idle;
-  private int taken;
+  private final Map<Long, Integer> connectionsOpened = new HashMap<>();
+  private final Map<Long, Integer> newConnectionsRejected = new HashMap<>();
+  private final Map<Long, Integer> slowStarting = new HashMap<>();
+  private int closedForOthers;
+  private int closedOnTimeout;
+  private int uploadsRejected;
+  private int idleConnections;
+  private int accepted;
   private int sent;
-  private int again;
+  private int retried;
   private int served;
-  private int gone;
-  private int asked;
-  private int unanswered;
-  private int ignored;
-  private int lines;
-
-  /** {@code warmNanos} is how long after its start an upstream counts as cold. */
-  Counts(Fleet fleet, long warmNanos) {
+  private int clientsGone;
+  private int listsRequested;
+  private int listsUnanswered;
+  private int listsIgnored;
+  private int listLines;
+
+  /** {@code slowStartNanos} is how long after its start an upstream counts as cold. */
+  Counts(Fleet fleet, long slowStartNanos) {
     this.fleet = fleet;
-    this.warmNanos = warmNanos;
+    this.slowStartNanos = slowStartNanos;
   }
 
   /** Writes a line a second for as long as the loop runs. */
@@ -71,17 +71,17 @@
   }
 
   /** A source of lists whose calls are counted. */
-  Engine.ListSource counted(Engine.ListSource lists) {
+  Engine.ListSource counting(Engine.ListSource lists) {
     return new Engine.ListSource() {
       @Override
       public void watch(boolean on) {
-        asked += on ? 1 : 0;
+        listsRequested += on ? 1 : 0;
         lists.watch(on);
       }
 
       @Override
       public void fetch() {
-        asked++;
+        listsRequested++;
         lists.fetch();
       }
     };
@@ -89,42 +89,42 @@
 
   /** A new connection to an upstream is tried. */
   void connectionOpened(long upstream) {
-    opened.merge(upstream, 1, Integer::sum);
+    connectionsOpened.merge(upstream, 1, Integer::sum);
   }
 
   /** The first request on a new connection was turned away: the upstream holds as many connections as it may, or is full. */
   void newConnectionRejected(long upstream) {
-    noRoom.merge(upstream, 1, Integer::sum);
+    newConnectionsRejected.merge(upstream, 1, Integer::sum);
   }
 
   /** A long body found no room in time. */
   void uploadRejected() {
-    turnedAway++;
+    uploadsRejected++;
   }
 
   /** A client's connection was closed for another's, or because nothing whole came on it in time. */
   void clientClosed(boolean forAnother) {
-    closedForAnother += forAnother ? 1 : 0;
-    closedLate += forAnother ? 0 : 1;
+    closedForOthers += forAnother ? 1 : 0;
+    closedOnTimeout += forAnother ? 0 : 1;
   }
 
   /** So many connections to upstreams wait for use, as last seen. */
   void setIdleConnections(int connections) {
-    idle = connections;
+    idleConnections = connections;
   }
 
   @Override
   public void requestAccepted(Exchange x) {
-    taken++;
+    accepted++;
   }
 
   @Override
   public void attemptSent(Attempt attempt) {
     sent++;
-    again += attempt.number() > 0 ? 1 : 0;
+    retried += attempt.number() > 0 ? 1 : 0;
     long ago = fleet.ageNanos(attempt.upstream());
-    if (ago >= 0 && ago < warmNanos) {
-      cold.merge(attempt.upstream(), 1, Integer::sum);
+    if (ago >= 0 && ago < slowStartNanos) {
+      slowStarting.merge(attempt.upstream(), 1, Integer::sum);
     }
   }
 
@@ -137,8 +137,8 @@
   public void requestEnded(Exchange x, Completion end, Reason reason) {
     switch (end) {
       case SERVED -> served++;
-      case GONE -> gone++;
-      case REJECTED -> refused[reason.ordinal()]++;
+      case GONE -> clientsGone++;
+      case REJECTED -> rejected[reason.ordinal()]++;
       case FAILED -> failed[reason.ordinal()]++;
     }
   }
@@ -146,11 +146,11 @@
   @Override
   public void serverListUpdated(ListKind kind, ServerList list, List<NumberedServer> servers) {
     if (kind == ListKind.FAILED) {
-      unanswered++;
+      listsUnanswered++;
     } else if (kind != ListKind.CACHED) {
-      lines += list.members().size();
+      listLines += list.members().size();
       // A whole list without members would take the service away; a change without any is a version alone.
-      ignored += servers.isEmpty() && (kind == ListKind.FULL || !list.members().isEmpty()) ? 1 : 0;
+      listsIgnored += servers.isEmpty() && (kind == ListKind.FULL || !list.members().isEmpty()) ? 1 : 0;
     }
   }
 
@@ -160,59 +160,59 @@
   /** What was counted since the last line; empty for nothing. */
   String line() {
     StringBuilder s = new StringBuilder(160);
-    put(s, "taken", taken);
+    put(s, "taken", accepted);
     put(s, "served", served);
-    put(s, "gone", gone);
+    put(s, "gone", clientsGone);
     for (Reason r : REASONS) {
-      put(s, "refused_" + r.code(), refused[r.ordinal()]);
+      put(s, "refused_" + r.code(), rejected[r.ordinal()]);
       put(s, "failed_" + r.code(), failed[r.ordinal()]);
-      refused[r.ordinal()] = 0;
+      rejected[r.ordinal()] = 0;
       failed[r.ordinal()] = 0;
     }
     put(s, "sent", sent);
-    put(s, "again", again);
+    put(s, "again", retried);
     for (Status status : STATUSES) {
       if (status != Status.SERVED && statuses[status.ordinal()] > 0) {
         put(s, "ended_" + status.name().toLowerCase(Locale.ROOT), statuses[status.ordinal()]);
       }
       statuses[status.ordinal()] = 0;
     }
-    put(s, "list_asked", asked);
-    put(s, "list_unanswered", unanswered);
-    put(s, "list_ignored", ignored);
-    put(s, "list_lines", lines);
-    put(s, "opened", opened);
-    put(s, "no_room_for_new", noRoom);
-    put(s, "cold", cold);
-    put(s, "idle", idle);
-    put(s, "clients_closed_for_others", closedForAnother);
-    put(s, "clients_closed_late", closedLate);
-    put(s, "uploads_turned_away", turnedAway);
-    closedForAnother = closedLate = turnedAway = 0;
-    taken = served = gone = sent = again = asked = unanswered = ignored = lines = 0;
+    put(s, "list_asked", listsRequested);
+    put(s, "list_unanswered", listsUnanswered);
+    put(s, "list_ignored", listsIgnored);
+    put(s, "list_lines", listLines);
+    put(s, "opened", connectionsOpened);
+    put(s, "no_room_for_new", newConnectionsRejected);
+    put(s, "cold", slowStarting);
+    put(s, "idle", idleConnections);
+    put(s, "clients_closed_for_others", closedForOthers);
+    put(s, "clients_closed_late", closedOnTimeout);
+    put(s, "uploads_turned_away", uploadsRejected);
+    closedForOthers = closedOnTimeout = uploadsRejected = 0;
+    accepted = served = clientsGone = sent = retried = listsRequested = listsUnanswered = listsIgnored = listLines = 0;
     return s.toString();
   }
 
-  private static void put(StringBuilder s, String word, int count) {
+  private static void put(StringBuilder s, String key, int count) {
     if (count > 0) {
-      s.append(s.isEmpty() ? "counts " : " ").append(word).append('=').append(count);
+      s.append(s.isEmpty() ? "counts " : " ").append(key).append('=').append(count);
     }
   }
 
-  private void put(StringBuilder s, String word, Map<Long, Integer> upstreams) {
-    put(s, word, upstreams.values().stream().mapToInt(n -> n).sum());
+  private void put(StringBuilder s, String key, Map<Long, Integer> upstreams) {
+    put(s, key, upstreams.values().stream().mapToInt(n -> n).sum());
     int named = 0;
     for (Map.Entry<Long, Integer> e : upstreams.entrySet()) {
       ServerList.Server server = fleet.server(e.getKey());
-      if (server != null && named++ < NAMED) {
-        s.append(named == 1 ? ":" : ",").append(name(server.id())).append('*').append(e.getValue());
+      if (server != null && named++ < MAX_NAMED_UPSTREAMS) {
+        s.append(named == 1 ? ":" : ",").append(logName(server.id())).append('*').append(e.getValue());
       }
     }
     upstreams.clear();
   }
 
   /** A name as the log may hold it. Guards its reader against a discovery that writes lines of its own, or endless ones. */
-  static String name(String id) {
-    return id.substring(0, Math.min(LONGEST_NAME, id.length())).replaceAll("[^\\w.:-]", "?");
+  static String logName(String id) {
+    return id.substring(0, Math.min(MAX_NAME_LENGTH, id.length())).replaceAll("[^\\w.:-]", "?");
   }
 }
--- a/http/src/main/java/cloverpulley/serve/EmbeddedBalancer.java
+++ b/http/src/main/java/cloverpulley/serve/EmbeddedBalancer.java
@@ -21,7 +21,7 @@
   /** Where lists come from. */
   public interface ListSourceFactory {
     /** Opens the source, on the loop, where all of it runs. */
-    Engine.ListSource open(EventLoop loop, Fleet fleet, BiConsumer<ListKind, ServerList> news);
+    Engine.ListSource open(EventLoop loop, Fleet fleet, BiConsumer<ListKind, ServerList> onListUpdate);
   }
 
   /**
@@ -37,7 +37,7 @@
    * @param beforeListen run once there is an engine, before clients are heard
    */
   public record Options(String name, InetSocketAddress listen, InetSocketAddress management, Path shared, int sockets, long memoryBytes,
-      ServerList known, Settings settings, long idleNanos, long seed, ListSourceFactory lists, EngineListener listener, Consumer<OfflineControl> beforeListen) {}
+      ServerList known, Settings settings, long idleNanos, long seed, ListSourceFactory listSourceFactory, EngineListener listener, Consumer<OfflineControl> beforeListen) {}
 
   /** What the fleet's agreement does to it. */
   public interface OfflineControl {
@@ -59,18 +59,18 @@
   }
 
   /** Starts one and returns once it listens. */
-  public static EmbeddedBalancer start(Options g) {
-    Config config = new Config(g.name(), g.listen(), null, g.seed(), g.sockets(), g.memoryBytes(), null, List.of(), null, g.known(),
-        g.settings(), g.idleNanos(), false, g.management(), g.shared(), null);
-    return new EmbeddedBalancer(Server.start(config, n -> new Logic(g.settings(), g.seed() + n), g.lists(), g.listener(), s -> g.beforeListen().accept(new OfflineControl() {
+  public static EmbeddedBalancer start(Options options) {
+    Config config = new Config(options.name(), options.listen(), null, options.seed(), options.sockets(), options.memoryBytes(), null, List.of(), null, options.known(),
+        options.settings(), options.idleNanos(), false, options.management(), options.shared(), null);
+    return new EmbeddedBalancer(Server.start(config, n -> new Logic(options.settings(), options.seed() + n), options.listSourceFactory(), options.listener(), s -> options.beforeListen().accept(new OfflineControl() {
       @Override
       public CompletableFuture<Void> setOffline(String id, long forNanos) {
-        return s.agreedOut(id, forNanos);
+        return s.setAgreedOffline(id, forNanos);
       }
 
       @Override
       public CompletableFuture<Void> setOnline(String id) {
-        return s.agreedBack(id);
+        return s.setAgreedOnline(id);
       }
     })));
   }
--- a/http/src/main/java/cloverpulley/serve/Frontend.java
+++ b/http/src/main/java/cloverpulley/serve/Frontend.java
@@ -71,22 +71,22 @@
   static final String IDEMPOTENCY_KEY = "Idempotency-Key";
   static final String KEY_COOKIE = "sid";
   /** The most digits of a header that is a whole number: more would not be a time or an amount of work. */
-  private static final int MOST_DIGITS = 9;
-  private static final long MOST_MILLIS = 1_000_000_000L;
+  private static final int MAX_DIGITS = 9;
+  private static final long MAX_EXPIRY_MILLIS = 1_000_000_000L;
   /** The longest id, tenant or key that is kept as it came. */
-  private static final int MOST_NAME = 128;
+  private static final int MAX_NAME_LENGTH = 128;
   /** More requests than one read can hold: what is too many is for this class to say, in its turn. */
-  private static final int MOST_DECODED = 8192;
-  private static final long SWEEP_MILLIS = 100;
+  private static final int MAX_DECODED_REQUESTS = 8192;
+  private static final long TIMEOUT_CHECK_MILLIS = 100;
   /** What a client may take for a body beyond this much time for each byte, and the longest that any may take. */
   private static final long BODY_NANOS_PER_BYTE = TimeUnit.SECONDS.toNanos(1) / (32 * 1024);
-  private static final long MOST_UPLOAD_NANOS = TimeUnit.MINUTES.toNanos(10);
-  /** Times of {@link Clients#READING_NANOS} that an upstream may take nothing of a body. */
-  private static final int MOST_PAUSES = 12;
+  private static final long MAX_UPLOAD_NANOS = TimeUnit.MINUTES.toNanos(10);
+  /** Times of {@link Clients#READ_TIMEOUT_NANOS} that an upstream may take nothing of a body. */
+  private static final int MAX_UPLOAD_PAUSES = 12;
   /** When a client whose body found no room may ask again. */
-  private static final long UPLOAD_AGAIN_NANOS = TimeUnit.SECONDS.toNanos(1);
+  private static final long UPLOAD_RETRY_AFTER_NANOS = TimeUnit.SECONDS.toNanos(1);
   /** The client's time runs from when it sent the request, and the answer has to get back to it. */
-  private static final long WAY_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+  private static final long RESPONSE_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
   private final Engine engine;
   private final HttpExchange.Front exchanges;
@@ -96,32 +96,32 @@
   private Map<String, RequestClass> classes;
   private Set<String> tenants;
   private final Clients clients = new Clients();
-  private final StallDetector stalls = new StallDetector();
-  private final BufferBudget pipelinedHeads = PipelinedRequests.heads();
+  private final StallDetector stallDetector = new StallDetector();
+  private final BufferBudget pipelinedHeadBudget = PipelinedRequests.headBudget();
   private final Counts counts;
-  private final RequestReader.Budgets bodies;
+  private final RequestReader.Budgets bodyBudgets;
   /** The clients' ids of the requests in hand, and of those of which an attempt is still out. */
-  private final Set<String> open = new HashSet<>();
+  private final Set<String> activeIds = new HashSet<>();
   private Channel listener;
   private boolean ready;
   private boolean stopping;
   private boolean closing;
-  private boolean over;
+  private boolean rejecting;
 
-  /** {@code bodies} is where clients' bodies find room. */
-  Frontend(HttpExchange.Front exchanges, Clock clock, SocketBudget sockets, Settings settings, RequestReader.Budgets bodies, Counts counts) {
+  /** {@code bodyBudgets} is where clients' bodies find room. */
+  Frontend(HttpExchange.Front exchanges, Clock clock, SocketBudget sockets, Settings settings, RequestReader.Budgets bodyBudgets, Counts counts) {
     this.counts = counts;
     this.engine = exchanges.engine();
     this.exchanges = exchanges;
     this.clock = clock;
     this.sockets = sockets;
     this.pool = exchanges.pool();
-    this.bodies = bodies;
-    retune(settings);
+    this.bodyBudgets = bodyBudgets;
+    updateSettings(settings);
   }
 
   /** Requests that come from here on are of these classes and tenants. */
-  void retune(Settings settings) {
+  void updateSettings(Settings settings) {
     classes = settings.classes().stream().collect(Collectors.toMap(RequestClass::name, Function.identity()));
     tenants = settings.tenants().stream().map(Tenant::name).collect(Collectors.toSet());
   }
@@ -132,40 +132,40 @@
       protected void initChannel(Channel channel) {
         Connection connection = new Connection(channel);
         // The decoder fails a request whose length is told twice, or by Transfer-Encoding as well.
-        channel.pipeline().addLast(connection.arrivals(), new HttpServerCodec(new HttpDecoderConfig(), MOST_DECODED),
+        channel.pipeline().addLast(connection.inputMonitor(), new HttpServerCodec(new HttpDecoderConfig(), MAX_DECODED_REQUESTS),
             connection.reader, connection);
-        accepted(channel);
+        onAccepted(channel);
       }
     }), address, loop -> {
-      stalls.watch(loop);
+      stallDetector.watch(loop);
       if (listener instanceof Listener l) {
-        l.stalls(stalls);
+        l.setStallDetector(stallDetector);
       }
-      Periodic.every(loop, SWEEP_MILLIS, clients::sweep);
+      Periodic.every(loop, TIMEOUT_CHECK_MILLIS, clients::closeTimedOut);
     });
     listener = bound.channel();
     return bound;
   }
 
   /** From here on {@code /healthz} may say that this balancer serves. */
-  void ready() {
+  void markReady() {
     ready = true;
   }
 
   /** From here on {@code /healthz} sends clients elsewhere. */
-  void stopping() {
+  void markStopping() {
     stopping = true;
   }
 
   /** Another process listens at the same address: every answer from here on has its client come back to that one. */
-  void leaveTo() {
+  void closeAfterResponses() {
     closing = true;
   }
 
   /** New connections are refused; those that wait in the queue are taken. */
-  void acceptNoMore() {
+  void stopAccepting() {
     if (listener instanceof Listener l) {
-      l.acceptLast();
+      l.drainQueueAndClose();
     } else {
       listener.close();
     }
@@ -176,14 +176,14 @@
   }
 
   /** From here on every answer closes its connection; those that are owed nothing are closed, but where a request has begun to come. */
-  void close() {
+  void drain() {
     closing = true;
-    clients.closeUnserved();
+    clients.closeWithoutRequest();
   }
 
   /** What still comes is turned away. Guards rule 1: sent on now, nothing would wait for its end. */
-  void takeNoMore() {
-    over = true;
+  void rejectRequests() {
+    rejecting = true;
   }
 
   /** Ends what is left, such as a client that has its answer and still sends. */
@@ -199,23 +199,23 @@
    * Guards the descriptors: what the machine accepted counts as taken, so a new client comes before one that has nothing
    * open, and before connections to upstreams that stand idle.
    */
-  private void accepted(Channel channel) {
-    boolean few = clients.count() < sockets.maxClientConnections();
+  private void onAccepted(Channel channel) {
+    boolean belowLimit = clients.count() < sockets.maxClientConnections();
     // Beside another process the room is short for a moment only: connections to upstreams are given up before clients are.
-    boolean room = few && (sockets.hasCapacity() || sockets.isShared() && pool.closeOldest()) || shed() || pool.closeOldest();
+    boolean admit = belowLimit && (sockets.hasCapacity() || sockets.isShared() && pool.closeOldest()) || closeLeastUsefulClient() || pool.closeOldest();
     sockets.opened();
     channel.closeFuture().addListener(f -> sockets.closed());
-    if (!room && sockets.isNearlyExhausted()) {
+    if (!admit && sockets.isNearlyExhausted()) {
       channel.close();
     }
   }
 
-  private boolean shed() {
-    boolean shed = clients.shed();
-    if (shed) {
+  private boolean closeLeastUsefulClient() {
+    boolean closed = clients.closeLeastUseful();
+    if (closed) {
       counts.clientClosed(true);
     }
-    return shed;
+    return closed;
   }
 
   /** One client's connection: a request at a time, those that come early wait for their turn. */
@@ -223,76 +223,76 @@
 
     private final Channel channel;
     private final RequestReader reader;
-    private final PipelinedRequests pipelined = new PipelinedRequests(pipelinedHeads);
+    private final PipelinedRequests pipelined = new PipelinedRequests(pipelinedHeadBudget);
     private boolean busy;
     private boolean keepAlive;
     /** The request is of HTTP/1.0, which knows no chunks. */
-    private boolean old;
+    private boolean http10;
     /** Nothing that still comes is read: it follows what can't be understood, or there is too much of it. */
-    private boolean deaf;
+    private boolean ignoringInput;
     /** Bytes have come since the last request that was taken. */
-    private boolean begun;
+    private boolean partialRequest;
     /** Bytes of the body of the request that is served. */
-    private int size;
+    private int bodyCapacity;
     private HttpExchange exchange;
     /** What is still to come of the body of the request that is served; null for nothing. */
-    private BodyStream rest;
-    private boolean left;
+    private BodyStream upload;
+    private boolean lingering;
     /** Times that nothing came of a body because it was not read. */
-    private int pauses;
-    private PassedAnswer passing;
+    private int uploadPauses;
+    private PassedAnswer streamedResponse;
     /** When the first byte of the request came that is being read. */
     private long readingSince = System.nanoTime();
     /** For how long its first request may have waited for the connection to be accepted; 0 behind that. */
     private long queuedNanos;
     /** Since when nothing is read, by this side's doing; 0 while it reads. */
-    private long heldSince;
+    private long readPausedSince;
 
     Connection(Channel channel) {
       this.channel = channel;
       queuedNanos = channel instanceof ClientSocket socket ? socket.queuedNanos() : 0;
-      reader = new RequestReader(bodies, () -> busy, this::read);
+      reader = new RequestReader(bodyBudgets, () -> busy, this::updateAutoRead);
     }
 
     /** Reads, or doesn't: what waits for an upstream that takes it slowly is not to grow. */
-    private void read() {
+    private void updateAutoRead() {
       // Early requests don't end it: the end of a connection is heard only where it is read, and its requests must not go on after that.
-      boolean reads = !left && reader.wantsMore();
+      boolean reads = !lingering && reader.wantsMore();
       if (reads != channel.config().isAutoRead()) {
         long now = System.nanoTime();
-        readingSince += reads && heldSince != 0 ? now - heldSince : 0; // Its client could do nothing meanwhile.
-        heldSince = reads ? 0 : now;
+        readingSince += reads && readPausedSince != 0 ? now - readPausedSince : 0; // Its client could do nothing meanwhile.
+        readPausedSince = reads ? 0 : now;
         channel.config().setAutoRead(reads);
         if (reads) {
-          clients.resumed(this);
+          clients.readResumed(this);
         }
       }
     }
 
     /** Sees bytes before they are decoded: from the first one on a request has to come in whole in time. */
-    ChannelInboundHandlerAdapter arrivals() {
+    ChannelInboundHandlerAdapter inputMonitor() {
       return new ChannelInboundHandlerAdapter() {
         @Override
         public void channelRead(ChannelHandlerContext context, Object bytes) {
-          if (deaf) {
+          if (ignoringInput) {
             ReferenceCountUtil.release(bytes);
             return;
           }
-          begun = true;
+          partialRequest = true;
           if (clients.is(Connection.this, State.IDLE)) {
             readingSince = System.nanoTime();
-            clients.move(Connection.this, State.READING);
+            clients.setState(Connection.this, State.READING);
           }
           context.fireChannelRead(bytes);
-          if (reader.isWithin()) {
-            progress();
+          if (reader.isReadingBody()) {
+            checkProgress();
           }
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
-          if (passing != null) {
-            passing.writabilityChanged();
+          if (streamedResponse != null) {
+            streamedResponse.writabilityChanged();
           }
           context.fireChannelWritabilityChanged();
         }
@@ -300,35 +300,35 @@
     }
 
     /** A body that comes keeps its client, if it comes fast enough. */
-    private void progress() {
-      if (clients.is(this, State.SERVED) || heldSince != 0) {
+    private void checkProgress() {
+      if (clients.is(this, State.SERVED) || readPausedSince != 0) {
         return; // Its time begins with its turn, or runs on once it is read: judged now, it would be answered in place of the one that is served.
       }
-      if (System.nanoTime() - readingSince > Clients.READING_NANOS + reader.came() * BODY_NANOS_PER_BYTE) {
-        overdue();
+      if (System.nanoTime() - readingSince > Clients.READ_TIMEOUT_NANOS + reader.received() * BODY_NANOS_PER_BYTE) {
+        onTimeout();
       } else if (clients.is(this, State.READING)) {
-        clients.move(this, State.READING);
+        clients.setState(this, State.READING);
       } else if (clients.is(this, State.UPLOADING)) {
-        pauses = 0;
-        clients.move(this, State.UPLOADING);
+        uploadPauses = 0;
+        clients.setState(this, State.UPLOADING);
       }
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-      clients.move(this, State.READING);
+      clients.setState(this, State.READING);
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-      if (deaf) {
+      if (ignoringInput) {
         return;
       }
-      deaf = !request.decoderResult().isSuccess();
+      ignoringInput = !request.decoderResult().isSuccess();
       if (!busy) {
-        take(request);
-      } else if (!pipelined.add(request, reader.held())) {
-        deaf = true;
+        handle(request);
+      } else if (!pipelined.add(request, reader.bufferedBytes())) {
+        ignoringInput = true;
       }
     }
 
@@ -336,12 +336,12 @@
     public void channelInactive(ChannelHandlerContext context) {
       clients.remove(this);
       pipelined.release();
-      if (rest != null) {
-        rest.drop();
+      if (upload != null) {
+        upload.drop();
       }
       reader.release();
-      if (passing != null) {
-        passing.over();
+      if (streamedResponse != null) {
+        streamedResponse.over();
       }
       if (exchange != null) {
         HttpExchange gone = exchange;
@@ -354,26 +354,26 @@
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
       boolean usual = cause instanceof IOException || cause instanceof CodecException;
       LOG.log(usual ? Level.FINE : Level.WARNING, "connection from " + channel.remoteAddress(), cause);
-      if (cause instanceof IOException || !deaf) {
+      if (cause instanceof IOException || !ignoringInput) {
         context.close();
       } // Otherwise it speaks of what is not read any more; what came before it is still answered.
     }
 
     @Override
-    public void overdue() {
-      if (clients.is(this, State.UPLOADING) && !channel.config().isAutoRead() && ++pauses < MOST_PAUSES) {
-        clients.move(this, State.UPLOADING); // It is the upstream that takes its time.
+    public void onTimeout() {
+      if (clients.is(this, State.UPLOADING) && !channel.config().isAutoRead() && ++uploadPauses < MAX_UPLOAD_PAUSES) {
+        clients.setState(this, State.UPLOADING); // It is the upstream that takes its time.
         return;
       }
-      if (reader.isWaiting()) {
-        reader.turnAway();
+      if (reader.isAwaitingCapacity()) {
+        reader.rejectUpload();
         return;
       }
       counts.clientClosed(false);
       if (clients.is(this, State.UPLOADING)) {
-        close(); // What there was of it may be at an upstream, which never gets the rest; or it is answered already.
-      } else if (begun) {
-        deaf = true;
+        close(); // What there was of it may be at an upstream, which never gets the upload; or it is answered already.
+      } else if (partialRequest) {
+        ignoringInput = true;
         busy = true;
         answer(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come in whole");
       } else {
@@ -382,8 +382,8 @@
     }
 
     @Override
-    public boolean hasBegun() {
-      return begun;
+    public boolean hasPartialRequest() {
+      return partialRequest;
     }
 
     @Override
@@ -392,22 +392,22 @@
       channel.close();
     }
 
-    private void take(FullHttpRequest request) {
+    private void handle(FullHttpRequest request) {
       busy = true;
-      begun = false;
-      size = request.content().capacity();
-      rest = request instanceof StreamedRequest s ? s.rest : null;
-      clients.move(this, rest == null ? State.SERVED : State.UPLOADING);
+      partialRequest = false;
+      bodyCapacity = request.content().capacity();
+      upload = request instanceof StreamedRequest s ? s.rest : null;
+      clients.setState(this, upload == null ? State.SERVED : State.UPLOADING);
       keepAlive = HttpUtil.isKeepAlive(request);
-      old = request.protocolVersion().compareTo(HttpVersion.HTTP_1_1) < 0;
+      http10 = request.protocolVersion().compareTo(HttpVersion.HTTP_1_1) < 0;
       String uri = request.uri();
       int query = uri.indexOf('?');
       String path = query < 0 ? uri : uri.substring(0, query);
       if (!request.decoderResult().isSuccess()) {
-        answer(status(request.decoderResult().cause()), "malformed request");
+        answer(statusFor(request.decoderResult().cause()), "malformed request");
       } else if (request instanceof StreamedRequest s && s.rejected) {
         counts.uploadRejected();
-        answer(HttpResponseStatus.SERVICE_UNAVAILABLE, UPLOAD_AGAIN_NANOS, null, Unpooled.EMPTY_BUFFER);
+        answer(HttpResponseStatus.SERVICE_UNAVAILABLE, UPLOAD_RETRY_AFTER_NANOS, null, Unpooled.EMPTY_BUFFER);
       } else if (path.equals(HEALTH)) {
         boolean serves = isReady();
         answer(serves ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, serves ? "ok" : "not serving");
@@ -416,59 +416,59 @@
       } else if (!request.method().equals(HttpMethod.GET) && !request.method().equals(HttpMethod.POST)) {
         answer(HttpResponseStatus.METHOD_NOT_ALLOWED, "GET and POST only");
       } else {
-        serve(request);
+        forward(request);
       }
     }
 
-    private void serve(FullHttpRequest request) {
+    private void forward(FullHttpRequest request) {
       HttpHeaders headers = request.headers();
       String id = headers.get(ID, "");
       String tenant = headers.get(TENANT);
-      RequestClass type = classes.get(headers.get(CLASS, ""));
+      RequestClass requestClass = classes.get(headers.get(CLASS, ""));
       long expires = headers.contains(EXPIRES) ? wholeNumber(headers.get(EXPIRES)) : Long.MAX_VALUE;
-      if (id.isEmpty() || id.length() > MOST_NAME) {
+      if (id.isEmpty() || id.length() > MAX_NAME_LENGTH) {
         answer(HttpResponseStatus.BAD_REQUEST, ID + " is missing or too long");
-      } else if (type == null) {
+      } else if (requestClass == null) {
         answer(HttpResponseStatus.BAD_REQUEST, CLASS + " names no known class");
       } else if (tenant != null && !tenants.isEmpty() && !tenants.contains(tenant)) {
         answer(HttpResponseStatus.BAD_REQUEST, TENANT + " names no known tenant");
-      } else if (tenant != null && tenant.length() > MOST_NAME) {
+      } else if (tenant != null && tenant.length() > MAX_NAME_LENGTH) {
         answer(HttpResponseStatus.BAD_REQUEST, TENANT + " is too long");
       } else if (expires < 0) {
         answer(HttpResponseStatus.BAD_REQUEST, EXPIRES + " is not a number of milliseconds");
-      } else if (type.effect() == Effect.KEYED && headers.get(IDEMPOTENCY_KEY, "").isEmpty()) {
+      } else if (requestClass.effect() == Effect.KEYED && headers.get(IDEMPOTENCY_KEY, "").isEmpty()) {
         // Guards a keyed class: without the key no upstream could drop a repeat.
         answer(HttpResponseStatus.BAD_REQUEST, IDEMPOTENCY_KEY + " is missing");
-      } else if (over) {
+      } else if (rejecting) {
         answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "stopping");
-      } else if (open.contains(id)) {
+      } else if (activeIds.contains(id)) {
         // Guards the client whose request it is, and its effect.
         answer(HttpResponseStatus.CONFLICT, ID + " is that of a request in hand");
       } else {
         // No client waits for longer than its class's deadline, and nothing is kept for longer.
-        long whole = Math.min(type.deadlineNanos(), TimeUnit.MILLISECONDS.toNanos(Math.min(expires, MOST_MILLIS)));
-        long wait = Math.max(0, BufferedRequest.left(request, whole) - Math.max(queuedNanos, stalls.stalledNanos()));
+        long allowedNanos = Math.min(requestClass.deadlineNanos(), TimeUnit.MILLISECONDS.toNanos(Math.min(expires, MAX_EXPIRY_MILLIS)));
+        long waitNanos = Math.max(0, BufferedRequest.remainingNanos(request, allowedNanos) - Math.max(queuedNanos, stallDetector.stalledNanos()));
         queuedNanos = 0;
         long hint = Math.max(0, wholeNumber(headers.get(HINT, "0")));
-        // Of a body that is still coming the end is not known; its client's time counts from there.
-        long until = clock.now() + wait - WAY_NANOS + (rest == null ? 0 : MOST_UPLOAD_NANOS);
-        Exchange.RequestInfo info = new Exchange.RequestInfo(type, tenant, SessionKey.of(headers, MOST_NAME), TimeUnit.MICROSECONDS.toNanos(hint),
-            "1".equals(headers.get(RETRY)), until, 0, List.of());
-        exchange = new HttpExchange(info, exchanges, request.retain(), wait, this, () -> open.remove(id));
-        open.add(id);
+        // Of a body that is still remaining the end is not known; its client's time counts from there.
+        long deadline = clock.now() + waitNanos - RESPONSE_MARGIN_NANOS + (upload == null ? 0 : MAX_UPLOAD_NANOS);
+        Exchange.RequestInfo info = new Exchange.RequestInfo(requestClass, tenant, SessionKey.of(headers, MAX_NAME_LENGTH), TimeUnit.MICROSECONDS.toNanos(hint),
+            "1".equals(headers.get(RETRY)), deadline, 0, List.of());
+        exchange = new HttpExchange(info, exchanges, request.retain(), waitNanos, this, () -> activeIds.remove(id));
+        activeIds.add(id);
         engine.accept(exchange);
-        if (rest != null) {
+        if (upload != null) {
           HttpExchange uploading = exchange;
-          rest.listen(() -> engine.bodyDiscarded(uploading), () -> uploaded(uploading, wait - WAY_NANOS));
+          upload.listen(() -> engine.bodyDiscarded(uploading), () -> uploadEnded(uploading, waitNanos - RESPONSE_MARGIN_NANOS));
         }
       }
     }
 
-    private void uploaded(HttpExchange uploading, long left) {
-      begun = false;
-      uploading.bodyEnded(clock.now() + left, left);
+    private void uploadEnded(HttpExchange uploading, long remainingNanos) {
+      partialRequest = false;
+      uploading.bodyEnded(clock.now() + remainingNanos, remainingNanos);
       if (clients.is(this, State.UPLOADING)) {
-        clients.move(this, State.SERVED);
+        clients.setState(this, State.SERVED);
       }
     }
 
@@ -489,40 +489,40 @@
       if (retryAfterNanos > 0) {
         response.headers().set(HttpHeaderNames.RETRY_AFTER, BigDecimal.valueOf((long) Math.ceil(retryAfterNanos / 1e6), 3).toPlainString());
       }
-      boolean keep = keeps();
-      HttpUtil.setKeepAlive(response, keep);
-      channel.writeAndFlush(response).addListener(f -> answered(f.isSuccess(), keep));
+      boolean persistent = canKeepAlive();
+      HttpUtil.setKeepAlive(response, persistent);
+      channel.writeAndFlush(response).addListener(f -> responseWritten(f.isSuccess(), persistent));
     }
 
     /** What waits for its turn has been taken, and is answered before the connection ends. */
-    private boolean keeps() {
-      return keepAlive && (rest == null || rest.isWhole()) && (!pipelined.isEmpty() || !deaf && !closing);
+    private boolean canKeepAlive() {
+      return keepAlive && (upload == null || upload.isWhole()) && (!pipelined.isEmpty() || !ignoringInput && !closing);
     }
 
-    private void answered(boolean written, boolean keep) {
-      boolean uploading = rest != null && !rest.isWhole();
+    private void responseWritten(boolean written, boolean persistent) {
+      boolean uploading = upload != null && !upload.isWhole();
       if (written && uploading) {
         // A client that reads only once it has sent all: what it still sends is dropped, and then the connection ends.
-        BodyStream coming = rest;
-        deafTo(coming);
-      } else if (!written || !keep && !deaf) {
+        BodyStream remaining = upload;
+        discardUpload(remaining);
+      } else if (!written || !persistent && !ignoringInput) {
         channel.close();
-      } else if (!keep) {
-        leave();
+      } else if (!persistent) {
+        lingeringClose();
       } else {
-        next();
+        nextRequest();
       }
     }
 
     @Override
     public boolean isAwaited() {
-      return channel instanceof ClientSocket socket ? socket.isThere() : channel.isActive();
+      return channel instanceof ClientSocket socket ? socket.isClientConnected() : channel.isActive();
     }
 
-    private void deafTo(BodyStream coming) {
-      coming.drop();
-      coming.listen(() -> { }, this::leave);
-      read();
+    private void discardUpload(BodyStream remaining) {
+      remaining.drop();
+      remaining.listen(() -> { }, this::lingeringClose);
+      updateAutoRead();
     }
 
     @Override
@@ -531,52 +531,52 @@
       if (type != null) {
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
       }
-      boolean framed = length >= 0 || !old;
+      boolean framed = length >= 0 || !http10;
       if (length >= 0) {
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
       } else if (framed) {
         response.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
       }
-      boolean keep = framed && keeps();
-      HttpUtil.setKeepAlive(response, keep);
-      passing = new PassedAnswer(channel, writable, () -> exchange = null, written -> {
-        passing = null;
-        answered(written, keep);
+      boolean persistent = framed && canKeepAlive();
+      HttpUtil.setKeepAlive(response, persistent);
+      streamedResponse = new PassedAnswer(channel, writable, () -> exchange = null, written -> {
+        streamedResponse = null;
+        responseWritten(written, persistent);
       });
       channel.write(response);
-      return passing;
+      return streamedResponse;
     }
 
     /** Guards the error on its way: to close over bytes that were not read would reset it away. */
-    private void leave() {
-      clients.move(this, State.LEAVING);
-      left = true;
-      read();
+    private void lingeringClose() {
+      clients.setState(this, State.LEAVING);
+      lingering = true;
+      updateAutoRead();
       if (channel instanceof DuplexChannel duplex) {
         duplex.shutdownOutput();
       }
     }
 
-    private void next() {
+    private void nextRequest() {
       busy = false;
-      rest = null;
-      reader.release(size);
+      upload = null;
+      reader.release(bodyCapacity);
       FullHttpRequest request = pipelined.poll();
       if (request != null) {
-        take(request);
+        handle(request);
         request.release();
       } else if (channel.isActive()) {
         readingSince = System.nanoTime();
-        clients.move(this, begun ? State.READING : State.IDLE);
+        clients.setState(this, partialRequest ? State.READING : State.IDLE);
       }
-      if (!deaf) {
-        read();
+      if (!ignoringInput) {
+        updateAutoRead();
       }
     }
   }
 
   /** How a request that can't be read is answered. */
-  private static HttpResponseStatus status(Throwable cause) {
+  private static HttpResponseStatus statusFor(Throwable cause) {
     return cause instanceof TooLongHttpContentException ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE
         : cause instanceof TooLongHttpLineException ? HttpResponseStatus.REQUEST_URI_TOO_LONG
         : cause instanceof TooLongHttpHeaderException ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
@@ -585,7 +585,7 @@
 
   /** The number, or -1 for anything but digits. */
   private static long wholeNumber(String text) {
-    boolean digits = !text.isEmpty() && text.length() <= MOST_DIGITS
+    boolean digits = !text.isEmpty() && text.length() <= MAX_DIGITS
         && text.chars().allMatch(c -> c >= '0' && c <= '9');
     return digits ? Long.parseLong(text) : -1;
   }
--- a/http/src/main/java/cloverpulley/serve/Listener.java
+++ b/http/src/main/java/cloverpulley/serve/Listener.java
@@ -27,48 +27,48 @@
 
   /** Another process may listen at the same address: the system deals connections to both. */
   static final ChannelOption<Boolean> REUSE_PORT = NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT);
-  private static final long LOOK_MILLIS = 1;
+  private static final long DEREGISTER_POLL_MILLIS = 1;
   /** How long nothing is accepted after a failure that lasts until something is given back, such as descriptors or memory. */
-  private static final long EXHAUSTED_MILLIS = 10;
+  private static final long ACCEPT_PAUSE_MILLIS = 10;
   /** Failures in a row after which the queue is taken for empty when the listener closes. */
-  private static final int MAX_LAST_FAILURES = 32;
+  private static final int MAX_DRAIN_FAILURES = 32;
 
   /**
    * Listens, and then runs {@code bound} with its loop. The future tells of all that goes wrong. Guards the start's one line: where there is not even a
    * socket the channel has no loop, and to ask it for one would hide why.
    */
-  static ChannelFuture bind(ServerBootstrap bootstrap, SocketAddress address, Consumer<EventLoop> bound) {
+  static ChannelFuture bind(ServerBootstrap bootstrap, SocketAddress address, Consumer<EventLoop> onBound) {
     ChannelFuture future = bootstrap.bind(address);
     future.addListener(f -> {
       if (f.isSuccess()) {
-        bound.accept(future.channel().eventLoop());
+        onBound.accept(future.channel().eventLoop());
       }
     });
     return future;
   }
 
-  /** What the loop's stalls are told by; null where nobody asks how long connections have waited. */
-  private StallDetector stalls;
+  /** What the loop's stallDetector are told by; null where nobody asks how long connections have waited. */
+  private StallDetector stallDetector;
   /** Since when the queue has not been seen empty, and how long the loop stood still before that; only while it is not. */
-  private long queueSince;
+  private long queueNonEmptySince;
   private long stalledBefore;
-  private boolean queued;
+  private boolean queueNonEmpty;
 
-  void stalls(StallDetector detector) {
-    stalls = detector;
+  void setStallDetector(StallDetector detector) {
+    stallDetector = detector;
   }
 
   /** Nanoseconds that a connection accepted now may have waited in the queue. */
-  private long waitedNanos() {
-    if (stalls == null) {
+  private long maxQueuedNanos() {
+    if (stallDetector == null) {
       return 0;
     }
-    if (!queued) {
-      queued = true;
-      queueSince = System.nanoTime();
-      stalledBefore = stalls.stalledNanos();
+    if (!queueNonEmpty) {
+      queueNonEmpty = true;
+      queueNonEmptySince = System.nanoTime();
+      stalledBefore = stallDetector.stalledNanos();
     }
-    return System.nanoTime() - queueSince + stalledBefore;
+    return System.nanoTime() - queueNonEmptySince + stalledBefore;
   }
 
   /**
@@ -83,14 +83,14 @@
     } catch (ClosedChannelException e) {
       return 0;
     } catch (IOException | RuntimeException e) {
-      failed(e);
+      pauseAccepting(e);
       return 0;
     }
     if (socket == null) {
-      queued = false;
+      queueNonEmpty = false;
       return 0;
     }
-    ClientSocket client = adopt(socket);
+    ClientSocket client = toClientSocket(socket);
     if (client == null) {
       return 0;
     }
@@ -99,9 +99,9 @@
   }
 
   /** The connection that the system accepted; null where it broke or can't be used. */
-  private ClientSocket adopt(SocketChannel socket) {
+  private ClientSocket toClientSocket(SocketChannel socket) {
     try {
-      return new ClientSocket(this, socket, waitedNanos());
+      return new ClientSocket(this, socket, maxQueuedNanos());
     } catch (RuntimeException e) {
       LOG.log(Level.WARNING, "an accepted connection can't be used", e);
       closeQuietly(socket);
@@ -117,7 +117,7 @@
     }
   }
 
-  private void failed(Exception e) {
+  private void pauseAccepting(Exception e) {
     LOG.log(Level.FINE, "accept", e);
     if (config().isAutoRead()) {
       config().setAutoRead(false);
@@ -125,7 +125,7 @@
         if (isRegistered()) {
           config().setAutoRead(true);
         }
-      }, EXHAUSTED_MILLIS, TimeUnit.MILLISECONDS);
+      }, ACCEPT_PAUSE_MILLIS, TimeUnit.MILLISECONDS);
     }
   }
 
@@ -134,35 +134,35 @@
    * listens at the address; and one that a selector still knows stays open until the next look at all sockets, with the queue
    * filling meanwhile. So it is taken from the selector first, then its queue is emptied, and it closes in the same step.
    */
-  void acceptLast() {
-    deregister().addListener(f -> closeOnceLetGo());
+  void drainQueueAndClose() {
+    deregister().addListener(f -> closeOnceDeregistered());
   }
 
-  private void closeOnceLetGo() {
+  private void closeOnceDeregistered() {
     if (!isOpen()) {
       return;
     }
     if (javaChannel().isRegistered()) {
-      eventLoop().schedule(this::closeOnceLetGo, LOOK_MILLIS, TimeUnit.MILLISECONDS);
+      eventLoop().schedule(this::closeOnceDeregistered, DEREGISTER_POLL_MILLIS, TimeUnit.MILLISECONDS);
       return;
     }
-    List<SocketChannel> last = new ArrayList<>();
-    acceptAll(last);
-    last.stream().map(this::adopt).filter(Objects::nonNull).forEach(pipeline()::fireChannelRead);
+    List<SocketChannel> drained = new ArrayList<>();
+    drainQueue(drained);
+    drained.stream().map(this::toClientSocket).filter(Objects::nonNull).forEach(pipeline()::fireChannelRead);
     close();
   }
 
   /** Empties the queue and closes with nothing between the last look and the closing: whom the system accepts there is reset. */
-  private void acceptAll(List<SocketChannel> last) {
+  private void drainQueue(List<SocketChannel> drained) {
     int failures = 0;
-    while (failures < MAX_LAST_FAILURES) {
+    while (failures < MAX_DRAIN_FAILURES) {
       try {
         SocketChannel socket = javaChannel().accept();
         if (socket == null) {
           javaChannel().close();
           return;
         }
-        last.add(socket);
+        drained.add(socket);
       } catch (IOException | RuntimeException e) {
         failures++;
       }
--- a/http/src/main/java/cloverpulley/serve/Main.java
+++ b/http/src/main/java/cloverpulley/serve/Main.java
@@ -30,23 +30,23 @@
         "thread " + thread.getName() + " ended", e));
     CompletableFuture<Server> started = new CompletableFuture<>();
     // A handler, not a shutdown hook: hooks run beside the one that ends logging, and the status would tell of the signal.
-    Consumer<String> complaint = Logger.getLogger(Main.class.getName())::warning;
+    Consumer<String> warn = Logger.getLogger(Main.class.getName())::warning;
     AtomicReference<Phase> phase = new AtomicReference<>(Phase.STARTING);
     Signals.handle("TERM", () -> {
       if (phase.compareAndSet(Phase.STARTING, Phase.ENDED)) {
-        complaint.accept("told to end before it served");
+        warn.accept("told to end before it served");
         Runtime.getRuntime().halt(0); // Nobody was heard: it must not take clients in whom SIGKILL then finds.
       }
       started.thenAccept(s -> new Thread(s::stop, "stop").start());
-    }, complaint);
+    }, warn);
     // Without a handler SIGHUP ends the virtual machine. One that comes early is carried out once the balancer serves.
-    Signals.handle("HUP", () -> started.thenAccept(s -> s.reload(() -> Config.read(environment))), complaint);
+    Signals.handle("HUP", () -> started.thenAccept(s -> s.reload(() -> Config.read(environment))), warn);
     try {
       Config config = Config.read(environment);
       started.complete(Server.start(config, n -> new Logic(config.settings(), config.seed() + n), null, EngineListener.NO_OP,
           s -> phase.compareAndSet(Phase.STARTING, Phase.LISTENING)));
     } catch (IOException | RuntimeException | Error e) {
-      err.println("can't start: " + Config.complaint(e));
+      err.println("can't start: " + Config.describeFailure(e));
       return 1;
     }
     started.join().await();
--- a/http/src/main/java/cloverpulley/serve/ManagementServer.java
+++ b/http/src/main/java/cloverpulley/serve/ManagementServer.java
@@ -45,17 +45,17 @@
   /** Callers at one time; who comes beyond them takes the place of the one that has said nothing whole for longest. */
   static final int MAX_CONNECTIONS = 16;
   /** A call's head. */
-  private static final int MOST_LINE = 1024;
-  private static final int MOST_HEADERS = 8192;
+  private static final int MAX_LINE = 1024;
+  private static final int MAX_HEADERS = 8192;
   private static final int BACKLOG = 64;
   /** From connecting to a whole call, and from an answer to the connection's end. */
-  private static final long WHOLE_MILLIS = 5000;
-  private static final long LEAVE_MILLIS = 500;
+  private static final long CALL_TIMEOUT_MILLIS = 5000;
+  private static final long LINGER_MILLIS = 500;
   private static final String READY = "/control/ready";
-  private static final String UPSTREAMS = "/control/upstreams/";
+  private static final String UPSTREAMS_PREFIX = "/control/upstreams/";
 
   /** What a call asks for; each answers with a status and a line of text, from any thread. */
-  interface Calls {
+  interface CallHandler {
     CompletableFuture<Answer> ready();
 
     CompletableFuture<Answer> offline(String upstream);
@@ -66,13 +66,13 @@
   /** Yes with a 2xx status, no with any other. */
   record Answer(int status, String text) {}
 
-  private final Calls calls;
+  private final CallHandler handler;
   /** Those without a whole call, the longest waiting first. */
-  private final Set<Caller> waiting = new LinkedHashSet<>();
+  private final Set<Caller> withoutCall = new LinkedHashSet<>();
   private int callers;
 
-  ManagementServer(Calls calls) {
-    this.calls = calls;
+  ManagementServer(CallHandler handler) {
+    this.handler = handler;
   }
 
   ChannelFuture listen(EventLoopGroup group, InetSocketAddress address) {
@@ -82,14 +82,14 @@
           @Override
           protected void initChannel(Channel channel) {
             if (++callers > MAX_CONNECTIONS) {
-              if (waiting.isEmpty()) {
+              if (withoutCall.isEmpty()) {
                 channel.close(); // All have their answers and are about to leave: there is room in a moment.
               } else {
-                waiting.iterator().next().leaveAtOnce();
+                withoutCall.iterator().next().evict();
               }
             }
             channel.closeFuture().addListener(f -> callers--);
-            channel.pipeline().addLast(new HttpServerCodec(MOST_LINE, MOST_HEADERS, MOST_LINE), new Caller(channel));
+            channel.pipeline().addLast(new HttpServerCodec(MAX_LINE, MAX_HEADERS, MAX_LINE), new Caller(channel));
           }
         }).bind(address);
   }
@@ -102,13 +102,13 @@
 
     Caller(Channel channel) {
       this.channel = channel;
-      waiting.add(this);
-      channel.closeFuture().addListener(f -> waiting.remove(this));
-      channel.eventLoop().schedule(() -> channel.close(), WHOLE_MILLIS, TimeUnit.MILLISECONDS);
+      withoutCall.add(this);
+      channel.closeFuture().addListener(f -> withoutCall.remove(this));
+      channel.eventLoop().schedule(() -> channel.close(), CALL_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
     }
 
-    void leaveAtOnce() {
-      waiting.remove(this);
+    void evict() {
+      withoutCall.remove(this);
       channel.close();
     }
 
@@ -125,43 +125,43 @@
         call = request;
       }
       if (!answered && message instanceof LastHttpContent && call != null) {
-        waiting.remove(this);
+        withoutCall.remove(this);
         answered = true;
-        ask(call).whenComplete((a, e) -> channel.eventLoop().execute(() -> write(e == null ? a : new Answer(500, "failed"))));
+        dispatch(call).whenComplete((a, e) -> channel.eventLoop().execute(() -> write(e == null ? a : new Answer(500, "failed"))));
       }
     }
 
     private void answer(Answer a) {
-      waiting.remove(this);
+      withoutCall.remove(this);
       answered = true;
       write(a);
     }
 
-    private CompletableFuture<Answer> ask(HttpRequest request) {
+    private CompletableFuture<Answer> dispatch(HttpRequest request) {
       String path = request.uri();
       boolean get = request.method().equals(HttpMethod.GET);
       boolean post = request.method().equals(HttpMethod.POST);
       if (path.equals(READY)) {
-        return get ? calls.ready() : no(405, "GET " + READY);
+        return get ? handler.ready() : error(405, "GET " + READY);
       }
-      int verb = path.lastIndexOf('/');
-      if (!path.startsWith(UPSTREAMS) || verb <= UPSTREAMS.length()) {
-        return no(404, "no such call: GET " + READY + ", POST " + UPSTREAMS + "ID/offline or .../online");
+      int slash = path.lastIndexOf('/');
+      if (!path.startsWith(UPSTREAMS_PREFIX) || slash <= UPSTREAMS_PREFIX.length()) {
+        return error(404, "no such call: GET " + READY + ", POST " + UPSTREAMS_PREFIX + "ID/offline or .../online");
       }
       String id;
       try {
-        id = QueryStringDecoder.decodeComponent(path.substring(UPSTREAMS.length(), verb).replace("+", "%2B"));
+        id = QueryStringDecoder.decodeComponent(path.substring(UPSTREAMS_PREFIX.length(), slash).replace("+", "%2B"));
       } catch (IllegalArgumentException e) {
-        return no(400, "the upstream's name has a bad escape");
+        return error(400, "the upstream's name has a bad escape");
       }
-      return switch (path.substring(verb + 1)) {
-        case "offline" -> post ? calls.offline(id) : no(405, "POST, not " + request.method());
-        case "online" -> post ? calls.online(id) : no(405, "POST, not " + request.method());
-        default -> no(404, "an upstream can be called offline or online");
+      return switch (path.substring(slash + 1)) {
+        case "offline" -> post ? handler.offline(id) : error(405, "POST, not " + request.method());
+        case "online" -> post ? handler.online(id) : error(405, "POST, not " + request.method());
+        default -> error(404, "an upstream can be called offline or online");
       };
     }
 
-    private static CompletableFuture<Answer> no(int status, String text) {
+    private static CompletableFuture<Answer> error(int status, String text) {
       return CompletableFuture.completedFuture(new Answer(status, text));
     }
 
@@ -174,7 +174,7 @@
         // Guards the answer on its way: to close over bytes that were not read would reset it away.
         if (f.isSuccess() && channel instanceof DuplexChannel duplex) {
           duplex.shutdownOutput();
-          channel.eventLoop().schedule(() -> channel.close(), LEAVE_MILLIS, TimeUnit.MILLISECONDS);
+          channel.eventLoop().schedule(() -> channel.close(), LINGER_MILLIS, TimeUnit.MILLISECONDS);
         } else {
           channel.close();
         }
--- a/http/src/main/java/cloverpulley/serve/PipelinedRequests.java
+++ b/http/src/main/java/cloverpulley/serve/PipelinedRequests.java
@@ -17,35 +17,35 @@
   /** Bytes of bodies that may be held on a connection, those of the request that is served included. */
   private static final long MAX_BODY_BYTES = 2 * RequestReader.MAX_BUFFERED_BODY;
   /** The part of the heap that the heads of waiting requests may take over all connections. */
-  private static final int HEAP_PART = 8;
+  private static final int HEAP_DIVISOR = 8;
   /** What a request and each of its header lines take in the heap beside their text, in bytes. */
   private static final int REQUEST_BYTES = 1024;
   private static final int HEADER_BYTES = 128;
 
-  private final BufferBudget heads;
+  private final BufferBudget headBudget;
   private final ArrayDeque<FullHttpRequest> waiting = new ArrayDeque<>(1);
 
-  /** {@code heads} is shared by all connections. */
-  PipelinedRequests(BufferBudget heads) {
-    this.heads = heads;
+  /** {@code headBudget} is shared by all connections. */
+  PipelinedRequests(BufferBudget headBudget) {
+    this.headBudget = headBudget;
   }
 
   /** What the heads on all connections may take of this process's heap. */
-  static BufferBudget heads() {
-    return new BufferBudget(Runtime.getRuntime().maxMemory() / HEAP_PART);
+  static BufferBudget headBudget() {
+    return new BufferBudget(Runtime.getRuntime().maxMemory() / HEAP_DIVISOR);
   }
 
   /** Takes a request to its turn, or makes the last one that waits an error and returns false: nothing more may come. */
   boolean add(FullHttpRequest request, long bodyBytesHeld) {
     long headBytes = headBytes(request);
-    boolean fits = waiting.size() < MAX_REQUESTS && bodyBytesHeld <= MAX_BODY_BYTES && heads.fits(headBytes);
+    boolean fits = waiting.size() < MAX_REQUESTS && bodyBytesHeld <= MAX_BODY_BYTES && headBudget.fits(headBytes);
     if (!waiting.isEmpty() && !fits) {
       // What is too much is dropped and not left unread, so that the client's end is still heard.
       waiting.peekLast().setDecoderResult(DecoderResult.failure(new TooLongFrameException("too many requests at once")));
       return false;
     }
     waiting.add(request.retain());
-    heads.force(headBytes);
+    headBudget.force(headBytes);
     return true;
   }
 
@@ -57,7 +57,7 @@
   FullHttpRequest poll() {
     FullHttpRequest next = waiting.poll();
     if (next != null) {
-      heads.give(headBytes(next));
+      headBudget.give(headBytes(next));
     }
     return next;
   }
--- a/http/src/main/java/cloverpulley/serve/RequestReader.java
+++ b/http/src/main/java/cloverpulley/serve/RequestReader.java
@@ -32,33 +32,33 @@
   static final long MAX_BODY = 33L << 20;
 
   /** Room for a body at first; it grows as it comes, whatever length was told. */
-  private static final int FIRST = 4096;
+  private static final int INITIAL_CAPACITY = 4096;
 
   /** Where all connections' bodies find room: those that are kept, by what their buffers take, and those that pass while they come. */
-  record Budgets(BufferBudget kept, BufferBudget uploads) {}
+  record Budgets(BufferBudget buffered, BufferBudget streamed) {}
 
   private final Budgets budgets;
   private final BooleanSupplier busy;
-  private final Runnable demand;
-  private long held;
+  private final Runnable onDemandChanged;
+  private long bufferedBytes;
   /** The request that is being put together, its body so far, and the bytes of it that have come. */
   private HttpRequest head;
   private ByteBuf body;
   private BodyStream rest;
-  private long came;
-  private boolean waits;
+  private long received;
+  private boolean awaitsCapacity;
   /** What comes belongs to a request that has failed. */
-  private boolean skips;
+  private boolean discarding;
   /** Where the body passes while it comes, once there is room, and what had been read when there was none: one read at most. */
-  private BufferBudget.Reservation place;
-  private final ArrayDeque<Object> late = new ArrayDeque<>(2);
+  private BufferBudget.Reservation reservation;
+  private final ArrayDeque<Object> deferred = new ArrayDeque<>(2);
   private ChannelHandlerContext context;
 
-  /** {@code busy} tells whether an earlier request on the connection is still to be answered; {@code demand} is run when more can be read. */
-  RequestReader(Budgets budgets, BooleanSupplier busy, Runnable demand) {
+  /** {@code busy} tells whether an earlier request on the connection is still to be answered; {@code onDemandChanged} is run when more can be read. */
+  RequestReader(Budgets budgets, BooleanSupplier busy, Runnable onDemandChanged) {
     this.budgets = budgets;
     this.busy = busy;
-    this.demand = demand;
+    this.onDemandChanged = onDemandChanged;
   }
 
   @Override
@@ -68,8 +68,8 @@
 
   @Override
   public void channelRead(ChannelHandlerContext context, Object message) {
-    if (isWaiting()) {
-      late.add(message);
+    if (isAwaitingCapacity()) {
+      deferred.add(message);
     } else {
       read(context, message);
     }
@@ -89,9 +89,9 @@
   }
 
   private void begin(ChannelHandlerContext context, HttpRequest request) {
-    letGo();
-    came = 0;
-    skips = false;
+    reset();
+    received = 0;
+    discarding = false;
     if (!request.decoderResult().isSuccess()) {
       fail(context, request.decoderResult());
       return;
@@ -104,36 +104,36 @@
     head = request;
     if (length > MAX_BUFFERED_BODY) {
       body = Unpooled.EMPTY_BUFFER;
-      pass(null);
+      awaitUploadCapacity(null);
     } else {
-      body = context.alloc().buffer((int) Math.max(0, Math.min(length, FIRST)));
-      hold(body.capacity());
-      goOn();
+      body = context.alloc().buffer((int) Math.max(0, Math.min(length, INITIAL_CAPACITY)));
+      reserve(body.capacity());
+      sendContinue();
     }
   }
 
   /** Tells a client that waits for the word to send its body. */
-  private void goOn() {
+  private void sendContinue() {
     if (HttpUtil.is100ContinueExpected(head) && !busy.getAsBoolean()) {
       context.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
     }
   }
 
-  private void hold(long octets) {
-    budgets.kept().force(octets);
-    held += octets;
+  private void reserve(long bytes) {
+    budgets.buffered().force(bytes);
+    bufferedBytes += bytes;
   }
 
   /** Keeps a piece; false where that would take more room than there is. A short body always finds some. */
-  private boolean keep(ByteBuf piece) {
+  private boolean append(ByteBuf piece) {
     int needed = body.writerIndex() + piece.readableBytes();
     if (needed > body.capacity()) {
       int capacity = body.alloc().calculateNewCapacity(needed, Integer.MAX_VALUE);
-      long more = capacity - body.capacity();
-      if (capacity > FIRST && !budgets.kept().fits(more)) {
+      long additional = capacity - body.capacity();
+      if (capacity > INITIAL_CAPACITY && !budgets.buffered().fits(additional)) {
         return false;
       }
-      hold(more);
+      reserve(additional);
       body.capacity(capacity);
     }
     body.writeBytes(piece); // Copied: pieces of an octet each would else cost a buffer each.
@@ -142,8 +142,8 @@
 
   private void add(ChannelHandlerContext context, HttpContent content) {
     int bytes = content.content().readableBytes();
-    came += bytes;
-    if (!content.decoderResult().isSuccess() || came > MAX_BODY) {
+    received += bytes;
+    if (!content.decoderResult().isSuccess() || received > MAX_BODY) {
       fail(context, content.decoderResult().isSuccess()
           ? DecoderResult.failure(new TooLongHttpContentException("the body is too large")) : content.decoderResult());
       return;
@@ -152,10 +152,10 @@
       if (bytes > 0) {
         rest.add(content.content().retain());
       }
-    } else if (bytes > 0 && (came > MAX_BUFFERED_BODY || !keep(content.content()))) {
+    } else if (bytes > 0 && (received > MAX_BUFFERED_BODY || !append(content.content()))) {
       // Guards the memory against many bodies at once: what there is no room for goes on as it comes.
-      came -= bytes;
-      pass(content);
+      received -= bytes;
+      awaitUploadCapacity(content);
       return;
     }
     if (content instanceof LastHttpContent) {
@@ -164,103 +164,103 @@
         rest = null;
         done.end();
       } else {
-        FullHttpRequest whole = new BufferedRequest(head, body);
+        FullHttpRequest complete = new BufferedRequest(head, body);
         head = null;
         body = null;
-        emit(context, whole);
+        emit(context, complete);
       }
     }
   }
 
   /** What is still to come passes while it comes, from this piece on, as soon as there is room for that. */
-  private void pass(HttpContent piece) {
+  private void awaitUploadCapacity(HttpContent piece) {
     if (piece != null) {
-      late.addFirst(piece.retain());
+      deferred.addFirst(piece.retain());
     }
     // Not at once: who leaves the room is in the middle of something else.
-    place = budgets.uploads().ask(BodyStream.OCTETS, () -> context.executor().execute(() -> {
-      if (isWaiting()) {
-        stream(false);
+    reservation = budgets.streamed().ask(BodyStream.OCTETS, () -> context.executor().execute(() -> {
+      if (isAwaitingCapacity()) {
+        startStreaming(false);
       }
     }));
-    waits = true;
-    if (place.isGiven()) {
-      stream(false);
+    awaitsCapacity = true;
+    if (reservation.isGiven()) {
+      startStreaming(false);
     } else {
-      demand.run();
+      onDemandChanged.run();
     }
   }
 
-  private void stream(boolean rejected) {
-    waits = false;
+  private void startStreaming(boolean rejected) {
+    awaitsCapacity = false;
     if (!rejected) {
-      goOn();
+      sendContinue();
     }
-    rest = new BodyStream(demand, place::leave);
-    place = null;
+    rest = new BodyStream(onDemandChanged, reservation::leave);
+    reservation = null;
     StreamedRequest request = new StreamedRequest(head, body, rest, rejected);
     head = null;
     body = null;
     emit(context, request);
-    while (!late.isEmpty() && !isWaiting()) {
-      read(context, late.poll());
+    while (!deferred.isEmpty() && !isAwaitingCapacity()) {
+      read(context, deferred.poll());
     }
-    demand.run();
+    onDemandChanged.run();
   }
 
   /** Whether a body stands before the room: nothing more of its connection is read. */
-  boolean isWaiting() {
-    return waits;
+  boolean isAwaitingCapacity() {
+    return awaitsCapacity;
   }
 
   /** There was no room in time for the body that waits for some: it comes on as turned away. */
-  void turnAway() {
-    stream(true);
+  void rejectUpload() {
+    startStreaming(true);
   }
 
   private static void emit(ChannelHandlerContext context, FullHttpRequest request) {
     context.fireChannelRead(request); // Who takes it releases it.
   }
 
-  private void fail(ChannelHandlerContext context, DecoderResult why) {
-    boolean passing = rest != null;
-    letGo();
-    if (passing) {
+  private void fail(ChannelHandlerContext context, DecoderResult cause) {
+    boolean streaming = rest != null;
+    reset();
+    if (streaming) {
       // Its beginning may be at an upstream: the connection ends, and with it the attempt, which never had the whole.
       context.close();
-    } else if (!skips) {
-      skips = true;
+    } else if (!discarding) {
+      discarding = true;
       FullHttpRequest failed = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, Frontend.API, Unpooled.EMPTY_BUFFER);
-      failed.setDecoderResult(why);
+      failed.setDecoderResult(cause);
       emit(context, failed);
     }
   }
 
   /** Whether a part of a request's body is still to come. */
-  boolean isWithin() {
+  boolean isReadingBody() {
     return head != null || rest != null;
   }
 
   /** Bytes of the body of the request that is coming. */
-  long came() {
-    return came;
+  long received() {
+    return received;
   }
 
   /** Whether what is passed on while it comes leaves room to read more. */
   boolean wantsMore() {
-    return !waits && (rest == null || rest.wantsMore());
+    return !awaitsCapacity && (rest == null || rest.wantsMore());
   }
 
-  private void letGo() {
+  private void reset() {
     head = null;
     rest = null;
-    waits = false;
-    if (place != null) {
-      place.leave();
-      place = null;
+    awaitsCapacity = false;
+    if (reservation != null) {
+      reservation.leave();
+      reservation = null;
     }
-    late.forEach(ReferenceCountUtil::release);
-    late.clear();
+    deferred.forEach(ReferenceCountUtil::release);
+    deferred.clear();
     if (body != null) {
       body.release();
       body = null;
@@ -269,23 +269,23 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    letGo();
+    reset();
     context.fireChannelInactive();
   }
 
   /** Bytes that are kept of bodies on this connection, those of requests that were told included. */
-  long held() {
-    return held;
+  long bufferedBytes() {
+    return bufferedBytes;
   }
 
   /** So many bytes are held no more. */
   void release(long bytes) {
-    held -= bytes;
-    budgets.kept().give(bytes);
+    bufferedBytes -= bytes;
+    budgets.buffered().give(bytes);
   }
 
   /** Nothing of the requests on this connection is held any more. */
   void release() {
-    release(held);
+    release(bufferedBytes);
   }
 }
--- a/http/src/main/java/cloverpulley/serve/Server.java
+++ b/http/src/main/java/cloverpulley/serve/Server.java
@@ -53,46 +53,46 @@
    * The parts of the memory, one in so many, that bodies which are kept, bodies that pass while they come and long answers may take at
    * one time. Together five sixths of what `run` gives to buffers: the rest is for reads, small requests, discovery and the door.
    */
-  private static final int KEPT_PART = 32;
-  private static final int UPLOADS_PART = 32;
-  private static final int ANSWERS_PART = 24;
+  private static final int BUFFERED_BODIES_DIVISOR = 32;
+  private static final int UPLOADS_DIVISOR = 32;
+  private static final int RESPONSES_DIVISOR = 24;
   /** What a connection holds unwritten before the other side of it is read no further, and what one read brings at most. */
-  private static final WriteBufferWaterMark MARKS = new WriteBufferWaterMark(8 * 1024, 16 * 1024);
-  private static final int LEAST_READ = 512;
-  private static final int FIRST_READ = 2048;
+  private static final WriteBufferWaterMark WATER_MARKS = new WriteBufferWaterMark(8 * 1024, 16 * 1024);
+  private static final int MIN_READ = 512;
+  private static final int INITIAL_READ = 2048;
   static final int MAX_READ = 16 * 1024;
-  private static final int READS_A_TURN = 2;
+  private static final int READS_PER_ITERATION = 2;
   private static final int DISCOVERY_CONNECT_MILLIS = 2000;
   /** Where lists are pushed nobody asks for them but this program: it comes to its agent so far apart at least, and at once where it last came before that. */
   private static final long AGENT_RETRY_MILLIS = 200;
   /** An agent answers at once: it is waited for so long, one more try included, and then the list that is known has to do. */
-  private static final long FIRST_LIST_MILLIS = 500;
+  private static final long FIRST_LIST_WAIT_MILLIS = 500;
   /** After SIGTERM new connections go on coming for up to 0.4 s; they are taken for longer. */
   private static final long ACCEPT_MILLIS = 700;
   /** The same where short deadlines bring SIGKILL early. */
-  private static final long LEAST_ACCEPT_MILLIS = 450;
+  private static final long MIN_ACCEPT_MILLIS = 450;
   /**
    * Clients go on using the connections that they have, and while this balancer is away others may be too: it serves them for
    * this long at most, and has the rest of the time for what is then in hand.
    */
   private static final long SERVE_MILLIS = 2200;
-  private static final long LEAST_REST_MILLIS = 400;
+  private static final long MIN_FINISH_MILLIS = 400;
   /** SIGKILL comes so long after SIGTERM, beyond the longest deadline that counts. What has no answer gets one before. */
-  private static final long KILL_MILLIS = 700;
-  private static final long MOST_DEADLINE_MILLIS = 3000;
-  private static final long STOP_EARLY_MILLIS = 300;
+  private static final long KILL_DELAY_MILLIS = 700;
+  private static final long MAX_DEADLINE_MILLIS = 3000;
+  private static final long KILL_MARGIN_MILLIS = 300;
   /** So long after the last answers the last connections end. Guards the end from a client that still sends. */
-  private static final long LAST_MILLIS = 150;
+  private static final long LINGER_MILLIS = 150;
   private static final long STOP_CHECK_MILLIS = 20;
   /** A file that can't be used is read so many times more, so far apart: new settings are to hold 1.2 s after SIGHUP. */
-  private static final int READ_AGAIN = 3;
-  private static final long READ_AGAIN_MILLIS = 100;
+  private static final int MAX_REREADS = 3;
+  private static final long REREAD_MILLIS = 100;
 
   private final EventLoopGroup group;
   private final EventLoop loop;
-  private final AtomicBoolean stops = new AtomicBoolean();
+  private final AtomicBoolean stopRequested = new AtomicBoolean();
   /** Discovery has said what there is. */
-  private final CountDownLatch listed = new CountDownLatch(1);
+  private final CountDownLatch firstListReceived = new CountDownLatch(1);
   private final CountDownLatch stopping = new CountDownLatch(1);
   private final CountDownLatch drained = new CountDownLatch(1);
   private final CountDownLatch stopped = new CountDownLatch(1);
@@ -100,19 +100,19 @@
   private Frontend frontend;
   private Discovery discovery;
   /** Where lists come from in place of discovery; null for discovery. */
-  private EmbeddedBalancer.ListSourceFactory lists;
-  private EngineListener witness = EngineListener.NO_OP;
+  private EmbeddedBalancer.ListSourceFactory listSourceFactory;
+  private EngineListener engineListener = EngineListener.NO_OP;
   /** Upstreams that are out by agreement of the fleet: the management endpoint's word alone does not bring them back. */
-  private final Set<String> agreed = ConcurrentHashMap.newKeySet();
+  private final Set<String> agreedOffline = ConcurrentHashMap.newKeySet();
   private Peers peers;
   private Channel listener;
-  private boolean pushed;
+  private boolean listsPushed;
   /** When the watch of pushed lists was opened last. */
   private long watchedAt;
   private long stopMillis;
   /** Null where there is no management endpoint. */
   private Operations operations;
-  private Operations.Parts parts;
+  private Operations.Components components;
   private Config config;
   private final AtomicLong reloads = new AtomicLong();
 
@@ -122,8 +122,8 @@
   }
 
   /** How a connection is read. Guards small requests: a long body is read a little in each turn, not all that its socket holds. */
-  private static RecvByteBufAllocator reads() {
-    return new AdaptiveRecvByteBufAllocator(LEAST_READ, FIRST_READ, MAX_READ).maxMessagesPerRead(READS_A_TURN);
+  private static RecvByteBufAllocator receiveAllocator() {
+    return new AdaptiveRecvByteBufAllocator(MIN_READ, INITIAL_READ, MAX_READ).maxMessagesPerRead(READS_PER_ITERATION);
   }
 
   /** Starts a balancer and returns once it listens. */
@@ -137,40 +137,40 @@
   }
 
   /**
-   * The same with lists from elsewhere than the platform's discovery, where {@code lists} is not null; {@code wired} is run before clients
+   * The same with lists from elsewhere than the platform's discovery, where {@code listSourceFactory} is not null; {@code wired} is run before clients
    * are heard.
    */
-  static Server start(Config config, LongFunction<Balancer> modules, EmbeddedBalancer.ListSourceFactory lists, EngineListener witness, Consumer<Server> wired) {
+  static Server start(Config config, LongFunction<Balancer> modules, EmbeddedBalancer.ListSourceFactory listSourceFactory, EngineListener engineListener, Consumer<Server> beforeListen) {
     Server server = new Server();
-    server.lists = lists;
-    server.witness = witness;
+    server.listSourceFactory = listSourceFactory;
+    server.engineListener = engineListener;
     server.config = config;
     try {
       if (config.management() != null) {
         server.operations = new Operations(config);
       }
       Warmup.run(config.settings(), server.operations != null && server.operations.hasPredecessor());
-      HandoverSnapshot inherited = server.operations == null ? null : server.operations.awaitPredecessor();
+      HandoverSnapshot inherited = server.operations == null ? null : server.operations.awaitPredecessorSnapshot();
       server.loop.submit(() -> server.wire(config, modules, inherited)).syncUninterruptibly();
       if (server.operations != null) {
-        server.operations.wired(server.parts);
+        server.operations.attach(server.components);
       }
       if (config.peerListen() != null && config.settings().limits().peers()) {
         Binding.bind("the peers' address", () -> server.peers.listen(server.group, config.peerListen(), server.operations != null, server.engine));
       }
-      server.awaitList();
-      wired.accept(server);
+      server.awaitFirstList();
+      beforeListen.accept(server);
       ServerBootstrap listen = new ServerBootstrap().group(server.group).channelFactory(Listener::new)
           .option(ChannelOption.SO_BACKLOG, BACKLOG).option(ChannelOption.SO_REUSEADDR, true)
-          .childOption(ChannelOption.TCP_NODELAY, true).childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, MARKS)
-          .childOption(ChannelOption.RECVBUF_ALLOCATOR, reads());
+          .childOption(ChannelOption.TCP_NODELAY, true).childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARKS)
+          .childOption(ChannelOption.RECVBUF_ALLOCATOR, receiveAllocator());
       if (server.operations != null) {
         listen.option(Listener.REUSE_PORT, true);
       }
       server.listener = Binding.bind("the clients' address", () -> server.frontend.listen(listen, config.listen())).channel();
-      server.loop.submit(server.frontend::ready).syncUninterruptibly();
+      server.loop.submit(server.frontend::markReady).syncUninterruptibly();
       if (server.operations != null) {
-        server.operations.serving();
+        server.operations.markServing();
       }
     } catch (Throwable e) {
       server.shutDown();
@@ -185,22 +185,22 @@
    * The course of a stop, in milliseconds after SIGTERM: until when new connections are taken, connected clients are served, and what is in
    * hand has its answer, and when the last connections end.
    */
-  record Ending(long accepts, long serves, long answered, long over) {
+  record StopSchedule(long acceptMillis, long serveMillis, long answerMillis, long closeMillis) {
 
     /** {@code stopMillis} is when SIGKILL has to be reckoned with; a successor takes the new connections at once. */
-    static Ending of(long stopMillis, boolean succeeded) {
-      long serves = Math.min(SERVE_MILLIS, stopMillis - LEAST_REST_MILLIS);
-      long accepts = succeeded ? 0 : Math.min(ACCEPT_MILLIS, Math.max(LEAST_ACCEPT_MILLIS, serves));
-      long answered = Math.max(stopMillis, accepts);
+    static StopSchedule of(long stopMillis, boolean successorServes) {
+      long serveMillis = Math.min(SERVE_MILLIS, stopMillis - MIN_FINISH_MILLIS);
+      long acceptMillis = successorServes ? 0 : Math.min(ACCEPT_MILLIS, Math.max(MIN_ACCEPT_MILLIS, serveMillis));
+      long answerMillis = Math.max(stopMillis, acceptMillis);
       // Guards those who still come from an end that finds nobody connected just then.
-      return new Ending(accepts, Math.max(serves, accepts), answered, answered + LAST_MILLIS);
+      return new StopSchedule(acceptMillis, Math.max(serveMillis, acceptMillis), answerMillis, answerMillis + LINGER_MILLIS);
     }
   }
 
   /** How long after SIGTERM all that is in hand gets its answer. Guards against a SIGKILL that short deadlines bring early. */
   static long stopMillis(Settings settings) {
     long longest = settings.classes().stream().mapToLong(RequestClass::deadlineNanos).max().orElse(0);
-    return Math.min(MOST_DEADLINE_MILLIS, TimeUnit.NANOSECONDS.toMillis(longest)) + KILL_MILLIS - STOP_EARLY_MILLIS;
+    return Math.min(MAX_DEADLINE_MILLIS, TimeUnit.NANOSECONDS.toMillis(longest)) + KILL_DELAY_MILLIS - KILL_MARGIN_MILLIS;
   }
 
   /** {@code inherited} is what a predecessor beside this process handed over; null for none. */
@@ -212,30 +212,30 @@
     Counts counts = new Counts(fleet, config.settings().contract().slowStartNanos());
     counts.writeOn(loop);
     Bootstrap connections = new Bootstrap().group(group).channelFactory(UpstreamSocket::new)
-        .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.WRITE_BUFFER_WATER_MARK, MARKS)
-        .option(ChannelOption.RECVBUF_ALLOCATOR, reads());
+        .option(ChannelOption.TCP_NODELAY, true).option(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARKS)
+        .option(ChannelOption.RECVBUF_ALLOCATOR, receiveAllocator());
     UpstreamPool pool = new UpstreamPool(connections, sockets, config.settings().limits().connectTimeoutNanos(),
-        config.idleNanos(), fleet::isReady, config.loadReports(), new BufferBudget(config.memoryBytes() / ANSWERS_PART), counts);
+        config.idleNanos(), fleet::isReady, config.loadReports(), new BufferBudget(config.memoryBytes() / RESPONSES_DIVISOR), counts);
     peers = new Peers(config.settings().selfId(), config.peers(), config.peersAll());
-    pushed = !config.settings().listOnRequest();
+    listsPushed = !config.settings().listOnRequest();
     Engine.ListSource source;
-    if (lists == null) {
+    if (listSourceFactory == null) {
       discovery = new Discovery(
           connections.clone().option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DISCOVERY_CONNECT_MILLIS),
-          config.discovery(), pushed, fleet::revision, this::news);
+          config.discovery(), listsPushed, fleet::revision, this::listReceived);
       source = discovery;
     } else {
-      source = lists.open(loop, fleet, this::news);
+      source = listSourceFactory.open(loop, fleet, this::listReceived);
     }
-    engine = new Engine(loop, clock, config.settings(), modules, fleet, counts.counted(source), peers,
-        witness == EngineListener.NO_OP ? counts : new CompositeEngineListener(counts, witness));
+    engine = new Engine(loop, clock, config.settings(), modules, fleet, counts.counting(source), peers,
+        engineListener == EngineListener.NO_OP ? counts : new CompositeEngineListener(counts, engineListener));
     engine.addTransport(pool);
     frontend = new Frontend(new HttpExchange.Front(engine, pool, config.loadReports()), clock, sockets, config.settings(),
-        new RequestReader.Budgets(new BufferBudget(config.memoryBytes() / KEPT_PART), new BufferBudget(config.memoryBytes() / UPLOADS_PART)), counts);
-    parts = new Operations.Parts(loop, engine, fleet, sockets, pool, frontend, agreed);
+        new RequestReader.Budgets(new BufferBudget(config.memoryBytes() / BUFFERED_BODIES_DIVISOR), new BufferBudget(config.memoryBytes() / UPLOADS_DIVISOR)), counts);
+    components = new Operations.Components(loop, engine, fleet, sockets, pool, frontend, agreedOffline);
     boolean newer = inherited != null && inherited.list().revision() >= config.known().revision();
     if (newer) {
-      takeOverStarts(fleet, inherited);
+      restoreStartTimes(fleet, inherited);
     }
     engine.serverListUpdated(ListKind.CACHED, newer ? inherited.list() : config.known());
     if (inherited != null) {
@@ -244,13 +244,13 @@
       LOG.info(() -> "took over from a predecessor: " + inherited.list().members().size() + " upstreams, list "
           + inherited.list().revision());
     }
-    if (pushed) {
+    if (listsPushed) {
       watch();
     }
   }
 
   /** A predecessor knows when servers started, whatever the wall clocks of the two say. */
-  private static void takeOverStarts(Fleet fleet, HandoverSnapshot inherited) {
+  private static void restoreStartTimes(Fleet fleet, HandoverSnapshot inherited) {
     Map<Long, UpstreamSnapshot> known = inherited.balancerSnapshot().upstreams().stream()
         .collect(Collectors.toMap(UpstreamSnapshot::upstream, k -> k, (a, b) -> a));
     for (ServerList.Server server : inherited.list().members()) {
@@ -265,9 +265,9 @@
    * Where lists are pushed, what the agent has counts as told from the first moment of this process, and that was a start ago. Guards what has
    * drained since the known list was written from clients that come before the first one has arrived.
    */
-  private void awaitList() {
+  private void awaitFirstList() {
     try {
-      if (lists == null && pushed && !listed.await(FIRST_LIST_MILLIS, TimeUnit.MILLISECONDS)) {
+      if (listSourceFactory == null && listsPushed && !firstListReceived.await(FIRST_LIST_WAIT_MILLIS, TimeUnit.MILLISECONDS)) {
         LOG.warning("the agent says nothing: serving by the list that was known");
       }
     } catch (InterruptedException e) {
@@ -275,10 +275,10 @@
     }
   }
 
-  private void news(ListKind kind, ServerList list) {
-    if (kind != ListKind.FAILED || !pushed) {
+  private void listReceived(ListKind kind, ServerList list) {
+    if (kind != ListKind.FAILED || !listsPushed) {
       engine.serverListUpdated(kind, list);
-      listed.countDown();
+      firstListReceived.countDown();
     } else {
       loop.schedule(this::watch, retryNanos(System.nanoTime() - watchedAt), TimeUnit.NANOSECONDS);
     }
@@ -298,7 +298,7 @@
   }
 
   /** Where a configuration comes from. */
-  interface Source {
+  interface ConfigSource {
     Config read() throws IOException;
   }
 
@@ -306,48 +306,48 @@
    * Reads the configuration again, follows discovery to where it says, and has its settings hold for the requests that come from now on. One
    * that can't be used as a whole changes nothing. One call at a time, and of those that wait the last: what was read last is taken last.
    */
-  void reload(Source source) {
-    long mine = reloads.incrementAndGet();
+  void reload(ConfigSource source) {
+    long sequence = reloads.incrementAndGet();
     synchronized (reloads) {
-      if (mine == reloads.get()) {
-        reload(source, mine);
+      if (sequence == reloads.get()) {
+        reload(source, sequence);
       }
     }
   }
 
-  private void reload(Source source, long mine) {
+  private void reload(ConfigSource source, long sequence) {
     Config read;
     try {
-      read = readWhole(source, mine);
-      read.checkReplaces(config);
+      read = readComplete(source, sequence);
+      read.checkCanReplace(config);
     } catch (IOException | RuntimeException e) {
-      LOG.warning("configuration not taken, the one before stays: " + Config.complaint(e));
+      LOG.warning("configuration not taken, the one before stays: " + Config.describeFailure(e));
       return;
     }
-    boolean others = !read.settings().equals(config.settings());
-    String told = others ? ", settings: " + difference(config.settings(), read.settings()) : "";
+    boolean settingsChanged = !read.settings().equals(config.settings());
+    String changes = settingsChanged ? ", settings: " + describeChanges(config.settings(), read.settings()) : "";
     config = read;
     loop.execute(() -> {
       discovery.setAddress(read.discovery());
-      if (others) {
-        retune(read);
+      if (settingsChanged) {
+        applySettings(read);
       }
     });
-    LOG.info(() -> "configuration read again, discovery at " + read.discovery() + told);
+    LOG.info(() -> "configuration read again, discovery at " + read.discovery() + changes);
   }
 
   /** Guards against a file that is being written just now: it is whole a moment later, or never. */
-  private Config readWhole(Source source, long mine) throws IOException {
+  private Config readComplete(ConfigSource source, long sequence) throws IOException {
     for (int i = 0; ; i++) {
       try {
         return source.read();
       } catch (IOException e) {
-        if (i == READ_AGAIN || mine != reloads.get()) {
+        if (i == MAX_REREADS || sequence != reloads.get()) {
           throw e;
         }
       }
       try {
-        TimeUnit.MILLISECONDS.sleep(READ_AGAIN_MILLIS);
+        TimeUnit.MILLISECONDS.sleep(REREAD_MILLIS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
         throw new IOException(e);
@@ -355,28 +355,28 @@
     }
   }
 
-  private void retune(Config to) {
+  private void applySettings(Config to) {
     stopMillis = stopMillis(to.settings());
-    parts.pool().retune(to.settings().limits().connectTimeoutNanos(), to.idleNanos());
-    frontend.retune(to.settings());
+    components.pool().retune(to.settings().limits().connectTimeoutNanos(), to.idleNanos());
+    frontend.updateSettings(to.settings());
     engine.updateSettings(to.settings());
   }
 
   /** What an operator looks for first: classes that came, went or are others now, and the number of attempts. */
-  static String difference(Settings before, Settings after) {
+  static String describeChanges(Settings before, Settings after) {
     Map<String, RequestClass> old = before.classes().stream().collect(Collectors.toMap(RequestClass::name, c -> c));
-    List<String> words = new ArrayList<>();
+    List<String> changes = new ArrayList<>();
     for (RequestClass c : after.classes()) {
       RequestClass was = old.remove(c.name());
       if (!c.equals(was)) {
-        words.add((was == null ? "+" : "~") + Counts.name(c.name()));
+        changes.add((was == null ? "+" : "~") + Counts.logName(c.name()));
       }
     }
-    old.keySet().forEach(name -> words.add("-" + Counts.name(name)));
+    old.keySet().forEach(name -> changes.add("-" + Counts.logName(name)));
     if (before.limits().maxAttempts() != after.limits().maxAttempts()) {
-      words.add("attempts " + before.limits().maxAttempts() + " to " + after.limits().maxAttempts());
+      changes.add("attempts " + before.limits().maxAttempts() + " to " + after.limits().maxAttempts());
     }
-    return words.isEmpty() ? "other figures" : String.join(" ", words);
+    return changes.isEmpty() ? "other figures" : String.join(" ", changes);
   }
 
   /** Has the engine do something on its loop; done once the module has been told what it has to know of that. */
@@ -385,23 +385,23 @@
     loop.execute(() -> {
       try {
         what.accept(engine);
-        loop.execute(() -> told.complete(null)); // Behind the engine's own turn.
+        loop.execute(() -> done.complete(null)); // Behind the engine's own turn.
       } catch (RuntimeException e) {
-        told.completeExceptionally(e);
+        done.completeExceptionally(e);
       }
     });
-    return told;
+    return done;
   }
 
   /** The fleet has agreed that this upstream is out. */
-  CompletableFuture<Void> agreedOut(String id, long forNanos) {
-    agreed.add(id);
+  CompletableFuture<Void> setAgreedOffline(String id, long forNanos) {
+    agreedOffline.add(id);
     return runOnLoop(engine -> engine.setOffline(id, forNanos));
   }
 
   /** The fleet has agreed that it is back; out it stays where this one's management endpoint says so. */
-  CompletableFuture<Void> agreedBack(String id) {
-    agreed.remove(id);
+  CompletableFuture<Void> setAgreedOnline(String id) {
+    agreedOffline.remove(id);
     return runOnLoop(engine -> {
       if (operations == null || !operations.isOffline(id)) {
         engine.setOnline(id);
@@ -445,34 +445,34 @@
    * same address new connections are left to it at once, and clients are sent there with their next answer.
    */
   void stop() {
-    if (!stops.compareAndSet(false, true)) {
+    if (!stopRequested.compareAndSet(false, true)) {
       await(stopped); // Guards against a second SIGTERM that has the end come once more, or sooner.
       return;
     }
-    boolean succeeded = operations != null && operations.hasSuccessor();
-    LOG.info(succeeded ? "stopping, a successor serves" : "stopping");
+    boolean successorServes = operations != null && operations.hasSuccessor();
+    LOG.info(successorServes ? "stopping, a successor serves" : "stopping");
     if (operations != null) {
-      operations.leaving();
+      operations.markLeaving();
     }
     loop.execute(() -> {
-      Ending ending = Ending.of(stopMillis, succeeded);
-      if (succeeded) {
-        frontend.leaveTo();
-        frontend.acceptNoMore();
+      StopSchedule stopSchedule = StopSchedule.of(stopMillis, successorServes);
+      if (successorServes) {
+        frontend.closeAfterResponses();
+        frontend.stopAccepting();
       } else {
-        frontend.stopping();
-        loop.schedule(frontend::acceptNoMore, ending.accepts, TimeUnit.MILLISECONDS);
+        frontend.markStopping();
+        loop.schedule(frontend::stopAccepting, stopSchedule.acceptMillis, TimeUnit.MILLISECONDS);
       }
       stopping.countDown();
       loop.schedule(() -> {
-        frontend.close();
-        finish();
-      }, ending.serves, TimeUnit.MILLISECONDS);
+        frontend.drain();
+        checkDrained();
+      }, stopSchedule.serveMillis, TimeUnit.MILLISECONDS);
       loop.schedule(() -> {
-        frontend.takeNoMore();
+        frontend.rejectRequests();
         engine.failAll();
-      }, ending.answered, TimeUnit.MILLISECONDS);
-      loop.schedule(frontend::closeAll, ending.over, TimeUnit.MILLISECONDS);
+      }, stopSchedule.answerMillis, TimeUnit.MILLISECONDS);
+      loop.schedule(frontend::closeAll, stopSchedule.closeMillis, TimeUnit.MILLISECONDS);
     });
     await(drained);
     shutDown();
@@ -488,9 +488,9 @@
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  private void finish() {
+  private void checkDrained() {
     if (frontend.hasConnections()) {
-      loop.schedule(this::finish, STOP_CHECK_MILLIS, TimeUnit.MILLISECONDS);
+      loop.schedule(this::checkDrained, STOP_CHECK_MILLIS, TimeUnit.MILLISECONDS);
     } else {
       drained.countDown();
     }
--- a/http/src/test/java/cloverpulley/serve/ClientsTest.java
+++ b/http/src/test/java/cloverpulley/serve/ClientsTest.java
@@ -30,7 +30,7 @@
     }
 
     @Override
-    public boolean hasBegun() {
+    public boolean hasPartialRequest() {
       return false;
     }
   }
@@ -39,7 +39,7 @@
   private void pass(long nanos) {
     for (long until = now.get() + nanos; now.get() < until;) {
       now.addAndGet(SWEEP);
-      clients.sweep();
+      clients.closeTimedOut();
     }
   }
 
@@ -47,13 +47,13 @@
   void whoIsReadAgainHasItsTimeAgain() {
     for (State state : new State[] {State.READING, State.UPLOADING}) {
       Counted held = new Counted();
-      clients.move(held, state);
-      pass(Clients.READING_NANOS);
+      clients.setState(held, state);
+      pass(Clients.READ_TIMEOUT_NANOS);
       assertEquals(0, held.overdue, "just in time");
-      clients.resumed(held); // What it sent while it was not read has not been seen yet.
+      clients.readResumed(held); // What it sent while it was not read has not been seen yet.
       pass(SWEEP);
       assertEquals(0, held.overdue, "a body that was held by an upstream's doing had its connection closed");
-      pass(Clients.READING_NANOS);
+      pass(Clients.READ_TIMEOUT_NANOS);
       assertEquals(1, held.overdue, "and no longer than that");
       clients.remove(held);
     }
@@ -62,25 +62,25 @@
   @Test
   void whoIsServedOrIdleIsNotTouchedByBeingReadAgain() {
     Counted served = new Counted();
-    clients.move(served, State.SERVED);
-    clients.resumed(served);
+    clients.setState(served, State.SERVED);
+    clients.readResumed(served);
     assertEquals(true, clients.is(served, State.SERVED));
     Counted gone = new Counted();
-    clients.resumed(gone);
+    clients.readResumed(gone);
     assertEquals(1, clients.count(), "one that is closed is not kept");
   }
 
   @Test
   void aPauseOfThisProcessIsNotItsClients() {
     Counted reading = new Counted();
-    clients.move(reading, State.READING);
+    clients.setState(reading, State.READING);
     now.addAndGet(TimeUnit.SECONDS.toNanos(3));
-    clients.sweep();
+    clients.closeTimedOut();
     assertEquals(0, reading.overdue, "what lies in its socket is read first");
     pass(SWEEP);
     assertEquals(1, reading.overdue, "it sent nothing meanwhile either");
     Counted leaving = new Counted();
-    clients.move(leaving, State.LEAVING);
+    clients.setState(leaving, State.LEAVING);
     pass(TimeUnit.SECONDS.toNanos(1));
     assertEquals(1, leaving.closed > 0 ? 1 : 0);
   }
--- a/http/src/test/java/cloverpulley/serve/CountsTest.java
+++ b/http/src/test/java/cloverpulley/serve/CountsTest.java
@@ -94,9 +94,9 @@
 
   @Test
   void aNameWritesNoLineOfItsOwn() {
-    assertEquals("s-5be2a07c", Counts.name("s-5be2a07c"));
-    assertEquals("a?INFO?counts?taken?9?b?1", Counts.name("a\nINFO counts taken=9,b*1"));
-    assertEquals(32, Counts.name("x".repeat(100_000)).length());
+    assertEquals("s-5be2a07c", Counts.logName("s-5be2a07c"));
+    assertEquals("a?INFO?counts?taken?9?b?1", Counts.logName("a\nINFO counts taken=9,b*1"));
+    assertEquals(32, Counts.logName("x".repeat(100_000)).length());
   }
 
   /** The lines of the log. */
--- a/http/src/test/java/cloverpulley/serve/SettingsReloadTest.java
+++ b/http/src/test/java/cloverpulley/serve/SettingsReloadTest.java
@@ -49,7 +49,7 @@
   /** What would be turned down for, or null for nothing. */
   private static Exception fault(String text) {
     try {
-      config(text).checkReplaces(config(GOOD));
+      config(text).checkCanReplace(config(GOOD));
       return null;
     } catch (IOException | RuntimeException e) {
       return e;
@@ -150,14 +150,14 @@
   void theLogNamesWhatIsOther() throws IOException {
     Settings before = config(text(more("old"))).settings();
     String after = text(more("new")).replace("\"max-attempts\":6", "\"max-attempts\":2");
-    assertEquals("+new -old attempts 6 to 2", Server.difference(before, config(after).settings()));
+    assertEquals("+new -old attempts 6 to 2", Server.describeChanges(before, config(after).settings()));
   }
 
   @Test
   void theFileNamesTheKeyThatIsWrong(@TempDir Path folder) throws IOException {
     Path file = Files.writeString(folder.resolve("config.json"), GOOD.replace("\"max-attempts\":6,", ""));
     Exception e = assertThrows(RuntimeException.class,
-        () -> Config.read(Map.of("ROUTER_CONFIG", file.toString())).checkReplaces(config(GOOD)));
-    assertEquals("field config.settings.limits.max-attempts: expected a number, got nothing", Config.complaint(e));
+        () -> Config.read(Map.of("ROUTER_CONFIG", file.toString())).checkCanReplace(config(GOOD)));
+    assertEquals("field config.settings.limits.max-attempts: expected a number, got nothing", Config.describeFailure(e));
   }
 }
--- a/http/src/test/java/cloverpulley/serve/StartStopTest.java
+++ b/http/src/test/java/cloverpulley/serve/StartStopTest.java
@@ -7,7 +7,7 @@
 
 import cloverpulley.Balancer.Settings;
 import cloverpulley.engine.EngineListener;
-import cloverpulley.serve.Server.Ending;
+import cloverpulley.serve.Server.StopSchedule;
 import cloverpulley.serve.Warmup.Count;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.ChannelException;
@@ -69,11 +69,11 @@
   void whoeverMayStillComeIsTakenAndAllEndsBeforeSigkill(long deadlineMillis) throws IOException {
     String text = Rig.text("127.0.0.1:1", Rig.list(1, true), "on_request", 200, 1024, "");
     Settings settings = Config.parse(text.replace("40000000000", deadlineMillis + "000000").replace("20000000000", "10000000"), Map.of()).settings();
-    Ending ending = Ending.of(Server.stopMillis(settings), false);
-    assertTrue(ending.accepts() > 400 && ending.serves() >= ending.accepts(), ending::toString);
-    assertTrue(ending.answered() >= ending.serves() && ending.over() < Math.min(3000, deadlineMillis) + 700, ending::toString);
-    Ending left = Ending.of(Server.stopMillis(settings), true);
-    assertTrue(left.accepts() == 0 && left.serves() <= left.answered() && left.over() <= ending.over(), left::toString);
+    StopSchedule stopSchedule = StopSchedule.of(Server.stopMillis(settings), false);
+    assertTrue(stopSchedule.acceptMillis() > 400 && stopSchedule.serveMillis() >= stopSchedule.acceptMillis(), stopSchedule::toString);
+    assertTrue(stopSchedule.answerMillis() >= stopSchedule.serveMillis() && stopSchedule.closeMillis() < Math.min(3000, deadlineMillis) + 700, stopSchedule::toString);
+    StopSchedule left = StopSchedule.of(Server.stopMillis(settings), true);
+    assertTrue(left.acceptMillis() == 0 && left.serveMillis() <= left.answerMillis() && left.closeMillis() <= stopSchedule.closeMillis(), left::toString);
   }
 
   /** What waited behind a request that is failed at the end of a stop is turned away: sent on then, nothing would wait for its answer. */
