--- a/http/src/test/java/cloverpulley/serve/ClientDisconnectTest.java
+++ b/http/src/test/java/cloverpulley/serve/ClientDisconnectTest.java
@@ -30,26 +30,26 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A request whose client has left while it waited is not sent on, whatever it waited for and however its client left. */
+/** A request whose client has disconnected while it waited is not forwarded, whatever it waited for and however the client disconnected. */
 @Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
 class ClientDisconnectTest {
 
   private static final String HEALTH = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
 
-  private static Config to(StubServer upstream, String more) throws IOException {
+  private static Config configFor(StubServer upstream, String more) throws IOException {
     return Rig.config("127.0.0.1:1", Rig.list(1, true, Rig.member("s-1", upstream.address(), "ready")), "on_request", 200, 1024, more);
   }
 
-  /** Leaves by FIN, or by RST. */
-  private static void leave(Client client, boolean reset) throws IOException {
+  /** Closes the connection with a FIN, or with an RST. */
+  private static void disconnect(Client client, boolean reset) throws IOException {
     if (reset) {
       client.socket.setOption(StandardSocketOptions.SO_LINGER, 0);
     }
     client.close();
   }
 
-  /** Asks another's question so often that all that lay in the sockets has been looked at. */
-  private static void turn(Rig rig) throws IOException {
+  /** Sends requests on another connection until the loop has read all data that waited in its sockets. */
+  private static void awaitLoopIterations(Rig rig) throws IOException {
     try (Client other = rig.client()) {
       for (int i = 0; i < 50; i++) {
         other.ask(HEALTH);
@@ -57,143 +57,146 @@
     }
   }
 
-  /** Those behind the first of a pipeline: reading went off at the first early one, and the end was never heard. */
+  /** Reading used to stop at the first pipelined request, so that a disconnect was never noticed. */
   @ParameterizedTest
   @CsvSource({"1, false", "1, true", "20, false", "20, true"})
-  void whatWaitsBehindAnEarlierRequestIsNotSent(int early, boolean reset) throws Exception {
+  void pipelinedRequestIsNotForwardedAfterDisconnect(int pipelined, boolean reset) throws Exception {
     CountDownLatch done = new CountDownLatch(1);
     Script module = new Script(0);
-    try (StubServer upstream = StubServer.holding(done); Rig rig = new Rig(to(upstream, ""), module)) {
+    try (StubServer upstream = StubServer.holding(done); Rig rig = new Rig(configFor(upstream, ""), module)) {
       Client client = rig.client();
       client.write(Rig.get("first", ""));
       assertTrue(upstream.requests.poll(Rig.LIMIT_S, TimeUnit.SECONDS).contains("first"));
-      for (int i = 0; i < early; i++) {
+      for (int i = 0; i < pipelined; i++) {
         client.write(Rig.get("early" + i, "X-Padding: " + "p".repeat(2000) + "\r\n"));
-        rig.client().ask(HEALTH); // It comes alone, as one read.
+        rig.client().ask(HEALTH); // The pipelined request is read on its own before this is answered.
       }
-      leave(client, reset);
+      disconnect(client, reset);
       module.next(ClientGone.class);
       done.countDown();
-      turn(rig);
+      awaitLoopIterations(rig);
       try (Client other = rig.client()) {
         assertTrue(other.ask(Rig.get("other", "")).startsWith("HTTP/1.1 200 "));
       }
-      assertTrue(upstream.requests.poll(Rig.LIMIT_S, TimeUnit.SECONDS).contains("other"), "and none of the early ones before it");
+      assertTrue(upstream.requests.poll(Rig.LIMIT_S, TimeUnit.SECONDS).contains("other"), "and none of the pipelined requests before it");
     }
   }
 
-  /** The module has it sent while the end of its client's connection lies unread in the socket: the loop has not looked yet. */
+  /** The module forwards the request while the client's close is unread in the socket. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void anEndThatTheLoopHasNotReadIsSeenBeforeTheSending(boolean reset) throws Exception {
-    CountDownLatch come = new CountDownLatch(1);
-    CountDownLatch left = new CountDownLatch(1);
+  void unreadDisconnectIsDetectedBeforeForwarding(boolean reset) throws Exception {
+    CountDownLatch requestSeen = new CountDownLatch(1);
+    CountDownLatch disconnected = new CountDownLatch(1);
     Script[] module = new Script[1];
     module[0] = new Script((event, out) -> {
       if (event instanceof Request r) {
-        come.countDown();
-        await(left); // The loop stands still, and looks at no socket.
+        requestSeen.countDown();
+        await(disconnected); // Blocks the loop, which reads no socket meanwhile.
         out.accept(new Send(r.id(), module[0].upstreams.get(0), 0));
       } else if (event instanceof Outcome o && !o.finished()) {
         out.accept(new Fail(o.id(), Reason.NO_ROOM));
       }
     });
-    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(to(upstream, ""), module[0])) {
+    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(configFor(upstream, ""), module[0])) {
       Client client = rig.client();
       client.write(Rig.get("t", ""));
-      assertTrue(come.await(Rig.LIMIT_S, TimeUnit.SECONDS));
-      leave(client, reset);
-      left.countDown();
+      assertTrue(requestSeen.await(Rig.LIMIT_S, TimeUnit.SECONDS));
+      disconnect(client, reset);
+      disconnected.countDown();
       assertEquals(Status.NOT_SENT, module[0].next(Outcome.class).status());
-      turn(rig);
-      assertNull(upstream.connections.poll(), "not even a connection");
+      awaitLoopIterations(rig);
+      assertNull(upstream.connections.poll(), "no connection is opened");
     }
   }
 
-  /** Before a repeated attempt: the first one's outcome comes while the client's end lies unread. */
+  /** The first attempt's outcome arrives, and the module retries, while the client's close is unread. */
   @Test
-  void aRepeatIsNotSentEither() throws Exception {
+  void retryIsNotSentAfterDisconnect() throws Exception {
     CountDownLatch failed = new CountDownLatch(1);
-    CountDownLatch left = new CountDownLatch(1);
+    CountDownLatch disconnected = new CountDownLatch(1);
     Script[] module = new Script[1];
     module[0] = new Script((event, out) -> {
       if (event instanceof Request r) {
         out.accept(new Send(r.id(), module[0].upstreams.get(0), 0));
       } else if (event instanceof Outcome o && o.attempt() == 0) {
         failed.countDown();
-        await(left);
+        await(disconnected);
         out.accept(new Send(o.id(), o.upstream(), 0));
       } else if (event instanceof Outcome o && !o.finished()) {
         out.accept(new Fail(o.id(), Reason.NO_ROOM));
       }
     });
     try (StubServer upstream = StubServer.answering("HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n");
-        Rig rig = new Rig(to(upstream, ""), module[0])) {
+        Rig rig = new Rig(configFor(upstream, ""), module[0])) {
       Client client = rig.client();
       client.write(Rig.get("t", ""));
       assertTrue(failed.await(Rig.LIMIT_S, TimeUnit.SECONDS));
-      leave(client, false);
-      left.countDown();
+      disconnect(client, false);
+      disconnected.countDown();
       assertEquals(Status.FULL, module[0].next(Outcome.class).status());
       assertEquals(Status.NOT_SENT, module[0].next(Outcome.class).status());
-      turn(rig);
+      awaitLoopIterations(rig);
       assertEquals(1, upstream.requests.size());
     }
   }
 
-  /** While its body is only partly in and its connection is not read: the module holds it, and its client goes. */
+  /** The client disconnects while its body is incomplete, its connection is not read, and the module queues the request. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aBodyThatIsPartlyInIsNotSent(boolean reset) throws Exception {
+  void partialUploadIsNotForwardedAfterDisconnect(boolean reset) throws Exception {
     Script[] module = new Script[1];
-    String[] held = new String[1];
-    CountDownLatch left = new CountDownLatch(1);
+    String[] queuedId = new String[1];
+    CountDownLatch disconnected = new CountDownLatch(1);
     module[0] = new Script((event, out) -> {
       if (event instanceof Request r) {
-        held[0] = r.id();
+        queuedId[0] = r.id();
         out.accept(new SetTimer("look", 0));
       } else if (event instanceof TimerFired) {
-        await(left);
-        out.accept(new Send(held[0], module[0].upstreams.get(0), 0));
+        await(disconnected);
+        out.accept(new Send(queuedId[0], module[0].upstreams.get(0), 0));
       } else if (event instanceof Outcome o && !o.finished()) {
         out.accept(new Fail(o.id(), Reason.NO_ROOM));
       }
     });
-    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(to(upstream, ""), module[0])) {
+    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(configFor(upstream, ""), module[0])) {
       Client client = rig.client();
       client.write("POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: t\r\nX-Qos: keyed\r\nIdempotency-Key: k\r\nContent-Length: 1000000\r\n\r\n"
           + "x".repeat(40_000));
       module[0].next(Request.class);
-      leave(client, reset);
-      left.countDown();
+      disconnect(client, reset);
+      disconnected.countDown();
       assertEquals(Status.NOT_SENT, module[0].next(Outcome.class).status());
-      turn(rig);
+      awaitLoopIterations(rig);
       assertNull(upstream.connections.poll());
     }
   }
 
-  /** During a stop as before it, also in an upgrade's old process: it is held while the process is told to end, its client goes, and then it would be sent. */
+  /**
+   * The request is queued when the process is stopped, also as the old process of an upgrade; its client disconnects, and only then the
+   * module forwards it.
+   */
   @ParameterizedTest
   @CsvSource({"false, false", "true, false", "false, true", "true, true"})
-  void whatIsHeldDuringAStopIsNotSent(boolean reset, boolean succeeded, @TempDir Path folder) throws Exception {
+  void queuedRequestIsNotForwardedDuringStop(boolean reset, boolean hasSuccessor, @TempDir Path folder) throws Exception {
     Script[] module = new Script[1];
-    String[] held = new String[1];
-    CountDownLatch left = new CountDownLatch(1);
-    CountDownLatch looks = new CountDownLatch(1);
+    String[] queuedId = new String[1];
+    CountDownLatch disconnected = new CountDownLatch(1);
+    CountDownLatch offlineSeen = new CountDownLatch(1);
     module[0] = new Script((event, out) -> {
       if (event instanceof Request r) {
-        held[0] = r.id();
+        queuedId[0] = r.id();
       } else if (event instanceof UpstreamSetOffline) {
-        looks.countDown();
-        await(left); // The loop stands still: it hears of no end.
-        out.accept(new Send(held[0], module[0].upstreams.get(0), 0));
+        offlineSeen.countDown();
+        await(disconnected); // Blocks the loop, which notices no disconnect.
+        out.accept(new Send(queuedId[0], module[0].upstreams.get(0), 0));
       } else if (event instanceof Outcome o && !o.finished()) {
         out.accept(new Fail(o.id(), Reason.NO_ROOM));
       }
     });
     try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(Config.parse(Rig.text("127.0.0.1:1", Rig.list(1, true,
         Rig.member("s-1", upstream.address(), "ready")), "on_request", 200, 1024, "\"management\":\"127.0.0.1:0\","), Map.of("TMPDIR", folder.toString())), module[0])) {
-      if (succeeded) {
+      if (hasSuccessor) {
         ProcessRegistry.of(folder.resolve("ashdeck"), System.nanoTime() + 1_000_000_000, 1).refresh(ProcessRegistry.Lifecycle.SERVING, 1);
       }
       Client client = rig.client();
@@ -203,68 +206,68 @@
       stop.start();
       rig.server.awaitStopping();
       rig.server.runOnLoop(engine -> engine.setOffline("s-none", 0));
-      assertTrue(looks.await(Rig.LIMIT_S, TimeUnit.SECONDS));
-      leave(client, reset);
-      left.countDown();
+      assertTrue(offlineSeen.await(Rig.LIMIT_S, TimeUnit.SECONDS));
+      disconnect(client, reset);
+      disconnected.countDown();
       assertEquals(Status.NOT_SENT, module[0].next(Outcome.class).status());
       stop.join(TimeUnit.SECONDS.toMillis(Rig.LIMIT_S));
       assertNull(upstream.connections.poll());
     }
   }
 
-  /** A connection that comes up after its client has gone carries nothing, also where attempts may not be called off. */
+  /** An upstream connection that is established after the client has disconnected carries no request, even if attempts may not be cancelled. */
   @Test
-  void aConnectionThatComesUpLateCarriesNothing() throws Exception {
+  void connectionEstablishedAfterDisconnectCarriesNothing() throws Exception {
     CountDownLatch seen = new CountDownLatch(1);
-    CountDownLatch left = new CountDownLatch(1);
+    CountDownLatch disconnected = new CountDownLatch(1);
     Script[] module = new Script[1];
     module[0] = new Script((event, out) -> {
       if (event instanceof Request r) {
         out.accept(new Send(r.id(), module[0].upstreams.get(0), 0));
         seen.countDown();
-        await(left); // The loop stands still: the connection comes up only after the client has gone.
+        await(disconnected); // Blocks the loop: the connection is established only after the client has disconnected.
       }
     });
-    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(to(upstream, ""), module[0])) {
+    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(configFor(upstream, ""), module[0])) {
       Client client = rig.client();
       client.write(Rig.get("t", ""));
       assertTrue(seen.await(Rig.LIMIT_S, TimeUnit.SECONDS));
-      leave(client, false);
-      left.countDown();
+      disconnect(client, false);
+      disconnected.countDown();
       assertEquals(Status.NOT_SENT, module[0].next(Outcome.class).status());
-      turn(rig);
-      assertTrue(upstream.requests.isEmpty(), "nothing came on it");
+      awaitLoopIterations(rig);
+      assertTrue(upstream.requests.isEmpty(), "no request arrived on it");
     }
   }
 
-  /** A body that is held has no time running: what the look before a sending finds of it is not judged as coming too late. */
+  /** The read timeout of a paused body is suspended: data that the disconnect check before forwarding reads must not time it out. */
   @Test
-  void aHeldBodyIsSentOnWhateverTheLookFinds() throws Exception {
+  void pausedUploadIsForwardedAfterDisconnectCheck() throws Exception {
     Script[] module = new Script[1];
-    String[] held = new String[1];
+    String[] queuedId = new String[1];
     CountDownLatch waited = new CountDownLatch(1);
     module[0] = new Script((event, out) -> {
       if (event instanceof Request r) {
-        held[0] = r.id();
+        queuedId[0] = r.id();
         out.accept(new SetTimer("look", 0));
       } else if (event instanceof TimerFired && waited.getCount() > 0) {
         out.accept(new SetTimer("look", System.nanoTime()));
       } else if (event instanceof TimerFired) {
-        out.accept(new Send(held[0], module[0].upstreams.get(0), 0));
+        out.accept(new Send(queuedId[0], module[0].upstreams.get(0), 0));
       } else if (event instanceof Outcome o && !o.finished()) {
         out.accept(new Fail(o.id(), Reason.NO_ROOM));
       }
     });
     int length = 400_000;
-    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(to(upstream, ""), module[0]);
+    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(configFor(upstream, ""), module[0]);
         Client client = rig.client()) {
       client.write("POST /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: t\r\nX-Qos: keyed\r\nIdempotency-Key: k\r\nContent-Length: " + length
           + "\r\n\r\n" + "x".repeat(90_000));
       module[0].next(Request.class);
       for (int i = 0; i < 2; i++) {
-        try (Client clock = rig.client()) {
-          clock.write("GET /api HT");
-          assertTrue(clock.answer().startsWith("HTTP/1.1 408 "), "a client's time is over, and then what so many bytes may take");
+        try (Client timer = rig.client()) {
+          timer.write("GET /api HT");
+          assertTrue(timer.answer().startsWith("HTTP/1.1 408 "), "the read timeout is over, then also the time for this many bytes");
         }
       }
       waited.countDown();
@@ -274,19 +277,19 @@
     }
   }
 
-  /** A second request whose body comes slowly behind one that is served is not judged before its turn, nor answered in the first one's place. */
+  /** A pipelined request with a slow body is not timed out before its turn, and no error takes the place of the earlier response. */
   @Test
-  void aSlowBodyBehindAServedRequestDoesNotTakeItsAnswer() throws Exception {
+  void slowPipelinedBodyDoesNotTakeEarlierResponse() throws Exception {
     CountDownLatch done = new CountDownLatch(1);
-    try (StubServer upstream = StubServer.holding(done); Rig rig = new Rig(to(upstream, "")); Client client = rig.client(); Client clock = rig.client()) {
+    try (StubServer upstream = StubServer.holding(done); Rig rig = new Rig(configFor(upstream, "")); Client client = rig.client(); Client timer = rig.client()) {
       client.write(Rig.get("first", ""));
       assertTrue(upstream.requests.poll(Rig.LIMIT_S, TimeUnit.SECONDS).contains("first"));
-      clock.write("GET /api HT");
-      assertTrue(clock.answer().startsWith("HTTP/1.1 408 "), "the time for a request is over");
+      timer.write("GET /api HT");
+      assertTrue(timer.answer().startsWith("HTTP/1.1 408 "), "the read timeout is over");
       client.write("POST /api HTTP/1.1\r\nX-Trace-Id: second\r\nX-Qos: keyed\r\nIdempotency-Key: k\r\nContent-Length: 4\r\n\r\nab");
-      turn(rig);
+      awaitLoopIterations(rig);
       client.write("c");
-      turn(rig);
+      awaitLoopIterations(rig);
       done.countDown();
       String answer = client.answer();
       assertTrue(answer.startsWith("HTTP/1.1 200 "), answer);
--- a/http/src/test/java/cloverpulley/serve/ClientsTest.java
+++ b/http/src/test/java/cloverpulley/serve/ClientsTest.java
@@ -7,26 +7,26 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-/** Whose time runs out, on a clock of the test's own. */
+/** Timeouts of client connections, on a simulated clock. */
 class ClientsTest {
 
-  private static final long SWEEP = TimeUnit.MILLISECONDS.toNanos(100);
+  private static final long CHECK_INTERVAL = TimeUnit.MILLISECONDS.toNanos(100);
 
   private final AtomicLong now = new AtomicLong();
   private final Clients clients = new Clients(now::get);
 
-  private static final class Counted implements Clients.Client {
-    private int overdue;
-    private int closed;
+  private static final class CountingClient implements Clients.Client {
+    private int timeouts;
+    private int closes;
 
     @Override
-    public void overdue() {
-      overdue++;
+    public void onTimeout() {
+      timeouts++;
     }
 
     @Override
     public void close() {
-      closed++;
+      closes++;
     }
 
     @Override
@@ -35,53 +35,53 @@
     }
   }
 
-  /** Time goes on for so long, with a sweep each 100 ms. */
-  private void pass(long nanos) {
+  /** Advances the clock, with a check for timeouts every 100 ms. */
+  private void advance(long nanos) {
     for (long until = now.get() + nanos; now.get() < until;) {
-      now.addAndGet(SWEEP);
+      now.addAndGet(CHECK_INTERVAL);
       clients.closeTimedOut();
     }
   }
 
   @Test
-  void whoIsReadAgainHasItsTimeAgain() {
+  void resumedReadRestartsTimeout() {
     for (State state : new State[] {State.READING, State.UPLOADING}) {
-      Counted held = new Counted();
-      clients.setState(held, state);
-      pass(Clients.READ_TIMEOUT_NANOS);
-      assertEquals(0, held.overdue, "just in time");
-      clients.readResumed(held); // What it sent while it was not read has not been seen yet.
-      pass(SWEEP);
-      assertEquals(0, held.overdue, "a body that was held by an upstream's doing had its connection closed");
-      pass(Clients.READ_TIMEOUT_NANOS);
-      assertEquals(1, held.overdue, "and no longer than that");
-      clients.remove(held);
+      CountingClient paused = new CountingClient();
+      clients.setState(paused, state);
+      advance(Clients.READ_TIMEOUT_NANOS);
+      assertEquals(0, paused.timeouts, "just in time");
+      clients.readResumed(paused); // Data sent while it was not read has not been seen yet.
+      advance(CHECK_INTERVAL);
+      assertEquals(0, paused.timeouts, "closed although a slow upstream had paused its body");
+      advance(Clients.READ_TIMEOUT_NANOS);
+      assertEquals(1, paused.timeouts, "times out after a full period");
+      clients.remove(paused);
     }
   }
 
   @Test
-  void whoIsServedOrIdleIsNotTouchedByBeingReadAgain() {
-    Counted served = new Counted();
+  void resumedReadLeavesOtherStatesUnchanged() {
+    CountingClient served = new CountingClient();
     clients.setState(served, State.SERVED);
     clients.readResumed(served);
     assertEquals(true, clients.is(served, State.SERVED));
-    Counted gone = new Counted();
+    CountingClient gone = new CountingClient();
     clients.readResumed(gone);
-    assertEquals(1, clients.count(), "one that is closed is not kept");
+    assertEquals(1, clients.count(), "a closed connection is not added");
   }
 
   @Test
-  void aPauseOfThisProcessIsNotItsClients() {
-    Counted reading = new Counted();
+  void stallOfProcessDoesNotTimeOutClients() {
+    CountingClient reading = new CountingClient();
     clients.setState(reading, State.READING);
     now.addAndGet(TimeUnit.SECONDS.toNanos(3));
     clients.closeTimedOut();
-    assertEquals(0, reading.overdue, "what lies in its socket is read first");
-    pass(SWEEP);
-    assertEquals(1, reading.overdue, "it sent nothing meanwhile either");
-    Counted leaving = new Counted();
+    assertEquals(0, reading.timeouts, "data in its socket is read first");
+    advance(CHECK_INTERVAL);
+    assertEquals(1, reading.timeouts, "it has sent nothing in the meantime");
+    CountingClient leaving = new CountingClient();
     clients.setState(leaving, State.LEAVING);
-    pass(TimeUnit.SECONDS.toNanos(1));
-    assertEquals(1, leaving.closed > 0 ? 1 : 0);
+    advance(TimeUnit.SECONDS.toNanos(1));
+    assertEquals(1, leaving.closes > 0 ? 1 : 0);
   }
 }
--- a/http/src/test/java/cloverpulley/serve/CountsTest.java
+++ b/http/src/test/java/cloverpulley/serve/CountsTest.java
@@ -14,24 +14,24 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What a balancer's log says of each second, against what a client and an upstream saw. */
+/** The counts that a balancer logs each second, compared with what a client and an upstream observed. */
 @Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
 class CountsTest {
 
   private static final Logger LOG = Logger.getLogger(Counts.class.getName());
 
-  /** Adds a word's figure up over the lines until they show that many. */
-  private static void await(BlockingQueue<String> lines, StringBuilder seen, String word, int expected)
+  /** Reads log lines until the counts of a key sum up to the expected number. */
+  private static void await(BlockingQueue<String> lines, StringBuilder seen, String key, int expected)
       throws InterruptedException {
-    while (sum(seen, word) < expected) {
+    while (sum(seen, key) < expected) {
       String line = lines.poll(Rig.LIMIT_S, TimeUnit.SECONDS);
-      assertTrue(line != null, word + " stayed at " + sum(seen, word) + " in " + seen);
+      assertTrue(line != null, key + " stayed at " + sum(seen, key) + " in " + seen);
       seen.append(line).append('\n');
     }
   }
 
-  private static int sum(CharSequence lines, String word) {
-    Matcher m = Pattern.compile("(?<=[ ])" + word + "=(\\d+)").matcher(lines);
+  private static int sum(CharSequence lines, String key) {
+    Matcher m = Pattern.compile("(?<=[ ])" + key + "=(\\d+)").matcher(lines);
     int sum = 0;
     while (m.find()) {
       sum += Integer.parseInt(m.group(1));
@@ -40,9 +40,9 @@
   }
 
   @Test
-  void addedUpTheLinesTellEachRequestAndEachConnection() throws Exception {
+  void sumOfLinesCoversEveryRequestAndConnection() throws Exception {
     String full = "HTTP/1.1 503 Service Unavailable\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n";
-    Lines lines = new Lines();
+    LogLines lines = new LogLines();
     LOG.addHandler(lines);
     try (StubServer stub = new StubServer(c -> {
       for (int i = 0; c.next() != null; i++) {
@@ -70,10 +70,10 @@
     }
   }
 
-  /** An older list and an empty one change nothing, and are counted. */
+  /** An outdated list and an empty one are ignored, and counted as such. */
   @Test
-  void listsThatAreNotBelievedAreCounted() throws Exception {
-    Lines lines = new Lines();
+  void ignoredListsAreCounted() throws Exception {
+    LogLines lines = new LogLines();
     String known = Rig.list(41, true, Rig.member("s-a", "127.0.0.1:1", "ready"));
     LOG.addHandler(lines);
     try (StubServer discovery = new StubServer(c -> {
@@ -93,14 +93,14 @@
   }
 
   @Test
-  void aNameWritesNoLineOfItsOwn() {
+  void namesCannotInjectLogLines() {
     assertEquals("s-5be2a07c", Counts.logName("s-5be2a07c"));
     assertEquals("a?INFO?counts?taken?9?b?1", Counts.logName("a\nINFO counts taken=9,b*1"));
     assertEquals(32, Counts.logName("x".repeat(100_000)).length());
   }
 
-  /** The lines of the log. */
-  private static final class Lines extends Handler {
+  /** Collects the log lines. */
+  private static final class LogLines extends Handler {
     final BlockingQueue<String> queue = new LinkedBlockingQueue<>();
 
     @Override
--- a/http/src/test/java/cloverpulley/serve/DiscoveryFixture.java
+++ b/http/src/test/java/cloverpulley/serve/DiscoveryFixture.java
@@ -5,12 +5,12 @@
 import cloverpulley.engine.ServerList;
 import java.util.List;
 
-/** What discovery says, and the numbers that its names get. */
+/** Messages of discovery, and the upstream numbers of its server names. */
 final class DiscoveryFixture {
 
   private DiscoveryFixture() {}
 
-  /** The start of a watch with its first line; further ones are chunks of their own. */
+  /** The head of a watch's response and its first line; each further line is a chunk of its own. */
   static String watch(String line) {
     return "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + chunk(line);
   }
@@ -19,7 +19,7 @@
     return Integer.toHexString(line.length() + 1) + "\r\n" + line + "\n\r\n";
   }
 
-  /** The module's number of an upstream. */
+  /** The number by which the module knows an upstream. */
   static long number(String id) {
     ServerList.Server server = new ServerList.Server(id, null, "a", 0, cloverpulley.Balancer.State.READY, 1, 0);
     return new Fleet(new Clock()).update(cloverpulley.Balancer.ListKind.FULL, new ServerList(1, true, List.of(server)))
--- a/http/src/test/java/cloverpulley/serve/LaunchCommandTest.java
+++ b/http/src/test/java/cloverpulley/serve/LaunchCommandTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The command of service, with a stand-in for the virtual machine on an otherwise empty PATH: where starting programs and fork
- * are refused, it has to become the virtual machine with nothing but what the shell itself has.
+ * The `run` command of the deployment, with a stand-in for the virtual machine on an otherwise empty PATH: where fork and starting other
+ * programs are forbidden, it has to exec the virtual machine with shell built-ins alone.
  */
 @Timeout(value = Rig.LIMIT_S, unit = TimeUnit.SECONDS)
 class LaunchCommandTest {
@@ -30,20 +30,20 @@
   @TempDir
   private Path folder;
 
-  private static String run() throws IOException {
+  private static String runCommand() throws IOException {
     Matcher m = Pattern.compile("(?m)^run = '''(.*)'''$").matcher(Files.readString(Path.of("deploy/balancer.toml")));
-    assertTrue(m.find(), "deploy/balancer.toml has no run in one line");
+    assertTrue(m.find(), "deploy/balancer.toml has no run command in one line");
     return m.group(1);
   }
 
-  /** The process's number and the arguments that the virtual machine would have got. */
-  private record Started(long pid, List<String> lines, String errors) {}
+  /** The pid of the process, and the pid and arguments that the virtual machine was started with. */
+  private record LaunchResult(long pid, List<String> lines, String errors) {}
 
-  private Started start(String config) throws Exception {
+  private LaunchResult start(String config) throws Exception {
     return start(config, "");
   }
 
-  private Started start(String config, String management) throws Exception {
+  private LaunchResult start(String config, String management) throws Exception {
     Path java = Files.createDirectories(folder.resolve("bin")).resolve("java");
     Files.writeString(java, "#!/bin/sh\necho $$\nfor a; do echo \"$a\"; done\n");
     assertTrue(java.toFile().setExecutable(true));
@@ -51,17 +51,17 @@
     Files.writeString(file, config);
     File out = folder.resolve("out").toFile();
     File errors = folder.resolve("errors").toFile();
-    ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", run()).redirectOutput(out).redirectError(errors);
+    ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", runCommand()).redirectOutput(out).redirectError(errors);
     builder.environment().put("PATH", java.getParent().toString());
     builder.environment().put("ROUTER_CONFIG", file.toString());
     builder.environment().put("ROUTER_MANAGEMENT", management);
     Process process = builder.start();
     process.waitFor();
-    return new Started(process.pid(), Files.readAllLines(out.toPath()),
+    return new LaunchResult(process.pid(), Files.readAllLines(out.toPath()),
         Files.readString(errors.toPath(), StandardCharsets.UTF_8));
   }
 
-  /** Before, sed in a subshell read the figure: half of what 64 MB leave, 12 MB at least, 64 MB at most. */
+  /** The heap is half of the limit beyond 64 MB, 12 MB at least and 64 MB at most. The limit used to be read by sed in a subshell. */
   @ParameterizedTest
   @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
     "{\"limits\":{\"cores\":1.0,\"memory_mb\":32,\"sockets\":4}}|12|4",
@@ -75,15 +75,18 @@
     "{\"memory_mb\":}|64|24",
     "{}|64|24",
     "``|64|24"})
-  void theHeapFollowsTheLimit(String config, int heap, int direct) throws Exception {
-    Started started = start(config.replace("~", "\n"));
-    assertEquals("", started.errors());
-    assertTrue(started.lines().contains("-Xms" + heap + "m"), started::toString);
-    assertTrue(started.lines().contains("-Xmx" + heap + "m"), started::toString);
-    assertTrue(started.lines().contains("-XX:MaxDirectMemorySize=" + direct + "m"), started::toString);
+  void heapFollowsMemoryLimit(String config, int heap, int direct) throws Exception {
+    LaunchResult result = start(config.replace("~", "\n"));
+    assertEquals("", result.errors());
+    assertTrue(result.lines().contains("-Xms" + heap + "m"), result::toString);
+    assertTrue(result.lines().contains("-Xmx" + heap + "m"), result::toString);
+    assertTrue(result.lines().contains("-XX:MaxDirectMemorySize=" + direct + "m"), result::toString);
   }
 
-  /** Two processes share the limit wherever the management endpoint is told of: an eighth of it at first, and no more than half of it beside 52 MB. */
+  /**
+   * With a management endpoint two processes may share the limit: the heap starts at an eighth of it, and is at most half of the limit less
+   * 52 MB.
+   */
   @ParameterizedTest
   @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
     "{\"management\":\"127.0.0.1:1\",\"limits\":{\"memory_mb\":208}}|``|26|48",
@@ -92,34 +95,34 @@
     "{\"limits\":{\"memory_mb\":256}}|127.0.0.1:1|32|48",
     "{\"limits\":{\"memory_mb\":64}}|127.0.0.1:1|12|24",
     "{\"limits\":{\"memory_mb\":2048}}|127.0.0.1:1|48|48"})
-  void theHeapOfOneOfTwoProcessesLeavesTheOtherItsPart(String config, String management, int first, int most) throws Exception {
-    Started started = start(config, management);
-    assertEquals("", started.errors());
-    assertTrue(started.lines().contains("-Xms" + first + "m"), started::toString);
-    assertTrue(started.lines().contains("-Xmx" + most + "m"), started::toString);
-    assertTrue(started.lines().contains("-XX:MaxNewSize=" + first * 2 / 5 + "m"), started::toString);
+  void heapLeavesMemoryForSecondProcess(String config, String management, int first, int most) throws Exception {
+    LaunchResult result = start(config, management);
+    assertEquals("", result.errors());
+    assertTrue(result.lines().contains("-Xms" + first + "m"), result::toString);
+    assertTrue(result.lines().contains("-Xmx" + most + "m"), result::toString);
+    assertTrue(result.lines().contains("-XX:MaxNewSize=" + first * 2 / 5 + "m"), result::toString);
   }
 
-  /** A balancer has one core at most: the virtual machine starts no further compiler threads while it serves, however many the machine has. */
+  /** A balancer has at most one core: the virtual machine uses one compiler thread, however many cores the machine has. */
   @Test
-  void oneThreadCompiles() throws Exception {
+  void oneCompilerThread() throws Exception {
     List<String> flags = start("{\"limits\":{\"memory_mb\":192}}").lines().stream().filter(l -> l.startsWith("-XX:") && !l.contains("SharedArchiveFile")).toList();
     List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
     command.addAll(flags);
     command.addAll(List.of("-XX:+PrintFlagsFinal", "-version"));
     File printed = folder.resolve("flags").toFile();
     assertEquals(0, new ProcessBuilder(command).redirectOutput(printed).redirectError(folder.resolve("version").toFile()).start().waitFor(),
-        () -> "not taken: " + command);
+        () -> "flags rejected: " + command);
     String all = Files.readString(printed.toPath());
     assertTrue(Pattern.compile("CICompilerCount +:?= 1 ").matcher(all).find(), all);
   }
 
-  /** The process that was started is the virtual machine, and neither a subshell nor a pipe nor a job came before it. */
+  /** The started process itself becomes the virtual machine, without a subshell, a pipe or a background job before it. */
   @Test
-  void itStartsNothingElse() throws Exception {
-    Started started = start("{\"limits\":{\"memory_mb\":192}}");
-    assertEquals(String.valueOf(started.pid()), started.lines().get(0));
-    String line = run().replaceAll("\\$\\(\\(.*?\\)\\)", "").replace("||", "");
+  void commandStartsNoOtherProcess() throws Exception {
+    LaunchResult result = start("{\"limits\":{\"memory_mb\":192}}");
+    assertEquals(String.valueOf(result.pid()), result.lines().get(0));
+    String line = runCommand().replaceAll("\\$\\(\\(.*?\\)\\)", "").replace("||", "");
     assertFalse(Pattern.compile("\\$\\(|[`|&]|(^|[;\\s])\\(").matcher(line).find(), line);
   }
 }
--- a/http/src/test/java/cloverpulley/serve/MisbehavingClientTest.java
+++ b/http/src/test/java/cloverpulley/serve/MisbehavingClientTest.java
@@ -17,19 +17,19 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Clients that send what can't be used, or nothing: each gets an error or a close, and no one else notices. */
+/** Clients that send malformed or incomplete requests get an error or a close, without any effect on other clients. */
 @Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
 class MisbehavingClientTest {
 
-  private static final String NOWHERE = "127.0.0.1:1";
+  private static final String UNREACHABLE = "127.0.0.1:1";
   private static final String TENANTS = "\"projects\":[{\"name\":\"acme\",\"portion\":1.0,\"quota-per-s\":100000.0}],";
 
-  private static Config one(StubServer upstream, int sockets) throws IOException {
-    return Rig.config(NOWHERE, Rig.list(1, true, Rig.member("s-1", upstream.address(), "ready")), "on_request", 200,
+  private static Config configWith(StubServer upstream, int sockets) throws IOException {
+    return Rig.config(UNREACHABLE, Rig.list(1, true, Rig.member("s-1", upstream.address(), "ready")), "on_request", 200,
         sockets, "");
   }
 
-  /** The error says what is wrong, the connection ends, and what follows on it is not looked at. */
+  /** A malformed request gets the error status that fits, the connection closes, and data after the request is ignored. */
   @ParameterizedTest
   @CsvSource(delimiter = '|', value = {
     "POST /api HTTP/1.1~Content-Length: 4~Transfer-Encoding: chunked~~0~~ | 400",
@@ -42,8 +42,8 @@
     "POST /api HTTP/1.1~Content-Length: 60000000~~ | 413",
     "POST /api HTTP/1.1~Transfer-Encoding: chunked~~zz~~ | 400",
     "nonsense~~ | 400"})
-  void whatCannotBeReadEndsTheConnection(String bad, int status) throws Exception {
-    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(one(upstream, 1024));
+  void malformedRequestGetsErrorAndClose(String bad, int status) throws Exception {
+    try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig rig = new Rig(configWith(upstream, 1024));
         Client client = rig.client()) {
       String head = "X-Trace-Id: bad~X-Qos: keyed~Idempotency-Key: k~";
       String text = bad.trim().replaceFirst("HTTP/1.1~", "HTTP/1.1~" + head).replace("~", "\r\n");
@@ -59,16 +59,16 @@
     }
   }
 
-  /** Guards the order of answers: an error must not overtake the answer to what came before it. */
+  /** Guards against an error response that overtakes the response to an earlier pipelined request. */
   @Test
-  void anErrorWaitsForItsTurn() throws Exception {
+  void errorIsAnsweredInOrder() throws Exception {
     CountDownLatch bad = new CountDownLatch(1);
     try (StubServer upstream = new StubServer(c -> {
       c.next();
       bad.await();
       c.write(StubServer.ok("first"));
       c.ends();
-    }); Rig rig = new Rig(one(upstream, 1024)); Client client = rig.client()) {
+    }); Rig rig = new Rig(configWith(upstream, 1024)); Client client = rig.client()) {
       client.write(Rig.get("t", ""));
       assertNotNull(upstream.requests.poll(Rig.LIMIT_S, TimeUnit.SECONDS));
       client.write("POST /api HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 40000000\r\n\r\n");
@@ -79,23 +79,23 @@
     }
   }
 
-  /** Guards the memory: what comes early is held, and hundreds of requests at once are too many. */
+  /** Guards the memory: pipelined requests are queued, and a client that sends hundreds at once is cut off. */
   @Test
-  void hundredsOfRequestsAtOnceAreCutOff() throws Exception {
+  void excessPipelinedRequestsAreRejected() throws Exception {
     CountDownLatch done = new CountDownLatch(1);
     try (StubServer upstream = new StubServer(c -> {
       for (String r = c.next(); r != null; r = c.next()) {
         done.await();
         c.write(StubServer.ok("x"));
       }
-    }); Rig rig = new Rig(one(upstream, 1024)); Client client = rig.client(); Client other = rig.client()) {
+    }); Rig rig = new Rig(configWith(upstream, 1024)); Client client = rig.client(); Client other = rig.client()) {
       StringBuilder many = new StringBuilder();
       for (int i = 0; i < 500; i++) {
         many.append(Rig.get("t" + i, ""));
       }
       client.write(many.toString());
       for (int i = 0; i < 200; i++) {
-        // Each answer takes a look at all sockets, and each look reads more of the requests than there is room for.
+        // Each response needs an iteration of the loop, and each iteration reads more requests than can be queued.
         other.ask("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n");
       }
       done.countDown();
@@ -109,29 +109,29 @@
     }
   }
 
-  /** Guards another client's request, and its effect, from one who uses its id. */
+  /** Guards a request in progress, and its effect, against another client that uses the same id. */
   @Test
-  void theIdOfARequestInHandIsAConflict() throws Exception {
+  void idOfRequestInProgressIsConflict() throws Exception {
     CountDownLatch done = new CountDownLatch(1);
     try (StubServer upstream = new StubServer(c -> {
       while (c.next() != null) {
         done.await();
         c.write(StubServer.ok("x"));
       }
-    }); Rig rig = new Rig(one(upstream, 1024)); Client client = rig.client(); Client thief = rig.client()) {
+    }); Rig rig = new Rig(configWith(upstream, 1024)); Client client = rig.client(); Client otherClient = rig.client()) {
       client.write(Rig.get("t", ""));
       assertNotNull(upstream.requests.poll(Rig.LIMIT_S, TimeUnit.SECONDS));
-      assertTrue(thief.ask(Rig.get("t", "")).startsWith("HTTP/1.1 409 "));
+      assertTrue(otherClient.ask(Rig.get("t", "")).startsWith("HTTP/1.1 409 "));
       done.countDown();
       assertTrue(client.answer().startsWith("HTTP/1.1 200 "));
-      assertTrue(thief.ask(Rig.get("t", "")).startsWith("HTTP/1.1 200 "), "free again");
+      assertTrue(otherClient.ask(Rig.get("t", "")).startsWith("HTTP/1.1 200 "), "the id can be used again");
       assertEquals(2, upstream.requests.size() + 1);
     }
   }
 
   @Test
-  void anUnknownTenantAndAnEndlessNameAreErrors() throws Exception {
-    Config config = Config.parse(Rig.text(NOWHERE, Rig.list(1, true), "on_request", 200, 1024, "")
+  void unknownTenantAndOverlongIdAreErrors() throws Exception {
+    Config config = Config.parse(Rig.text(UNREACHABLE, Rig.list(1, true), "on_request", 200, 1024, "")
         .replace("\"settings\":{", "\"settings\":{" + TENANTS), Map.of());
     try (Rig rig = new Rig(config); Client client = rig.client()) {
       assertTrue(client.ask(Rig.get("t", "X-Customer: nobody\r\n")).startsWith("HTTP/1.1 400 "));
@@ -139,22 +139,22 @@
     }
   }
 
-  /** Guards the descriptors from clients that connect and say nothing, or never come to an end. */
+  /** Guards the descriptors against clients that connect and send nothing, or never complete a request. */
   @ParameterizedTest
   @CsvSource(delimiter = '|', value = {"'' | ''", "GET /api HT | HTTP/1.1 408 ",
     "POST /api HTTP/1.1~X-Trace-Id: t~Content-Length: 5~~half | HTTP/1.1 408 "})
-  void withoutAWholeRequestAConnectionEnds(String part, String answer) throws Exception {
-    try (Rig rig = new Rig(Rig.config(NOWHERE, Rig.list(1, true))); Client client = rig.client()) {
+  void incompleteRequestTimesOut(String part, String answer) throws Exception {
+    try (Rig rig = new Rig(Rig.config(UNREACHABLE, Rig.list(1, true))); Client client = rig.client()) {
       client.write(part.replace("~", "\r\n"));
       String got = client.answer();
       assertTrue(answer.isEmpty() ? got == null : got.startsWith(answer), got);
-      assertTrue(got == null || client.answer() == null, "and the connection ends");
+      assertTrue(got == null || client.answer() == null, "the connection closes");
     }
   }
 
-  /** Guards usual clients at the limit: first go those that never asked, and never one with a request open. */
+  /** At the descriptor limit clients that never sent a request are closed first, and never one with a request in progress. */
   @Test
-  void atTheLimitClientsThatNeverAskedGoFirst() throws Exception {
+  void clientsWithoutRequestsAreClosedFirstAtDescriptorLimit() throws Exception {
     CountDownLatch done = new CountDownLatch(1);
     List<Client> silent = new ArrayList<>();
     try (StubServer upstream = new StubServer(c -> {
@@ -162,7 +162,7 @@
       done.await();
       c.write(StubServer.ok("x"));
       c.ends();
-    }); Rig rig = new Rig(one(upstream, 72)); Client served = rig.client(); Client idle = rig.client()) {
+    }); Rig rig = new Rig(configWith(upstream, 72)); Client served = rig.client(); Client idle = rig.client()) {
       String health = "GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n";
       assertTrue(idle.ask(health).startsWith("HTTP/1.1 200 "));
       served.write(Rig.get("t", ""));
@@ -171,7 +171,7 @@
         silent.add(rig.client());
       }
       assertNull(silent.get(0).answer(), "closed");
-      assertTrue(idle.ask(health).startsWith("HTTP/1.1 200 "), "one that has asked stays");
+      assertTrue(idle.ask(health).startsWith("HTTP/1.1 200 "), "a client that has sent a request stays connected");
       done.countDown();
       assertTrue(served.answer().startsWith("HTTP/1.1 200 "));
     } finally {
--- a/http/src/test/java/cloverpulley/serve/OperationsTest.java
+++ b/http/src/test/java/cloverpulley/serve/OperationsTest.java
@@ -54,31 +54,31 @@
         Map.of("TMPDIR", folder.toString()));
   }
 
-  /** An address at which two processes may listen. */
-  private static String free() throws IOException {
-    try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-      return "127.0.0.1:" + free.getLocalPort();
+  /** A free address, at which two processes may listen. */
+  private static String freeAddress() throws IOException {
+    try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
+      return "127.0.0.1:" + socket.getLocalPort();
     }
   }
 
-  private static Socket caller(Server server) throws IOException {
+  private static Socket connect(Server server) throws IOException {
     Socket socket = new Socket(InetAddress.getLoopbackAddress(), server.managementAddress().getPort());
     socket.setSoTimeout(Rig.LIMIT_S * 1000);
     return socket;
   }
 
   private static String call(Server server, String call) throws IOException {
-    try (Socket socket = caller(server)) {
+    try (Socket socket = connect(server)) {
       socket.getOutputStream().write((call + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(StandardCharsets.ISO_8859_1));
       BufferedInputStream in = new BufferedInputStream(socket.getInputStream());
       String answer = StubServer.Message.read(in);
-      assertEquals(-1, in.read(), "one call to a connection");
+      assertEquals(-1, in.read(), "one call per connection");
       return answer.split(" ")[1];
     }
   }
 
   @Test
-  void whoIsOutGetsNothingUntilCalledBack() throws Exception {
+  void offlineUpstreamGetsNoRequestsUntilOnline() throws Exception {
     try (StubServer a = StubServer.answering(StubServer.ok("a")); StubServer b = StubServer.answering(StubServer.ok("b"));
         Rig rig = new Rig(config("127.0.0.1:0", Rig.member("s-a", a.address(), "ready"),
             Rig.member("s-b", b.address(), "ready"))); Client client = rig.client()) {
@@ -88,9 +88,9 @@
       for (int i = 0; i < 30; i++) {
         assertTrue(client.ask(Rig.get("r" + i, "Cookie: sid=k" + i + "\r\n")).endsWith("b"));
       }
-      assertTrue(a.requests.isEmpty(), "something went to it after the yes");
+      assertTrue(a.requests.isEmpty(), "a request went to it after the call was confirmed");
       assertEquals("200", call(rig.server, "POST /control/upstreams/s-b/offline"));
-      assertEquals("503", call(rig.server, "GET /control/ready"), "nobody is left to serve");
+      assertEquals("503", call(rig.server, "GET /control/ready"), "no upstream is left");
       assertEquals("200", call(rig.server, "POST /control/upstreams/s-b/online"));
       assertEquals("200", call(rig.server, "POST /control/upstreams/s-a/online"));
       for (int i = 0; a.requests.isEmpty(); i++) {
@@ -104,7 +104,7 @@
     "POST /control/upstreams/s-x/online, 404", "POST /control/upstreams//offline, 404", "POST /control/upstreams/s-a, 404",
     "POST /control/upstreams/s-a/away, 404", "POST /control/upstreams/%zz/offline, 400", "GET /, 404", "nonsense, 400",
     "POST /control/upstreams/%73-a/offline, 200"})
-  void everyCallGetsItsAnswer(String call, String status) throws Exception {
+  void everyCallIsAnswered(String call, String status) throws Exception {
     try (Rig rig = new Rig(config("127.0.0.1:0", Rig.member("s-a", "127.0.0.1:1", "ready")))) {
       assertEquals(status, call(rig.server, call));
       assertEquals("404", call(rig.server, "POST /control/upstreams/" + "x".repeat(900) + "/offline"));
@@ -112,13 +112,13 @@
     }
   }
 
-  /** Callers that say nothing, or half, hold no room from others. */
+  /** Connections without a complete call do not keep other callers out. */
   @Test
-  void whoFinishesNoCallKeepsNobodyOut() throws Exception {
+  void incompleteCallsDoNotBlockOthers() throws Exception {
     List<Socket> idle = new ArrayList<>();
     try (Rig rig = new Rig(config("127.0.0.1:0", Rig.member("s-a", "127.0.0.1:1", "ready")))) {
       for (int i = 0; i < 3 * ManagementServer.MAX_CONNECTIONS; i++) {
-        Socket socket = caller(rig.server);
+        Socket socket = connect(rig.server);
         idle.add(socket);
         socket.getOutputStream().write("GET /control/re".substring(0, i % 15).getBytes(StandardCharsets.ISO_8859_1));
         assertEquals("200", call(rig.server, "GET /control/ready"));
@@ -130,15 +130,15 @@
     }
   }
 
-  /** The promise is this process's, whatever becomes of the folder; only a call ends it. */
+  /** The process keeps a confirmed change, whatever happens to the folder; only another call reverts it. */
   @Test
-  void aCallIsKeptThroughAFolderThatIsAwayOrEmptied() throws Exception {
+  void offlineUpstreamStaysOfflineWithoutFolder() throws Exception {
     Script module = new Script((event, out) -> { });
     String[] members = {Rig.member("s-a", "127.0.0.1:1", "ready"), Rig.member("s-b", "127.0.0.1:2", "ready")};
     Path shared = folder.resolve("ashdeck");
     try (Rig rig = new Rig(config("127.0.0.1:0", members), module)) {
       module.next(EndpointUpdate.class);
-      remove(shared);
+      deleteTree(shared);
       Files.createFile(shared);
       assertEquals("200", call(rig.server, "POST /control/upstreams/s-a/offline"));
       assertEquals("200", call(rig.server, "GET /control/ready"), "the management endpoint is open");
@@ -146,9 +146,9 @@
       Files.delete(shared);
       Script successor = new Script((event, out) -> { });
       try (Rig fresh = new Rig(config("127.0.0.1:0", members), successor)) {
-        assertEquals(a, successor.next(UpstreamSetOffline.class).upstream(), "a successor in an emptied folder");
+        assertEquals(a, successor.next(UpstreamSetOffline.class).upstream(), "a successor that starts with an emptied folder");
       }
-      remove(shared);
+      deleteTree(shared);
       awaitFile(shared.resolve("out"));
       assertEquals("200", call(rig.server, "POST /control/upstreams/s-b/offline"));
       assertEquals("200", call(rig.server, "POST /control/upstreams/s-b/online"));
@@ -156,13 +156,13 @@
     }
   }
 
-  private static void remove(Path tree) throws IOException {
+  private static void deleteTree(Path tree) throws IOException {
     try (Stream<Path> files = Files.walk(tree)) {
       for (Path file : files.sorted(Comparator.reverseOrder()).toList()) {
         Files.deleteIfExists(file);
       }
     } catch (UncheckedIOException | DirectoryNotEmptyException e) {
-      remove(tree); // The other thread wrote there meanwhile.
+      deleteTree(tree); // Another thread wrote to it meanwhile.
     }
   }
 
@@ -172,10 +172,10 @@
     }
   }
 
-  /** A predecessor that leaves holds its address for a while: a start beside it serves, and takes calls once it has gone. */
+  /** A predecessor that is leaving holds its address for a while: a new process serves at once, and takes calls after it has exited. */
   @Test
-  void aStartWhoseManagementAddressIsStillTakenServesAndTakesItLater() throws Exception {
-    String address = free();
+  void startServesWhileManagementAddressIsInUse() throws Exception {
+    String address = freeAddress();
     try (ServerSocket predecessor = new ServerSocket(Integer.parseInt(address.split(":")[1]), 1, InetAddress.getLoopbackAddress());
         Rig rig = new Rig(managedAt(address)); Client client = rig.client()) {
       assertTrue(client.ask(HEALTH).startsWith("HTTP/1.1 200 "));
@@ -199,10 +199,10 @@
     return Config.parse(text, Map.of("TMPDIR", folder.toString()));
   }
 
-  /** What one process is told binds both, and the one that starts later. */
+  /** A change made at one process applies to both, including one that starts later. */
   @Test
-  void bothProcessesKeepWhatEitherWasTold() throws Exception {
-    String address = free();
+  void changesApplyToBothProcesses() throws Exception {
+    String address = freeAddress();
     Script first = new Script((event, out) -> { });
     Script second = new Script((event, out) -> { });
     String[] members = {Rig.member("s-a", "127.0.0.1:1", "ready"), Rig.member("s-b", "127.0.0.1:2", "ready")};
@@ -225,36 +225,36 @@
   }
 
   /**
-   * The first leaves to the second under clients that ask without a pause on kept connections, and while others wait that the system has
-   * accepted for it and it has not: every request has its answer, and no connection is reset or left unread. No connection is being
-   * made while the listener closes: what the system does then is not this program's.
+   * The first process hands over to the second while clients send requests without a pause on persistent connections, and others wait in
+   * its accept queue: every request is answered, and no connection is reset or left unread. No connection is established while the
+   * listener closes, since the operating system decides what happens then.
    */
   @Test
-  void aSuccessorTakesOverWithoutALostRequest() throws Exception {
-    String address = free();
-    CountDownLatch held = new CountDownLatch(1);
-    CountDownLatch go = new CountDownLatch(1);
+  void successorTakesOverWithoutLosingRequests() throws Exception {
+    String address = freeAddress();
+    CountDownLatch blocked = new CountDownLatch(1);
+    CountDownLatch unblocked = new CountDownLatch(1);
     Script module = new Script((event, out) -> {
       if (event instanceof Request r) {
-        held.countDown();
-        await(go); // Its loop accepts nobody meanwhile.
+        blocked.countDown();
+        await(unblocked); // Blocks the loop, which accepts no connection meanwhile.
         out.accept(new Fail(r.id(), Reason.NO_ROOM));
       }
     });
     try (Rig old = new Rig(config(address, Rig.member("s-a", "127.0.0.1:1", "ready")), module);
         Rig fresh = new Rig(config(address, Rig.member("s-a", "127.0.0.1:1", "ready")))) {
-      List<Asking> clients = new ArrayList<>();
+      List<RequestLoop> clients = new ArrayList<>();
       for (int i = 0; i < 8; i++) {
-        clients.add(new Asking(fresh));
+        clients.add(new RequestLoop(fresh));
       }
       clients.forEach(Thread::start);
-      for (Asking c : clients) {
+      for (RequestLoop c : clients) {
         c.awaitAnswers(50);
       }
       List<Client> askers = new ArrayList<>();
-      while (held.getCount() > 0) { // The system deals connections to both: one comes to the first at last.
+      while (blocked.getCount() > 0) { // The operating system distributes connections: one reaches the first process eventually.
         askers.add(fresh.client().write(Rig.get("r" + askers.size(), "")));
-        held.await(20, TimeUnit.MILLISECONDS);
+        blocked.await(20, TimeUnit.MILLISECONDS);
       }
       List<Client> waiting = new ArrayList<>();
       for (int i = 0; i < 40; i++) {
@@ -265,7 +265,7 @@
       while (!call(old.server, "GET /control/ready").equals("503")) {
         Thread.onSpinWait();
       }
-      go.countDown();
+      unblocked.countDown();
       for (Client c : waiting) {
         String answer = c.answer();
         assertTrue(answer != null && answer.startsWith("HTTP/1.1 200 "), () -> "answered with " + answer);
@@ -276,19 +276,19 @@
         c.close();
       }
       stop.join();
-      for (Asking c : clients) {
+      for (RequestLoop c : clients) {
         c.awaitAnswers(50);
-        c.over = true;
+        c.finished = true;
         c.join();
         assertEquals(null, c.failure);
       }
     }
   }
 
-  /** SIGTERM to both at once, with requests in hand at both: each has its answer, and both end. */
+  /** SIGTERM to both processes at once, with requests in progress at both: each is answered, and both stop. */
   @Test
-  void toldToEndBothAnswerWhatTheyHold() throws Exception {
-    String address = free();
+  void bothProcessesAnswerRequestsInProgressOnStop() throws Exception {
+    String address = freeAddress();
     CountDownLatch done = new CountDownLatch(1);
     try (StubServer upstream = StubServer.holding(done)) {
       Script first = new Script(0);
@@ -296,7 +296,7 @@
       String member = Rig.member("s-a", upstream.address(), "ready");
       try (Rig old = new Rig(config(address, member), first); Rig fresh = new Rig(config(address, member), second)) {
         List<Client> clients = new ArrayList<>();
-        for (int i = 0; i < 32; i++) { // The system deals connections to both.
+        for (int i = 0; i < 32; i++) { // The operating system distributes connections to both.
           clients.add(fresh.client().write(Rig.get("r" + i, "")));
           upstream.requests.take();
         }
@@ -318,10 +318,10 @@
     }
   }
 
-  /** A successor that has not said yes, or died before it did, is left nothing: who still comes to the first is served there. */
+  /** A successor that does not serve yet, or died before it did, takes nothing over: new clients are served by the first process. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void aSuccessorThatDoesNotServeIsNotLeftTo(boolean dead) throws Exception {
+  void predecessorKeepsServingUntilSuccessorServes(boolean dead) throws Exception {
     try (StubServer upstream = StubServer.answering(StubServer.ok("x")); Rig old = new Rig(config("127.0.0.1:0", Rig.member("s-a", upstream.address(), "ready")))) {
       ProcessRegistry successor = ProcessRegistry.of(folder.resolve("ashdeck"), System.nanoTime() + 1_000_000_000, 1);
       successor.refresh(ProcessRegistry.Lifecycle.STARTING, 0);
@@ -348,14 +348,14 @@
     }
   }
 
-  /** A client that asks until it is told to end. */
-  private static final class Asking extends Thread {
+  /** A client that sends requests until it is stopped. */
+  private static final class RequestLoop extends Thread {
     private final Rig rig;
-    private volatile boolean over;
+    private volatile boolean finished;
     private volatile Exception failure;
     private final Semaphore answers = new Semaphore(0);
 
-    Asking(Rig rig) {
+    RequestLoop(Rig rig) {
       this.rig = rig;
     }
 
@@ -363,7 +363,7 @@
     public void run() {
       try {
         Client client = null;
-        while (!over) {
+        while (!finished) {
           client = client == null ? rig.client() : client;
           String answer = client.ask(HEALTH);
           if (answer == null || !answer.startsWith("HTTP/1.1 200 ")) {
--- a/http/src/test/java/cloverpulley/serve/ReloadTest.java
+++ b/http/src/test/java/cloverpulley/serve/ReloadTest.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A configuration that is read again while the balancer serves, and lists that are not to be believed. */
+/** Reloads of the configuration while the balancer serves, and endpoint lists that must be ignored. */
 @Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
 class ReloadTest {
 
@@ -48,24 +48,24 @@
   }
 
   @Test
-  void discoveryIsFollowedToItsNewAddressAtOnce() throws Exception {
+  void discoveryMovesToNewAddressAtOnce() throws Exception {
     Script module = watching();
     try (StubServer old = discovery(Rig.list(2, true, A)); StubServer fresh = discovery(Rig.list(3, true, A, B));
         Rig rig = new Rig(Rig.config(old.address(), Rig.list(1, true, A)), module)) {
       module.next(EndpointUpdate.class);
       assertEquals(1, module.next(EndpointUpdate.class).endpoints().size());
       rig.server.reload(() -> Rig.config(fresh.address(), Rig.list(1, true, A)));
-      EndpointUpdate news = module.next(EndpointUpdate.class);
-      assertEquals(ListKind.FULL, news.kind());
-      assertEquals(2, news.endpoints().size());
+      EndpointUpdate update = module.next(EndpointUpdate.class);
+      assertEquals(ListKind.FULL, update.kind());
+      assertEquals(2, update.endpoints().size());
       assertTrue(fresh.requests.take().startsWith("GET /v1/servers?follow=1&since=2 HTTP/1.1\r\n"));
-      assertTrue(old.connections.take().awaitEnd(), "nothing is left at the old address");
+      assertTrue(old.connections.take().awaitEnd(), "the watch at the old address is closed");
     }
   }
 
-  /** Guards against a bad file that ends the balancer or leaves it without discovery. */
+  /** Guards against an invalid file that stops the balancer or leaves it without discovery. */
   @Test
-  void aFileThatCannotBeReadChangesNothing() throws Exception {
+  void invalidFileChangesNothing() throws Exception {
     Script module = watching();
     try (StubServer discovery = discovery(Rig.list(2, true, A));
         Rig rig = new Rig(Rig.config(discovery.address(), Rig.list(1, true, A)), module)) {
@@ -78,20 +78,20 @@
       try (Client client = rig.client()) {
         assertTrue(client.ask("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").startsWith("HTTP/1.1 200 "));
       }
-      assertEquals(1, discovery.connections.size(), "the watch still stands");
+      assertEquals(1, discovery.connections.size(), "the watch is still open");
     }
   }
 
-  /** Guards against an environment that still names what the file named at the start. */
+  /** Guards against an environment that still has the values of the file at the start. */
   @Test
-  void theFileComesBeforeTheEnvironment() throws Exception {
+  void fileTakesPrecedenceOverEnvironment() throws Exception {
     String text = Rig.text("127.0.0.1:8501", Rig.list(1, true, A), "on_request", 200, 1024, "");
     Map<String, String> environment = Map.of("ROUTER_DISCOVERY", "127.0.0.1:8500", "ROUTER_NAME", "n7");
     assertEquals(8501, Config.parse(text, environment).discovery().getPort());
     assertEquals("n7", Config.parse(text.replace("\"name\":\"n0\",", ""), environment).name());
   }
 
-  private static List<Integer> sizes(ServerList... lists) {
+  private static List<Integer> sizesAfterUpdates(ServerList... lists) {
     Fleet fleet = new Fleet(new Clock());
     return Arrays.stream(lists).map(l -> {
       fleet.update(l.complete() ? ListKind.FULL : ListKind.DELTA, l);
@@ -107,16 +107,16 @@
     return new ServerList(revision, complete, members);
   }
 
-  /** Guards against a lagging discovery that brings back what has gone. */
+  /** Guards against a lagging discovery that brings back removed servers. */
   @Test
-  void anOlderVersionOfTheListIsNotTaken() throws Exception {
-    assertEquals(List.of(1, 1, 1, 2), sizes(list(5, true, "a"), list(4, true, "a", "b"), list(4, false, "c"),
+  void outdatedListIsIgnored() throws Exception {
+    assertEquals(List.of(1, 1, 1, 2), sizesAfterUpdates(list(5, true, "a"), list(4, true, "a", "b"), list(4, false, "c"),
         list(6, false, "d")));
   }
 
-  /** Guards against a discovery that has lost its list: without one nothing can be served. */
+  /** Guards against a discovery that has lost its list: without endpoints no request can be served. */
   @Test
-  void anEmptyListIsNotTaken() throws Exception {
-    assertEquals(List.of(2, 2, 1), sizes(list(5, true, "a", "b"), list(6, true), list(7, true, "a")));
+  void emptyListIsIgnored() throws Exception {
+    assertEquals(List.of(2, 2, 1), sizesAfterUpdates(list(5, true, "a", "b"), list(6, true), list(7, true, "a")));
   }
 }
--- a/http/src/test/java/cloverpulley/serve/Rig.java
+++ b/http/src/test/java/cloverpulley/serve/Rig.java
@@ -24,16 +24,16 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Consumer;
 
-/** A balancer on ephemeral loopback ports, with its decisions scripted or real, and clients for it. */
+/** A balancer on ephemeral loopback ports, with a scripted or the real decision module, and clients for it. */
 final class Rig implements AutoCloseable {
 
-  /** A generous limit for what has to happen: no test passes by its running out. */
+  /** A generous timeout for expected events; no test passes because it expires. */
   static final int LIMIT_S = 60;
 
   private static final String CLASS = "{\"name\":\"%s\",\"effect\":\"%s\",\"dedup-scope\":\"cell\","
       + "\"window-ns\":2000000000,\"aim-ns\":20000000000,\"deadline-ns\":40000000000}";
 
-  /** A module that follows a script and keeps what it was told. */
+  /** A decision module that follows a script and records its events. */
   static final class Script implements Balancer {
 
     interface Step {
@@ -42,7 +42,7 @@
 
     final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
     final List<Long> upstreams = new ArrayList<>();
-    /** The clock reading of the event that is handled. */
+    /** The time of the event that is being handled. */
     long now;
     private final Step step;
 
@@ -50,7 +50,7 @@
       this.step = step;
     }
 
-    /** Sends every request to the first upstream and fails it when that does not serve it. */
+    /** Sends every request to the first upstream, and fails it if that upstream does not serve it. */
     Script(long timeoutNanos) {
       this.step = (event, out) -> {
         if (event instanceof Request r) {
@@ -63,15 +63,15 @@
 
     @Override
     public void handle(long nowNanos, Event event, Consumer<Action> out) {
-      if (event instanceof EndpointUpdate news) {
-        news.endpoints().stream().map(Endpoint::upstream).filter(u -> !upstreams.contains(u)).forEach(upstreams::add);
+      if (event instanceof EndpointUpdate update) {
+        update.endpoints().stream().map(Endpoint::upstream).filter(u -> !upstreams.contains(u)).forEach(upstreams::add);
       }
       events.add(event);
       now = nowNanos;
       step.on(event, out);
     }
 
-    /** Waits for the next event of a kind, past all others. */
+    /** Waits for the next event of a type and discards all others before it. */
     <T extends Event> T next(Class<T> kind) throws InterruptedException {
       while (true) {
         Event event = events.poll(LIMIT_S, TimeUnit.SECONDS);
@@ -83,7 +83,7 @@
     }
   }
 
-  /** A client's connection. */
+  /** A client connection. */
   static final class Client implements AutoCloseable {
 
     final Socket socket;
@@ -101,7 +101,7 @@
       return this;
     }
 
-    /** The next answer; null once the balancer has closed. */
+    /** Reads the next response; null once the balancer has closed the connection. */
     String answer() throws IOException {
       return StubServer.Message.read(in);
     }
@@ -135,7 +135,7 @@
     server.shutDown();
   }
 
-  /** A safe request with further header lines, each ended by CRLF. */
+  /** A request of the safe class with further header lines, each ended by CRLF. */
   static String get(String id, String lines) {
     return "GET /api?q=1 HTTP/1.1\r\nHost: backend.local\r\nX-Trace-Id: " + id + "\r\nX-Qos: safe\r\n" + lines + "\r\n";
   }
--- a/http/src/test/java/cloverpulley/serve/SessionKeyTest.java
+++ b/http/src/test/java/cloverpulley/serve/SessionKeyTest.java
@@ -15,16 +15,16 @@
   }
 
   @Test
-  void theFirstOfItsNameCounts() {
+  void firstCookieOfThatNameIsUsed() {
     assertEquals("a", of("x=1; sid=a; sid=b"));
     assertNull(of());
     assertNull(of("x=1"));
     assertEquals(Integer.toHexString("123456789".hashCode()), of("sid=123456789"));
   }
 
-  /** Over HTTP such octets are turned down before; the cookie's decoder would throw at them, and end the connection. */
+  /** HTTP decoding rejects such bytes earlier; the cookie decoder would throw on them and close the connection. */
   @Test
-  void whatCantBeReadNamesNone() {
+  void malformedCookieIsIgnored() {
     assertNull(of("\u0001=a"));
     assertEquals("b", of("\u0001=a", "sid=b"));
   }
--- a/http/src/test/java/cloverpulley/serve/SettingsReloadTest.java
+++ b/http/src/test/java/cloverpulley/serve/SettingsReloadTest.java
@@ -25,11 +25,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Settings that are read again while the balancer serves: taken whole or turned down whole. */
+/** Reloads of the settings while the balancer serves: they are applied or rejected as a whole. */
 @Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
 class SettingsReloadTest {
 
-  private static final String GOOD = text("");
+  private static final String VALID = text("");
   private static final Pattern DEADLINE = Pattern.compile("(\"(?:deadline-ns|max-attempts)\": ?)([0-9]+)");
 
   private static String text(String moreClasses) {
@@ -37,7 +37,7 @@
     return Rig.text("127.0.0.1:1", known, "on_request", 200, 1024, "").replace("\"categories\":[", "\"categories\":[" + moreClasses);
   }
 
-  private static String more(String name) {
+  private static String anotherClass(String name) {
     return "{\"name\":\"" + name + "\",\"effect\":\"at_most_once\",\"dedup-scope\":\"cell\",\"window-ns\":0,\"aim-ns\":1000000000,"
         + "\"deadline-ns\":2000000000},";
   }
@@ -46,10 +46,10 @@
     return Config.parse(text, Map.of());
   }
 
-  /** What would be turned down for, or null for nothing. */
-  private static Exception fault(String text) {
+  /** Why a reload of the text would be rejected; null if it would be accepted. */
+  private static Exception failure(String text) {
     try {
-      config(text).checkCanReplace(config(GOOD));
+      config(text).checkCanReplace(config(VALID));
       return null;
     } catch (IOException | RuntimeException e) {
       return e;
@@ -57,107 +57,107 @@
   }
 
   @Test
-  void cutAtAnyOctetItIsTurnedDown() {
-    for (int i = 0; i < GOOD.length(); i++) {
-      String cut = GOOD.substring(0, i);
-      assertTrue(fault(cut) != null, () -> "taken: " + cut);
+  void truncatedFileIsRejected() {
+    for (int i = 0; i < VALID.length(); i++) {
+      String truncated = VALID.substring(0, i);
+      assertTrue(failure(truncated) != null, () -> "accepted: " + truncated);
     }
   }
 
   @Test
-  void withoutAnyOfItsKeysItIsTurnedDown() throws IOException {
-    Matcher keys = Pattern.compile("\"([\\w-]+)\":").matcher(GOOD);
-    List<String> free = List.of("known", "revision", "complete", "members", "id", "host_port", "locality", "flavor", "cell", "phase",
+  void fileWithMissingKeyIsRejected() throws IOException {
+    Matcher keys = Pattern.compile("\"([\\w-]+)\":").matcher(VALID);
+    List<String> optional = List.of("known", "revision", "complete", "members", "id", "host_port", "locality", "flavor", "cell", "phase",
         "size", "up_since_ms");
     int seen = 0;
     while (keys.find()) {
-      String without = GOOD.substring(0, keys.start(1)) + "x-" + GOOD.substring(keys.start(1));
-      if (!free.contains(keys.group(1))) {
+      String without = VALID.substring(0, keys.start(1)) + "x-" + VALID.substring(keys.start(1));
+      if (!optional.contains(keys.group(1))) {
         seen++;
-        assertTrue(fault(without) != null, () -> "taken without " + keys.group(1));
+        assertTrue(failure(without) != null, () -> "accepted without " + keys.group(1));
       }
     }
     assertTrue(seen > 25, "keys seen: " + seen);
-    assertEquals(null, fault(GOOD));
+    assertEquals(null, failure(VALID));
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"0", "-1", "-2000000000", "1.5", "\"6\"", "null", "NaN", "true", "[]", "{}", "1e400", "9223372036854775808",
     "92233720368547758070", "-0", ""})
-  void aDeadlineOrNumberOfAttemptsThatIsNoNumberAboveZeroIsTurnedDown(String spoilt) {
-    Matcher figures = DEADLINE.matcher(GOOD);
+  void deadlineOrAttemptsThatIsNotPositiveIsRejected(String invalid) {
+    Matcher values = DEADLINE.matcher(VALID);
     int seen = 0;
-    while (figures.find()) {
+    while (values.find()) {
       seen++;
-      String text = GOOD.substring(0, figures.start(2)) + spoilt + GOOD.substring(figures.end(2));
-      assertTrue(fault(text) != null, () -> "taken: " + text);
+      String text = VALID.substring(0, values.start(2)) + invalid + VALID.substring(values.end(2));
+      assertTrue(failure(text) != null, () -> "accepted: " + text);
     }
     assertEquals(3, seen);
   }
 
   @Test
-  void attemptsBeyondThirtyTwoBitsAreNoSmallNumber() {
-    assertTrue(fault(GOOD.replaceAll("(\"max-attempts\": ?)[0-9]+", "$14294967297")) != null);
+  void attemptsAreNotTruncatedToInt() {
+    assertTrue(failure(VALID.replaceAll("(\"max-attempts\": ?)[0-9]+", "$14294967297")) != null);
   }
 
   @Test
-  void newClassesAndDroppedOnesHoldFromThenOn() throws Exception {
+  void addedAndRemovedClassesApplyToLaterRequests() throws Exception {
     Script module = new Script((event, out) -> { });
-    try (Rig rig = new Rig(config(text(more("old"))), module); Client client = rig.client(); Client second = rig.client()) {
+    try (Rig rig = new Rig(config(text(anotherClass("old"))), module); Client client = rig.client(); Client second = rig.client()) {
       module.next(EndpointUpdate.class);
       client.write(Rig.get("r1", "").replace("X-Qos: safe", "X-Qos: old"));
       assertEquals("old", module.next(Request.class).className());
-      rig.server.reload(() -> config(text(more("new"))));
-      Settings taken = module.next(SettingsChanged.class).settings();
-      assertEquals(List.of("new", "safe", "keyed"), taken.classes().stream().map(c -> c.name()).toList());
+      rig.server.reload(() -> config(text(anotherClass("new"))));
+      Settings applied = module.next(SettingsChanged.class).settings();
+      assertEquals(List.of("new", "safe", "keyed"), applied.classes().stream().map(c -> c.name()).toList());
       second.write(Rig.get("r2", "").replace("X-Qos: safe", "X-Qos: new"));
       assertEquals("new", module.next(Request.class).className());
       try (Client third = rig.client()) {
         String answer = third.ask(Rig.get("r3", "").replace("X-Qos: safe", "X-Qos: old"));
         assertTrue(answer.startsWith("HTTP/1.1 400 "), answer);
       }
-      // The request of the class that has gone keeps its deadline, and has its one answer.
+      // The request of the removed class keeps its deadline and gets its response.
       assertTrue(client.answer().startsWith("HTTP/1.1 504 "));
     }
   }
 
   @Test
-  void whatIsTurnedDownChangesNothing() throws Exception {
+  void rejectedFileChangesNothing() throws Exception {
     Script module = new Script((event, out) -> { });
-    try (Rig rig = new Rig(config(GOOD), module)) {
+    try (Rig rig = new Rig(config(VALID), module)) {
       module.next(EndpointUpdate.class);
       rig.server.reload(() -> config(""));
-      rig.server.reload(() -> config(text(more("bad")).replace("\"deadline-ns\":2000000000", "\"deadline-ns\":0")));
-      rig.server.reload(() -> config(text(more("bad")).replace("\"max-attempts\":6,", "")));
-      rig.server.reload(() -> config(text(more("good"))));
-      Settings taken = module.next(SettingsChanged.class).settings();
-      assertEquals("good", taken.classes().get(0).name());
+      rig.server.reload(() -> config(text(anotherClass("bad")).replace("\"deadline-ns\":2000000000", "\"deadline-ns\":0")));
+      rig.server.reload(() -> config(text(anotherClass("bad")).replace("\"max-attempts\":6,", "")));
+      rig.server.reload(() -> config(text(anotherClass("good"))));
+      Settings applied = module.next(SettingsChanged.class).settings();
+      assertEquals("good", applied.classes().get(0).name());
     }
   }
 
-  /** A file is read while it is written: it counts as it is a moment later. */
+  /** A file that is read while it is being written takes effect once it is complete. */
   @Test
-  void aFileThatIsBeingWrittenIsReadAgain() throws Exception {
+  void fileBeingWrittenIsReadAgain() throws Exception {
     Script module = new Script((event, out) -> { });
-    try (Rig rig = new Rig(config(GOOD), module)) {
-      List<String> reads = new ArrayList<>(List.of("", GOOD.substring(0, 100), text(more("new"))));
+    try (Rig rig = new Rig(config(VALID), module)) {
+      List<String> reads = new ArrayList<>(List.of("", VALID.substring(0, 100), text(anotherClass("new"))));
       rig.server.reload(() -> config(reads.remove(0)));
       assertEquals("new", module.next(SettingsChanged.class).settings().classes().get(0).name());
     }
   }
 
   @Test
-  void theLogNamesWhatIsOther() throws IOException {
-    Settings before = config(text(more("old"))).settings();
-    String after = text(more("new")).replace("\"max-attempts\":6", "\"max-attempts\":2");
+  void changesAreDescribedForLog() throws IOException {
+    Settings before = config(text(anotherClass("old"))).settings();
+    String after = text(anotherClass("new")).replace("\"max-attempts\":6", "\"max-attempts\":2");
     assertEquals("+new -old attempts 6 to 2", Server.describeChanges(before, config(after).settings()));
   }
 
   @Test
-  void theFileNamesTheKeyThatIsWrong(@TempDir Path folder) throws IOException {
-    Path file = Files.writeString(folder.resolve("config.json"), GOOD.replace("\"max-attempts\":6,", ""));
+  void failureNamesTheMissingKey(@TempDir Path folder) throws IOException {
+    Path file = Files.writeString(folder.resolve("config.json"), VALID.replace("\"max-attempts\":6,", ""));
     Exception e = assertThrows(RuntimeException.class,
-        () -> Config.read(Map.of("ROUTER_CONFIG", file.toString())).checkCanReplace(config(GOOD)));
+        () -> Config.read(Map.of("ROUTER_CONFIG", file.toString())).checkCanReplace(config(VALID)));
     assertEquals("field config.settings.limits.max-attempts: expected a number, got nothing", Config.describeFailure(e));
   }
 }
--- a/http/src/test/java/cloverpulley/serve/StartStopTest.java
+++ b/http/src/test/java/cloverpulley/serve/StartStopTest.java
@@ -33,52 +33,55 @@
     return Config.read(Map.of("ROUTER_CONFIG", "deploy/example.json")).settings();
   }
 
-  /** Bounded by the clock it made 17 of its 2,000 requests at half a core, and left the code cold. */
+  /** A warm-up bounded by time made 17 of its 2,000 requests at half a core, and left the code interpreted. */
   @Test
-  void allItsRequestsAreAnsweredHoweverLongThatTakes() throws IOException {
+  void warmupCompletesAllRequests() throws IOException {
     assertEquals(Warmup.REQUESTS, Warmup.run(settings(), Warmup.REQUESTS, TimeUnit.MINUTES.toMillis(1)).answered());
   }
 
-  /** Once cut short its clients went on for seconds, refused by a balancer whose upstream was closed. */
+  /** After a warm-up was cut short its clients went on for seconds, rejected by a balancer whose upstream was closed. */
   @Test
-  void cutShortItAsksNothingMore() throws IOException {
+  void warmupStopsSendingWhenCutShort() throws IOException {
     Count count = Warmup.run(settings(), Warmup.REQUESTS, 0);
-    assertTrue(count.asked() < Warmup.REQUESTS, () -> "went on after its end: " + count);
+    assertTrue(count.asked() < Warmup.REQUESTS, () -> "sent requests after its end: " + count);
   }
 
-  /** A third of its attempts was taken for broken, and its upstreams were left out: with long aims nothing is refused else. */
+  /**
+   * A third of the warm-up attempts used to count as failed, so that its upstreams were ejected. With long target latencies nothing else
+   * rejects requests.
+   */
   @Test
-  void itsUpstreamsServeAll() throws IOException {
+  void warmupRequestsAreAllServed() throws IOException {
     Settings settings = Rig.config("127.0.0.1:1", Rig.list(1, true)).settings();
     Count count = Warmup.run(settings, Warmup.REQUESTS, TimeUnit.MINUTES.toMillis(1));
     assertEquals(new Count(Warmup.REQUESTS, Warmup.REQUESTS, Warmup.REQUESTS), count);
   }
 
-  /** SIGKILL may come 0.7 s after the longest deadline, counted from SIGTERM: all has its answer by then. */
+  /** SIGKILL may come 0.7 s after the longest deadline, counted from SIGTERM: all requests are answered by then. */
   @Test
-  void whatIsInHandIsAnsweredBeforeTheProcessMayBeKilled() throws IOException {
+  void requestsInProgressAreAnsweredBeforeSigkill() throws IOException {
     String text = Rig.text("127.0.0.1:1", Rig.list(1, true), "on_request", 200, 1024, "");
-    Settings brief = Config.parse(text.replace("40000000000", "1940000000"), Map.of()).settings();
-    assertTrue(Server.stopMillis(brief) < 1940 + 700);
+    Settings shortDeadlines = Config.parse(text.replace("40000000000", "1940000000"), Map.of()).settings();
+    assertTrue(Server.stopMillis(shortDeadlines) < 1940 + 700);
     assertTrue(Server.stopMillis(Config.parse(text, Map.of()).settings()) < 3000 + 700);
   }
 
-  /** New connections come for up to 0.4 s: with deadlines under 300 ms the end came before them. */
+  /** New connections arrive for up to 0.4 s after SIGTERM: with deadlines under 300 ms the stop used to end before that. */
   @ParameterizedTest
   @ValueSource(longs = {20, 100, 260, 700, 1500, 2000, 3000, 9000})
-  void whoeverMayStillComeIsTakenAndAllEndsBeforeSigkill(long deadlineMillis) throws IOException {
+  void lateConnectionsAreAcceptedAndStopEndsBeforeSigkill(long deadlineMillis) throws IOException {
     String text = Rig.text("127.0.0.1:1", Rig.list(1, true), "on_request", 200, 1024, "");
     Settings settings = Config.parse(text.replace("40000000000", deadlineMillis + "000000").replace("20000000000", "10000000"), Map.of()).settings();
-    StopSchedule stopSchedule = StopSchedule.of(Server.stopMillis(settings), false);
-    assertTrue(stopSchedule.acceptMillis() > 400 && stopSchedule.serveMillis() >= stopSchedule.acceptMillis(), stopSchedule::toString);
-    assertTrue(stopSchedule.answerMillis() >= stopSchedule.serveMillis() && stopSchedule.closeMillis() < Math.min(3000, deadlineMillis) + 700, stopSchedule::toString);
-    StopSchedule left = StopSchedule.of(Server.stopMillis(settings), true);
-    assertTrue(left.acceptMillis() == 0 && left.serveMillis() <= left.answerMillis() && left.closeMillis() <= stopSchedule.closeMillis(), left::toString);
+    StopSchedule schedule = StopSchedule.of(Server.stopMillis(settings), false);
+    assertTrue(schedule.acceptMillis() > 400 && schedule.serveMillis() >= schedule.acceptMillis(), schedule::toString);
+    assertTrue(schedule.answerMillis() >= schedule.serveMillis() && schedule.closeMillis() < Math.min(3000, deadlineMillis) + 700, schedule::toString);
+    StopSchedule withSuccessor = StopSchedule.of(Server.stopMillis(settings), true);
+    assertTrue(withSuccessor.acceptMillis() == 0 && withSuccessor.serveMillis() <= withSuccessor.answerMillis() && withSuccessor.closeMillis() <= schedule.closeMillis(), withSuccessor::toString);
   }
 
-  /** What waited behind a request that is failed at the end of a stop is turned away: sent on then, nothing would wait for its answer. */
+  /** A pipelined request behind one that fails at the end of a stop is rejected: its response could not be awaited any more. */
   @Test
-  void whatHasItsTurnAfterTheEndIsNotSentOn() throws Exception {
+  void pipelinedRequestIsRejectedAtEndOfStop() throws Exception {
     try (StubServer upstream = new StubServer(c -> {
       c.next();
       c.ends();
@@ -87,16 +90,16 @@
       client.write(Rig.get("first", "") + Rig.get("second", ""));
       assertTrue(upstream.requests.take().contains("first"));
       rig.server.stop();
-      assertTrue(client.answer().startsWith("HTTP/1.1 500 "), "failed: it may have run");
-      assertTrue(client.answer().startsWith("HTTP/1.1 503 "), "refused: it never ran");
+      assertTrue(client.answer().startsWith("HTTP/1.1 500 "), "failed, since it may have run");
+      assertTrue(client.answer().startsWith("HTTP/1.1 503 "), "rejected, since it never ran");
       assertNull(client.answer());
       assertEquals(0, upstream.requests.size());
     }
   }
 
-  /** A request that was taken with a longer deadline than the settings now say has its answer before the SIGKILL that those bring. */
+  /** A request accepted with a longer deadline than the current settings have is answered before the SIGKILL that those imply. */
   @Test
-  void aRequestOfALongerDeadlineIsAnsweredWithinTheNewOnes() throws Exception {
+  void requestWithLongerDeadlineIsAnsweredWithinNewDeadlines() throws Exception {
     String text = Rig.text("127.0.0.1:1", Rig.list(1, true), "on_request", 200, 1024, "");
     try (StubServer upstream = new StubServer(c -> {
       c.next();
@@ -118,7 +121,7 @@
   }
 
   @Test
-  void toldToEndTwiceItEndsOnce() throws Exception {
+  void secondStopHasNoEffect() throws Exception {
     try (Rig rig = new Rig(Rig.config("127.0.0.1:1", Rig.list(1, true)), new Rig.Script(0))) {
       Thread first = new Thread(rig.server::stop);
       first.start();
@@ -129,9 +132,9 @@
     }
   }
 
-  /** There is not even a socket to listen on, as where descriptors have run out: the start tells that, and nothing else. */
+  /** If no socket can be created, as when descriptors have run out, the start reports that cause and no other. */
   @Test
-  void whyThereIsNoListenerIsTold() {
+  void causeOfMissingListenerIsReported() {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     try {
       ServerBootstrap bootstrap = new ServerBootstrap().group(group).childHandler(new ChannelInboundHandlerAdapter()).channelFactory(() -> {
@@ -140,17 +143,17 @@
       ChannelFuture bound = Listener.bind(bootstrap, new InetSocketAddress("127.0.0.1", 0), loop -> {
         throw new AssertionError("not bound");
       });
-      String told = assertThrows(RuntimeException.class, bound::syncUninterruptibly).toString();
-      assertTrue(told.contains("no descriptor is left"), told);
+      String failure = assertThrows(RuntimeException.class, bound::syncUninterruptibly).toString();
+      assertTrue(failure.contains("no descriptor is left"), failure);
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
   }
 
-  /** SIGHUP during a stop: what is in hand is answered by the course that SIGTERM began, whatever the new settings say, and the process ends. */
+  /** SIGHUP during a stop: requests in progress are answered by the schedule that SIGTERM started, whatever the new settings are. */
   @ParameterizedTest
   @ValueSource(strings = {"40000000000", "20000000001"})
-  void aReloadDuringAStopChangesNothingOfItsCourse(String deadline) throws Exception {
+  void reloadDuringStopDoesNotChangeSchedule(String deadline) throws Exception {
     String text = Rig.text("127.0.0.1:1", Rig.list(1, true), "on_request", 200, 1024, "");
     CountDownLatch done = new CountDownLatch(1);
     try (StubServer upstream = new StubServer(c -> {
@@ -175,9 +178,9 @@
     }
   }
 
-  /** What the agent has counts as told from the first moment of a process: the list known at its start may name one that has drained since. */
+  /** A process is held to the agent's current list from its start: the cached list may name a server that has drained since. */
   @Test
-  void whereListsArePushedClientsAreHeardOnceTheFirstHasCome() throws Exception {
+  void clientsCanConnectAfterFirstPushedList() throws Exception {
     try (StubServer agent = new StubServer(c -> {
       c.next();
       c.write(DiscoveryFixture.watch(Rig.list(2, true, Rig.member("s-1", "127.0.0.1:1", "draining"))));
@@ -188,16 +191,16 @@
       Server server = Server.start(Rig.config(agent.address(), Rig.list(1, true, Rig.member("s-1", "127.0.0.1:1", "ready")), "pushed", 200, 1024, ""),
           n -> module, null, EngineListener.NO_OP, s -> s.runOnLoop(engine -> before.add("serves " + engine.canServe())).join());
       try {
-        assertEquals(List.of("serves false"), before, "the only one drains, and that is known before clients are heard");
+        assertEquals(List.of("serves false"), before, "the only upstream is draining, and that is known before clients can connect");
       } finally {
         server.shutDown();
       }
     }
   }
 
-  /** A watch that fails at once is opened anew after a pause; one that stood for longer, or was silent, without. */
+  /** A watch that fails at once is reopened after a pause; one that was open for longer, or unresponsive, without a pause. */
   @Test
-  void aWatchOfPushedListsIsOpenedAnewWithoutAPauseWhereItStood() {
+  void longWatchIsReopenedWithoutPause() {
     long pause = Server.retryNanos(0);
     assertTrue(pause > 0);
     assertEquals(pause / 2, Server.retryNanos(pause - pause / 2));
@@ -205,14 +208,14 @@
     assertEquals(0, Server.retryNanos(TimeUnit.SECONDS.toNanos(3)));
   }
 
-  /** An agent that says nothing, or is not there, holds no start. */
+  /** An agent that is unresponsive or unreachable does not block the start. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void anAgentThatSaysNothingHoldsNoStart(boolean there) throws Exception {
+  void unresponsiveAgentDoesNotBlockStart(boolean reachable) throws Exception {
     try (StubServer agent = new StubServer(c -> c.ends())) {
-      Config config = Rig.config(there ? agent.address() : "127.0.0.1:1", Rig.list(1, true, Rig.member("s-1", "127.0.0.1:1", "ready")), "pushed", 200, 1024, "");
+      Config config = Rig.config(reachable ? agent.address() : "127.0.0.1:1", Rig.list(1, true, Rig.member("s-1", "127.0.0.1:1", "ready")), "pushed", 200, 1024, "");
       try (Rig rig = new Rig(config, new Rig.Script(0)); Rig.Client client = rig.client()) {
-        assertTrue(client.ask("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").startsWith("HTTP/1.1 200 "), "by the list that was known");
+        assertTrue(client.ask("GET /healthz HTTP/1.1\r\nHost: x\r\n\r\n").startsWith("HTTP/1.1 200 "), "serves with the cached list");
       }
     }
   }
--- a/http/src/test/java/cloverpulley/serve/StreamingTest.java
+++ b/http/src/test/java/cloverpulley/serve/StreamingTest.java
@@ -31,11 +31,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Bodies and answers that are longer than is held, byte for byte over loopback. */
+/** Request and response bodies that are too long to buffer, compared byte for byte over loopback. */
 @Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
 class StreamingTest {
 
-  private static final int LONG = 3 << 20;
+  private static final int LONG_BODY = 3 << 20;
   private static final String OK = "HTTP/1.1 200 OK\r\n";
 
   private static byte[] bytes(int length) {
@@ -74,8 +74,8 @@
     return head.toString();
   }
 
-  /** The body of a message in chunks. */
-  private static byte[] unchunked(InputStream in) throws IOException {
+  /** Reads the body of a chunked message. */
+  private static byte[] readChunked(InputStream in) throws IOException {
     ByteArrayOutputStream body = new ByteArrayOutputStream();
     while (true) {
       StringBuilder size = new StringBuilder();
@@ -91,46 +91,46 @@
     }
   }
 
-  /** The first bytes are there before the last have been sent, and all of them in the end; the connection serves on. */
+  /** The first bytes arrive before the last have been sent, and all of them in the end; the connection stays usable. */
   @Test
-  void aLongAnswerPassesWhileItComes() throws Exception {
-    byte[] body = bytes(LONG);
+  void longResponseIsStreamed() throws Exception {
+    byte[] body = bytes(LONG_BODY);
     CountDownLatch seen = new CountDownLatch(1);
     try (StubServer upstream = new StubServer(c -> {
       while (c.next() != null) {
-        c.write(OK + "Content-Length: " + LONG + "\r\nContent-Type: a/b\r\n\r\n" + text(body).substring(0, 100_000));
+        c.write(OK + "Content-Length: " + LONG_BODY + "\r\nContent-Type: a/b\r\n\r\n" + text(body).substring(0, 100_000));
         seen.await();
         c.write(text(body).substring(100_000));
       }
     }); Rig rig = rig(upstream, new Script(0)); Client client = rig.client()) {
       client.write(Rig.get("r1", ""));
       String head = head(client);
-      assertTrue(head.startsWith(OK) && head.toLowerCase().contains("content-length: " + LONG), head);
+      assertTrue(head.startsWith(OK) && head.toLowerCase().contains("content-length: " + LONG_BODY), head);
       byte[] first = client.socket.getInputStream().readNBytes(50_000);
       seen.countDown();
-      byte[] rest = client.socket.getInputStream().readNBytes(LONG - 50_000);
+      byte[] rest = client.socket.getInputStream().readNBytes(LONG_BODY - 50_000);
       assertEquals(text(body), text(first) + text(rest));
       client.write(Rig.get("r2", ""));
-      assertTrue(head(client).startsWith(OK), "the connection is good for another");
-      assertArrayEquals(body, client.socket.getInputStream().readNBytes(LONG));
+      assertTrue(head(client).startsWith(OK), "the connection can be used for another request");
+      assertArrayEquals(body, client.socket.getInputStream().readNBytes(LONG_BODY));
     }
   }
 
   @Test
-  void anAnswerInChunksPassesInChunks() throws Exception {
-    byte[] body = bytes(LONG);
+  void chunkedResponseIsStreamedInChunks() throws Exception {
+    byte[] body = bytes(LONG_BODY);
     try (StubServer upstream = StubServer.answering(OK + "Transfer-Encoding: chunked\r\n\r\n" + chunked(body, 7001));
         Rig rig = rig(upstream, new Script(0)); Client client = rig.client()) {
       client.write(Rig.get("r1", ""));
       assertTrue(head(client).toLowerCase().contains("transfer-encoding: chunked"));
-      assertArrayEquals(body, unchunked(client.socket.getInputStream()));
+      assertArrayEquals(body, readChunked(client.socket.getInputStream()));
     }
   }
 
-  /** HTTP/1.0 knows no chunks: the connection's end is the answer's. */
+  /** HTTP/1.0 has no chunked encoding: closing the connection ends the response. */
   @Test
-  void anOldClientGetsNoChunks() throws Exception {
-    byte[] body = bytes(LONG);
+  void http10ClientGetsNoChunks() throws Exception {
+    byte[] body = bytes(LONG_BODY);
     try (StubServer upstream = StubServer.answering(OK + "Transfer-Encoding: chunked\r\n\r\n" + chunked(body, 60_000));
         Rig rig = rig(upstream, new Script(0)); Client client = rig.client()) {
       client.write(Rig.get("r1", "").replace("HTTP/1.1", "HTTP/1.0"));
@@ -140,28 +140,28 @@
     }
   }
 
-  /** What has begun and breaks off can't be made good: the client can tell, and the module is told the end. */
+  /** A started response that breaks off can't be retried: the client sees the closed connection, and the module gets the outcome. */
   @Test
-  void anAnswerThatBreaksOffEndsTheConnection() throws Exception {
+  void truncatedResponseClosesConnection() throws Exception {
     Script module = new Script(0);
     try (StubServer upstream = new StubServer(c -> {
       c.next();
-      c.write(OK + "Content-Length: " + LONG + "\r\n\r\n" + text(bytes(LONG / 2)));
+      c.write(OK + "Content-Length: " + LONG_BODY + "\r\n\r\n" + text(bytes(LONG_BODY / 2)));
     }); Rig rig = rig(upstream, module); Client client = rig.client()) {
       client.write(Rig.get("r1", ""));
       assertTrue(head(client).startsWith(OK));
-      assertTrue(client.socket.getInputStream().readAllBytes().length < LONG);
+      assertTrue(client.socket.getInputStream().readAllBytes().length < LONG_BODY);
       AnswerStarted started = module.next(AnswerStarted.class);
       Outcome end = module.next(Outcome.class);
       assertEquals(started.id(), end.id());
       assertEquals(Status.RESET, end.status());
-      assertTrue(end.finished(), "no answer is owed any more");
+      assertTrue(end.finished(), "no response is outstanding");
     }
   }
 
-  /** An answer that is said to have gigabytes is none. */
+  /** A response with a Content-Length of gigabytes counts as an error. */
   @Test
-  void anAnswerBeyondAllBoundsIsBroken() throws Exception {
+  void oversizedResponseIsAnError() throws Exception {
     Script module = new Script(0);
     try (StubServer upstream = StubServer.answering(OK + "Content-Length: 3000000000\r\n\r\n" + text(bytes(200_000)));
         Rig rig = rig(upstream, module); Client client = rig.client()) {
@@ -170,18 +170,18 @@
     }
   }
 
-  /** Whether its length is told or it comes in chunks, and in however small pieces. */
+  /** With a Content-Length, in chunks, and in pieces of one byte. */
   @ParameterizedTest
   @ValueSource(strings = {"length", "chunks", "octets"})
-  void aLongBodyPassesWhileItComes(String form) throws Exception {
-    byte[] body = bytes(form.equals("octets") ? RequestReader.MAX_BUFFERED_BODY + 3000 : LONG);
+  void longBodyIsStreamed(String form) throws Exception {
+    byte[] body = bytes(form.equals("octets") ? RequestReader.MAX_BUFFERED_BODY + 3000 : LONG_BODY);
     Script module = new Script(0);
-    Semaphore got = new Semaphore(0);
+    Semaphore intact = new Semaphore(0);
     try (StubServer upstream = new StubServer(c -> {
       String head = c.head();
-      byte[] all = head.toLowerCase().contains("chunked") ? unchunked(c.in()) : c.in().readNBytes(body.length);
+      byte[] all = head.toLowerCase().contains("chunked") ? readChunked(c.in()) : c.in().readNBytes(body.length);
       if (Arrays.equals(all, body)) {
-        got.release();
+        intact.release();
       }
       c.write(StubServer.ok("done"));
     }); Rig rig = rig(upstream, module); Client client = rig.client()) {
@@ -197,16 +197,16 @@
         client.socket.getOutputStream().write(body);
       }
       assertTrue(client.answer().endsWith("done"));
-      assertTrue(got.tryAcquire(), "it came as something else");
+      assertTrue(intact.tryAcquire(), "the body was altered");
       module.next(Request.class);
       module.next(BodyDiscarded.class);
       module.next(BodyEnded.class);
     }
   }
 
-  /** Kept whole, a body goes to another upstream as it went to the first. */
+  /** A buffered body is sent to another upstream unchanged. */
   @Test
-  void aBodyThatIsKeptIsSentAgain() throws Exception {
+  void bufferedBodyIsSentAgainInRetry() throws Exception {
     byte[] body = bytes(200_000);
     Script[] module = new Script[1];
     module[0] = new Script((event, out) -> {
@@ -227,9 +227,9 @@
     }
   }
 
-  /** A second copy of what is gone can't be: whoever asks for one is told that nothing was sent. */
+  /** A streamed body can't be sent twice: a second attempt ends as NOT_SENT. */
   @Test
-  void whatHasPassedIsNotSentAgain() throws Exception {
+  void streamedBodyIsNotSentAgain() throws Exception {
     Script[] module = new Script[1];
     module[0] = new Script((event, out) -> {
       if (event instanceof Request r) {
@@ -240,37 +240,37 @@
         out.accept(new Fail(o.id(), Reason.NO_ROOM));
       }
     });
-    CountDownLatch over = new CountDownLatch(1);
-    try (StubServer upstream = new StubServer(c -> over.await());
+    CountDownLatch finished = new CountDownLatch(1);
+    try (StubServer upstream = new StubServer(c -> finished.await());
         Rig rig = rig(upstream, module[0]); Client client = rig.client()) {
-      client.write(Rig.post("r1", "Idempotency-Key: k\r\n", "").replace("Content-Length: 0", "Content-Length: " + LONG));
+      client.write(Rig.post("r1", "Idempotency-Key: k\r\n", "").replace("Content-Length: 0", "Content-Length: " + LONG_BODY));
       client.socket.getOutputStream().write(bytes(400_000));
       Outcome second = module[0].next(Outcome.class);
       assertEquals(1, second.attempt());
       assertEquals(Status.NOT_SENT, second.status());
-      over.countDown();
+      finished.countDown();
     }
   }
 
-  /** Refused while its body still comes, a client has its answer once it reads, and its connection ends behind the body. */
+  /** A client that is rejected while it still sends its body gets the response once it reads, and its connection closes after the body. */
   @Test
-  void aRefusedUploadHasItsAnswer() throws Exception {
+  void rejectedUploadGetsResponse() throws Exception {
     Script module = new Script((event, out) -> {
       if (event instanceof Request r) {
         out.accept(new Reject(r.id(), 0, Reason.OVER_RATE));
       }
     });
     try (StubServer upstream = StubServer.answering(""); Rig rig = rig(upstream, module); Client client = rig.client()) {
-      client.write(Rig.post("r1", "Idempotency-Key: k\r\n", "").replace("Content-Length: 0", "Content-Length: " + LONG));
-      client.socket.getOutputStream().write(bytes(LONG));
+      client.write(Rig.post("r1", "Idempotency-Key: k\r\n", "").replace("Content-Length: 0", "Content-Length: " + LONG_BODY));
+      client.socket.getOutputStream().write(bytes(LONG_BODY));
       assertTrue(client.answer().startsWith("HTTP/1.1 429 "));
-      assertNull(client.answer(), "it ends");
+      assertNull(client.answer(), "the connection closes");
     }
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"Content-Length: 40000000", "Transfer-Encoding: chunked"})
-  void aBodyBeyondAllBoundsIsTurnedAway(String length) throws Exception {
+  void oversizedBodyIsRejected(String length) throws Exception {
     Script module = new Script(0);
     try (StubServer upstream = new StubServer(c -> c.ends()); Rig rig = rig(upstream, module); Client client = rig.client()) {
       client.write(Rig.post("r1", "Idempotency-Key: k\r\n", "").replace("Content-Length: 0", length));
@@ -287,23 +287,23 @@
     }
   }
 
-  /** A client that wants to be told to go on is told so once. */
+  /** A client that sends Expect: 100-continue gets one 100 Continue. */
   @Test
-  void aClientThatWaitsForAWordGetsIt() throws Exception {
-    byte[] body = bytes(LONG);
+  void clientThatExpectsContinueGetsIt() throws Exception {
+    byte[] body = bytes(LONG_BODY);
     try (StubServer upstream = StubServer.answering(StubServer.ok("done")); Rig rig = rig(upstream, new Script(0));
         Client client = rig.client()) {
       client.write(Rig.post("r1", "Idempotency-Key: k\r\nExpect: 100-continue\r\n", "")
-          .replace("Content-Length: 0", "Content-Length: " + LONG));
+          .replace("Content-Length: 0", "Content-Length: " + LONG_BODY));
       assertTrue(head(client).startsWith("HTTP/1.1 100 "));
       client.socket.getOutputStream().write(body);
       assertTrue(client.answer().endsWith("done"));
     }
   }
 
-  /** Answered, a client goes on sending without an end: the process ends all the same. */
+  /** A client that has its response and keeps sending does not keep the process from stopping. */
   @Test
-  void anUploadWithoutAnEndDoesNotHoldTheStop() throws Exception {
+  void endlessUploadDoesNotBlockStop() throws Exception {
     Script module = new Script((event, out) -> {
       if (event instanceof Request r) {
         out.accept(new Reject(r.id(), 0, Reason.OVER_RATE));
@@ -312,19 +312,19 @@
     try (StubServer upstream = StubServer.answering(""); Rig rig = rig(upstream, module); Client client = rig.client()) {
       client.write(Rig.post("r1", "Idempotency-Key: k\r\n", "").replace("Content-Length: 0", "Content-Length: " + (30 << 20)));
       assertTrue(client.answer().startsWith("HTTP/1.1 429 "));
-      Thread sends = new Thread(() -> {
+      Thread sender = new Thread(() -> {
         try {
           while (true) {
             client.socket.getOutputStream().write(new byte[64]);
             TimeUnit.MILLISECONDS.sleep(1);
           }
         } catch (IOException | InterruptedException e) {
-          return; // The process has closed it: what is to be shown.
+          return; // Expected: the process has closed the connection.
         }
       });
-      sends.start();
+      sender.start();
       rig.server.stop();
-      sends.join();
+      sender.join();
     }
   }
 }
--- a/http/src/test/java/cloverpulley/serve/StubServer.java
+++ b/http/src/test/java/cloverpulley/serve/StubServer.java
@@ -18,10 +18,10 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A server on loopback whose every connection follows a script, byte for byte: an upstream or discovery. */
+/** A server on loopback whose connections follow a script byte for byte: an upstream or a discovery server. */
 final class StubServer implements AutoCloseable {
 
-  /** What a connection does; it is closed when the script returns. */
+  /** The behaviour of a connection, which is closed when the script returns. */
   interface Script {
     void run(Connection connection) throws IOException, InterruptedException;
   }
@@ -43,7 +43,7 @@
           try (socket) {
             script.run(connection);
           } finally {
-            connection.over.countDown();
+            connection.finished.countDown();
           }
         });
       }
@@ -59,14 +59,14 @@
       try {
         task.run();
       } catch (IOException | InterruptedException e) {
-        // The connection or the server was closed: the test is over or did so on purpose.
+        // The connection or the server was closed, on purpose or because the test has ended.
       }
     });
     thread.setDaemon(true);
     thread.start();
   }
 
-  /** Answers every request alike. */
+  /** Sends the same response to every request. */
   static StubServer answering(String answer) throws IOException {
     return new StubServer(c -> {
       while (c.next() != null) {
@@ -75,7 +75,7 @@
     });
   }
 
-  /** Answers no request before the latch is open. */
+  /** Answers requests only after the latch has opened. */
   static StubServer holding(CountDownLatch open) throws IOException {
     return new StubServer(c -> {
       while (c.next() != null) {
@@ -101,12 +101,12 @@
     }
   }
 
-  /** Reads HTTP messages, a client's as well. */
+  /** Reads HTTP messages, for servers and clients. */
   static final class Message {
 
     private Message() {}
 
-    /** A message's head and body as they came; null at the end of the connection. */
+    /** A message's head and body as received; null at the end of the connection. */
     static String read(InputStream in) throws IOException {
       ByteArrayOutputStream bytes = new ByteArrayOutputStream();
       while (!bytes.toString(StandardCharsets.ISO_8859_1).endsWith("\r\n\r\n")) {
@@ -125,19 +125,19 @@
     }
   }
 
-  /** A connection that was accepted. */
+  /** An accepted connection. */
   final class Connection {
 
     private final Socket socket;
     private final InputStream in;
-    private final CountDownLatch over = new CountDownLatch(1);
+    private final CountDownLatch finished = new CountDownLatch(1);
 
     Connection(Socket socket) throws IOException {
       this.socket = socket;
       in = new BufferedInputStream(socket.getInputStream());
     }
 
-    /** Waits for a request; null once the other side has closed. */
+    /** Waits for a request; null once the peer has closed the connection. */
     String next() throws IOException {
       String request = Message.read(in);
       if (request != null) {
@@ -146,7 +146,7 @@
       return request;
     }
 
-    /** Waits for a request's head alone. */
+    /** Waits for the head of a request. */
     String head() throws IOException {
       StringBuilder head = new StringBuilder();
       while (!head.toString().endsWith("\r\n\r\n")) {
@@ -164,18 +164,18 @@
       socket.getOutputStream().flush();
     }
 
-    /** Ends the connection by a reset. */
+    /** Resets the connection. */
     void reset() throws IOException {
       socket.setOption(StandardSocketOptions.SO_LINGER, 0);
       socket.close();
     }
 
-    /** Waits until the script is through: its last read found the end, or it closed. */
+    /** Waits until the script has returned: its last read found the end of the connection, or it closed it. */
     boolean awaitEnd() throws InterruptedException {
-      return over.await(Rig.LIMIT_S, TimeUnit.SECONDS);
+      return finished.await(Rig.LIMIT_S, TimeUnit.SECONDS);
     }
 
-    /** Waits until the other side closes; false if it says more first, or is still there at the limit. */
+    /** Waits until the peer closes the connection; false if it sends more data first, or is still connected at the timeout. */
     boolean ends() {
       try {
         socket.setSoTimeout((int) TimeUnit.SECONDS.toMillis(Rig.LIMIT_S));
@@ -183,7 +183,7 @@
       } catch (SocketTimeoutException e) {
         return false;
       } catch (IOException e) {
-        return true; // Closed here too, or reset: over either way.
+        return true; // Closed on this side as well, or reset: ended in either case.
       }
     }
   }
