--- a/http/src/main/java/cloverpulley/serve/Binding.java
+++ b/http/src/main/java/cloverpulley/serve/Binding.java
@@ -26,18 +26,18 @@
   }
 
   /** Binds, with retries after temporary failures; throws the last failure. Must not be called on an event loop. */
-  static ChannelFuture bind(String what, Supplier<ChannelFuture> attempt) {
-    long begun = System.nanoTime();
+  static ChannelFuture bind(String name, Supplier<ChannelFuture> attempt) {
+    long startedAt = System.nanoTime();
     for (boolean first = true; ; first = false) {
       ChannelFuture bound = attempt.get().awaitUninterruptibly();
       if (bound.isSuccess()) {
         return bound;
       }
-      if (isPermanent(bound.cause()) || System.nanoTime() - begun > TimeUnit.MILLISECONDS.toNanos(MAX_MILLIS)) {
+      if (isPermanent(bound.cause()) || System.nanoTime() - startedAt > TimeUnit.MILLISECONDS.toNanos(MAX_MILLIS)) {
         return bound.syncUninterruptibly();
       }
       if (first) {
-        LOG.warning(what + " cannot be bound yet, retrying: " + bound.cause());
+        LOG.warning(name + " cannot be bound yet, retrying: " + bound.cause());
       }
       try {
         TimeUnit.MILLISECONDS.sleep(RETRY_MILLIS);
--- a/http/src/main/java/cloverpulley/serve/Clients.java
+++ b/http/src/main/java/cloverpulley/serve/Clients.java
@@ -112,9 +112,9 @@
   /** Ends connections that have been in a state for too long. */
   void closeTimedOut() {
     long now = clock.getAsLong();
-    boolean late = now - sweptAt > MAX_SWEEP_GAP_NANOS;
+    boolean stalled = now - sweptAt > MAX_SWEEP_GAP_NANOS;
     sweptAt = now;
-    if (late) {
+    if (stalled) {
       return; // After a stall clients' bytes may wait in their sockets; they are read before the next check.
     }
     inStateLongerThan(State.LEAVING, LINGER_NANOS).forEach(Client::close);
--- a/http/src/main/java/cloverpulley/serve/Counts.java
+++ b/http/src/main/java/cloverpulley/serve/Counts.java
@@ -122,8 +122,8 @@
   public void attemptSent(Attempt attempt) {
     sent++;
     retried += attempt.number() > 0 ? 1 : 0;
-    long ago = fleet.ageNanos(attempt.upstream());
-    if (ago >= 0 && ago < slowStartNanos) {
+    long age = fleet.ageNanos(attempt.upstream());
+    if (age >= 0 && age < slowStartNanos) {
       slowStarting.merge(attempt.upstream(), 1, Integer::sum);
     }
   }
--- a/http/src/main/java/cloverpulley/serve/Frontend.java
+++ b/http/src/main/java/cloverpulley/serve/Frontend.java
@@ -58,6 +58,7 @@
 
   private static final Logger LOG = Logger.getLogger(Frontend.class.getName());
 
+  /** The time that the client still waits, in milliseconds. */
   static final String EXPIRES = "X-Expires-In-Ms";
   static final String HEALTH = "/healthz";
   /** The longest response that is buffered whole, so that the request can be retried if the response breaks off. */
@@ -67,8 +68,10 @@
   static final String CLASS = "X-Qos";
   static final String TENANT = "X-Customer";
   private static final String RETRY = "X-Second-Try";
+  /** An estimate of the work that the request takes, in microseconds. */
   static final String HINT = "X-Size-Hint";
   static final String IDEMPOTENCY_KEY = "Idempotency-Key";
+  /** The cookie that holds the session key. */
   static final String KEY_COOKIE = "sid";
   /** The maximum number of digits in an integer header; a duration or an amount of work never needs more. */
   private static final int MAX_DIGITS = 9;
@@ -258,13 +261,13 @@
     /** Starts or stops reading, so that the data that waits for a slow upstream stays bounded. */
     private void updateAutoRead() {
       // Pipelined requests do not stop it: a close is noticed only by reading, and requests must not be forwarded after it.
-      boolean reads = !lingering && reader.wantsMore();
-      if (reads != channel.config().isAutoRead()) {
+      boolean shouldRead = !lingering && reader.wantsMore();
+      if (shouldRead != channel.config().isAutoRead()) {
         long now = System.nanoTime();
-        readingSince += reads && readPausedSince != 0 ? now - readPausedSince : 0; // The client could not make progress meanwhile.
-        readPausedSince = reads ? 0 : now;
-        channel.config().setAutoRead(reads);
-        if (reads) {
+        readingSince += shouldRead && readPausedSince != 0 ? now - readPausedSince : 0; // The client could not make progress meanwhile.
+        readPausedSince = shouldRead ? 0 : now;
+        channel.config().setAutoRead(shouldRead);
+        if (shouldRead) {
           clients.readResumed(this);
         }
       }
@@ -426,7 +429,7 @@
       String id = headers.get(ID, "");
       String tenant = headers.get(TENANT);
       RequestClass requestClass = classes.get(headers.get(CLASS, ""));
-      long expires = headers.contains(EXPIRES) ? wholeNumber(headers.get(EXPIRES)) : Long.MAX_VALUE;
+      long expiresMillis = headers.contains(EXPIRES) ? wholeNumber(headers.get(EXPIRES)) : Long.MAX_VALUE;
       if (id.isEmpty() || id.length() > MAX_NAME_LENGTH) {
         answer(HttpResponseStatus.BAD_REQUEST, ID + " is missing or too long");
       } else if (requestClass == null) {
@@ -435,7 +438,7 @@
         answer(HttpResponseStatus.BAD_REQUEST, TENANT + " names no known tenant");
       } else if (tenant != null && tenant.length() > MAX_NAME_LENGTH) {
         answer(HttpResponseStatus.BAD_REQUEST, TENANT + " is too long");
-      } else if (expires < 0) {
+      } else if (expiresMillis < 0) {
         answer(HttpResponseStatus.BAD_REQUEST, EXPIRES + " is not a number of milliseconds");
       } else if (requestClass.effect() == Effect.KEYED && headers.get(IDEMPOTENCY_KEY, "").isEmpty()) {
         // Without the key no upstream could deduplicate a retry of a keyed class.
@@ -447,7 +450,7 @@
         answer(HttpResponseStatus.CONFLICT, ID + " is that of a request in hand");
       } else {
         // No client waits longer than its class's deadline, and no request is kept longer.
-        long allowedNanos = Math.min(requestClass.deadlineNanos(), TimeUnit.MILLISECONDS.toNanos(Math.min(expires, MAX_EXPIRY_MILLIS)));
+        long allowedNanos = Math.min(requestClass.deadlineNanos(), TimeUnit.MILLISECONDS.toNanos(Math.min(expiresMillis, MAX_EXPIRY_MILLIS)));
         long waitNanos = Math.max(0, BufferedRequest.remainingNanos(request, allowedNanos) - Math.max(queuedNanos, stallDetector.stalledNanos()));
         queuedNanos = 0;
         long hint = Math.max(0, wholeNumber(headers.get(HINT, "0")));
--- a/http/src/main/java/cloverpulley/serve/IdleConnections.java
+++ b/http/src/main/java/cloverpulley/serve/IdleConnections.java
@@ -66,13 +66,13 @@
   /** Closes the connections that have been idle for longer than this. */
   void closeOlderThan(long nanos) {
     long now = System.nanoTime();
-    for (Iterator<ArrayDeque<C>> all = byUpstream.values().iterator(); all.hasNext();) {
-      ArrayDeque<C> connections = all.next();
+    for (Iterator<ArrayDeque<C>> iterator = byUpstream.values().iterator(); iterator.hasNext();) {
+      ArrayDeque<C> connections = iterator.next();
       while (!connections.isEmpty() && now - connections.peekLast().idleSinceNanos() > nanos) {
         connections.pollLast().close();
       }
       if (connections.isEmpty()) {
-        all.remove();
+        iterator.remove();
       }
     }
   }
--- a/http/src/main/java/cloverpulley/serve/Operations.java
+++ b/http/src/main/java/cloverpulley/serve/Operations.java
@@ -332,10 +332,10 @@
 
   /** Adapts limits and descriptors to the other processes that share them. */
   private void shareResources(Components p, List<PeerProcess> seen) {
-    int serving = 1 + (int) seen.stream().filter(o -> o.lifecycle() != Lifecycle.STARTING).count();
-    if (serving != processCount) {
-      processCount = serving;
-      p.engine().setProcessCount(serving);
+    int servingProcesses = 1 + (int) seen.stream().filter(o -> o.lifecycle() != Lifecycle.STARTING).count();
+    if (servingProcesses != processCount) {
+      processCount = servingProcesses;
+      p.engine().setProcessCount(servingProcesses);
     }
     p.sockets().setUsedElsewhere(seen.stream().mapToInt(PeerProcess::descriptors).sum());
     boolean later = seen.stream().anyMatch(PeerProcess::startedLater);
@@ -348,8 +348,8 @@
   private void publishIfNeeded(Components p, boolean starting, long published) {
     if (starting) {
       List<String> names = p.fleet().namesEverListed();
-      p.engine().requestSnapshot(k -> {
-        HandoverSnapshot snapshot = new HandoverSnapshot(p.fleet().list(), names, k);
+      p.engine().requestSnapshot(balancerSnapshot -> {
+        HandoverSnapshot snapshot = new HandoverSnapshot(p.fleet().list(), names, balancerSnapshot);
         operationsLoop.execute(() -> publish(snapshot));
       });
     } else if (p.fleet().revision() != published) {
@@ -398,9 +398,9 @@
     } else if (!offline.setOffline(upstream)) {
       return CompletableFuture.completedFuture(new Answer(503, "too many upstreams are out"));
     }
-    Answer yes = new Answer(200, toOffline ? "offline" : "online");
+    Answer confirmation = new Answer(200, toOffline ? "offline" : "online");
     CompletableFuture<Void> applied = syncOffline();
     LOG.info(() -> "operators: " + Counts.logName(upstream) + (toOffline ? " offline" : " online"));
-    return applied.thenApply(v -> yes).completeOnTimeout(yes, CALL_TIMEOUT_MILLIS / 2, TimeUnit.MILLISECONDS);
+    return applied.thenApply(v -> confirmation).completeOnTimeout(confirmation, CALL_TIMEOUT_MILLIS / 2, TimeUnit.MILLISECONDS);
   }
 }
--- a/http/src/main/java/cloverpulley/serve/Server.java
+++ b/http/src/main/java/cloverpulley/serve/Server.java
@@ -254,11 +254,11 @@
   /** Takes the servers' start times from the predecessor, independent of the wall clocks. */
   private static void restoreStartTimes(Fleet fleet, HandoverSnapshot inherited) {
     Map<Long, UpstreamSnapshot> known = inherited.balancerSnapshot().upstreams().stream()
-        .collect(Collectors.toMap(UpstreamSnapshot::upstream, k -> k, (a, b) -> a));
+        .collect(Collectors.toMap(UpstreamSnapshot::upstream, u -> u, (a, b) -> a));
     for (ServerList.Server server : inherited.list().members()) {
-      UpstreamSnapshot k = known.get(fleet.numberOf(server.id()));
-      if (k != null) {
-        fleet.recordStart(server, k.ageNanos());
+      UpstreamSnapshot snapshot = known.get(fleet.numberOf(server.id()));
+      if (snapshot != null) {
+        fleet.recordStart(server, snapshot.ageNanos());
       }
     }
   }
--- a/http/src/test/java/cloverpulley/serve/LaunchCommandTest.java
+++ b/http/src/test/java/cloverpulley/serve/LaunchCommandTest.java
@@ -61,7 +61,7 @@
         Files.readString(errors.toPath(), StandardCharsets.UTF_8));
   }
 
-  /** The heap is half of the limit beyond 64 MB, 12 MB at least and 64 MB at most. The limit used to be read by sed in a subshell. */
+  /** The heap is half of what the limit exceeds 64 MB by, 12 MB at least and 64 MB at most. The limit used to be read by sed in a subshell. */
   @ParameterizedTest
   @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
     "{\"limits\":{\"cores\":1.0,\"memory_mb\":32,\"sockets\":4}}|12|4",
@@ -84,8 +84,8 @@
   }
 
   /**
-   * With a management endpoint two processes may share the limit: the heap starts at an eighth of it, and is at most half of the limit less
-   * 52 MB.
+   * With a management endpoint two processes may share the limit: the heap starts at an eighth of it (12 MB at least), and its maximum is
+   * half of it minus 52 MB (between 24 and 48 MB).
    */
   @ParameterizedTest
   @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
--- a/http/src/test/java/cloverpulley/serve/StartStopTest.java
+++ b/http/src/test/java/cloverpulley/serve/StartStopTest.java
@@ -74,9 +74,11 @@
     Settings settings = Config.parse(text.replace("40000000000", deadlineMillis + "000000").replace("20000000000", "10000000"), Map.of()).settings();
     StopSchedule schedule = StopSchedule.of(Server.stopMillis(settings), false);
     assertTrue(schedule.acceptMillis() > 400 && schedule.serveMillis() >= schedule.acceptMillis(), schedule::toString);
-    assertTrue(schedule.answerMillis() >= schedule.serveMillis() && schedule.closeMillis() < Math.min(3000, deadlineMillis) + 700, schedule::toString);
+    assertTrue(schedule.answerMillis() >= schedule.serveMillis() && schedule.closeMillis() < Math.min(3000, deadlineMillis) + 700,
+        schedule::toString);
     StopSchedule withSuccessor = StopSchedule.of(Server.stopMillis(settings), true);
-    assertTrue(withSuccessor.acceptMillis() == 0 && withSuccessor.serveMillis() <= withSuccessor.answerMillis() && withSuccessor.closeMillis() <= schedule.closeMillis(), withSuccessor::toString);
+    assertTrue(withSuccessor.acceptMillis() == 0 && withSuccessor.serveMillis() <= withSuccessor.answerMillis()
+        && withSuccessor.closeMillis() <= schedule.closeMillis(), withSuccessor::toString);
   }
 
   /** A pipelined request behind one that fails at the end of a stop is rejected: its response could not be awaited any more. */
