--- a/http/src/main/java/cloverpulley/serve/BodyStream.java
+++ b/http/src/main/java/cloverpulley/serve/BodyStream.java
@@ -23,9 +23,9 @@
   /** Reading from the client pauses once this much is queued. */
   private static final int MAX_QUEUED_BYTES = 32 * 1024;
   /** The most direct memory that one stream may hold: the queue, the read that exceeds its limit, and bytes pending at the upstream's socket. */
-  static final int MAX_HELD_BYTES = MAX_QUEUED_BYTES + 3 * Server.MOST_READ;
+  static final int MAX_HELD_BYTES = MAX_QUEUED_BYTES + 3 * Server.MAX_READ;
   /** Smaller parts are coalesced while queued; otherwise each would occupy a buffer of its own. */
-  private static final int COALESCE_BYTES = Server.MOST_READ / 2;
+  private static final int COALESCE_BYTES = Server.MAX_READ / 2;
 
   private final ArrayDeque<ByteBuf> queue = new ArrayDeque<>();
   private final Runnable onDemandChanged;
--- a/http/src/main/java/cloverpulley/serve/UpstreamPool.java
+++ b/http/src/main/java/cloverpulley/serve/UpstreamPool.java
@@ -66,7 +66,7 @@
   private static final int MAX_INFORMATIONAL = 16;
   /** A response with a longer body reserves {@link #RESPONSE_RESERVATION_BYTES}: the most that is buffered of it, or in transit while streamed. */
   private static final int UNRESERVED_RESPONSE_BYTES = 8 * 1024;
-  private static final int RESPONSE_RESERVATION_BYTES = Frontend.MOST_BODY;
+  private static final int RESPONSE_RESERVATION_BYTES = Frontend.MAX_BUFFERED_RESPONSE;
   private final Bootstrap bootstrap;
   private final SocketBudget sockets;
   private long idleNanos;
@@ -132,7 +132,7 @@
       return;
     }
     connecting.add(call);
-    counts.opened(call.upstream);
+    counts.connectionOpened(call.upstream);
     call.channel = connect.channel();
     sockets.opened();
     call.channel.closeFuture().addListener(f -> sockets.closed());
@@ -227,7 +227,7 @@
 
   private void closeExpired() {
     idle.closeOlderThan(idleNanos);
-    counts.idle(idle.size());
+    counts.setIdleConnections(idle.size());
   }
 
   /** A connection and its current call, if any. */
@@ -449,7 +449,7 @@
       } else {
         if (message instanceof HttpResponse response) {
           responseHead = response;
-          if (HttpUtil.getContentLength(response, -1L) > RequestReader.MOST_BODY) {
+          if (HttpUtil.getContentLength(response, -1L) > RequestReader.MAX_BODY) {
             resetConnection();
           }
         }
@@ -472,11 +472,11 @@
         } else {
           resetResponse();
         }
-      } else if (bodyBytes > RequestReader.MOST_BODY) {
+      } else if (bodyBytes > RequestReader.MAX_BODY) {
         resetConnection();
       } else if (streaming || startStreaming()) {
         streamContent(content.content(), last);
-      } else if (bodyBytes > Frontend.MOST_BODY) {
+      } else if (bodyBytes > Frontend.MAX_BUFFERED_RESPONSE) {
         resetConnection(); // Too long to buffer, and it can't be streamed.
       } else {
         if (bodyBuffer == null) {
@@ -500,7 +500,7 @@
 
     /** Starts streaming the response if it is a 200, too long to buffer and still wanted; returns whether it did. */
     private boolean startStreaming() {
-      boolean exceedsBuffer = bodyBytes > Frontend.MOST_BODY || HttpUtil.getContentLength(responseHead, -1L) > Frontend.MOST_BODY;
+      boolean exceedsBuffer = bodyBytes > Frontend.MAX_BUFFERED_RESPONSE || HttpUtil.getContentLength(responseHead, -1L) > Frontend.MAX_BUFFERED_RESPONSE;
       if (!exceedsBuffer || !responseHead.status().equals(HttpResponseStatus.OK) || !call.written || call.responseConsumer == null
           || !call.responseConsumer.responseStarted(responseHead)) {
         return false;
@@ -560,7 +560,7 @@
         status = Status.RESET;
       }
       if (firstCall && status == Status.FULL) {
-        counts.noRoom(upstream);
+        counts.newConnectionRejected(upstream);
       }
       firstCall = false;
       recycle(completed, status != Status.RESET && HttpUtil.isKeepAlive(response));
--- a/http/src/test/java/cloverpulley/serve/DiscoveryTest.java
+++ b/http/src/test/java/cloverpulley/serve/DiscoveryTest.java
@@ -52,9 +52,9 @@
     Script module = watchOnCached();
     try (StubServer discovery = new StubServer(c -> {
       c.next();
-      String goneList = Discoveries.chunk(Rig.list(43, false, Rig.member("s-a", "127.0.0.1:1", "gone")));
-      c.write(Discoveries.watch(Rig.list(42, true, SERVER_A, Rig.member("s-b", "127.0.0.1:2", "draining"))));
-      c.write(Discoveries.chunk(""));
+      String goneList = DiscoveryFixture.chunk(Rig.list(43, false, Rig.member("s-a", "127.0.0.1:1", "gone")));
+      c.write(DiscoveryFixture.watch(Rig.list(42, true, SERVER_A, Rig.member("s-b", "127.0.0.1:2", "draining"))));
+      c.write(DiscoveryFixture.chunk(""));
       c.write(goneList.substring(0, 20));
       c.write(goneList.substring(20));
     }); Rig rig = rig(discovery, "on_request", module)) {
@@ -88,7 +88,7 @@
     Script module = watchOnCached();
     try (StubServer discovery = new StubServer(c -> {
       c.next();
-      c.write(Discoveries.watch(Rig.list(42, false, SERVER_A)));
+      c.write(DiscoveryFixture.watch(Rig.list(42, false, SERVER_A)));
       c.next();
     }); Rig rig = rig(discovery, "on_request", module)) {
       module.next(EndpointUpdate.class);
@@ -107,7 +107,7 @@
     String lastList = Rig.list(43, false, Rig.member("s-a", "127.0.0.1:1", "gone"));
     try (StubServer discovery = new StubServer(c -> {
       c.next();
-      c.write(Discoveries.watch(indentedList));
+      c.write(DiscoveryFixture.watch(indentedList));
       c.write(Integer.toHexString(lastList.length()) + "\r\n" + lastList + "\r\n");
       c.ends();
     }); Rig rig = rig(discovery, "on_request", module)) {
@@ -124,7 +124,7 @@
     String lastList = Rig.list(43, false, Rig.member("s-a", "127.0.0.1:1", "draining"));
     try (StubServer discovery = new StubServer(c -> {
       c.next();
-      c.write(Discoveries.watch(Rig.list(42, true, SERVER_A)) + Integer.toHexString(lastList.length()) + "\r\n" + lastList);
+      c.write(DiscoveryFixture.watch(Rig.list(42, true, SERVER_A)) + Integer.toHexString(lastList.length()) + "\r\n" + lastList);
       c.reset();
     }); Rig rig = rig(discovery, "on_request", module)) {
       module.next(EndpointUpdate.class);
@@ -140,7 +140,7 @@
     Script module = watchOnCached();
     try (StubServer discovery = new StubServer(c -> {
       c.next();
-      c.write(Discoveries.watch(Rig.list(42, true, SERVER_A)));
+      c.write(DiscoveryFixture.watch(Rig.list(42, true, SERVER_A)));
       c.write("1\r\n{\r\n");
       while (true) {
         c.write("1\r\n \r\n");
@@ -170,7 +170,7 @@
         assertEquals("FAILED 0", describe(module.next(EndpointUpdate.class)), "the first watch is unresponsive");
         assertEquals("FAILED 0", describe(module.next(EndpointUpdate.class)), "the second watch does not connect");
         try (Socket thirdConnection = server.acceptPending()) {
-          thirdConnection.getOutputStream().write(Discoveries.watch(Rig.list(42, true, SERVER_A, Rig.member("s-b", "127.0.0.1:2", "ready")))
+          thirdConnection.getOutputStream().write(DiscoveryFixture.watch(Rig.list(42, true, SERVER_A, Rig.member("s-b", "127.0.0.1:2", "ready")))
               .getBytes(StandardCharsets.US_ASCII));
           EndpointUpdate update = module.next(EndpointUpdate.class);
           while (update.kind() == ListKind.FAILED) {
@@ -230,7 +230,7 @@
     Script module = new Script((event, out) -> { });
     try (StubServer discovery = new StubServer(c -> {
       c.next();
-      c.write(Discoveries.watch(Rig.list(42, false, SERVER_A)));
+      c.write(DiscoveryFixture.watch(Rig.list(42, false, SERVER_A)));
     }); Rig rig = rig(discovery, "pushed", module)) {
       module.next(EndpointUpdate.class);
       assertEquals("DELTA 1 READY", describe(module.next(EndpointUpdate.class)));
