--- a/balancer/src/test/java/cloverpulley/JarIT.java
+++ b/balancer/src/test/java/cloverpulley/JarIT.java
@@ -123,7 +123,7 @@
       process.destroy();
       assertTrue(process.waitFor(1, TimeUnit.MINUTES), text("err"));
       assertEquals(0, process.exitValue(), text("err"));
-      assertTrue(text("err").contains("told to end before it served"), text("err"));
+      assertTrue(text("err").contains("SIGTERM received before serving"), text("err"));
     } finally {
       process.destroyForcibly();
     }
@@ -170,7 +170,7 @@
       awaitLine(process, "read again, discovery at /127.0.0.1:8501");
       Files.writeString(folder.resolve("config"), "{");
       hangUp(process);
-      awaitLine(process, "configuration not taken, the one before stays");
+      awaitLine(process, "configuration rejected, the previous one stays in effect");
       process.destroy();
       assertTrue(process.waitFor(1, TimeUnit.MINUTES), "SIGTERM is no longer handled");
       assertEquals(0, process.exitValue(), text("err"));
--- a/http/src/main/java/cloverpulley/serve/BodyStream.java
+++ b/http/src/main/java/cloverpulley/serve/BodyStream.java
@@ -22,7 +22,7 @@
 
   /** Reading from the client pauses once this much is queued. */
   private static final int MAX_QUEUED_BYTES = 32 * 1024;
-  /** The most direct memory that one stream may hold: the queue, the read that exceeds its limit, and bytes pending at the upstream's socket. */
+  /** The maximum direct memory that one stream may hold: the queue, the read that exceeds its limit, and bytes pending at the upstream's socket. */
   static final int MAX_HELD_BYTES = MAX_QUEUED_BYTES + 3 * Server.MAX_READ;
   /** Smaller parts are coalesced while queued; otherwise each would occupy a buffer of its own. */
   private static final int COALESCE_BYTES = Server.MAX_READ / 2;
--- a/http/src/main/java/cloverpulley/serve/BufferedRequest.java
+++ b/http/src/main/java/cloverpulley/serve/BufferedRequest.java
@@ -5,7 +5,7 @@
 import io.netty.handler.codec.http.EmptyHttpHeaders;
 import io.netty.handler.codec.http.HttpRequest;
 
-/** A request that was received completely. Its client's time counts from then on, even while it waits behind pipelined requests. */
+/** A request that was received completely. Its deadline counts from that moment, even while it waits behind pipelined requests. */
 final class BufferedRequest extends DefaultFullHttpRequest {
 
   private final long receivedAt = System.nanoTime();
--- a/http/src/main/java/cloverpulley/serve/Call.java
+++ b/http/src/main/java/cloverpulley/serve/Call.java
@@ -35,8 +35,8 @@
   /** Receives a streamed response; null if the response has to fit the buffer. */
   final ResponseConsumer responseConsumer;
   /** The part of the request body that has not been received yet; null if there is none. */
-  final BodyStream body;
-  /** How long the upstream may accept nothing of such a body. */
+  final BodyStream bodyStream;
+  /** How long the upstream may accept no data of {@link #bodyStream}. */
   final long writeStallNanos;
   /** The call is cancelled unless its last byte is written within this time; 0 for no limit. */
   final long sendWithinNanos;
@@ -53,13 +53,14 @@
   boolean written;
   private boolean done;
 
-  Call(long upstream, CompletionHandler completion, ResponseConsumer responseConsumer, BodyStream body, long writeStallNanos, long sendWithinNanos) {
+  Call(long upstream, CompletionHandler completion, ResponseConsumer responseConsumer, BodyStream bodyStream, long writeStallNanos,
+      long sendWithinNanos) {
     this.sendWithinNanos = sendWithinNanos;
     this.writeStallNanos = writeStallNanos;
     this.upstream = upstream;
     this.completion = completion;
     this.responseConsumer = responseConsumer;
-    this.body = body;
+    this.bodyStream = bodyStream;
   }
 
   /** Sets the timeout to so many nanoseconds from now. */
@@ -67,7 +68,7 @@
     expiresAt = System.nanoTime() + nanos;
   }
 
-  /** Lowers the deadline header to the time that is left, of which connecting has taken a part. */
+  /** Lowers the deadline header to the time that is left after connecting. */
   void updateExpiresHeader(FullHttpRequest request) {
     String original = request.headers().get(Frontend.EXPIRES);
     if (original != null) {
@@ -84,8 +85,8 @@
   }
 
   /**
-   * Cancels the call if its last byte is not written in time. A slow connect or a slow upload would otherwise send a retry after the end of the
-   * window in which upstreams recognize duplicates.
+   * Cancels the call if its last byte is not written in time. A slow connect or a slow upload could otherwise complete a retry after the end of
+   * the window in which upstreams recognize duplicates.
    */
   void scheduleSendTimeout(EventExecutor loop, Runnable cancel) {
     if (sendWithinNanos > 0) {
@@ -117,8 +118,8 @@
       if (sendTimeout != null) {
         sendTimeout.cancel(false);
       }
-      if (body != null) {
-        body.attach(null);
+      if (bodyStream != null) {
+        bodyStream.attach(null);
       }
       completion.completed(status, response);
     }
--- a/http/src/main/java/cloverpulley/serve/Clients.java
+++ b/http/src/main/java/cloverpulley/serve/Clients.java
@@ -29,11 +29,14 @@
   }
 
   /**
-   * Within the contract: a client that has not sent a complete request gets an error or a close 3 s after it connected; it may take 2 s
-   * for a head, and pause for as long within a body.
+   * The contract allows a client 2 s for a head and pauses of 2 s within a body, and requires an error or a close 3 s after it connected if it
+   * has sent no complete request by then. The timeout is between the two.
    */
   static final long READ_TIMEOUT_NANOS = TimeUnit.MILLISECONDS.toNanos(2500);
-  /** How long a client may read an error response. Closing at once, with data from the client unread, would reset the connection and lose it. */
+  /**
+   * How long a client may read an error response. Closing with unread data from the client would reset the connection, and the response
+   * would be lost.
+   */
   private static final long LINGER_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
   /** A longer gap between two checks means that this process stalled, not its clients. */
   private static final long MAX_SWEEP_GAP_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
--- a/http/src/main/java/cloverpulley/serve/EmbeddedBalancer.java
+++ b/http/src/main/java/cloverpulley/serve/EmbeddedBalancer.java
@@ -49,7 +49,7 @@
      */
     CompletableFuture<Void> setOffline(String id, long forNanos);
 
-    /** Brings an upstream online in slow start, unless it is offline by the management endpoint as well. */
+    /** Brings an upstream online, in slow start, unless a management call has taken it offline as well. */
     CompletableFuture<Void> setOnline(String id);
   }
 
--- a/http/src/main/java/cloverpulley/serve/Frontend.java
+++ b/http/src/main/java/cloverpulley/serve/Frontend.java
@@ -92,7 +92,7 @@
   private static final long RESPONSE_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
   private final Engine engine;
-  private final HttpExchange.Context exchanges;
+  private final HttpExchange.Context exchangeContext;
   private final Clock clock;
   private final SocketBudget sockets;
   private final UpstreamPool pool;
@@ -112,13 +112,14 @@
   private boolean rejecting;
 
   /** {@code bodyBudgets} limits the memory that request bodies take. */
-  Frontend(HttpExchange.Context exchanges, Clock clock, SocketBudget sockets, Settings settings, RequestReader.Budgets bodyBudgets, Counts counts) {
+  Frontend(HttpExchange.Context exchangeContext, Clock clock, SocketBudget sockets, Settings settings, RequestReader.Budgets bodyBudgets,
+      Counts counts) {
     this.counts = counts;
-    this.engine = exchanges.engine();
-    this.exchanges = exchanges;
+    this.engine = exchangeContext.engine();
+    this.exchangeContext = exchangeContext;
     this.clock = clock;
     this.sockets = sockets;
-    this.pool = exchanges.pool();
+    this.pool = exchangeContext.pool();
     this.bodyBudgets = bodyBudgets;
     updateSettings(settings);
   }
@@ -356,8 +357,8 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      boolean usual = cause instanceof IOException || cause instanceof CodecException;
-      LOG.log(usual ? Level.FINE : Level.WARNING, "connection from " + channel.remoteAddress(), cause);
+      boolean expected = cause instanceof IOException || cause instanceof CodecException;
+      LOG.log(expected ? Level.FINE : Level.WARNING, "connection from " + channel.remoteAddress(), cause);
       if (cause instanceof IOException || !ignoringInput) {
         context.close();
       } // Otherwise the failure is in discarded input; the requests before it are still answered.
@@ -400,7 +401,7 @@
       busy = true;
       partialRequest = false;
       bodyCapacity = request.content().capacity();
-      upload = request instanceof StreamedRequest s ? s.rest : null;
+      upload = request instanceof StreamedRequest s ? s.bodyStream : null;
       clients.setState(this, upload == null ? State.SERVED : State.UPLOADING);
       keepAlive = HttpUtil.isKeepAlive(request);
       http10 = request.protocolVersion().compareTo(HttpVersion.HTTP_1_1) < 0;
@@ -458,7 +459,7 @@
         long deadline = clock.now() + waitNanos - RESPONSE_MARGIN_NANOS + (upload == null ? 0 : MAX_UPLOAD_NANOS);
         Exchange.RequestInfo info = new Exchange.RequestInfo(requestClass, tenant, SessionKey.of(headers, MAX_NAME_LENGTH),
             TimeUnit.MICROSECONDS.toNanos(hint), "1".equals(headers.get(RETRY)), deadline, 0, List.of());
-        exchange = new HttpExchange(info, exchanges, request.retain(), waitNanos, this, () -> activeIds.remove(id));
+        exchange = new HttpExchange(info, exchangeContext, request.retain(), waitNanos, this, () -> activeIds.remove(id));
         activeIds.add(id);
         engine.accept(exchange);
         if (upload != null) {
@@ -551,7 +552,10 @@
       return streamedResponse;
     }
 
-    /** Closes after the client has had time to read the response: closing over unread bytes would reset the connection and lose it. */
+    /**
+     * Closes after the client has had time to read the response: closing with unread bytes would reset the connection, and the response
+     * would be lost.
+     */
     private void lingeringClose() {
       clients.setState(this, State.LEAVING);
       lingering = true;
--- a/http/src/main/java/cloverpulley/serve/HttpExchange.java
+++ b/http/src/main/java/cloverpulley/serve/HttpExchange.java
@@ -72,7 +72,7 @@
   private final ClientResponder responder;
   private final Runnable onRemovedCallback;
   /** The part of the body not received yet when the request is accepted; null if there is none. */
-  private final BodyStream body;
+  private final BodyStream bodyStream;
   private final long waitNanos;
   private Call currentCall;
   private ResponseStream responseStream;
@@ -83,7 +83,7 @@
    */
   HttpExchange(RequestInfo info, Context context, FullHttpRequest request, long waitNanos, ClientResponder responder, Runnable onRemovedCallback) {
     super(info);
-    body = request instanceof StreamedRequest s ? s.rest : null;
+    bodyStream = request instanceof StreamedRequest s ? s.bodyStream : null;
     this.waitNanos = waitNanos;
     this.context = context;
     this.request = request;
@@ -97,17 +97,17 @@
       context.engine.attemptEnded(attempt, Status.NOT_SENT, Map.of(), () -> { });
       return () -> { };
     }
-    if (body != null && (body.isConsumed() || currentCall != null && !currentCall.isDone())) {
+    if (bodyStream != null && (bodyStream.isConsumed() || currentCall != null && !currentCall.isDone())) {
       // The beginning of the body is discarded or in use by another attempt, so the request can't be sent a second time.
       context.engine.attemptEnded(attempt, Status.NOT_SENT, Map.of(), () -> { });
       return () -> { };
     }
     AttemptResponse handler = new AttemptResponse(attempt);
     long sendWithinNanos = attempt.sendBy() > 0 ? attempt.sendBy() - attempt.sentAt() : 0;
-    Call call = new Call(attempt.upstream(), handler::completed, handler, body, waitNanos, sendWithinNanos);
+    Call call = new Call(attempt.upstream(), handler::completed, handler, bodyStream, waitNanos, sendWithinNanos);
     handler.call = call;
     currentCall = call;
-    context.pool.start(call, address, upstreamRequest(body == null ? timeoutNanos : Math.min(timeoutNanos, waitNanos)), timeoutNanos);
+    context.pool.start(call, address, upstreamRequest(bodyStream == null ? timeoutNanos : Math.min(timeoutNanos, waitNanos)), timeoutNanos);
     return () -> context.pool.cancel(call);
   }
 
@@ -122,11 +122,11 @@
     return !isEnded();
   }
 
-  /** The request body is complete: a pending attempt may wait for a response for {@code leftNanos} from now. */
-  void bodyEnded(long deadline, long leftNanos) {
+  /** The request body is complete: a pending attempt may wait for a response for {@code remainingNanos} from now. */
+  void bodyEnded(long deadline, long remainingNanos) {
     context.engine.bodyEnded(this, deadline);
     if (currentCall != null && responseStream == null) {
-      context.pool.updateTimeout(currentCall, leftNanos);
+      context.pool.updateTimeout(currentCall, remainingNanos);
     }
   }
 
@@ -201,8 +201,8 @@
   @Override
   protected void onEnded() {
     request.release();
-    if (body != null) {
-      body.discard();
+    if (bodyStream != null) {
+      bodyStream.discard();
     }
   }
 
@@ -221,9 +221,9 @@
     }
     HOP_BY_HOP.forEach(headers::remove);
     headers.set(Frontend.EXPIRES, Math.max(1, TimeUnit.NANOSECONDS.toMillis(timeoutNanos)));
-    if (body != null && !headers.contains(HttpHeaderNames.CONTENT_LENGTH)) {
+    if (bodyStream != null && !headers.contains(HttpHeaderNames.CONTENT_LENGTH)) {
       headers.set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
-    } else if (body == null && request.content().isReadable()) {
+    } else if (bodyStream == null && request.content().isReadable()) {
       headers.set(HttpHeaderNames.CONTENT_LENGTH, request.content().readableBytes());
     }
     return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, request.method(), request.uri(),
--- a/http/src/main/java/cloverpulley/serve/Listener.java
+++ b/http/src/main/java/cloverpulley/serve/Listener.java
@@ -47,7 +47,7 @@
     return future;
   }
 
-  /** Measures stalls of the loop; null if nobody asks how long connections have waited. */
+  /** Measures stalls of the loop; while null, the time that connections waited in the queue counts as 0. */
   private StallDetector stallDetector;
   /** When the accept queue was first seen non-empty, and how long the loop had stalled before; valid while it is non-empty. */
   private long queueNonEmptySince;
--- a/http/src/main/java/cloverpulley/serve/Main.java
+++ b/http/src/main/java/cloverpulley/serve/Main.java
@@ -33,7 +33,7 @@
     AtomicReference<Phase> phase = new AtomicReference<>(Phase.STARTING);
     Signals.handle("TERM", () -> {
       if (phase.compareAndSet(Phase.STARTING, Phase.ENDED)) {
-        warn.accept("told to end before it served");
+        warn.accept("SIGTERM received before serving");
         Runtime.getRuntime().halt(0); // No client has connected. Accepting any now would leave them to the SIGKILL that follows.
       }
       started.thenAccept(s -> new Thread(s::stop, "stop").start());
--- a/http/src/main/java/cloverpulley/serve/ManagementServer.java
+++ b/http/src/main/java/cloverpulley/serve/ManagementServer.java
@@ -171,7 +171,7 @@
       response.headers().set(HttpHeaderNames.CONTENT_TYPE, "text/plain").set(HttpHeaderNames.CONNECTION, HttpHeaderValues.CLOSE)
           .set(HttpHeaderNames.CONTENT_LENGTH, response.content().readableBytes());
       channel.writeAndFlush(response).addListener((ChannelFutureListener) f -> {
-        // Closing over unread bytes would reset the connection and lose the answer, so only the output is closed at first.
+        // Closing with unread bytes would reset the connection, and the answer would be lost, so only the output is closed at first.
         if (f.isSuccess() && channel instanceof DuplexChannel duplex) {
           duplex.shutdownOutput();
           channel.eventLoop().schedule(() -> channel.close(), LINGER_MILLIS, TimeUnit.MILLISECONDS);
--- a/http/src/main/java/cloverpulley/serve/Operations.java
+++ b/http/src/main/java/cloverpulley/serve/Operations.java
@@ -40,7 +40,7 @@
   private static final Logger LOG = Logger.getLogger(Operations.class.getName());
 
   private static final long SCAN_MILLIS = 100;
-  /** How long after joining a start waits for a predecessor that may be about to publish itself. */
+  /** How long after joining a start waits for a predecessor that may be about to publish itself again; processes do so at every scan. */
   private static final long PREDECESSOR_WAIT_MILLIS = 3 * SCAN_MILLIS;
   /** How long a start waits for the snapshot of a predecessor that serves, or for a failing folder: a successor has to be ready within 6 s. */
   private static final long SNAPSHOT_WAIT_MILLIS = 3000;
@@ -250,24 +250,24 @@
     if (p == null) {
       return;
     }
-    List<PeerProcess> seen = peers;
-    HandoverSnapshot fromPeer = newPeerSnapshot(seen);
+    List<PeerProcess> peerProcesses = peers;
+    HandoverSnapshot fromPeer = newPeerSnapshot(peerProcesses);
     p.loop().execute(() -> {
-      shareResources(p, seen);
+      shareResources(p, peerProcesses);
       if (fromPeer != null && fromPeer.list().revision() > p.fleet().revision()) {
         p.engine().serverListUpdated(ListKind.FULL, fromPeer.list());
       }
     });
-    if (!seen.isEmpty()) {
-      boolean starting = seen.stream().anyMatch(o -> o.startedLater() && o.lifecycle() == Lifecycle.STARTING);
+    if (!peerProcesses.isEmpty()) {
+      boolean starting = peerProcesses.stream().anyMatch(o -> o.startedLater() && o.lifecycle() == Lifecycle.STARTING);
       long published = registry.hasSnapshot() ? publishedRevision : -1;
       p.loop().execute(() -> publishIfNeeded(p, starting, published));
     }
   }
 
   /** Logs the other processes of this balancer and their lifecycle whenever they change. */
-  private void logChanges(List<PeerProcess> seen) {
-    String text = seen.stream().map(p -> p.name().substring(p.name().lastIndexOf('-') + 1).replaceFirst("^0+", "") + ' '
+  private void logChanges(List<PeerProcess> peerProcesses) {
+    String text = peerProcesses.stream().map(p -> p.name().substring(p.name().lastIndexOf('-') + 1).replaceFirst("^0+", "") + ' '
         + (p.startedLater() ? "successor " : "predecessor ") + p.lifecycle().name().toLowerCase(Locale.ROOT))
         .sorted().collect(Collectors.joining(", "));
     if (!text.equals(loggedPeers)) {
@@ -277,8 +277,8 @@
   }
 
   /** The snapshot that another process has published since the last scan; null for none, or none that is valid. */
-  private HandoverSnapshot newPeerSnapshot(List<PeerProcess> seen) throws IOException {
-    for (PeerProcess peer : seen) {
+  private HandoverSnapshot newPeerSnapshot(List<PeerProcess> peerProcesses) throws IOException {
+    for (PeerProcess peer : peerProcesses) {
       ProcessRegistry.Snapshot snapshot = registry.snapshot(peer, lastRead, HandoverSnapshot.MAX_BYTES);
       if (snapshot != null && snapshot != lastRead) {
         lastRead = snapshot;
@@ -300,8 +300,8 @@
       peers = registry == null ? List.of() : registry.refresh(Lifecycle.STARTING, 0);
       for (PeerProcess peer : peers) {
         ProcessRegistry.Snapshot snapshot = peer.startedLater() ? null : registry.snapshot(peer, null, HandoverSnapshot.MAX_BYTES);
-        HandoverSnapshot whole = snapshot == null ? null : HandoverSnapshot.decode(snapshot.bytes(), monotonicMillis());
-        found[0] = whole != null && whole.balancerSnapshot() != null ? whole : found[0];
+        HandoverSnapshot decoded = snapshot == null ? null : HandoverSnapshot.decode(snapshot.bytes(), monotonicMillis());
+        found[0] = decoded != null && decoded.balancerSnapshot() != null ? decoded : found[0];
       }
     });
     return found[0];
@@ -331,15 +331,15 @@
   }
 
   /** Adapts limits and descriptors to the other processes that share them. */
-  private void shareResources(Components p, List<PeerProcess> seen) {
-    int servingProcesses = 1 + (int) seen.stream().filter(o -> o.lifecycle() != Lifecycle.STARTING).count();
+  private void shareResources(Components p, List<PeerProcess> peerProcesses) {
+    int servingProcesses = 1 + (int) peerProcesses.stream().filter(o -> o.lifecycle() != Lifecycle.STARTING).count();
     if (servingProcesses != processCount) {
       processCount = servingProcesses;
       p.engine().setProcessCount(servingProcesses);
     }
-    p.sockets().setUsedElsewhere(seen.stream().mapToInt(PeerProcess::descriptors).sum());
-    boolean later = seen.stream().anyMatch(PeerProcess::startedLater);
-    while (later && p.sockets().isAbove(leaving ? DESCRIPTOR_RATIO_LEAVING : DESCRIPTOR_RATIO_WITH_SUCCESSOR) && p.pool().closeOldest()) {
+    p.sockets().setUsedElsewhere(peerProcesses.stream().mapToInt(PeerProcess::descriptors).sum());
+    boolean successorPresent = peerProcesses.stream().anyMatch(PeerProcess::startedLater);
+    while (successorPresent && p.sockets().isAbove(leaving ? DESCRIPTOR_RATIO_LEAVING : DESCRIPTOR_RATIO_WITH_SUCCESSOR) && p.pool().closeOldest()) {
       // Closes one connection at a time, to free early the descriptors that a successor needs.
     }
   }
--- a/http/src/main/java/cloverpulley/serve/PipelinedRequests.java
+++ b/http/src/main/java/cloverpulley/serve/PipelinedRequests.java
@@ -66,7 +66,7 @@
   void release() {
     for (FullHttpRequest request = poll(); request != null; request = poll()) {
       if (request instanceof StreamedRequest s) {
-        s.rest.discard();
+        s.bodyStream.discard();
       }
       request.release();
     }
--- a/http/src/main/java/cloverpulley/serve/RequestReader.java
+++ b/http/src/main/java/cloverpulley/serve/RequestReader.java
@@ -44,7 +44,7 @@
   /** The request that is being assembled, its body so far, and the bytes of the body received. */
   private HttpRequest head;
   private ByteBuf body;
-  private BodyStream rest;
+  private BodyStream bodyStream;
   private long received;
   private boolean awaitsCapacity;
   /** The parts that arrive belong to a request that has failed. */
@@ -83,7 +83,7 @@
       if (message instanceof HttpRequest request) {
         begin(context, request);
       }
-      if (message instanceof HttpContent content && (head != null || rest != null)) {
+      if (message instanceof HttpContent content && (head != null || bodyStream != null)) {
         add(context, content);
       }
     } finally {
@@ -151,9 +151,9 @@
           ? DecoderResult.failure(new TooLongHttpContentException("the body is too large")) : content.decoderResult());
       return;
     }
-    if (rest != null) {
+    if (bodyStream != null) {
       if (bytes > 0) {
-        rest.add(content.content().retain());
+        bodyStream.add(content.content().retain());
       }
     } else if (bytes > 0 && (received > MAX_BUFFERED_BODY || !append(content.content()))) {
       // Bounds the memory that many bodies take at once: one that does not fit in the budget is streamed.
@@ -162,9 +162,9 @@
       return;
     }
     if (content instanceof LastHttpContent) {
-      if (rest != null) {
-        BodyStream done = rest;
-        rest = null;
+      if (bodyStream != null) {
+        BodyStream done = bodyStream;
+        bodyStream = null;
         done.end();
       } else {
         FullHttpRequest complete = new BufferedRequest(head, body);
@@ -199,9 +199,9 @@
     if (!rejected) {
       sendContinue();
     }
-    rest = new BodyStream(onDemandChanged, reservation::release);
+    bodyStream = new BodyStream(onDemandChanged, reservation::release);
     reservation = null;
-    StreamedRequest request = new StreamedRequest(head, body, rest, rejected);
+    StreamedRequest request = new StreamedRequest(head, body, bodyStream, rejected);
     head = null;
     body = null;
     emit(context, request);
@@ -226,7 +226,7 @@
   }
 
   private void fail(ChannelHandlerContext context, DecoderResult cause) {
-    boolean streaming = rest != null;
+    boolean streaming = bodyStream != null;
     reset();
     if (streaming) {
       // An upstream may have the beginning of the body: closing the connection also ends that attempt, which stays incomplete.
@@ -241,7 +241,7 @@
 
   /** Whether a request's body is not complete yet. */
   boolean isReadingBody() {
-    return head != null || rest != null;
+    return head != null || bodyStream != null;
   }
 
   /** Bytes received of the body that is being read. */
@@ -251,12 +251,12 @@
 
   /** Whether more may be read: no body waits for capacity, and a streamed body is below its limit. */
   boolean wantsMore() {
-    return !awaitsCapacity && (rest == null || rest.wantsMore());
+    return !awaitsCapacity && (bodyStream == null || bodyStream.wantsMore());
   }
 
   private void reset() {
     head = null;
-    rest = null;
+    bodyStream = null;
     awaitsCapacity = false;
     if (reservation != null) {
       reservation.release();
--- a/http/src/main/java/cloverpulley/serve/Server.java
+++ b/http/src/main/java/cloverpulley/serve/Server.java
@@ -193,7 +193,7 @@
       long serveMillis = Math.min(SERVE_MILLIS, stopMillis - MIN_FINISH_MILLIS);
       long acceptMillis = successorServes ? 0 : Math.min(ACCEPT_MILLIS, Math.max(MIN_ACCEPT_MILLIS, serveMillis));
       long answerMillis = Math.max(stopMillis, acceptMillis);
-      // Connected clients are served at least while connections are accepted: the stop must not end early because none is open at a moment.
+      // Connected clients are served at least while connections are accepted: the stop must not end early because no connection happens to be open.
       return new StopSchedule(acceptMillis, Math.max(serveMillis, acceptMillis), answerMillis, answerMillis + LINGER_MILLIS);
     }
   }
@@ -324,7 +324,7 @@
       read = readComplete(source, sequence);
       read.checkCanReplace(config);
     } catch (IOException | RuntimeException e) {
-      LOG.warning("configuration not taken, the one before stays: " + Config.describeFailure(e));
+      LOG.warning("configuration rejected, the previous one stays in effect: " + Config.describeFailure(e));
       return;
     }
     boolean settingsChanged = !read.settings().equals(config.settings());
@@ -383,11 +383,11 @@
   }
 
   /** Runs an action on the engine's loop; completes once the module has been notified of its effects. */
-  CompletableFuture<Void> runOnLoop(Consumer<Engine> what) {
+  CompletableFuture<Void> runOnLoop(Consumer<Engine> action) {
     CompletableFuture<Void> done = new CompletableFuture<>();
     loop.execute(() -> {
       try {
-        what.accept(engine);
+        action.accept(engine);
         loop.execute(() -> done.complete(null)); // After the engine has delivered the events that the action queued.
       } catch (RuntimeException e) {
         done.completeExceptionally(e);
@@ -402,7 +402,7 @@
     return runOnLoop(engine -> engine.setOffline(id, forNanos));
   }
 
-  /** Brings an upstream online by agreement of the fleet, unless it is offline by this balancer's management endpoint as well. */
+  /** Brings an upstream online by agreement of the fleet, unless a call to this balancer's management endpoint has taken it offline as well. */
   CompletableFuture<Void> setAgreedOnline(String id) {
     agreedOffline.remove(id);
     return runOnLoop(engine -> {
--- a/http/src/main/java/cloverpulley/serve/UpstreamPool.java
+++ b/http/src/main/java/cloverpulley/serve/UpstreamPool.java
@@ -138,8 +138,8 @@
     call.channel.closeFuture().addListener(f -> sockets.closed());
     connect.addListener(f -> {
       connecting.remove(call);
-      // The call may have been cancelled while connecting, or have begun to connect after the upstream stopped being ready
-      // and before the module was notified of it. It must not be written then.
+      // The call may have been cancelled while connecting, or have begun to connect after drainUpstreams cancelled the connecting
+      // calls, since the module is notified of the drain only later. It must not be written then.
       boolean wanted = !call.isDone() && call.canStillBeSent()
           && (call.responseConsumer == null || upstreamReady.test(call.upstream) && call.responseConsumer.isWanted());
       if (!wanted || !f.isSuccess()) {
@@ -387,7 +387,7 @@
         paused = false;
         updateAutoRead();
       };
-      if (next.body == null) {
+      if (next.bodyStream == null) {
         channel.writeAndFlush(request).addListener(f -> requestWritten(next, f.isSuccess()));
         return;
       }
@@ -397,7 +397,7 @@
           requestWritten(next, false);
         }
       });
-      next.body.attach(new BodyStream.Sink() {
+      next.bodyStream.attach(new BodyStream.Sink() {
         @Override
         public boolean isWritable() {
           return channel.isWritable();
@@ -418,8 +418,8 @@
     private void requestWritten(Call next, boolean success) {
       if (success) {
         next.written = true;
-        if (next.body != null) {
-          next.body.releaseReservation();
+        if (next.bodyStream != null) {
+          next.bodyStream.releaseReservation();
         }
       } else {
         channel.close();
@@ -429,10 +429,10 @@
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-      if (call != null && call.body != null && channel.isWritable()) {
+      if (call != null && call.bodyStream != null && channel.isWritable()) {
         cancelWriteStallTimeout();
-        call.body.flush();
-      } else if (call != null && call.body != null && writeStallTimeout == null) {
+        call.bodyStream.flush();
+      } else if (call != null && call.bodyStream != null && writeStallTimeout == null) {
         Call slow = call;
         writeStallTimeout = channel.eventLoop().schedule(() -> abandon(slow, Status.CONNECT_FAILED, Status.TIMEOUT), slow.writeStallNanos,
             TimeUnit.NANOSECONDS);
@@ -493,14 +493,15 @@
     }
 
     private ByteBuf copyToWritable(ByteBuf first) {
-      ByteBuf own = channel.alloc().buffer(Math.max(1024, 2 * first.readableBytes())).writeBytes(first);
+      ByteBuf copy = channel.alloc().buffer(Math.max(1024, 2 * first.readableBytes())).writeBytes(first);
       first.release();
-      return own;
+      return copy;
     }
 
     /** Starts streaming the response if it is a 200, too long to buffer and still wanted; returns whether it did. */
     private boolean startStreaming() {
-      boolean exceedsBuffer = bodyBytes > Frontend.MAX_BUFFERED_RESPONSE || HttpUtil.getContentLength(responseHead, -1L) > Frontend.MAX_BUFFERED_RESPONSE;
+      boolean exceedsBuffer = bodyBytes > Frontend.MAX_BUFFERED_RESPONSE
+          || HttpUtil.getContentLength(responseHead, -1L) > Frontend.MAX_BUFFERED_RESPONSE;
       if (!exceedsBuffer || !responseHead.status().equals(HttpResponseStatus.OK) || !call.written || call.responseConsumer == null
           || !call.responseConsumer.responseStarted(responseHead)) {
         return false;
--- a/http/src/test/java/cloverpulley/serve/AttemptTest.java
+++ b/http/src/test/java/cloverpulley/serve/AttemptTest.java
@@ -468,9 +468,9 @@
       // The budget leaves six sockets: three for clients, three for upstreams.
       first.ask(Rig.get("t1", ""));
       assertEquals(Status.SERVED, module.next(Outcome.class).status());
-      List<Client> asking = List.of(second, third, first);
+      List<Client> clients = List.of(second, third, first);
       for (int i = 0; i < 3; i++) {
-        asking.get(i).write(Rig.get("busy" + i, "X-Customer: true\r\n"));
+        clients.get(i).write(Rig.get("busy" + i, "X-Customer: true\r\n"));
         assertNotNull(busy.requests.poll(Rig.LIMIT_S, TimeUnit.SECONDS), "the idle connection was closed for the third attempt");
       }
       try (Client last = rig.client()) {
--- a/http/src/test/java/cloverpulley/serve/ClientDisconnectTest.java
+++ b/http/src/test/java/cloverpulley/serve/ClientDisconnectTest.java
@@ -151,7 +151,7 @@
     module[0] = new Script((event, out) -> {
       if (event instanceof Request r) {
         queuedId[0] = r.id();
-        out.accept(new SetTimer("look", 0));
+        out.accept(new SetTimer("poll", 0));
       } else if (event instanceof TimerFired) {
         await(disconnected);
         out.accept(new Send(queuedId[0], module[0].upstreams.get(0), 0));
@@ -249,9 +249,9 @@
     module[0] = new Script((event, out) -> {
       if (event instanceof Request r) {
         queuedId[0] = r.id();
-        out.accept(new SetTimer("look", 0));
+        out.accept(new SetTimer("poll", 0));
       } else if (event instanceof TimerFired && waited.getCount() > 0) {
-        out.accept(new SetTimer("look", System.nanoTime()));
+        out.accept(new SetTimer("poll", System.nanoTime()));
       } else if (event instanceof TimerFired) {
         out.accept(new Send(queuedId[0], module[0].upstreams.get(0), 0));
       } else if (event instanceof Outcome o && !o.finished()) {
--- a/http/src/test/java/cloverpulley/serve/LaunchCommandTest.java
+++ b/http/src/test/java/cloverpulley/serve/LaunchCommandTest.java
@@ -95,12 +95,12 @@
     "{\"limits\":{\"memory_mb\":256}}|127.0.0.1:1|32|48",
     "{\"limits\":{\"memory_mb\":64}}|127.0.0.1:1|12|24",
     "{\"limits\":{\"memory_mb\":2048}}|127.0.0.1:1|48|48"})
-  void heapLeavesMemoryForSecondProcess(String config, String management, int first, int most) throws Exception {
+  void heapLeavesMemoryForSecondProcess(String config, String management, int initialHeap, int maxHeap) throws Exception {
     LaunchResult result = start(config, management);
     assertEquals("", result.errors());
-    assertTrue(result.lines().contains("-Xms" + first + "m"), result::toString);
-    assertTrue(result.lines().contains("-Xmx" + most + "m"), result::toString);
-    assertTrue(result.lines().contains("-XX:MaxNewSize=" + first * 2 / 5 + "m"), result::toString);
+    assertTrue(result.lines().contains("-Xms" + initialHeap + "m"), result::toString);
+    assertTrue(result.lines().contains("-Xmx" + maxHeap + "m"), result::toString);
+    assertTrue(result.lines().contains("-XX:MaxNewSize=" + initialHeap * 2 / 5 + "m"), result::toString);
   }
 
   /** A balancer has at most one core: the virtual machine uses one compiler thread, however many cores the machine has. */
--- a/http/src/test/java/cloverpulley/serve/MisbehavingClientTest.java
+++ b/http/src/test/java/cloverpulley/serve/MisbehavingClientTest.java
@@ -146,9 +146,9 @@
   void incompleteRequestTimesOut(String part, String answer) throws Exception {
     try (Rig rig = new Rig(Rig.config(UNREACHABLE, Rig.list(1, true))); Client client = rig.client()) {
       client.write(part.replace("~", "\r\n"));
-      String got = client.answer();
-      assertTrue(answer.isEmpty() ? got == null : got.startsWith(answer), got);
-      assertTrue(got == null || client.answer() == null, "the connection closes");
+      String response = client.answer();
+      assertTrue(answer.isEmpty() ? response == null : response.startsWith(answer), response);
+      assertTrue(response == null || client.answer() == null, "the connection closes");
     }
   }
 
--- a/http/src/test/java/cloverpulley/serve/OperationsTest.java
+++ b/http/src/test/java/cloverpulley/serve/OperationsTest.java
@@ -251,14 +251,14 @@
       for (RequestLoop c : clients) {
         c.awaitAnswers(50);
       }
-      List<Client> askers = new ArrayList<>();
+      List<Client> requestClients = new ArrayList<>();
       while (blocked.getCount() > 0) { // The operating system distributes connections: one reaches the first process eventually.
-        askers.add(fresh.client().write(Rig.get("r" + askers.size(), "")));
+        requestClients.add(fresh.client().write(Rig.get("r" + requestClients.size(), "")));
         blocked.await(20, TimeUnit.MILLISECONDS);
       }
-      List<Client> waiting = new ArrayList<>();
+      List<Client> healthClients = new ArrayList<>();
       for (int i = 0; i < 40; i++) {
-        waiting.add(fresh.client().write(HEALTH));
+        healthClients.add(fresh.client().write(HEALTH));
       }
       Thread stop = new Thread(old.server::stop);
       stop.start();
@@ -266,12 +266,12 @@
         Thread.onSpinWait();
       }
       unblocked.countDown();
-      for (Client c : waiting) {
+      for (Client c : healthClients) {
         String answer = c.answer();
         assertTrue(answer != null && answer.startsWith("HTTP/1.1 200 "), () -> "answered with " + answer);
         c.close();
       }
-      for (Client c : askers) {
+      for (Client c : requestClients) {
         assertTrue(c.answer() != null);
         c.close();
       }
--- a/http/src/test/java/cloverpulley/serve/Rig.java
+++ b/http/src/test/java/cloverpulley/serve/Rig.java
@@ -75,7 +75,7 @@
     <T extends Event> T next(Class<T> kind) throws InterruptedException {
       while (true) {
         Event event = events.poll(LIMIT_S, TimeUnit.SECONDS);
-        assertNotNull(event, "no " + kind.getSimpleName() + " came");
+        assertNotNull(event, "no " + kind.getSimpleName() + " received");
         if (kind.isInstance(event)) {
           return kind.cast(event);
         }
--- a/http/src/test/java/cloverpulley/serve/StartStopTest.java
+++ b/http/src/test/java/cloverpulley/serve/StartStopTest.java
@@ -42,8 +42,8 @@
   /** After a warm-up was cut short its clients went on for seconds, rejected by a balancer whose upstream was closed. */
   @Test
   void warmupStopsSendingWhenCutShort() throws IOException {
-    Result count = Warmup.run(settings(), Warmup.REQUESTS, 0);
-    assertTrue(count.sent() < Warmup.REQUESTS, () -> "sent requests after its end: " + count);
+    Result result = Warmup.run(settings(), Warmup.REQUESTS, 0);
+    assertTrue(result.sent() < Warmup.REQUESTS, () -> "sent requests after its end: " + result);
   }
 
   /**
@@ -53,8 +53,8 @@
   @Test
   void warmupRequestsAreAllServed() throws IOException {
     Settings settings = Rig.config("127.0.0.1:1", Rig.list(1, true)).settings();
-    Result count = Warmup.run(settings, Warmup.REQUESTS, TimeUnit.MINUTES.toMillis(1));
-    assertEquals(new Result(Warmup.REQUESTS, Warmup.REQUESTS, Warmup.REQUESTS), count);
+    Result result = Warmup.run(settings, Warmup.REQUESTS, TimeUnit.MINUTES.toMillis(1));
+    assertEquals(new Result(Warmup.REQUESTS, Warmup.REQUESTS, Warmup.REQUESTS), result);
   }
 
   /** SIGKILL may come 0.7 s after the longest deadline, counted from SIGTERM: all requests are answered by then. */
--- a/http/src/test/java/cloverpulley/serve/StreamingTest.java
+++ b/http/src/test/java/cloverpulley/serve/StreamingTest.java
@@ -172,9 +172,9 @@
 
   /** With a Content-Length, in chunks, and in pieces of one byte. */
   @ParameterizedTest
-  @ValueSource(strings = {"length", "chunks", "octets"})
+  @ValueSource(strings = {"length", "chunks", "single bytes"})
   void longBodyIsStreamed(String form) throws Exception {
-    byte[] body = bytes(form.equals("octets") ? RequestReader.MAX_BUFFERED_BODY + 3000 : LONG_BODY);
+    byte[] body = bytes(form.equals("single bytes") ? RequestReader.MAX_BUFFERED_BODY + 3000 : LONG_BODY);
     Script module = new Script(0);
     Semaphore intact = new Semaphore(0);
     try (StubServer upstream = new StubServer(c -> {
@@ -188,7 +188,7 @@
       String post = Rig.post("r1", "Idempotency-Key: k\r\n", "");
       client.write(form.equals("chunks") ? post.replace("Content-Length: 0", "Transfer-Encoding: chunked") + chunked(body, 5000)
           : post.replace("Content-Length: 0", "Content-Length: " + body.length));
-      if (form.equals("octets")) {
+      if (form.equals("single bytes")) {
         client.socket.getOutputStream().write(body, 0, body.length - 3000);
         for (int i = body.length - 3000; i < body.length; i++) {
           client.socket.getOutputStream().write(body, i, 1);
