--- a/http/src/main/java/cloverpulley/serve/Frontend.java
+++ b/http/src/main/java/cloverpulley/serve/Frontend.java
@@ -53,75 +53,79 @@
 import java.util.logging.Logger;
 import java.util.stream.Collectors;
 
-/** The clients' side: takes requests in, hands them to the engine, and writes the final answers. */
+/** The client side: reads requests, passes them to the engine and writes the final responses. */
 final class Frontend {
 
   private static final Logger LOG = Logger.getLogger(Frontend.class.getName());
 
+  /** The time that the client still waits, in milliseconds. */
   static final String EXPIRES = "X-Expires-In-Ms";
   static final String HEALTH = "/healthz";
-  /** The longest answer that is held whole, so that one which breaks off can be made good elsewhere. */
-  static final int MOST_BODY = 64 * 1024;
+  /** The longest response that is buffered whole, so that the request can be retried if the response breaks off. */
+  static final int MAX_BUFFERED_RESPONSE = 64 * 1024;
   static final String API = "/api";
   static final String ID = "X-Trace-Id";
   static final String CLASS = "X-Qos";
   static final String TENANT = "X-Customer";
   private static final String RETRY = "X-Second-Try";
+  /** An estimate of the work that the request takes, in microseconds. */
   static final String HINT = "X-Size-Hint";
   static final String IDEMPOTENCY_KEY = "Idempotency-Key";
+  /** The cookie that holds the session key. */
   static final String KEY_COOKIE = "sid";
-  /** The most digits of a header that is a whole number: more would not be a time or an amount of work. */
-  private static final int MOST_DIGITS = 9;
-  private static final long MOST_MILLIS = 1_000_000_000L;
-  /** The longest id, tenant or key that is kept as it came. */
-  private static final int MOST_NAME = 128;
-  /** More requests than one read can hold: what is too many is for this class to say, in its turn. */
-  private static final int MOST_DECODED = 8192;
-  private static final long SWEEP_MILLIS = 100;
-  /** What a client may take for a body beyond this much time for each byte, and the longest that any may take. */
+  /** The maximum number of digits in an integer header; a duration or an amount of work never needs more. */
+  private static final int MAX_DIGITS = 9;
+  private static final long MAX_EXPIRY_MILLIS = 1_000_000_000L;
+  /** The maximum length of an id or a tenant, and of a session key before it is replaced by its hash. */
+  private static final int MAX_NAME_LENGTH = 128;
+  /** More requests than one read can contain, so that the limit on pipelined requests is applied here and answered in order. */
+  private static final int MAX_DECODED_REQUESTS = 8192;
+  private static final long TIMEOUT_CHECK_MILLIS = 100;
+  /** The time a client may take per byte of a body, on top of the read timeout, and the longest that any body may take. */
   private static final long BODY_NANOS_PER_BYTE = TimeUnit.SECONDS.toNanos(1) / (32 * 1024);
-  private static final long MOST_UPLOAD_NANOS = TimeUnit.MINUTES.toNanos(10);
-  /** Times of {@link Clients#READING_NANOS} that an upstream may take nothing of a body. */
-  private static final int MOST_PAUSES = 12;
-  /** When a client whose body found no room may ask again. */
-  private static final long UPLOAD_AGAIN_NANOS = TimeUnit.SECONDS.toNanos(1);
-  /** The client's time runs from when it sent the request, and the answer has to get back to it. */
-  private static final long WAY_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
+  private static final long MAX_UPLOAD_NANOS = TimeUnit.MINUTES.toNanos(10);
+  /** How many times {@link Clients#READ_TIMEOUT_NANOS} an upstream may accept no data of a body. */
+  private static final int MAX_UPLOAD_PAUSES = 12;
+  /** The Retry-After of a request whose body was rejected for lack of buffer capacity. */
+  private static final long UPLOAD_RETRY_AFTER_NANOS = TimeUnit.SECONDS.toNanos(1);
+  /** Subtracted from a client's deadline, which runs from when it sent the request until the response has reached it. */
+  private static final long RESPONSE_MARGIN_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
   private final Engine engine;
-  private final HttpExchange.Context exchanges;
+  private final HttpExchange.Context exchangeContext;
   private final Clock clock;
   private final SocketBudget sockets;
   private final UpstreamPool pool;
   private Map<String, RequestClass> classes;
   private Set<String> tenants;
   private final Clients clients = new Clients();
-  private final StallDetector stalls = new StallDetector();
-  private final BufferBudget pipelinedHeads = PipelinedRequests.heads();
+  private final StallDetector stallDetector = new StallDetector();
+  private final BufferBudget pipelinedHeadBudget = PipelinedRequests.headBudget();
   private final Counts counts;
-  private final RequestReader.Budgets bodies;
-  /** The clients' ids of the requests in hand, and of those of which an attempt is still out. */
-  private final Set<String> open = new HashSet<>();
+  private final RequestReader.Budgets bodyBudgets;
+  /** The clients' ids of the requests in progress, and of finished requests with an attempt still in flight. */
+  private final Set<String> activeIds = new HashSet<>();
   private Channel listener;
   private boolean ready;
   private boolean stopping;
   private boolean closing;
-  private boolean over;
+  private boolean rejecting;
 
-  /** {@code bodies} is where clients' bodies find room. */
-  Frontend(HttpExchange.Context exchanges, Clock clock, SocketBudget sockets, Settings settings, RequestReader.Budgets bodies, Counts counts) {
+  /** {@code bodyBudgets} limits the memory that request bodies take. */
+  Frontend(HttpExchange.Context exchangeContext, Clock clock, SocketBudget sockets, Settings settings, RequestReader.Budgets bodyBudgets,
+      Counts counts) {
     this.counts = counts;
-    this.engine = exchanges.engine();
-    this.exchanges = exchanges;
+    this.engine = exchangeContext.engine();
+    this.exchangeContext = exchangeContext;
     this.clock = clock;
     this.sockets = sockets;
-    this.pool = exchanges.pool();
-    this.bodies = bodies;
-    retune(settings);
+    this.pool = exchangeContext.pool();
+    this.bodyBudgets = bodyBudgets;
+    updateSettings(settings);
   }
 
-  /** Requests that come from here on are of these classes and tenants. */
-  void retune(Settings settings) {
+  /** Applies new classes and tenants to the requests that arrive from now on. */
+  void updateSettings(Settings settings) {
     classes = settings.classes().stream().collect(Collectors.toMap(RequestClass::name, Function.identity()));
     tenants = settings.tenants().stream().map(Tenant::name).collect(Collectors.toSet());
   }
@@ -131,41 +135,41 @@
       @Override
       protected void initChannel(Channel channel) {
         Connection connection = new Connection(channel);
-        // The decoder fails a request whose length is told twice, or by Transfer-Encoding as well.
-        channel.pipeline().addLast(connection.arrivals(), new HttpServerCodec(new HttpDecoderConfig(), MOST_DECODED),
+        // The decoder fails a request with more than one length, or with both Content-Length and Transfer-Encoding.
+        channel.pipeline().addLast(connection.inputMonitor(), new HttpServerCodec(new HttpDecoderConfig(), MAX_DECODED_REQUESTS),
             connection.reader, connection);
-        accepted(channel);
+        onAccepted(channel);
       }
     }), address, loop -> {
-      stalls.watch(loop);
+      stallDetector.watch(loop);
       if (listener instanceof Listener l) {
-        l.stalls(stalls);
+        l.setStallDetector(stallDetector);
       }
-      Periodic.every(loop, SWEEP_MILLIS, clients::sweep);
+      Periodic.every(loop, TIMEOUT_CHECK_MILLIS, clients::closeTimedOut);
     });
     listener = bound.channel();
     return bound;
   }
 
-  /** From here on {@code /healthz} may say that this balancer serves. */
-  void ready() {
+  /** Lets {@code /healthz} report that this balancer serves. */
+  void markReady() {
     ready = true;
   }
 
-  /** From here on {@code /healthz} sends clients elsewhere. */
-  void stopping() {
+  /** Makes {@code /healthz} report that this balancer does not serve, so that clients go elsewhere. */
+  void markStopping() {
     stopping = true;
   }
 
-  /** Another process listens at the same address: every answer from here on has its client come back to that one. */
-  void leaveTo() {
+  /** Closes each connection after its next response: the client then reconnects to the other process that listens at the same address. */
+  void closeAfterResponses() {
     closing = true;
   }
 
-  /** New connections are refused; those that wait in the queue are taken. */
-  void acceptNoMore() {
+  /** Closes the listener after accepting the connections that wait in its queue. */
+  void stopAccepting() {
     if (listener instanceof Listener l) {
-      l.acceptLast();
+      l.drainQueueAndClose();
     } else {
       listener.close();
     }
@@ -175,18 +179,18 @@
     return ready && !stopping && engine.canServe();
   }
 
-  /** From here on every answer closes its connection; those that are owed nothing are closed, but where a request has begun to come. */
-  void close() {
+  /** Closes connections after their next response, and at once those that have neither a request in progress nor a partial one. */
+  void drain() {
     closing = true;
-    clients.closeUnserved();
+    clients.closeWithoutRequest();
   }
 
-  /** What still comes is turned away. Guards rule 1: sent on now, nothing would wait for its end. */
-  void takeNoMore() {
-    over = true;
+  /** Rejects further requests. Forwarded now, they could not be answered before the process exits (rule 1: one answer to each request). */
+  void rejectRequests() {
+    rejecting = true;
   }
 
-  /** Ends what is left, such as a client that has its answer and still sends. */
+  /** Closes all connections, such as that of a client that has its response and still sends. */
   void closeAll() {
     clients.closeAll();
   }
@@ -196,139 +200,140 @@
   }
 
   /**
-   * Guards the descriptors: what the machine accepted counts as taken, so a new client comes before one that has nothing
-   * open, and before connections to upstreams that stand idle.
+   * Keeps the process within its descriptor limit. The operating system has accepted the connection already, so room is made for it by
+   * closing a client without a request in progress or an idle upstream connection.
    */
-  private void accepted(Channel channel) {
-    boolean few = clients.count() < sockets.maxClientConnections();
-    // Beside another process the room is short for a moment only: connections to upstreams are given up before clients are.
-    boolean room = few && (sockets.hasCapacity() || sockets.isShared() && pool.closeOldest()) || shed() || pool.closeOldest();
+  private void onAccepted(Channel channel) {
+    boolean belowLimit = clients.count() < sockets.maxClientConnections();
+    // With another process beside this one capacity is short for a moment only, so idle upstream connections are closed before clients.
+    boolean admit = belowLimit && (sockets.hasCapacity() || sockets.isShared() && pool.closeOldest()) || closeLeastUsefulClient()
+        || pool.closeOldest();
     sockets.opened();
     channel.closeFuture().addListener(f -> sockets.closed());
-    if (!room && sockets.isNearlyExhausted()) {
+    if (!admit && sockets.isNearlyExhausted()) {
       channel.close();
     }
   }
 
-  private boolean shed() {
-    boolean shed = clients.shed();
-    if (shed) {
+  private boolean closeLeastUsefulClient() {
+    boolean closed = clients.closeLeastUseful();
+    if (closed) {
       counts.clientClosed(true);
     }
-    return shed;
+    return closed;
   }
 
-  /** One client's connection: a request at a time, those that come early wait for their turn. */
+  /** A client connection. It serves one request at a time; pipelined requests wait. */
   private final class Connection extends SimpleChannelInboundHandler<FullHttpRequest> implements Clients.Client, HttpExchange.ClientResponder {
 
     private final Channel channel;
     private final RequestReader reader;
-    private final PipelinedRequests pipelined = new PipelinedRequests(pipelinedHeads);
+    private final PipelinedRequests pipelined = new PipelinedRequests(pipelinedHeadBudget);
     private boolean busy;
     private boolean keepAlive;
-    /** The request is of HTTP/1.0, which knows no chunks. */
-    private boolean old;
-    /** Nothing that still comes is read: it follows what can't be understood, or there is too much of it. */
-    private boolean deaf;
-    /** Bytes have come since the last request that was taken. */
-    private boolean begun;
-    /** Bytes of the body of the request that is served. */
-    private int size;
+    /** The request is HTTP/1.0, which has no chunked encoding. */
+    private boolean http10;
+    /** Further input is discarded: it follows a malformed request, or too many requests are pipelined. */
+    private boolean ignoringInput;
+    /** Bytes have arrived since the last request that was accepted. */
+    private boolean partialRequest;
+    /** The buffer capacity of the body of the request in progress, in bytes. */
+    private int bodyCapacity;
     private HttpExchange exchange;
-    /** What is still to come of the body of the request that is served; null for nothing. */
-    private BodyStream rest;
-    private boolean left;
-    /** Times that nothing came of a body because it was not read. */
-    private int pauses;
-    private StreamedResponse passing;
-    /** When the first byte of the request came that is being read. */
+    /** The part of the body of the request in progress that is streamed; null if the body is buffered. */
+    private BodyStream upload;
+    private boolean lingering;
+    /** Consecutive read timeouts during which the body was not read because the upstream accepted nothing. */
+    private int uploadPauses;
+    private StreamedResponse streamedResponse;
+    /** When the first byte of the request that is being read arrived. */
     private long readingSince = System.nanoTime();
-    /** For how long its first request may have waited for the connection to be accepted; 0 behind that. */
+    /** How long the first request may have waited for the connection to be accepted; 0 for later requests. */
     private long queuedNanos;
-    /** Since when nothing is read, by this side's doing; 0 while it reads. */
-    private long heldSince;
+    /** When this side stopped reading; 0 while it reads. */
+    private long readPausedSince;
 
     Connection(Channel channel) {
       this.channel = channel;
       queuedNanos = channel instanceof ClientSocket socket ? socket.queuedNanos() : 0;
-      reader = new RequestReader(bodies, () -> busy, this::read);
+      reader = new RequestReader(bodyBudgets, () -> busy, this::updateAutoRead);
     }
 
-    /** Reads, or doesn't: what waits for an upstream that takes it slowly is not to grow. */
-    private void read() {
-      // Early requests don't end it: the end of a connection is heard only where it is read, and its requests must not go on after that.
-      boolean reads = !left && reader.wantsMore();
-      if (reads != channel.config().isAutoRead()) {
+    /** Starts or stops reading, so that the data that waits for a slow upstream stays bounded. */
+    private void updateAutoRead() {
+      // Pipelined requests do not stop it: a close is noticed only by reading, and requests must not be forwarded after it.
+      boolean shouldRead = !lingering && reader.wantsMore();
+      if (shouldRead != channel.config().isAutoRead()) {
         long now = System.nanoTime();
-        readingSince += reads && heldSince != 0 ? now - heldSince : 0; // Its client could do nothing meanwhile.
-        heldSince = reads ? 0 : now;
-        channel.config().setAutoRead(reads);
-        if (reads) {
-          clients.resumed(this);
+        readingSince += shouldRead && readPausedSince != 0 ? now - readPausedSince : 0; // The client could not make progress meanwhile.
+        readPausedSince = shouldRead ? 0 : now;
+        channel.config().setAutoRead(shouldRead);
+        if (shouldRead) {
+          clients.readResumed(this);
         }
       }
     }
 
-    /** Sees bytes before they are decoded: from the first one on a request has to come in whole in time. */
-    ChannelInboundHandlerAdapter arrivals() {
+    /** Sees bytes before they are decoded: the read timeout of a request starts with its first byte. */
+    ChannelInboundHandlerAdapter inputMonitor() {
       return new ChannelInboundHandlerAdapter() {
         @Override
         public void channelRead(ChannelHandlerContext context, Object bytes) {
-          if (deaf) {
+          if (ignoringInput) {
             ReferenceCountUtil.release(bytes);
             return;
           }
-          begun = true;
+          partialRequest = true;
           if (clients.is(Connection.this, State.IDLE)) {
             readingSince = System.nanoTime();
-            clients.move(Connection.this, State.READING);
+            clients.setState(Connection.this, State.READING);
           }
           context.fireChannelRead(bytes);
-          if (reader.isWithin()) {
-            progress();
+          if (reader.isReadingBody()) {
+            checkProgress();
           }
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext context) {
-          if (passing != null) {
-            passing.writabilityChanged();
+          if (streamedResponse != null) {
+            streamedResponse.writabilityChanged();
           }
           context.fireChannelWritabilityChanged();
         }
       };
     }
 
-    /** A body that comes keeps its client, if it comes fast enough. */
-    private void progress() {
-      if (clients.is(this, State.SERVED) || heldSince != 0) {
-        return; // Its time begins with its turn, or runs on once it is read: judged now, it would be answered in place of the one that is served.
+    /** Restarts the read timeout while a body arrives fast enough, and otherwise times out. */
+    private void checkProgress() {
+      if (clients.is(this, State.SERVED) || readPausedSince != 0) {
+        return; // A pipelined body's time starts with its turn, a paused one's resumes with reading. A 408 now would answer the request in progress.
       }
-      if (System.nanoTime() - readingSince > Clients.READING_NANOS + reader.came() * BODY_NANOS_PER_BYTE) {
-        overdue();
+      if (System.nanoTime() - readingSince > Clients.READ_TIMEOUT_NANOS + reader.received() * BODY_NANOS_PER_BYTE) {
+        onTimeout();
       } else if (clients.is(this, State.READING)) {
-        clients.move(this, State.READING);
+        clients.setState(this, State.READING);
       } else if (clients.is(this, State.UPLOADING)) {
-        pauses = 0;
-        clients.move(this, State.UPLOADING);
+        uploadPauses = 0;
+        clients.setState(this, State.UPLOADING);
       }
     }
 
     @Override
     public void channelActive(ChannelHandlerContext context) {
-      clients.move(this, State.READING);
+      clients.setState(this, State.READING);
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-      if (deaf) {
+      if (ignoringInput) {
         return;
       }
-      deaf = !request.decoderResult().isSuccess();
+      ignoringInput = !request.decoderResult().isSuccess();
       if (!busy) {
-        take(request);
-      } else if (!pipelined.add(request, reader.held())) {
-        deaf = true;
+        handle(request);
+      } else if (!pipelined.add(request, reader.bufferedBytes())) {
+        ignoringInput = true;
       }
     }
 
@@ -336,12 +341,12 @@
     public void channelInactive(ChannelHandlerContext context) {
       clients.remove(this);
       pipelined.release();
-      if (rest != null) {
-        rest.discard();
+      if (upload != null) {
+        upload.discard();
       }
       reader.release();
-      if (passing != null) {
-        passing.cancelStallTimer();
+      if (streamedResponse != null) {
+        streamedResponse.cancelStallTimer();
       }
       if (exchange != null) {
         HttpExchange gone = exchange;
@@ -352,28 +357,28 @@
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      boolean usual = cause instanceof IOException || cause instanceof CodecException;
-      LOG.log(usual ? Level.FINE : Level.WARNING, "connection from " + channel.remoteAddress(), cause);
-      if (cause instanceof IOException || !deaf) {
+      boolean expected = cause instanceof IOException || cause instanceof CodecException;
+      LOG.log(expected ? Level.FINE : Level.WARNING, "connection from " + channel.remoteAddress(), cause);
+      if (cause instanceof IOException || !ignoringInput) {
         context.close();
-      } // Otherwise it speaks of what is not read any more; what came before it is still answered.
+      } // Otherwise the failure is in discarded input; the requests before it are still answered.
     }
 
     @Override
-    public void overdue() {
-      if (clients.is(this, State.UPLOADING) && !channel.config().isAutoRead() && ++pauses < MOST_PAUSES) {
-        clients.move(this, State.UPLOADING); // It is the upstream that takes its time.
+    public void onTimeout() {
+      if (clients.is(this, State.UPLOADING) && !channel.config().isAutoRead() && ++uploadPauses < MAX_UPLOAD_PAUSES) {
+        clients.setState(this, State.UPLOADING); // The upstream is slow, not the client.
         return;
       }
-      if (reader.isWaiting()) {
-        reader.turnAway();
+      if (reader.isAwaitingCapacity()) {
+        reader.rejectUpload();
         return;
       }
       counts.clientClosed(false);
       if (clients.is(this, State.UPLOADING)) {
-        close(); // What there was of it may be at an upstream, which never gets the rest; or it is answered already.
-      } else if (begun) {
-        deaf = true;
+        close(); // An upstream may have its beginning and must not get the rest; or the response has been sent.
+      } else if (partialRequest) {
+        ignoringInput = true;
         busy = true;
         answer(HttpResponseStatus.REQUEST_TIMEOUT, "the request did not come in whole");
       } else {
@@ -382,8 +387,8 @@
     }
 
     @Override
-    public boolean hasBegun() {
-      return begun;
+    public boolean hasPartialRequest() {
+      return partialRequest;
     }
 
     @Override
@@ -392,22 +397,22 @@
       channel.close();
     }
 
-    private void take(FullHttpRequest request) {
+    private void handle(FullHttpRequest request) {
       busy = true;
-      begun = false;
-      size = request.content().capacity();
-      rest = request instanceof StreamedRequest s ? s.rest : null;
-      clients.move(this, rest == null ? State.SERVED : State.UPLOADING);
+      partialRequest = false;
+      bodyCapacity = request.content().capacity();
+      upload = request instanceof StreamedRequest s ? s.bodyStream : null;
+      clients.setState(this, upload == null ? State.SERVED : State.UPLOADING);
       keepAlive = HttpUtil.isKeepAlive(request);
-      old = request.protocolVersion().compareTo(HttpVersion.HTTP_1_1) < 0;
+      http10 = request.protocolVersion().compareTo(HttpVersion.HTTP_1_1) < 0;
       String uri = request.uri();
       int query = uri.indexOf('?');
       String path = query < 0 ? uri : uri.substring(0, query);
       if (!request.decoderResult().isSuccess()) {
-        answer(status(request.decoderResult().cause()), "malformed request");
-      } else if (request instanceof StreamedRequest s && s.turnedAway) {
-        counts.uploadTurnedAway();
-        sendResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, UPLOAD_AGAIN_NANOS, null, Unpooled.EMPTY_BUFFER);
+        answer(statusFor(request.decoderResult().cause()), "malformed request");
+      } else if (request instanceof StreamedRequest s && s.rejected) {
+        counts.uploadRejected();
+        sendResponse(HttpResponseStatus.SERVICE_UNAVAILABLE, UPLOAD_RETRY_AFTER_NANOS, null, Unpooled.EMPTY_BUFFER);
       } else if (path.equals(HEALTH)) {
         boolean serves = isReady();
         answer(serves ? HttpResponseStatus.OK : HttpResponseStatus.SERVICE_UNAVAILABLE, serves ? "ok" : "not serving");
@@ -416,59 +421,59 @@
       } else if (!request.method().equals(HttpMethod.GET) && !request.method().equals(HttpMethod.POST)) {
         answer(HttpResponseStatus.METHOD_NOT_ALLOWED, "GET and POST only");
       } else {
-        serve(request);
+        forward(request);
       }
     }
 
-    private void serve(FullHttpRequest request) {
+    private void forward(FullHttpRequest request) {
       HttpHeaders headers = request.headers();
       String id = headers.get(ID, "");
       String tenant = headers.get(TENANT);
-      RequestClass type = classes.get(headers.get(CLASS, ""));
-      long expires = headers.contains(EXPIRES) ? wholeNumber(headers.get(EXPIRES)) : Long.MAX_VALUE;
-      if (id.isEmpty() || id.length() > MOST_NAME) {
+      RequestClass requestClass = classes.get(headers.get(CLASS, ""));
+      long expiresMillis = headers.contains(EXPIRES) ? wholeNumber(headers.get(EXPIRES)) : Long.MAX_VALUE;
+      if (id.isEmpty() || id.length() > MAX_NAME_LENGTH) {
         answer(HttpResponseStatus.BAD_REQUEST, ID + " is missing or too long");
-      } else if (type == null) {
+      } else if (requestClass == null) {
         answer(HttpResponseStatus.BAD_REQUEST, CLASS + " names no known class");
       } else if (tenant != null && !tenants.isEmpty() && !tenants.contains(tenant)) {
         answer(HttpResponseStatus.BAD_REQUEST, TENANT + " names no known tenant");
-      } else if (tenant != null && tenant.length() > MOST_NAME) {
+      } else if (tenant != null && tenant.length() > MAX_NAME_LENGTH) {
         answer(HttpResponseStatus.BAD_REQUEST, TENANT + " is too long");
-      } else if (expires < 0) {
+      } else if (expiresMillis < 0) {
         answer(HttpResponseStatus.BAD_REQUEST, EXPIRES + " is not a number of milliseconds");
-      } else if (type.effect() == Effect.KEYED && headers.get(IDEMPOTENCY_KEY, "").isEmpty()) {
-        // Guards a keyed class: without the key no upstream could drop a repeat.
+      } else if (requestClass.effect() == Effect.KEYED && headers.get(IDEMPOTENCY_KEY, "").isEmpty()) {
+        // Without the key no upstream could deduplicate a retry of a keyed class.
         answer(HttpResponseStatus.BAD_REQUEST, IDEMPOTENCY_KEY + " is missing");
-      } else if (over) {
+      } else if (rejecting) {
         answer(HttpResponseStatus.SERVICE_UNAVAILABLE, "stopping");
-      } else if (open.contains(id)) {
-        // Guards the client whose request it is, and its effect.
+      } else if (activeIds.contains(id)) {
+        // Protects the request that already uses this id, and its effect.
         answer(HttpResponseStatus.CONFLICT, ID + " is that of a request in hand");
       } else {
-        // No client waits for longer than its class's deadline, and nothing is kept for longer.
-        long whole = Math.min(type.deadlineNanos(), TimeUnit.MILLISECONDS.toNanos(Math.min(expires, MOST_MILLIS)));
-        long wait = Math.max(0, WholeRequest.left(request, whole) - Math.max(queuedNanos, stalls.stalledNanos()));
+        // No client waits longer than its class's deadline, and no request is kept longer.
+        long allowedNanos = Math.min(requestClass.deadlineNanos(), TimeUnit.MILLISECONDS.toNanos(Math.min(expiresMillis, MAX_EXPIRY_MILLIS)));
+        long waitNanos = Math.max(0, BufferedRequest.remainingNanos(request, allowedNanos) - Math.max(queuedNanos, stallDetector.stalledNanos()));
         queuedNanos = 0;
         long hint = Math.max(0, wholeNumber(headers.get(HINT, "0")));
-        // Of a body that is still coming the end is not known; its client's time counts from there.
-        long until = clock.now() + wait - WAY_NANOS + (rest == null ? 0 : MOST_UPLOAD_NANOS);
-        Exchange.RequestInfo info = new Exchange.RequestInfo(type, tenant, SessionKey.of(headers, MOST_NAME), TimeUnit.MICROSECONDS.toNanos(hint),
-            "1".equals(headers.get(RETRY)), until, 0, List.of());
-        exchange = new HttpExchange(info, exchanges, request.retain(), wait, this, () -> open.remove(id));
-        open.add(id);
+        // The client's time counts from the end of the body, which is unknown while the body is streamed.
+        long deadline = clock.now() + waitNanos - RESPONSE_MARGIN_NANOS + (upload == null ? 0 : MAX_UPLOAD_NANOS);
+        Exchange.RequestInfo info = new Exchange.RequestInfo(requestClass, tenant, SessionKey.of(headers, MAX_NAME_LENGTH),
+            TimeUnit.MICROSECONDS.toNanos(hint), "1".equals(headers.get(RETRY)), deadline, 0, List.of());
+        exchange = new HttpExchange(info, exchangeContext, request.retain(), waitNanos, this, () -> activeIds.remove(id));
+        activeIds.add(id);
         engine.accept(exchange);
-        if (rest != null) {
+        if (upload != null) {
           HttpExchange uploading = exchange;
-          rest.setCallbacks(() -> engine.bodyDiscarded(uploading), () -> uploaded(uploading, wait - WAY_NANOS));
+          upload.setCallbacks(() -> engine.bodyDiscarded(uploading), () -> uploadEnded(uploading, waitNanos - RESPONSE_MARGIN_NANOS));
         }
       }
     }
 
-    private void uploaded(HttpExchange uploading, long left) {
-      begun = false;
-      uploading.bodyEnded(clock.now() + left, left);
+    private void uploadEnded(HttpExchange uploading, long remainingNanos) {
+      partialRequest = false;
+      uploading.bodyEnded(clock.now() + remainingNanos, remainingNanos);
       if (clients.is(this, State.UPLOADING)) {
-        clients.move(this, State.SERVED);
+        clients.setState(this, State.SERVED);
       }
     }
 
@@ -489,40 +494,40 @@
       if (retryAfterNanos > 0) {
         response.headers().set(HttpHeaderNames.RETRY_AFTER, BigDecimal.valueOf((long) Math.ceil(retryAfterNanos / 1e6), 3).toPlainString());
       }
-      boolean keep = keeps();
-      HttpUtil.setKeepAlive(response, keep);
-      channel.writeAndFlush(response).addListener(f -> answered(f.isSuccess(), keep));
+      boolean persistent = canKeepAlive();
+      HttpUtil.setKeepAlive(response, persistent);
+      channel.writeAndFlush(response).addListener(f -> responseWritten(f.isSuccess(), persistent));
     }
 
-    /** What waits for its turn has been taken, and is answered before the connection ends. */
-    private boolean keeps() {
-      return keepAlive && (rest == null || rest.isComplete()) && (!pipelined.isEmpty() || !deaf && !closing);
+    /** Whether the connection stays open after this response. Pipelined requests were accepted and are answered before it closes. */
+    private boolean canKeepAlive() {
+      return keepAlive && (upload == null || upload.isComplete()) && (!pipelined.isEmpty() || !ignoringInput && !closing);
     }
 
-    private void answered(boolean written, boolean keep) {
-      boolean uploading = rest != null && !rest.isComplete();
+    private void responseWritten(boolean written, boolean persistent) {
+      boolean uploading = upload != null && !upload.isComplete();
       if (written && uploading) {
-        // A client that reads only once it has sent all: what it still sends is dropped, and then the connection ends.
-        BodyStream coming = rest;
-        deafTo(coming);
-      } else if (!written || !keep && !deaf) {
+        // The client may read only after sending everything: the rest of the body is discarded before the connection closes.
+        BodyStream remaining = upload;
+        discardUpload(remaining);
+      } else if (!written || !persistent && !ignoringInput) {
         channel.close();
-      } else if (!keep) {
-        leave();
+      } else if (!persistent) {
+        lingeringClose();
       } else {
-        next();
+        nextRequest();
       }
     }
 
     @Override
     public boolean isClientConnected() {
-      return channel instanceof ClientSocket socket ? socket.isThere() : channel.isActive();
+      return channel instanceof ClientSocket socket ? socket.isClientConnected() : channel.isActive();
     }
 
-    private void deafTo(BodyStream coming) {
-      coming.discard();
-      coming.setCallbacks(() -> { }, this::leave);
-      read();
+    private void discardUpload(BodyStream remaining) {
+      remaining.discard();
+      remaining.setCallbacks(() -> { }, this::lingeringClose);
+      updateAutoRead();
     }
 
     @Override
@@ -531,61 +536,64 @@
       if (type != null) {
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, type);
       }
-      boolean framed = length >= 0 || !old;
+      boolean framed = length >= 0 || !http10;
       if (length >= 0) {
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, length);
       } else if (framed) {
         response.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
       }
-      boolean keep = framed && keeps();
-      HttpUtil.setKeepAlive(response, keep);
-      passing = new StreamedResponse(channel, writable, () -> exchange = null, written -> {
-        passing = null;
-        answered(written, keep);
+      boolean persistent = framed && canKeepAlive();
+      HttpUtil.setKeepAlive(response, persistent);
+      streamedResponse = new StreamedResponse(channel, writable, () -> exchange = null, written -> {
+        streamedResponse = null;
+        responseWritten(written, persistent);
       });
       channel.write(response);
-      return passing;
+      return streamedResponse;
     }
 
-    /** Guards the error on its way: to close over bytes that were not read would reset it away. */
-    private void leave() {
-      clients.move(this, State.LEAVING);
-      left = true;
-      read();
+    /**
+     * Closes after the client has had time to read the response: closing with unread bytes would reset the connection, and the response
+     * would be lost.
+     */
+    private void lingeringClose() {
+      clients.setState(this, State.LEAVING);
+      lingering = true;
+      updateAutoRead();
       if (channel instanceof DuplexChannel duplex) {
         duplex.shutdownOutput();
       }
     }
 
-    private void next() {
+    private void nextRequest() {
       busy = false;
-      rest = null;
-      reader.release(size);
+      upload = null;
+      reader.release(bodyCapacity);
       FullHttpRequest request = pipelined.poll();
       if (request != null) {
-        take(request);
+        handle(request);
         request.release();
       } else if (channel.isActive()) {
         readingSince = System.nanoTime();
-        clients.move(this, begun ? State.READING : State.IDLE);
+        clients.setState(this, partialRequest ? State.READING : State.IDLE);
       }
-      if (!deaf) {
-        read();
+      if (!ignoringInput) {
+        updateAutoRead();
       }
     }
   }
 
-  /** How a request that can't be read is answered. */
-  private static HttpResponseStatus status(Throwable cause) {
+  /** The response status for a malformed request. */
+  private static HttpResponseStatus statusFor(Throwable cause) {
     return cause instanceof TooLongHttpContentException ? HttpResponseStatus.REQUEST_ENTITY_TOO_LARGE
         : cause instanceof TooLongHttpLineException ? HttpResponseStatus.REQUEST_URI_TOO_LONG
         : cause instanceof TooLongHttpHeaderException ? HttpResponseStatus.REQUEST_HEADER_FIELDS_TOO_LARGE
         : HttpResponseStatus.BAD_REQUEST;
   }
 
-  /** The number, or -1 for anything but digits. */
+  /** The number, or -1 if the text is not a short run of digits. */
   private static long wholeNumber(String text) {
-    boolean digits = !text.isEmpty() && text.length() <= MOST_DIGITS
+    boolean digits = !text.isEmpty() && text.length() <= MAX_DIGITS
         && text.chars().allMatch(c -> c >= '0' && c <= '9');
     return digits ? Long.parseLong(text) : -1;
   }
--- a/http/src/main/java/cloverpulley/serve/RequestReader.java
+++ b/http/src/main/java/cloverpulley/serve/RequestReader.java
@@ -21,44 +21,47 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Puts the parts of a request together: a body that is kept comes on whole, a longer one as a {@link StreamedRequest} while it comes. It
- * answers nothing by itself but {@code 100 Continue}: one that is too large comes on as a request that failed, to be answered in its turn.
+ * Assembles requests from their parts. A short body is buffered and passed on whole, a longer one as a {@link StreamedRequest} while it
+ * arrives. It responds only with {@code 100 Continue}: a request that is too large is passed on as failed, to be answered in its turn.
  */
 final class RequestReader extends ChannelInboundHandlerAdapter {
 
-  /** The longest body that is kept, and so can be sent again to the last. */
-  static final int MOST_KEPT = 256 * 1024;
-  /** The longest that is taken at all: what the protocol allows, and what a sender may be off by. */
-  static final long MOST_BODY = 33L << 20;
+  /** The longest body that is buffered, and so can be sent again in any attempt. */
+  static final int MAX_BUFFERED_BODY = 256 * 1024;
+  /** The longest body that is accepted: the protocol's limit, and a margin for senders that exceed it slightly. */
+  static final long MAX_BODY = 33L << 20;
 
-  /** Room for a body at first; it grows as it comes, whatever length was told. */
-  private static final int FIRST = 4096;
+  /** The initial buffer capacity for a body. It grows with the data received, whatever Content-Length says. */
+  private static final int INITIAL_CAPACITY = 4096;
 
-  /** Where all connections' bodies find room: those that are kept, by what their buffers take, and those that pass while they come. */
-  record Budgets(BufferBudget kept, BufferBudget uploads) {}
+  /** The memory for bodies over all connections: buffered ones, by the capacity of their buffers, and streamed ones. */
+  record Budgets(BufferBudget buffered, BufferBudget streamed) {}
 
   private final Budgets budgets;
   private final BooleanSupplier busy;
-  private final Runnable demand;
-  private long held;
-  /** The request that is being put together, its body so far, and the bytes of it that have come. */
+  private final Runnable onDemandChanged;
+  private long bufferedBytes;
+  /** The request that is being assembled, its body so far, and the bytes of the body received. */
   private HttpRequest head;
   private ByteBuf body;
-  private BodyStream rest;
-  private long came;
-  private boolean waits;
-  /** What comes belongs to a request that has failed. */
-  private boolean skips;
-  /** Where the body passes while it comes, once there is room, and what had been read when there was none: one read at most. */
-  private BufferBudget.Reservation place;
-  private final ArrayDeque<Object> late = new ArrayDeque<>(2);
+  private BodyStream bodyStream;
+  private long received;
+  private boolean awaitsCapacity;
+  /** The parts that arrive belong to a request that has failed. */
+  private boolean discarding;
+  /** The capacity requested for a streamed body, and the messages that were decoded while it was not granted: one read at most. */
+  private BufferBudget.Reservation reservation;
+  private final ArrayDeque<Object> deferred = new ArrayDeque<>(2);
   private ChannelHandlerContext context;
 
-  /** {@code busy} tells whether an earlier request on the connection is still to be answered; {@code demand} is run when more can be read. */
-  RequestReader(Budgets budgets, BooleanSupplier busy, Runnable demand) {
+  /**
+   * Creates a reader. {@code busy} tells whether an earlier request on the connection has no response yet; {@code onDemandChanged} is run when
+   * {@link #wantsMore} may have changed.
+   */
+  RequestReader(Budgets budgets, BooleanSupplier busy, Runnable onDemandChanged) {
     this.budgets = budgets;
     this.busy = busy;
-    this.demand = demand;
+    this.onDemandChanged = onDemandChanged;
   }
 
   @Override
@@ -68,8 +71,8 @@
 
   @Override
   public void channelRead(ChannelHandlerContext context, Object message) {
-    if (isWaiting()) {
-      late.add(message);
+    if (isAwaitingCapacity()) {
+      deferred.add(message);
     } else {
       read(context, message);
     }
@@ -80,7 +83,7 @@
       if (message instanceof HttpRequest request) {
         begin(context, request);
       }
-      if (message instanceof HttpContent content && (head != null || rest != null)) {
+      if (message instanceof HttpContent content && (head != null || bodyStream != null)) {
         add(context, content);
       }
     } finally {
@@ -89,178 +92,178 @@
   }
 
   private void begin(ChannelHandlerContext context, HttpRequest request) {
-    letGo();
-    came = 0;
-    skips = false;
+    reset();
+    received = 0;
+    discarding = false;
     if (!request.decoderResult().isSuccess()) {
       fail(context, request.decoderResult());
       return;
     }
     long length = HttpUtil.getContentLength(request, -1L);
-    if (length > MOST_BODY) {
+    if (length > MAX_BODY) {
       fail(context, DecoderResult.failure(new TooLongHttpContentException("the body is too large")));
       return;
     }
     head = request;
-    if (length > MOST_KEPT) {
+    if (length > MAX_BUFFERED_BODY) {
       body = Unpooled.EMPTY_BUFFER;
-      pass(null);
+      awaitUploadCapacity(null);
     } else {
-      body = context.alloc().buffer((int) Math.max(0, Math.min(length, FIRST)));
-      hold(body.capacity());
-      goOn();
+      body = context.alloc().buffer((int) Math.max(0, Math.min(length, INITIAL_CAPACITY)));
+      reserve(body.capacity());
+      sendContinue();
     }
   }
 
-  /** Tells a client that waits for the word to send its body. */
-  private void goOn() {
+  /** Sends 100 Continue to a client that waits for it before it sends the body. */
+  private void sendContinue() {
     if (HttpUtil.is100ContinueExpected(head) && !busy.getAsBoolean()) {
       context.writeAndFlush(new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.CONTINUE, Unpooled.EMPTY_BUFFER));
     }
   }
 
-  private void hold(long octets) {
-    budgets.kept().forceAcquire(octets);
-    held += octets;
+  private void reserve(long bytes) {
+    budgets.buffered().forceAcquire(bytes);
+    bufferedBytes += bytes;
   }
 
-  /** Keeps a piece; false where that would take more room than there is. A short body always finds some. */
-  private boolean keep(ByteBuf piece) {
+  /** Appends a piece to the buffered body; false if the budget has no capacity for it. A short body always fits. */
+  private boolean append(ByteBuf piece) {
     int needed = body.writerIndex() + piece.readableBytes();
     if (needed > body.capacity()) {
       int capacity = body.alloc().calculateNewCapacity(needed, Integer.MAX_VALUE);
-      long more = capacity - body.capacity();
-      if (capacity > FIRST && !budgets.kept().fits(more)) {
+      long additional = capacity - body.capacity();
+      if (capacity > INITIAL_CAPACITY && !budgets.buffered().fits(additional)) {
         return false;
       }
-      hold(more);
+      reserve(additional);
       body.capacity(capacity);
     }
-    body.writeBytes(piece); // Copied: pieces of an octet each would else cost a buffer each.
+    body.writeBytes(piece); // Copied, since pieces of one byte would otherwise take a buffer each.
     return true;
   }
 
   private void add(ChannelHandlerContext context, HttpContent content) {
     int bytes = content.content().readableBytes();
-    came += bytes;
-    if (!content.decoderResult().isSuccess() || came > MOST_BODY) {
+    received += bytes;
+    if (!content.decoderResult().isSuccess() || received > MAX_BODY) {
       fail(context, content.decoderResult().isSuccess()
           ? DecoderResult.failure(new TooLongHttpContentException("the body is too large")) : content.decoderResult());
       return;
     }
-    if (rest != null) {
+    if (bodyStream != null) {
       if (bytes > 0) {
-        rest.add(content.content().retain());
+        bodyStream.add(content.content().retain());
       }
-    } else if (bytes > 0 && (came > MOST_KEPT || !keep(content.content()))) {
-      // Guards the memory against many bodies at once: what there is no room for goes on as it comes.
-      came -= bytes;
-      pass(content);
+    } else if (bytes > 0 && (received > MAX_BUFFERED_BODY || !append(content.content()))) {
+      // Bounds the memory that many bodies take at once: one that does not fit in the budget is streamed.
+      received -= bytes;
+      awaitUploadCapacity(content);
       return;
     }
     if (content instanceof LastHttpContent) {
-      if (rest != null) {
-        BodyStream done = rest;
-        rest = null;
+      if (bodyStream != null) {
+        BodyStream done = bodyStream;
+        bodyStream = null;
         done.end();
       } else {
-        FullHttpRequest whole = new WholeRequest(head, body);
+        FullHttpRequest complete = new BufferedRequest(head, body);
         head = null;
         body = null;
-        emit(context, whole);
+        emit(context, complete);
       }
     }
   }
 
-  /** What is still to come passes while it comes, from this piece on, as soon as there is room for that. */
-  private void pass(HttpContent piece) {
+  /** Streams the body from this piece on, as soon as the budget for uploads has capacity. */
+  private void awaitUploadCapacity(HttpContent piece) {
     if (piece != null) {
-      late.addFirst(piece.retain());
+      deferred.addFirst(piece.retain());
     }
-    // Not at once: who leaves the room is in the middle of something else.
-    place = budgets.uploads().reserve(BodyStream.MAX_HELD_BYTES, () -> context.executor().execute(() -> {
-      if (isWaiting()) {
-        stream(false);
+    // Deferred, since this callback runs inside the caller that releases the capacity.
+    reservation = budgets.streamed().reserve(BodyStream.MAX_HELD_BYTES, () -> context.executor().execute(() -> {
+      if (isAwaitingCapacity()) {
+        startStreaming(false);
       }
     }));
-    waits = true;
-    if (place.isGranted()) {
-      stream(false);
+    awaitsCapacity = true;
+    if (reservation.isGranted()) {
+      startStreaming(false);
     } else {
-      demand.run();
+      onDemandChanged.run();
     }
   }
 
-  private void stream(boolean turnedAway) {
-    waits = false;
-    if (!turnedAway) {
-      goOn();
+  private void startStreaming(boolean rejected) {
+    awaitsCapacity = false;
+    if (!rejected) {
+      sendContinue();
     }
-    rest = new BodyStream(demand, place::release);
-    place = null;
-    StreamedRequest request = new StreamedRequest(head, body, rest, turnedAway);
+    bodyStream = new BodyStream(onDemandChanged, reservation::release);
+    reservation = null;
+    StreamedRequest request = new StreamedRequest(head, body, bodyStream, rejected);
     head = null;
     body = null;
     emit(context, request);
-    while (!late.isEmpty() && !isWaiting()) {
-      read(context, late.poll());
+    while (!deferred.isEmpty() && !isAwaitingCapacity()) {
+      read(context, deferred.poll());
     }
-    demand.run();
+    onDemandChanged.run();
   }
 
-  /** Whether a body stands before the room: nothing more of its connection is read. */
-  boolean isWaiting() {
-    return waits;
+  /** Whether a body waits for upload capacity; nothing more is read from its connection meanwhile. */
+  boolean isAwaitingCapacity() {
+    return awaitsCapacity;
   }
 
-  /** There was no room in time for the body that waits for some: it comes on as turned away. */
-  void turnAway() {
-    stream(true);
+  /** Passes the waiting request on as rejected, because there was no upload capacity in time. */
+  void rejectUpload() {
+    startStreaming(true);
   }
 
   private static void emit(ChannelHandlerContext context, FullHttpRequest request) {
-    context.fireChannelRead(request); // Who takes it releases it.
+    context.fireChannelRead(request); // The receiver releases it.
   }
 
-  private void fail(ChannelHandlerContext context, DecoderResult why) {
-    boolean passing = rest != null;
-    letGo();
-    if (passing) {
-      // Its beginning may be at an upstream: the connection ends, and with it the attempt, which never had the whole.
+  private void fail(ChannelHandlerContext context, DecoderResult cause) {
+    boolean streaming = bodyStream != null;
+    reset();
+    if (streaming) {
+      // An upstream may have the beginning of the body: closing the connection also ends that attempt, which stays incomplete.
       context.close();
-    } else if (!skips) {
-      skips = true;
+    } else if (!discarding) {
+      discarding = true;
       FullHttpRequest failed = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.POST, Frontend.API, Unpooled.EMPTY_BUFFER);
-      failed.setDecoderResult(why);
+      failed.setDecoderResult(cause);
       emit(context, failed);
     }
   }
 
-  /** Whether a part of a request's body is still to come. */
-  boolean isWithin() {
-    return head != null || rest != null;
+  /** Whether a request's body is not complete yet. */
+  boolean isReadingBody() {
+    return head != null || bodyStream != null;
   }
 
-  /** Bytes of the body of the request that is coming. */
-  long came() {
-    return came;
+  /** Bytes received of the body that is being read. */
+  long received() {
+    return received;
   }
 
-  /** Whether what is passed on while it comes leaves room to read more. */
+  /** Whether more may be read: no body waits for capacity, and a streamed body is below its limit. */
   boolean wantsMore() {
-    return !waits && (rest == null || rest.wantsMore());
+    return !awaitsCapacity && (bodyStream == null || bodyStream.wantsMore());
   }
 
-  private void letGo() {
+  private void reset() {
     head = null;
-    rest = null;
-    waits = false;
-    if (place != null) {
-      place.release();
-      place = null;
+    bodyStream = null;
+    awaitsCapacity = false;
+    if (reservation != null) {
+      reservation.release();
+      reservation = null;
     }
-    late.forEach(ReferenceCountUtil::release);
-    late.clear();
+    deferred.forEach(ReferenceCountUtil::release);
+    deferred.clear();
     if (body != null) {
       body.release();
       body = null;
@@ -269,23 +272,23 @@
 
   @Override
   public void channelInactive(ChannelHandlerContext context) {
-    letGo();
+    reset();
     context.fireChannelInactive();
   }
 
-  /** Bytes that are kept of bodies on this connection, those of requests that were told included. */
-  long held() {
-    return held;
+  /** Bytes of buffered bodies on this connection, including those of requests that were passed on. */
+  long bufferedBytes() {
+    return bufferedBytes;
   }
 
-  /** So many bytes are held no more. */
+  /** Releases bytes of buffered bodies. */
   void release(long bytes) {
-    held -= bytes;
-    budgets.kept().release(bytes);
+    bufferedBytes -= bytes;
+    budgets.buffered().release(bytes);
   }
 
-  /** Nothing of the requests on this connection is held any more. */
+  /** Releases all buffered bodies of this connection. */
   void release() {
-    release(held);
+    release(bufferedBytes);
   }
 }
--- a/http/src/test/java/cloverpulley/serve/AttemptTest.java
+++ b/http/src/test/java/cloverpulley/serve/AttemptTest.java
@@ -252,14 +252,14 @@
     try (UnresponsiveServer upstream = new UnresponsiveServer(); StubServer discovery = new StubServer(c -> {
       c.next();
       drain.await();
-      c.write(Discoveries.watch(Rig.list(2, false, Rig.member("s-1", upstream.address(), "draining"))));
+      c.write(DiscoveryFixture.watch(Rig.list(2, false, Rig.member("s-1", upstream.address(), "draining"))));
       c.next();
     })) {
       Script module = new Script((event, out) -> {
         if (event instanceof EndpointUpdate n && n.kind() == ListKind.CACHED) {
           out.accept(new Watch(true));
         } else if (event instanceof Request r) {
-          out.accept(new Send(r.id(), Discoveries.number("s-1"), 0));
+          out.accept(new Send(r.id(), DiscoveryFixture.number("s-1"), 0));
         } else if (event instanceof Outcome outcome) {
           out.accept(new Fail(outcome.id(), Reason.NO_ROOM));
         }
@@ -286,7 +286,7 @@
       if (event instanceof Request r) {
         requestId[0] = r.id();
       } else if (event instanceof UpstreamSetOffline) {
-        out.accept(new Send(requestId[0], Discoveries.number("s-1"), 0));
+        out.accept(new Send(requestId[0], DiscoveryFixture.number("s-1"), 0));
       } else if (event instanceof Outcome outcome && !outcome.finished()) {
         out.accept(new Fail(outcome.id(), Reason.NO_ROOM));
       }
@@ -295,7 +295,7 @@
         Client client = rig.client()) {
       client.write(Rig.get("t", ""));
       module.next(Request.class);
-      rig.server.tell(engine -> engine.setOffline("s-1", 0));
+      rig.server.runOnLoop(engine -> engine.setOffline("s-1", 0));
       assertEquals(Status.NOT_SENT, module.next(Outcome.class).status());
       assertTrue(client.answer().startsWith("HTTP/1.1 502 "));
       assertTrue(upstream.requests.isEmpty(), "the upstream receives nothing");
@@ -320,7 +320,7 @@
   private static Script cancelOnClientGone() {
     return new Script((event, out) -> {
       if (event instanceof Request r) {
-        out.accept(new Send(r.id(), Discoveries.number("s-1"), 0));
+        out.accept(new Send(r.id(), DiscoveryFixture.number("s-1"), 0));
       } else if (event instanceof ClientGone g) {
         out.accept(new Cancel(g.id(), 0));
       }
@@ -400,9 +400,9 @@
   void attemptsBeyondLimitAreNotSent() throws Exception {
     Script module = new Script((event, out) -> {
       if (event instanceof Request r) {
-        out.accept(new Send(r.id(), Discoveries.number("s-1"), 0));
+        out.accept(new Send(r.id(), DiscoveryFixture.number("s-1"), 0));
       } else if (event instanceof Outcome outcome && outcome.attempt() < 6) {
-        out.accept(new Send(outcome.id(), Discoveries.number("s-1"), 0));
+        out.accept(new Send(outcome.id(), DiscoveryFixture.number("s-1"), 0));
       } else if (event instanceof Outcome outcome) {
         out.accept(new Fail(outcome.id(), Reason.NO_ROOM));
       }
@@ -433,8 +433,8 @@
   void probesRequestHealthWithoutTraceId() throws Exception {
     Script module = new Script((event, out) -> {
       if (event instanceof Request r) {
-        out.accept(new Probe(Discoveries.number("s-1")));
-        out.accept(new CloseIdle(Discoveries.number("s-1")));
+        out.accept(new Probe(DiscoveryFixture.number("s-1")));
+        out.accept(new CloseIdle(DiscoveryFixture.number("s-1")));
         out.accept(new Fail(r.id(), Reason.NO_ROOM));
       }
     });
@@ -453,7 +453,7 @@
   void socketBudgetClosesIdleConnectionsThenFailsAttempts() throws Exception {
     Script module = new Script((event, out) -> {
       if (event instanceof Request r) {
-        out.accept(new Send(r.id(), Discoveries.number("true".equals(r.tenant()) ? "s-2" : "s-1"), 0));
+        out.accept(new Send(r.id(), DiscoveryFixture.number("true".equals(r.tenant()) ? "s-2" : "s-1"), 0));
       } else if (event instanceof Outcome outcome && !outcome.finished()) {
         out.accept(new Fail(outcome.id(), Reason.NO_ROOM));
       }
@@ -468,9 +468,9 @@
       // The budget leaves six sockets: three for clients, three for upstreams.
       first.ask(Rig.get("t1", ""));
       assertEquals(Status.SERVED, module.next(Outcome.class).status());
-      List<Client> asking = List.of(second, third, first);
+      List<Client> clients = List.of(second, third, first);
       for (int i = 0; i < 3; i++) {
-        asking.get(i).write(Rig.get("busy" + i, "X-Customer: true\r\n"));
+        clients.get(i).write(Rig.get("busy" + i, "X-Customer: true\r\n"));
         assertNotNull(busy.requests.poll(Rig.LIMIT_S, TimeUnit.SECONDS), "the idle connection was closed for the third attempt");
       }
       try (Client last = rig.client()) {
