--- a/bench/src/main/java/cloverpulley/bench/OutsBench.java
+++ b/bench/src/main/java/cloverpulley/bench/OutsBench.java
@@ -15,10 +15,10 @@
 import cloverpulley.outs.ResultCode;
 import cloverpulley.standins.StandInUpstream;
 import cloverpulley.standins.StandInUpstream.Answer;
-import cloverpulley.standins.faults.AgreeingFleet;
-import cloverpulley.standins.faults.AgreeingFleet.Plan;
-import cloverpulley.standins.faults.AgreeingFleet.Upstream;
-import cloverpulley.standins.faults.Asking;
+import cloverpulley.standins.faults.BalancerCluster;
+import cloverpulley.standins.faults.BalancerCluster.Plan;
+import cloverpulley.standins.faults.BalancerCluster.Upstream;
+import cloverpulley.standins.faults.ContinuousClients;
 import cloverpulley.standins.faults.Instance;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -55,7 +55,7 @@
   private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
   private final Map<String, StandInUpstream> upstreams = new HashMap<>();
   private final Map<String, Long> outSince = new HashMap<>();
-  private final Asking asking = new Asking(20);
+  private final ContinuousClients asking = new ContinuousClients(20);
   private int overLimit;
   private int afterOut;
 
@@ -116,7 +116,7 @@
     String groups = "[[agree.group]]\nname = \"upstreams\"\npart = 0.2\nback = 4\n[[agree.group]]\nname = \"balancers\"\npart = 0.1\nmost = 20\n";
     Path run = Files.createDirectories(folder.resolve("run"));
     List<String> figures = new ArrayList<>();
-    try (AgreeingFleet fleet = new AgreeingFleet(run, java, new Plan(VOTERS, processes - VOTERS, listed, groups, 300, 200, 3000, false))) {
+    try (BalancerCluster fleet = new BalancerCluster(run, java, new Plan(VOTERS, processes - VOTERS, listed, groups, 300, 200, 3000, false))) {
       measure(fleet, processes, figures, histories.get(), world.states(), rolling);
     } finally {
       asking.close();
@@ -132,14 +132,14 @@
     command.add("-XX:ArchiveClassesAtExit=" + archive);
     command.addAll(List.of("-jar", "dist/target/ashdeck.jar"));
     Path alone = Files.createDirectories(folder.resolve("train"));
-    try (AgreeingFleet one = new AgreeingFleet(alone, command, new Plan(VOTERS, 0, listed, "", 300, 200, 3000, false))) {
+    try (BalancerCluster one = new BalancerCluster(alone, command, new Plan(VOTERS, 0, listed, "", 300, 200, 3000, false))) {
       Instance first = one.instances().get(0);
       first.start().address("balance");
       first.terminate();
     }
   }
 
-  private void measure(AgreeingFleet fleet, int processes, List<String> figures, long histories, int states, double rolling) throws Exception {
+  private void measure(BalancerCluster fleet, int processes, List<String> figures, long histories, int states, double rolling) throws Exception {
     long begun = System.nanoTime();
     for (int i = 0; i < processes; i += AT_ONCE) {
       List<Instance> some = fleet.instances().subList(i, Math.min(processes, i + AT_ONCE));
@@ -240,7 +240,7 @@
     return (of.bodyBytes() - before + looks * 600.0) / (looks * 0.2);
   }
 
-  private static double leaderLoss(AgreeingFleet fleet, AgreeClient client) throws Exception {
+  private static double leaderLoss(BalancerCluster fleet, AgreeClient client) throws Exception {
     client.fullState();
     int leader = Integer.parseInt(client.leader().substring(1));
     long from = System.nanoTime();
--- a/dist/src/test/java/cloverpulley/cli/OutsRig.java
+++ b/dist/src/test/java/cloverpulley/cli/OutsRig.java
@@ -11,10 +11,10 @@
 import cloverpulley.outs.ResultCode;
 import cloverpulley.standins.StandInUpstream;
 import cloverpulley.standins.StandInUpstream.Answer;
-import cloverpulley.standins.faults.AgreeingFleet;
-import cloverpulley.standins.faults.AgreeingFleet.Plan;
-import cloverpulley.standins.faults.AgreeingFleet.Upstream;
-import cloverpulley.standins.faults.Asking;
+import cloverpulley.standins.faults.BalancerCluster;
+import cloverpulley.standins.faults.BalancerCluster.Plan;
+import cloverpulley.standins.faults.BalancerCluster.Upstream;
+import cloverpulley.standins.faults.ContinuousClients;
 import cloverpulley.standins.faults.Instance;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -51,8 +51,8 @@
   });
   final Map<String, StandInUpstream> upstreams = new ConcurrentHashMap<>();
   final Map<String, Long> outSince = new ConcurrentHashMap<>();
-  final Asking asking = new Asking(5);
-  AgreeingFleet fleet;
+  final ContinuousClients asking = new ContinuousClients(5);
+  BalancerCluster fleet;
   AgreeClient client;
 
   @BeforeEach
@@ -65,7 +65,7 @@
     }
     String groups = "[[agree.group]]\nname = \"upstreams\"\npart = 0.34\nback = 2\n[[agree.group]]\nname = \"cell:0\"\nmost = 1\n"
         + "[[agree.group]]\nname = \"cell:1\"\nmost = 1\n[[agree.group]]\nname = \"balancers\"\nmost = 1\n";
-    fleet = new AgreeingFleet(folder, List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
+    fleet = new BalancerCluster(folder, List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
         "-XX:TieredStopAtLevel=1", "-Xmx48m", "-jar", System.getProperty("jar")), new Plan(VOTERS, ALL - VOTERS, listed, groups, 300, 50, 1500, true));
     for (Instance i : fleet.instances()) {
       i.start();
--- a/standins/src/main/java/cloverpulley/standins/faults/AgreeingFleet.java
+++ b/standins/src/main/java/cloverpulley/standins/faults/BalancerCluster.java
@@ -15,7 +15,7 @@
  * Balancers that agree on who is out, as processes: the first few vote, each pair of voters is joined by a relay each way, and upstreams
  * are written in their files.
  */
-public final class AgreeingFleet implements AutoCloseable {
+public final class BalancerCluster implements AutoCloseable {
 
   /** An upstream as lists name it. */
   public record Upstream(String id, String address, int cell) {}
@@ -48,7 +48,7 @@
    *
    * @param ashdeck the command that stands for {@code ./ashdeck}
    */
-  public AgreeingFleet(Path folder, List<String> ashdeck, Plan plan) throws IOException, InterruptedException {
+  public BalancerCluster(Path folder, List<String> ashdeck, Plan plan) throws IOException, InterruptedException {
     this.folder = folder;
     this.plan = plan;
     this.ashdeck = List.copyOf(ashdeck);
--- a/standins/src/main/java/cloverpulley/standins/faults/Asking.java
+++ b/standins/src/main/java/cloverpulley/standins/faults/ContinuousClients.java
@@ -12,7 +12,7 @@
  * Clients that ask balancers without end, one request after the other, on a new connection where the last was closed between two. What is
  * neither an answer 200 nor a refusal is lost, and so is a connection that ends with a request open, unless its balancer was killed.
  */
-public final class Asking implements AutoCloseable {
+public final class ContinuousClients implements AutoCloseable {
 
   private static final int LIMIT_MILLIS = 10_000;
 
@@ -23,7 +23,7 @@
   private volatile boolean over;
 
   /** Each client rests for so long after an answer. */
-  public Asking(long paceMillis) {
+  public ContinuousClients(long paceMillis) {
     this.paceMillis = paceMillis;
   }
 
--- a/standins/src/main/java/cloverpulley/standins/soak/Soak.java
+++ b/standins/src/main/java/cloverpulley/standins/soak/Soak.java
@@ -68,7 +68,7 @@
   private final Path folder;
   private final List<SoakNode> nodes = new ArrayList<>();
   private final List<SoakServer> servers = new ArrayList<>();
-  private final SoakNotices notices = new SoakNotices();
+  private final SoakNotifications notices = new SoakNotifications();
   private final List<String> story = new CopyOnWriteArrayList<>();
   private final long longestMillis;
   private final long begunNanos = System.nanoTime();
@@ -478,7 +478,7 @@
   }
 
   private void judge() {
-    new SoakJudge(counts, notices, nodes, servers, clients).judge();
+    new SoakChecker(counts, notices, nodes, servers, clients).judge();
   }
 
   private void close() throws IOException {
--- a/standins/src/main/java/cloverpulley/standins/soak/SoakJudge.java
+++ b/standins/src/main/java/cloverpulley/standins/soak/SoakChecker.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Holds what clients and servers saw against the rules. */
-final class SoakJudge {
+final class SoakChecker {
 
   /** What counts for a rule may come so much later for the observer. */
   private static final long SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
@@ -31,12 +31,12 @@
   private static final double SLOW_START_PART = 0.75;
 
   private final SoakCounts counts;
-  private final SoakNotices notices;
+  private final SoakNotifications notices;
   private final List<SoakNode> nodes;
   private final List<SoakServer> servers;
   private final Map<String, Asked> asked;
 
-  SoakJudge(SoakCounts counts, SoakNotices notices, List<SoakNode> nodes, List<SoakServer> servers, SoakClients clients) {
+  SoakChecker(SoakCounts counts, SoakNotifications notices, List<SoakNode> nodes, List<SoakServer> servers, SoakClients clients) {
     this.counts = counts;
     this.notices = notices;
     this.nodes = nodes;
@@ -118,7 +118,7 @@
     return server.received.stream().filter(r -> r.atNanos() >= from && r.atNanos() < from + SLOW_START_NANOS).count();
   }
 
-  private void judgeSlowStart(SoakNotices.Restart restart) {
+  private void judgeSlowStart(SoakNotifications.Restart restart) {
     long from = restart.atNanos();
     boolean started = nodes.stream().flatMap(n -> n.processes.stream())
         .anyMatch(p -> p.readyNanos > from - SLOW_START_NANOS && p.readyNanos < from + SLOW_START_NANOS);
--- a/standins/src/main/java/cloverpulley/standins/soak/SoakNotices.java
+++ b/standins/src/main/java/cloverpulley/standins/soak/SoakNotifications.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** What balancers were notified of and when, and when they could not be: the truth that an observer holds them to. Thread-safe. */
-final class SoakNotices {
+final class SoakNotifications {
 
   /** A span of time; an open one has no end yet. */
   static final class Span {
