--- a/bench/src/main/java/cloverpulley/bench/DnsSdBench.java
+++ b/bench/src/main/java/cloverpulley/bench/DnsSdBench.java
@@ -117,7 +117,7 @@
       serials.merge(zone, 1L, Long::sum);
     }
 
-    void answer(StandInDns.Asked a) {
+    void answer(StandInDns.ReceivedQuery a) {
       try {
         Record q = a.message().getQuestion();
         String name = a.name();
--- a/bench/src/main/java/cloverpulley/bench/LoadBench.java
+++ b/bench/src/main/java/cloverpulley/bench/LoadBench.java
@@ -111,7 +111,7 @@
   /** The part by which the measured waiting in a stall of two seconds differs from the true one. */
   private static double stall() throws BadFileException, InterruptedException {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-    try (ScriptedHttp server = new ScriptedHttp(group, ScriptedHttp.Manner.SERVE)) {
+    try (ScriptedHttp server = new ScriptedHttp(group, ScriptedHttp.Behaviour.SERVE)) {
       LoadRun.run(plan(server.address().getPort(), 2000, 3, "poisson"), r -> { });
       Plan plan = plan(server.address().getPort(), 2000, 6, "poisson");
       AtomicInteger second = new AtomicInteger();
--- a/bench/src/main/java/cloverpulley/bench/OutsBench.java
+++ b/bench/src/main/java/cloverpulley/bench/OutsBench.java
@@ -161,7 +161,7 @@
     });
     System.out.printf("%d processes serve and are enrolled after %.1f s%n", processes, (System.nanoTime() - begun) / 1e9);
     for (int i = 0; i < Math.min(CALLED, processes); i++) {
-      asking.at(fleet.instances().get(processes - 1 - i));
+      asking.addClient(fleet.instances().get(processes - 1 - i));
     }
     List<Double> permit = new ArrayList<>();
     List<Double> acted = new ArrayList<>();
@@ -174,7 +174,7 @@
     }
     double resident = 0;
     for (int i = VOTERS; i < processes; i++) {
-      resident += fleet.instances().get(i).resident() / 1e6 / (processes - VOTERS);
+      resident += fleet.instances().get(i).residentBytes() / 1e6 / (processes - VOTERS);
     }
     double bytes = bytes(client);
     double loss = leaderLoss(fleet, client);
--- a/bench/src/main/java/cloverpulley/bench/Servers.java
+++ b/bench/src/main/java/cloverpulley/bench/Servers.java
@@ -49,7 +49,7 @@
   public static void main(String[] args) throws IOException, BadFileException, InterruptedException {
     if (args[0].equals("http")) {
       EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-      System.out.println("port " + new ScriptedHttp(group, ScriptedHttp.Manner.SERVE).address().getPort());
+      System.out.println("port " + new ScriptedHttp(group, ScriptedHttp.Behaviour.SERVE).address().getPort());
       System.in.read();
       System.exit(0);
     }
--- a/dist/src/main/java/cloverpulley/cli/Demo.java
+++ b/dist/src/main/java/cloverpulley/cli/Demo.java
@@ -94,7 +94,7 @@
   private long drainedAt;
   private volatile int restartStatus = -1;
   private volatile ChildFront restarted;
-  private StandInProxy.Tally tally;
+  private StandInProxy.Counters tally;
 
   Demo(int seconds, int rate) {
     this.seconds = seconds;
@@ -155,7 +155,7 @@
 
   private void play(PrintStream out, StandInDiscovery discovery, ChildFront first, StandInProxy proxy, Path successor,
       Path log, SplittableRandom random) throws IOException, InterruptedException {
-    tally = proxy.tally();
+    tally = proxy.counters();
     HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     int count = seconds * rate;
     CountDownLatch open = new CountDownLatch(count);
@@ -260,10 +260,10 @@
         counts.values().stream().mapToInt(AtomicInteger::get).sum(), counts.toString().replaceAll("[{}]", "")));
     out.println();
     out.printf("calls of the processor %d: destinations %d, refusals %d, failures %d, without a verdict %d%n", tally.calls.get(),
-        tally.destinations.get(), tally.refusals.get(), tally.failures.get(), tally.noVerdict.get());
+        tally.destinations.get(), tally.rejections.get(), tally.failures.get(), tally.missingDecisions.get());
     out.printf("answers, from the intended start: p50 %.1f ms, p99 %.1f ms, most %.1f ms%n",
         latency.getValueAtPercentile(50) / 1e3, latency.getValueAtPercentile(99) / 1e3, latency.getMaxValue() / 1e3);
-    out.printf("slowest verdict %.1f ms%n%n", tally.slowestVerdictMicros.get() / 1e3);
+    out.printf("slowest verdict %.1f ms%n%n", tally.maxDecisionMicros.get() / 1e3);
     Map<String, List<String>> ran = new HashMap<>();
     Map<String, String> kinds = new HashMap<>();
     servers.forEach((server, s) -> s.seen().forEach(seen -> {
@@ -283,8 +283,8 @@
         : cold.stream().filter(s -> s.atNanos() < cold.get(0).atNanos() + TimeUnit.SECONDS.toNanos(1)).count();
     // Six servers carry the load evenly; a cold one surely does 0.32 of a warm one's, and falls over at three times that.
     double most = 3 * 0.32 * rate / (SERVERS - 1);
-    boolean kept = rule(out, "1  one final answer each, in time", unanswered.get() + late.get() + tally.doubleVerdicts.get()
-        + wrong.get() == 0, unanswered + " without, " + late + " late, " + tally.doubleVerdicts + " double, " + wrong + " of another");
+    boolean kept = rule(out, "1  one final answer each, in time", unanswered.get() + late.get() + tally.duplicateDecisions.get()
+        + wrong.get() == 0, unanswered + " without, " + late + " late, " + tally.duplicateDecisions + " double, " + wrong + " of another");
     kept &= rule(out, "2  no effect twice", twice + outside == 0, twice + " unsafe ones twice, " + outside
         + " keyed ones outside their group");
     kept &= rule(out, "3  nothing new to a drained server after 2 s", drained == 0, drained + " after it");
--- a/dist/src/main/java/cloverpulley/cli/DnsDemo.java
+++ b/dist/src/main/java/cloverpulley/cli/DnsDemo.java
@@ -120,7 +120,7 @@
     return kept;
   }
 
-  private void serve(StandInDns.Asked asked) {
+  private void serve(StandInDns.ReceivedQuery asked) {
     if (asked.message().getHeader().getOpcode() == Opcode.UPDATE) {
       changes.computeIfAbsent(asked.message().getSection(Section.UPDATE).get(0).getName().toString(), n -> new AtomicInteger())
           .incrementAndGet();
--- a/dist/src/test/java/cloverpulley/cli/CommandIT.java
+++ b/dist/src/test/java/cloverpulley/cli/CommandIT.java
@@ -248,7 +248,7 @@
         for (int i = 0; i < 100; i++) {
           asked.add(ask(http, proxy, "a" + i));
         }
-        while (proxy.tally().destinations.get() == 0) {
+        while (proxy.counters().destinations.get() == 0) {
           TimeUnit.MILLISECONDS.sleep(1);
         }
         first.destroyForcibly();
@@ -262,8 +262,8 @@
           served += answer.get(LIMIT_S, TimeUnit.SECONDS).statusCode() == 200 ? 1 : 0;
         }
         assertEquals(150, served);
-        assertEquals(150, proxy.tally().answers.get());
-        assertEquals(0, proxy.tally().doubleVerdicts.get());
+        assertEquals(150, proxy.counters().answers.get());
+        assertEquals(0, proxy.counters().duplicateDecisions.get());
       }
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
--- a/dist/src/test/java/cloverpulley/cli/OutsIT.java
+++ b/dist/src/test/java/cloverpulley/cli/OutsIT.java
@@ -75,14 +75,14 @@
     await("the dead one is counted", () -> whole().members().get("b" + killed).unwell());
     assertEquals("balancers", ask(client, "k3", "b4", 0).binding(), "it has the one place of a balancer, whatever nobody asked for");
     fleet.instances().get(killed).start();
-    asking.at(fleet.instances().get(killed));
+    asking.addClient(fleet.instances().get(killed));
     await("it is back", () -> !whole().members().get("b" + killed).unwell());
 
     int paused = leader();
     fleet.instances().get(paused).pause();
     assertEquals(ResultCode.LIMIT, ask(client, "p", "s2", 0).word());
     assertEquals(ResultCode.GRANTED, ask(client, "p2", "s3", 0).word());
-    fleet.instances().get(paused).goOn();
+    fleet.instances().get(paused).resume();
     try {
       assertEquals(ResultCode.LIMIT, at(paused).command(new Command.Ask("p3", "s4", "it", "", 0, false), 2000).word(),
           "what it thought it led is over");
@@ -96,7 +96,7 @@
     outSince.remove("s3");
     await("s3 is warm", () -> !whole().outs().containsKey("s3"));
     int cut = leader();
-    fleet.cutOff(cut, true);
+    fleet.isolate(cut, true);
     assertThrows(AgreeClient.NoMajorityException.class, () -> at(cut).command(new Command.Ask("c", "s5", "it", "", 0, false), 4000),
         "alone in its half it grants nothing");
     List<VoterAddress> others = new ArrayList<>();
@@ -106,7 +106,7 @@
       }
     }
     assertEquals(ResultCode.GRANTED, ask(new AgreeClient(others), "c2", "s4", 0).word());
-    fleet.cutOff(cut, false);
+    fleet.isolate(cut, false);
     await("the one ask that had no answer is one or none", () -> at(cut).fullState().outs().containsKey("s4"));
     assertTrue(whole().outs().keySet().stream().filter(s -> s.compareTo("s3") >= 0).count() <= 1, () -> "cell:1 has one place");
     long late = System.nanoTime() + 2 * GRACE_NANOS;
@@ -133,7 +133,7 @@
       i.start();
     }
     for (Instance i : fleet.instances()) {
-      asking.at(i);
+      asking.addClient(i);
     }
     assertTrue(fleet.instances().get(2).log().contains("does not vote"), "it says so");
     assertEquals(ResultCode.HALTED, ask(client, "r2", "s3", 0).word());
@@ -176,7 +176,7 @@
     assertEquals(0, fleet.instances().get(4).terminate());
     assertEquals("balancers", ask(client, "d6", "b3", 0).binding(), "gone and granted is one place");
     fleet.instances().get(4).start();
-    asking.at(fleet.instances().get(4));
+    asking.addClient(fleet.instances().get(4));
     bringBack("b4");
     await("it is back", () -> !whole().outs().containsKey("b4"));
     assertEquals(ResultCode.GRANTED, ask(client, "d7", "b3", 0).word());
--- a/dist/src/test/java/cloverpulley/cli/OutsRig.java
+++ b/dist/src/test/java/cloverpulley/cli/OutsRig.java
@@ -76,7 +76,7 @@
     }
     client = new AgreeClient(voters);
     for (Instance i : fleet.instances()) {
-      asking.at(i);
+      asking.addClient(i);
     }
     await("all are enrolled", () -> whole().members().size() == 6 + ALL && whole().rules().version() == 1
         && whole().members().values().stream().noneMatch(LedgerState.Member::unwell));
@@ -88,7 +88,7 @@
     if (fleet != null) {
       for (Instance i : fleet.instances()) {
         if (i.isAlive()) {
-          i.goOn();
+          i.resume();
         }
       }
       fleet.close();
--- a/dist/src/test/java/cloverpulley/cli/VotersIT.java
+++ b/dist/src/test/java/cloverpulley/cli/VotersIT.java
@@ -28,7 +28,7 @@
       assertEquals(0, fleet.instances().get(i).terminate());
     }
     fleet.instances().get(i).start();
-    asking.at(fleet.instances().get(i));
+    asking.addClient(fleet.instances().get(i));
   }
 
   /** A voter loses its disk while an out is leaving; another takes its place, and then holds the ledger with one of the old ones alone. */
@@ -40,7 +40,7 @@
     fleet.instances().get(lost).kill();
     Files.delete(folder.resolve("b" + lost + ".ledger"));
     fleet.instances().get(lost).start();
-    asking.at(fleet.instances().get(lost));
+    asking.addClient(fleet.instances().get(lost));
     assertTrue(fleet.instances().get(lost).log().contains("does not vote"), "it does not vote with what it made up");
     assertEquals(ResultCode.DONE, client.command(new Command.Left("s0", epoch), 20_000).word());
     assertEquals(1, Main.run("outs", "replace", "b" + lost, "b" + lost, "--config", fleet.config(1).toString()), "not under its own name");
@@ -78,12 +78,12 @@
     assertThrows(AgreeClient.NoMajorityException.class, () -> client.command(new Command.Ask("v4", "s4", "it", "", 0, false), 2000),
         "one of three is none");
     fleet.instances().get(1).start();
-    asking.at(fleet.instances().get(1));
+    asking.addClient(fleet.instances().get(1));
     // It joined, and after a restart it is a voter like any other.
     startAgain(3);
     assertEquals("cell:1", ask(client, "v5", "s4", 0).binding());
     fleet.instances().get(kept).start();
-    asking.at(fleet.instances().get(kept));
+    asking.addClient(fleet.instances().get(kept));
     long late = System.nanoTime() + 2 * GRACE_NANOS;
     await("time for late ones", () -> System.nanoTime() > late);
     assertQuiet("s0");
@@ -96,9 +96,9 @@
   void aVoterWithAFullDiskServesAndTakesNoPart() throws Exception {
     int full = leader();
     fleet.instances().get(full).kill();
-    fleet.limitFiles(full, 160);
+    fleet.limitFileSize(full, 160);
     fleet.instances().get(full).start();
-    asking.at(fleet.instances().get(full));
+    asking.addClient(fleet.instances().get(full));
     await("it takes part", () -> at(full).fullState().index() >= whole().index());
     for (int i = 0; i < 400; i++) {
       client.command(new Command.Halt("h" + i % 5, "it", "so that there is something to write"), 20_000);
@@ -117,9 +117,9 @@
     await("its clients and the others' are served", () -> asking.answered() > before + 500);
     assertEquals(ResultCode.GRANTED, ask(client, "f", "s0", 0).word(), "two of three are a majority");
     fleet.instances().get(full).kill();
-    fleet.limitFiles(full, 0);
+    fleet.limitFileSize(full, 0);
     fleet.instances().get(full).start();
-    asking.at(fleet.instances().get(full));
+    asking.addClient(fleet.instances().get(full));
     await("it has caught up", () -> at(full).fullState().outs().containsKey("s0"));
     int other = full == 1 ? 0 : 1;
     fleet.instances().get(other).kill();
@@ -131,7 +131,7 @@
   @Test
   void anUpgradeOfABalancerIsNoOut() throws Exception {
     Instance old = fleet.instances().get(4);
-    try (Instance next = fleet.second(4).start()) {
+    try (Instance next = fleet.secondProcess(4).start()) {
       next.address("balance");
       assertEquals(6 + ALL, whole().members().size());
       assertEquals(ResultCode.GRANTED, ask(client, "u", "s0", 0).word());
--- a/dns/src/test/java/cloverpulley/dns/CacheTest.java
+++ b/dns/src/test/java/cloverpulley/dns/CacheTest.java
@@ -5,7 +5,7 @@
 
 import cloverpulley.names.TtlPolicy;
 import cloverpulley.standins.StandInDns;
-import cloverpulley.standins.StandInDns.Asked;
+import cloverpulley.standins.StandInDns.ReceivedQuery;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
@@ -80,7 +80,7 @@
 
   @Test
   void concurrentQueriesForOneQuestionAreCoalesced() throws Exception {
-    List<Asked> pending = java.util.Collections.synchronizedList(new ArrayList<>());
+    List<ReceivedQuery> pending = java.util.Collections.synchronizedList(new ArrayList<>());
     StandInDns server = rig.dns(pending::add);
     rig.start("upstream.attempt_ms = 15000", "", server);
     List<Rig.Udp> clients = new ArrayList<>();
@@ -161,7 +161,7 @@
   /** With a slow server, clients get the stale answer after a while, and the in-flight query still refreshes the cache. */
   @Test
   void staleAnswerIsServedWhileTheServerIsSlow() throws Exception {
-    List<Asked> pending = java.util.Collections.synchronizedList(new ArrayList<>());
+    List<ReceivedQuery> pending = java.util.Collections.synchronizedList(new ArrayList<>());
     AtomicBoolean slow = new AtomicBoolean();
     StandInDns server = rig.dns(a -> {
       if (slow.get()) {
--- a/dns/src/test/java/cloverpulley/dns/QuotaTest.java
+++ b/dns/src/test/java/cloverpulley/dns/QuotaTest.java
@@ -74,7 +74,7 @@
   /** A retransmission of a forwarded update gets the original's answer even if the quota is used up. */
   @Test
   void retransmittedUpdateIsNotRejected() throws Exception {
-    List<StandInDns.Asked> pending = java.util.Collections.synchronizedList(new ArrayList<>());
+    List<StandInDns.ReceivedQuery> pending = java.util.Collections.synchronizedList(new ArrayList<>());
     start(rig.dns(a -> {
       if (a.message().getHeader().getOpcode() == Opcode.UPDATE) {
         pending.add(a);
--- a/dns/src/test/java/cloverpulley/dns/RestartTest.java
+++ b/dns/src/test/java/cloverpulley/dns/RestartTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cloverpulley.standins.StandInDns;
-import cloverpulley.standins.StandInDns.Asked;
+import cloverpulley.standins.StandInDns.ReceivedQuery;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
@@ -72,7 +72,7 @@
   /** Answers that arrive within the drain time are delivered over UDP and TCP. */
   @Test
   void answersWithinTheDrainTimeAreDelivered() throws Exception {
-    List<Asked> pending = java.util.Collections.synchronizedList(new ArrayList<>());
+    List<ReceivedQuery> pending = java.util.Collections.synchronizedList(new ArrayList<>());
     rig.start("lame_ms = 0\ndrain_ms = 20000\nupstream.attempt_ms = 15000", "", rig.dns(pending::add));
     try (Rig.Udp udp = new Rig.Udp(rig.server.address()); Rig.Tcp tcp = new Rig.Tcp(rig.server.address())) {
       udp.send(Rig.question(1, "a.example."));
@@ -89,7 +89,7 @@
   /** A connection with a pending query is served further during shutdown. */
   @Test
   void connectionWithPendingQueryIsServedDuringShutdown() throws Exception {
-    List<Asked> pending = java.util.Collections.synchronizedList(new ArrayList<>());
+    List<ReceivedQuery> pending = java.util.Collections.synchronizedList(new ArrayList<>());
     rig.start("lame_ms = 0\ndrain_ms = 20000\nupstream.attempt_ms = 15000", "", rig.dns(pending::add));
     try (Rig.Tcp tcp = new Rig.Tcp(rig.server.address())) {
       tcp.send(Rig.question(0, "q0.example."));
@@ -133,7 +133,7 @@
   /** A datagram that arrives while another query is pending is answered. Guards against dropping datagrams for that time. */
   @Test
   void datagramsAreAnsweredWhileAQueryIsPending() throws Exception {
-    List<Asked> pending = java.util.Collections.synchronizedList(new ArrayList<>());
+    List<ReceivedQuery> pending = java.util.Collections.synchronizedList(new ArrayList<>());
     rig.start("lame_ms = 0\ndrain_ms = 20000\nupstream.attempt_ms = 15000", "", rig.dns(a -> {
       if (a.message().getQuestion().getName().toString().toLowerCase(java.util.Locale.ROOT).startsWith("held")) {
         pending.add(a);
@@ -158,7 +158,7 @@
   /** In the second half of the drain time new queries are rejected at once over UDP and TCP, while pending ones continue. */
   @Test
   void newQueriesAreRejectedInTheSecondHalf() throws Exception {
-    List<Asked> pending = java.util.Collections.synchronizedList(new ArrayList<>());
+    List<ReceivedQuery> pending = java.util.Collections.synchronizedList(new ArrayList<>());
     rig.start("lame_ms = 0\ndrain_ms = 3000\nlimits.udp_per_prefix_per_s = 0\nupstream.attempt_ms = 15000", "", rig.dns(a -> {
       if (a.message().getQuestion().getName().toString().toLowerCase(java.util.Locale.ROOT).startsWith("held")) {
         pending.add(a);
--- a/dns/src/test/java/cloverpulley/dns/Rig.java
+++ b/dns/src/test/java/cloverpulley/dns/Rig.java
@@ -120,7 +120,7 @@
     return "[[dns.fleet.server]]\nid = \"" + id + "\"\naddress = \"" + address + "\"\nzone = \"a\"\nphase = \"" + phase + "\"\n";
   }
 
-  StandInDns dns(Consumer<StandInDns.Asked> script) {
+  StandInDns dns(Consumer<StandInDns.ReceivedQuery> script) {
     return keep(new StandInDns(group, script));
   }
 
--- a/dns/src/test/java/cloverpulley/dns/RulesTest.java
+++ b/dns/src/test/java/cloverpulley/dns/RulesTest.java
@@ -5,7 +5,7 @@
 
 import cloverpulley.engine.ServerList;
 import cloverpulley.standins.StandInDns;
-import cloverpulley.standins.StandInDns.Asked;
+import cloverpulley.standins.StandInDns.ReceivedQuery;
 import cloverpulley.standins.StandInDns.Seen;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -70,7 +70,7 @@
     return m;
   }
 
-  private static String updated(Seen seen, Asked a) {
+  private static String updated(Seen seen, ReceivedQuery a) {
     return a.message().getSection(Section.AUTHORITY).get(0).getName().toString();
   }
 
@@ -90,7 +90,7 @@
   @Test
   void everyQueryGetsOneAnswer() throws Exception {
     AtomicInteger n = new AtomicInteger();
-    java.util.function.Consumer<Asked> unreliable = a -> {
+    java.util.function.Consumer<ReceivedQuery> unreliable = a -> {
       switch (n.getAndIncrement() % 7) {
         case 0 -> { }
         case 1 -> a.reply(a.answer(Rcode.SERVFAIL));
@@ -162,7 +162,7 @@
   private static final class UpdateLog {
     private final ConcurrentLinkedQueue<String> names = new ConcurrentLinkedQueue<>();
 
-    void note(Asked a) {
+    void note(ReceivedQuery a) {
       if (a.message().getHeader().getOpcode() == Opcode.UPDATE) {
         names.add(a.message().getSection(Section.AUTHORITY).get(0).getName().toString());
       }
@@ -194,7 +194,7 @@
   @Test
   void retransmittedUpdateRunsOnce() throws Exception {
     UpdateLog updates = new UpdateLog();
-    List<Asked> pending = new ArrayList<>();
+    List<ReceivedQuery> pending = new ArrayList<>();
     rig.start("", "", rig.dns(a -> {
       updates.note(a);
       pending.add(a);
@@ -257,7 +257,7 @@
    */
   @Test
   void drainingServerGetsNoNewQueries() throws Exception {
-    List<Asked> pending = java.util.Collections.synchronizedList(new ArrayList<>());
+    List<ReceivedQuery> pending = java.util.Collections.synchronizedList(new ArrayList<>());
     AtomicInteger streamed = new AtomicInteger();
     StandInDns draining = rig.dns(a -> {
       if (!a.isTcp()) {
@@ -365,7 +365,7 @@
   @Test
   void recoveringServerIsNotFlooded() throws Exception {
     AtomicInteger unresponsive = new AtomicInteger(1);
-    java.util.function.Consumer<Asked> script = a -> {
+    java.util.function.Consumer<ReceivedQuery> script = a -> {
       if (unresponsive.get() == 0) {
         a.reply(a.address(0, "10.0.0.1"));
       }
--- a/dns/src/test/java/cloverpulley/dns/UpstreamTest.java
+++ b/dns/src/test/java/cloverpulley/dns/UpstreamTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cloverpulley.standins.StandInDns;
-import cloverpulley.standins.StandInDns.Asked;
+import cloverpulley.standins.StandInDns.ReceivedQuery;
 import cloverpulley.standins.StandInDns.Seen;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -105,7 +105,7 @@
 
   // ---- Forged answers ------------------------------------------------------------------------------------
 
-  private static byte[] forged(Asked a, int id) {
+  private static byte[] forged(ReceivedQuery a, int id) {
     byte[] octets = a.address(60, "10.6.6.6").toWire(65_535);
     octets[0] = (byte) (id >> 8);
     octets[1] = (byte) id;
@@ -256,7 +256,7 @@
 
   @Test
   void lateAnswerIsCountedAndDropped() throws Exception {
-    AtomicReference<Asked> first = new AtomicReference<>();
+    AtomicReference<ReceivedQuery> first = new AtomicReference<>();
     StandInDns slow = rig.dns(a -> {
       if (!first.compareAndSet(null, a)) {
         a.reply(a.address(0, "10.0.0.2"));
--- a/dnssd/src/test/java/cloverpulley/dnssd/ReaderTest.java
+++ b/dnssd/src/test/java/cloverpulley/dnssd/ReaderTest.java
@@ -215,7 +215,7 @@
     b.transfer(a);
     rig.start(a, b);
     Rig.await("five servers", () -> rig.readyCount() == 5);
-    a.fault(Fault.SILENT);
+    a.fault(Fault.NO_RESPONSE);
     b.fault(Fault.SERVFAIL);
     Rig.awaitQueries(a, Rig.ORIGIN, 4);
     Rig.awaitQueries(b, Rig.ORIGIN, 4);
@@ -388,7 +388,7 @@
     }
     ServerList read = cloverpulley.fleet.HeldList.read(file);
     assertEquals(List.copyOf(rig.list.values()), read.members());
-    z.fault(Fault.SILENT);
+    z.fault(Fault.NO_RESPONSE);
     rig.list.clear();
     rig.start(Rig.section("", "", z), read);
     Rig.await("the cached servers", () -> rig.list.size() == 4);
--- a/load/src/test/java/cloverpulley/load/HonestyTest.java
+++ b/load/src/test/java/cloverpulley/load/HonestyTest.java
@@ -7,7 +7,7 @@
 import cloverpulley.load.Driver.Outcome;
 import cloverpulley.load.Results.RequestStats;
 import cloverpulley.standins.ScriptedHttp;
-import cloverpulley.standins.ScriptedHttp.Manner;
+import cloverpulley.standins.ScriptedHttp.Behaviour;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -65,7 +65,7 @@
    */
   @Test
   void aStallShowsInFull() throws Exception {
-    try (ScriptedHttp server = new ScriptedHttp(group, Manner.SERVE)) {
+    try (ScriptedHttp server = new ScriptedHttp(group, Behaviour.SERVE)) {
       AtomicInteger second = new AtomicInteger();
       String classes = CLASSES.replace("[[load.tenant]]\nname = \"a\"", "[[load.tenant]]\nname = \"a\"");
       Plan plan = plan(server, 2000, 5, "process = \"constant\"\n" + classes);
@@ -95,7 +95,7 @@
    */
   @Test
   void waitingForAConnectionCountsAsLatency() throws Exception {
-    try (ScriptedHttp server = new ScriptedHttp(group, Manner.SERVE)) {
+    try (ScriptedHttp server = new ScriptedHttp(group, Behaviour.SERVE)) {
       AtomicInteger second = new AtomicInteger();
       Plan wide = plan(server, 500, 3, "process = \"constant\"\n" + CLASSES);
       Plan narrow = new Plan(wide.seed(), wide.seconds(), wide.rate(), wide.process(), wide.bursts(), wide.shape(), wide.classes(),
@@ -113,38 +113,38 @@
 
   /** Whatever the server does, each intended request has one outcome, and the server has received as many requests as were sent. */
   @ParameterizedTest
-  @EnumSource(Manner.class)
-  void eachRequestHasOneOutcome(Manner manner) throws Exception {
+  @EnumSource(Behaviour.class)
+  void eachRequestHasOneOutcome(Behaviour manner) throws Exception {
     try (ScriptedHttp server = new ScriptedHttp(group, manner)) {
-      Results r = LoadRun.run(plan(server, 300, 1, manner == Manner.NEVER_ANSWER ? CLASSES.replace("20000", "700") : CLASSES), x -> { });
+      Results r = LoadRun.run(plan(server, 300, 1, manner == Behaviour.NEVER_RESPOND ? CLASSES.replace("20000", "700") : CLASSES), x -> { });
       assertEquals(r.all.requests, r.all.completed());
       assertEquals(r.all.requests, r.classes.stream().mapToLong(RequestStats::completed).sum());
       assertEquals(r.all.requests, r.tenants.stream().mapToLong(RequestStats::completed).sum());
       assertEquals(r.all.requests, r.seconds.stream().mapToLong(s -> s.intended).sum());
       assertEquals(r.attempts, r.seconds.stream().mapToLong(s -> s.sent).sum());
       Outcome expected = switch (manner) {
-        case SERVE, ANSWER_EARLY -> Outcome.SERVED;
-        case NEVER_ANSWER -> Outcome.TIMEOUT;
-        case REFUSE -> Outcome.REFUSED;
+        case SERVE, RESPOND_EARLY -> Outcome.SERVED;
+        case NEVER_RESPOND -> Outcome.TIMEOUT;
+        case REJECT -> Outcome.REFUSED;
         default -> Outcome.BROKEN;
       };
-      if (manner != Manner.ANSWER_EARLY) {
+      if (manner != Behaviour.RESPOND_EARLY) {
         assertEquals(r.all.requests, r.all.outcomes[expected.ordinal()], Map.of("requests", r.all.requests, "attempts", r.attempts).toString());
-        assertEquals(r.attempts, server.began());
+        assertEquals(r.attempts, server.requestCount());
       }
     }
   }
 
   @Test
   void serverOutageShowsAsFailedConnections() throws Exception {
-    try (ScriptedHttp server = new ScriptedHttp(group, Manner.SERVE)) {
+    try (ScriptedHttp server = new ScriptedHttp(group, Behaviour.SERVE)) {
       AtomicInteger second = new AtomicInteger();
       Results r = LoadRun.run(plan(server, 200, 4, CLASSES), x -> {
         int now = second.incrementAndGet();
         if (now == 1) {
-          group.execute(() -> new Thread(server::goAway).start());
+          group.execute(() -> new Thread(server::stop).start());
         } else if (now == 3) {
-          new Thread(server::comeBack).start();
+          new Thread(server::restart).start();
         }
       });
       assertEquals(r.all.requests, r.all.completed());
@@ -156,11 +156,11 @@
   /** With a server that rejects everything, clients never make more attempts than the plan permits, and first attempts stay on schedule. */
   @Test
   void retriesStayWithinThePlan() throws Exception {
-    try (ScriptedHttp server = new ScriptedHttp(group, Manner.REFUSE)) {
+    try (ScriptedHttp server = new ScriptedHttp(group, Behaviour.REJECT)) {
       Results r = LoadRun.run(plan(server, 300, 1, CLASSES + "[load.clients]\nretries = 3\nback_off_ms = 20\nhonour_retry_after"
           + " = 0.5\n"), x -> { });
       assertEquals(4 * r.all.requests, r.attempts);
-      assertEquals(r.attempts, server.began());
+      assertEquals(r.attempts, server.requestCount());
       assertEquals(r.all.requests, r.all.outcomes[Outcome.REFUSED.ordinal()], "retries count with their first attempt");
       assertEquals(r.all.requests, r.seconds.get(0).intended);
     }
@@ -168,7 +168,7 @@
 
   @Test
   void unsafeRequestIsNotRetriedAfterItMayHaveBeenExecuted() throws Exception {
-    try (ScriptedHttp server = new ScriptedHttp(group, Manner.RESET_IN_ANSWER)) {
+    try (ScriptedHttp server = new ScriptedHttp(group, Behaviour.RESET_MID_RESPONSE)) {
       Results r = LoadRun.run(plan(server, 200, 1, CLASSES + "[load.clients]\nretries = 2\nback_off_ms = 5\n"), x -> { });
       assertEquals(3 * r.classes.get(0).requests + r.classes.get(1).requests, r.attempts);
     }
@@ -177,7 +177,7 @@
   /** A pause of the generator itself is recorded as lateness and reported in the first line. */
   @Test
   void generatorReportsThatItFellBehind() throws Exception {
-    try (ScriptedHttp server = new ScriptedHttp(group, Manner.SERVE)) {
+    try (ScriptedHttp server = new ScriptedHttp(group, Behaviour.SERVE)) {
       AtomicInteger second = new AtomicInteger();
       Results r = LoadRun.run(plan(server, 500, 3, CLASSES), x -> {
         if (second.incrementAndGet() == 1) {
--- a/load/src/test/java/cloverpulley/load/RecordReplayTest.java
+++ b/load/src/test/java/cloverpulley/load/RecordReplayTest.java
@@ -12,7 +12,7 @@
 import cloverpulley.processor.ProcessorConfig;
 import cloverpulley.processor.ProcessorServer;
 import cloverpulley.standins.ScriptedHttp;
-import cloverpulley.standins.ScriptedHttp.Manner;
+import cloverpulley.standins.ScriptedHttp.Behaviour;
 import io.netty.channel.EventLoopGroup;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
@@ -85,14 +85,14 @@
     assertEquals(first.classes.get(0).requests, entries.stream().filter(e -> e.className().equals("safe")).count());
     assertEquals(first.tenants.get(1).requests, entries.stream().filter(e -> e.tenant().equals("b")).count());
     assertTrue(entries.stream().allMatch(e -> e.outcome() == Outcome.SERVED && e.keyHash() != 0));
-    try (ScriptedHttp server = new ScriptedHttp(group, Manner.SERVE)) {
+    try (ScriptedHttp server = new ScriptedHttp(group, Behaviour.SERVE)) {
       Plan plan = OperatorsFile.parse("plan", "[load]\n" + CLASSES + "[load.target]\naddress = \"127.0.0.1:"
           + server.address().getPort() + "\"", Plan::read);
       LoadRun.ReplayResult again = LoadRun.replay(plan, trace, 4, r -> { });
       assertNull(again.damage());
       assertEquals(first.all.requests, again.results().all.outcomes[Outcome.SERVED.ordinal()]);
       assertEquals(first.classes.get(0).requests, again.results().classes.get(0).requests);
-      assertEquals(first.all.requests, server.began());
+      assertEquals(first.all.requests, server.requestCount());
       assertEquals(entries.get(entries.size() - 1).atMicros() / 4e6, again.results().plan().seconds(), 1e-9);
       // A truncated trace is replayed up to the truncation, and the damage is reported.
       byte[] bytes = Files.readAllBytes(trace);
--- a/processor/src/test/java/cloverpulley/processor/HardCasesTest.java
+++ b/processor/src/test/java/cloverpulley/processor/HardCasesTest.java
@@ -198,7 +198,7 @@
     over.countDown();
     rig.awaitNothingInHand();
     assertEquals(2, rig.server.counts().guarded());
-    assertEquals(0, s.left() + queued.left(), "one verdict each");
+    assertEquals(0, s.unreadReplies() + queued.unreadReplies(), "one verdict each");
     Outcome outcome = (Outcome) events.stream().filter(Outcome.class::isInstance).findFirst().orElseThrow();
     assertEquals(Balancer.Status.NOT_SENT, outcome.status(), "what the engine said too late was not sent");
     stillServes();
@@ -287,7 +287,7 @@
   @Test
   void aCallerThatNeverReadsHoldsNoMoreThanAWindow() throws Exception {
     StandInCaller caller = start();
-    Stream deaf = caller.openDeaf();
+    Stream deaf = caller.openWithoutReading();
     // Echoed bodies are what fills the window of a caller that does not read.
     deaf.send(get("a").setProtocolConfig(
         ProtocolConfiguration.newBuilder().setRequestBodyMode(BodySendMode.FULL_DUPLEX_STREAMED)));
--- a/processor/src/test/java/cloverpulley/processor/ProtocolTest.java
+++ b/processor/src/test/java/cloverpulley/processor/ProtocolTest.java
@@ -258,7 +258,7 @@
     Stream s = start().open().send(get().setObservabilityMode(true)).send(response(200).setObservabilityMode(true));
     s.halfClose();
     assertTrue(s.closed().isOk());
-    assertEquals(0, s.left());
+    assertEquals(0, s.unreadReplies());
     assertEquals(0, rig.server.counts().calls());
     assertEquals(1, rig.server.counts().observed());
   }
--- a/processor/src/test/java/cloverpulley/processor/RestartTest.java
+++ b/processor/src/test/java/cloverpulley/processor/RestartTest.java
@@ -95,8 +95,8 @@
     stopped.get(Rig.LIMIT_S, TimeUnit.SECONDS);
     asked.addAll(ask(proxy, "c", 100));
     assertEquals(400, served(asked));
-    assertEquals(400, proxy.tally().answers.get());
-    assertEquals(0, proxy.tally().doubleVerdicts.get());
+    assertEquals(400, proxy.counters().answers.get());
+    assertEquals(0, proxy.counters().duplicateDecisions.get());
     assertEquals(0, first.openStreams());
     assertTrue(second.counts().calls() > 0, "what came later came to the successor");
   }
@@ -113,8 +113,8 @@
     first.close();
     asked.addAll(ask(proxy, "b", 100));
     assertEquals(300, served(asked));
-    assertEquals(300, proxy.tally().answers.get());
-    assertEquals(0, proxy.tally().doubleVerdicts.get());
+    assertEquals(300, proxy.counters().answers.get());
+    assertEquals(0, proxy.counters().duplicateDecisions.get());
     assertTrue(second.counts().calls() > 0);
   }
 
--- a/processor/src/test/java/cloverpulley/processor/RulesTest.java
+++ b/processor/src/test/java/cloverpulley/processor/RulesTest.java
@@ -77,8 +77,8 @@
       // A body of its own id: no answer is another's.
       assertTrue(answer.statusCode() != 200 || answer.body().equals("q" + i), answer.body());
     }
-    assertEquals(60, proxy.tally().answers.get());
-    assertEquals(0, proxy.tally().doubleVerdicts.get());
+    assertEquals(60, proxy.counters().answers.get());
+    assertEquals(0, proxy.counters().duplicateDecisions.get());
     rig.awaitNothingInHand();
   }
 
@@ -204,7 +204,7 @@
     discovery.set("a", a.address(), 0, "ready", 0);
     discovery.set("b", b.address(), 0, "ready", 0);
     rig.start("", "[fleet]\ndiscovery = \"" + discovery.address() + "\"");
-    Rig.await("the list has come", () -> rig.server.onEngine(rig.server::servesNow) && discovery.watching() > 0);
+    Rig.await("the list has come", () -> rig.server.onEngine(rig.server::servesNow) && discovery.watchCount() > 0);
     StandInProxy proxy = proxy(Config.of(2));
     AtomicInteger n = new AtomicInteger();
     Runnable some = () -> {
--- a/standins/src/main/java/cloverpulley/standins/ScriptedHttp.java
+++ b/standins/src/main/java/cloverpulley/standins/ScriptedHttp.java
@@ -29,7 +29,7 @@
 public final class ScriptedHttp implements AutoCloseable {
 
   /** What it does with a request. */
-  public enum Manner { SERVE, NEVER_ANSWER, RESET_IN_ANSWER, ANSWER_EARLY, GARBAGE, REFUSE }
+  public enum Behaviour { SERVE, NEVER_RESPOND, RESET_MID_RESPONSE, RESPOND_EARLY, GARBAGE, REJECT }
 
   private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
   private static final String REFUSED = "HTTP/1.1 429 Too Many Requests\r\nRetry-After: 0.05\r\nContent-Length: 0\r\n\r\n";
@@ -37,20 +37,20 @@
   private final EventLoopGroup group;
   private final EventLoop loop;
   private final ChannelGroup open = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
-  private final AtomicLong began = new AtomicLong();
+  private final AtomicLong requestCount = new AtomicLong();
   private final List<Runnable> stalled = new ArrayList<>();
   private final InetSocketAddress address;
-  private volatile Manner manner;
+  private volatile Behaviour behaviour;
   private boolean stalling;
   private volatile long stallBegan;
   private volatile long stallEnded;
   private Channel listener;
 
   /** {@code group} has one thread. */
-  public ScriptedHttp(EventLoopGroup group, Manner manner) {
+  public ScriptedHttp(EventLoopGroup group, Behaviour behaviour) {
     this.group = group;
     this.loop = group.next();
-    this.manner = manner;
+    this.behaviour = behaviour;
     listener = listen(0);
     address = (InetSocketAddress) listener.localAddress();
   }
@@ -72,12 +72,12 @@
   }
 
   /** Requests that began. */
-  public long began() {
-    return began.get();
+  public long requestCount() {
+    return requestCount.get();
   }
 
-  public void behave(Manner next) {
-    manner = next;
+  public void behave(Behaviour next) {
+    behaviour = next;
   }
 
   /** From now on, for so long, it reads and answers nothing; then it answers all that came meanwhile. */
@@ -105,19 +105,19 @@
   }
 
   /** New connections are refused, and those that are open reset. */
-  public void goAway() {
+  public void stop() {
     listener.close().syncUninterruptibly();
     open.close().syncUninterruptibly();
   }
 
   /** It listens again, at the same address. */
-  public void comeBack() {
+  public void restart() {
     listener = listen(address.getPort());
   }
 
   @Override
   public void close() {
-    goAway();
+    stop();
   }
 
   private final class Handler extends ChannelInboundHandlerAdapter {
@@ -128,7 +128,7 @@
     public void channelRead(ChannelHandlerContext context, Object message) {
       ByteBuf bytes = (ByteBuf) message;
       while (bytes.isReadable()) {
-        if (line == 0 && manner == Manner.ANSWER_EARLY) {
+        if (line == 0 && behaviour == Behaviour.RESPOND_EARLY) {
           write(context, OK);
         }
         byte b = bytes.readByte();
@@ -136,7 +136,7 @@
         if (line < 0) {
           line = 0;
           bytes.skipBytes(bytes.readableBytes()); // Its body, which came with it.
-          began.incrementAndGet();
+          requestCount.incrementAndGet();
           Runnable answer = () -> answer(context);
           if (stalling) {
             stalled.add(answer);
@@ -149,11 +149,11 @@
     }
 
     private void answer(ChannelHandlerContext context) {
-      switch (manner) {
+      switch (behaviour) {
         case SERVE -> write(context, OK);
-        case REFUSE -> write(context, REFUSED);
+        case REJECT -> write(context, REFUSED);
         case GARBAGE -> write(context, "\u0000\u0001nonsense\r\n\r\n\r\n");
-        case RESET_IN_ANSWER -> {
+        case RESET_MID_RESPONSE -> {
           write(context, "HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\npart");
           context.channel().config().setOption(ChannelOption.SO_LINGER, 0);
           context.close();
--- a/standins/src/main/java/cloverpulley/standins/StandInCaller.java
+++ b/standins/src/main/java/cloverpulley/standins/StandInCaller.java
@@ -47,7 +47,7 @@
   }
 
   /** Opens a stream that asks for no replies: its window fills up. */
-  public Stream openDeaf() {
+  public Stream openWithoutReading() {
     return new Stream(false);
   }
 
@@ -168,7 +168,7 @@
     }
 
     /** Replies that came and were not taken. */
-    public int left() {
+    public int unreadReplies() {
       return replies.size();
     }
   }
--- a/standins/src/main/java/cloverpulley/standins/StandInDiscovery.java
+++ b/standins/src/main/java/cloverpulley/standins/StandInDiscovery.java
@@ -80,7 +80,7 @@
   }
 
   /** Watches that stand. */
-  public int watching() {
+  public int watchCount() {
     return watches.size();
   }
 
--- a/standins/src/main/java/cloverpulley/standins/StandInDns.java
+++ b/standins/src/main/java/cloverpulley/standins/StandInDns.java
@@ -47,14 +47,14 @@
   public record Seen(int id, int opcode, String name, int type, boolean tcp, boolean edns, long atNanos) {}
 
   /** One message, and the ways to react to it. */
-  public static final class Asked {
+  public static final class ReceivedQuery {
 
     private final byte[] octets;
     private final boolean tcp;
     private final Channel channel;
     private final InetSocketAddress from;
 
-    Asked(byte[] octets, boolean tcp, Channel channel, InetSocketAddress from) {
+    ReceivedQuery(byte[] octets, boolean tcp, Channel channel, InetSocketAddress from) {
       this.octets = octets;
       this.tcp = tcp;
       this.channel = channel;
@@ -146,7 +146,7 @@
     }
 
     /** Whether both came over the same connection. */
-    boolean hasSameChannel(Asked other) {
+    boolean hasSameChannel(ReceivedQuery other) {
       return channel == other.channel;
     }
 
@@ -172,12 +172,12 @@
   private final Queue<Seen> seen = new ConcurrentLinkedQueue<>();
   private final ChannelGroup open = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
   private final EventLoopGroup group;
-  private volatile Consumer<Asked> script;
+  private volatile Consumer<ReceivedQuery> script;
   private Channel tcp;
   private Channel udp;
 
   /** Starts on a port of its own, the same over both. */
-  public StandInDns(EventLoopGroup group, Consumer<Asked> script) {
+  public StandInDns(EventLoopGroup group, Consumer<ReceivedQuery> script) {
     this.group = group;
     this.script = script;
     for (int i = 0; ; i++) {
@@ -211,11 +211,11 @@
   }
 
   /** Answers every question for an address with the one given. */
-  public static Consumer<Asked> addresses(String address) {
+  public static Consumer<ReceivedQuery> addresses(String address) {
     return a -> a.reply(a.address(60, address));
   }
 
-  public void behave(Consumer<Asked> next) {
+  public void behave(Consumer<ReceivedQuery> next) {
     script = next;
   }
 
@@ -257,7 +257,7 @@
   }
 
   private void read(byte[] octets, boolean overTcp, Channel channel, InetSocketAddress from) {
-    Asked asked = new Asked(octets, overTcp, channel, from);
+    ReceivedQuery asked = new ReceivedQuery(octets, overTcp, channel, from);
     Message m = asked.message();
     Record q = m.getQuestion();
     seen.add(new Seen(asked.id(), m.getHeader().getOpcode(), q == null ? "" : q.getName().toString().toLowerCase(java.util.Locale.ROOT),
--- a/standins/src/main/java/cloverpulley/standins/StandInProxy.java
+++ b/standins/src/main/java/cloverpulley/standins/StandInProxy.java
@@ -68,7 +68,7 @@
 
   /** What a call does other than a good proxy would. */
   public enum Fault {
-    NONE, HANG_UP_HELD, HANG_UP_AFTER_VERDICT, NO_RESPONSE_PHASE, GARBAGE, TWO_HEADERS, STALL, FLOOD
+    NONE, CANCEL_BEFORE_DECISION, CANCEL_AFTER_DECISION, NO_RESPONSE_PHASE, EMPTY_MESSAGE, DUPLICATE_HEADERS, STALL, FLOOD
   }
 
   /**
@@ -95,20 +95,20 @@
   }
 
   /** What the proxy has seen of its processor. */
-  public static final class Tally {
+  public static final class Counters {
     public final AtomicLong requests = new AtomicLong();
     public final AtomicLong answers = new AtomicLong();
     public final AtomicLong calls = new AtomicLong();
     public final AtomicLong destinations = new AtomicLong();
-    public final AtomicLong refusals = new AtomicLong();
+    public final AtomicLong rejections = new AtomicLong();
     public final AtomicLong failures = new AtomicLong();
     /** Calls whose stream failed or whose verdict did not come in time. */
     public final AtomicLong noVerdict = new AtomicLong();
     /** Calls that got a verdict after they had one. */
-    public final AtomicLong doubleVerdicts = new AtomicLong();
+    public final AtomicLong duplicateDecisions = new AtomicLong();
     /** Verdicts later than the message time-out, by the proxy's own clock: its own delay is in it. */
-    public final AtomicLong lateVerdicts = new AtomicLong();
-    public final AtomicLong slowestVerdictMicros = new AtomicLong();
+    public final AtomicLong lateDecisions = new AtomicLong();
+    public final AtomicLong maxDecisionMicros = new AtomicLong();
   }
 
   private final Config config;
@@ -117,7 +117,7 @@
   private final Channel listener;
   private final Map<String, ArrayDeque<Channel>> idle = new HashMap<>();
   private final LongFunction<Fault> faults;
-  private final Tally tally = new Tally();
+  private final Counters counters = new Counters();
   private final AtomicLong ids = new AtomicLong();
   private volatile ManagedChannel processor;
 
@@ -154,8 +154,8 @@
     return (InetSocketAddress) listener.localAddress();
   }
 
-  public Tally tally() {
-    return tally;
+  public Counters counters() {
+    return counters;
   }
 
   /** Drops the connection to the processor, with every call on it. */
@@ -178,7 +178,7 @@
   private final class Client extends SimpleChannelInboundHandler<FullHttpRequest> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
-      tally.requests.incrementAndGet();
+      counters.requests.incrementAndGet();
       if (!request.headers().contains("x-request-id")) {
         request.headers().set("x-request-id", "p" + ids.getAndIncrement());
       }
@@ -217,7 +217,7 @@
     }
 
     void answer(int status, Map<String, String> headers, ByteBuf body) {
-      tally.answers.incrementAndGet();
+      counters.answers.incrementAndGet();
       FullHttpResponse response =
           new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.valueOf(status), body);
       headers.forEach((name, value) -> response.headers().set(name, value));
@@ -233,7 +233,7 @@
   private final class Call extends ClientCall.Listener<ProcessingResponse> {
 
     private final Exchange exchange;
-    private final long number = tally.calls.getAndIncrement();
+    private final long number = counters.calls.getAndIncrement();
     private final Fault fault = faults.apply(number);
     private ClientCall<ProcessingRequest, ProcessingResponse> stream;
     private long askedAt;
@@ -260,14 +260,14 @@
               .setEndOfStream(!exchange.request.content().isReadable()))
           .setProtocolConfig(ProtocolConfiguration.newBuilder().setRequestBodyMode(config.requestBody)
               .setResponseBodyMode(config.responseBody)).build();
-      if (fault == Fault.GARBAGE) {
+      if (fault == Fault.EMPTY_MESSAGE) {
         stream.sendMessage(ProcessingRequest.getDefaultInstance());
         return;
       }
       stream.sendMessage(headers);
-      if (fault == Fault.HANG_UP_HELD) {
+      if (fault == Fault.CANCEL_BEFORE_DECISION) {
         stream.cancel("hung up while the verdict was awaited", null);
-      } else if (fault == Fault.TWO_HEADERS) {
+      } else if (fault == Fault.DUPLICATE_HEADERS) {
         stream.sendMessage(headers);
       }
     }
@@ -318,11 +318,11 @@
     private void verdict() {
       timeout.cancel(false);
       long micros = (System.nanoTime() - askedAt) / 1000;
-      tally.slowestVerdictMicros.accumulateAndGet(micros, Math::max);
+      counters.maxDecisionMicros.accumulateAndGet(micros, Math::max);
       if (decided) {
-        tally.doubleVerdicts.incrementAndGet();
+        counters.duplicateDecisions.incrementAndGet();
       } else if (micros > config.messageTimeoutMillis * 1000) {
-        tally.lateVerdicts.incrementAndGet();
+        counters.lateDecisions.incrementAndGet();
       }
       decided = true;
     }
@@ -331,7 +331,7 @@
       verdict();
       over = true;
       int status = reply.getImmediateResponse().getStatus().getCode();
-      (status == HttpResponseStatus.TOO_MANY_REQUESTS.code() ? tally.refusals : tally.failures).incrementAndGet();
+      (status == HttpResponseStatus.TOO_MANY_REQUESTS.code() ? counters.rejections : counters.failures).incrementAndGet();
       Map<String, String> headers = new HashMap<>();
       reply.getImmediateResponse().getHeaders().getSetHeadersList()
           .forEach(h -> headers.put(h.getHeader().getKey(), h.getHeader().getRawValue().toStringUtf8()));
@@ -341,8 +341,8 @@
 
     private void decide() {
       verdict();
-      tally.destinations.incrementAndGet();
-      if (fault == Fault.HANG_UP_AFTER_VERDICT) {
+      counters.destinations.incrementAndGet();
+      if (fault == Fault.CANCEL_AFTER_DECISION) {
         over = true;
         stream.cancel("hung up after the verdict", null);
       } else if (fault == Fault.FLOOD) {
@@ -368,7 +368,7 @@
       timeout.cancel(false);
       over = true;
       decided = true;
-      tally.noVerdict.incrementAndGet();
+      counters.noVerdict.incrementAndGet();
       stream.cancel("no verdict in time", null);
       if (!exchange.again()) {
         exchange.answer(500, Map.of("x-proxy", "no-verdict"), Unpooled.EMPTY_BUFFER);
--- a/standins/src/main/java/cloverpulley/standins/StandInZone.java
+++ b/standins/src/main/java/cloverpulley/standins/StandInZone.java
@@ -45,9 +45,9 @@
   private static final int DSO = 6;
 
   /** What it does to whoever asks. */
-  public enum Fault { NONE, SILENT, NXDOMAIN, SERVFAIL, REFUSED, NO_TEXT, NO_SERVICE, NO_ADDRESS }
+  public enum Fault { NONE, NO_RESPONSE, NXDOMAIN, SERVFAIL, REFUSED, NO_TXT, NO_SRV, NO_ADDRESS }
 
-  private record Subscription(StandInDns.Asked session, int id, Name name, int type) {}
+  private record Subscription(StandInDns.ReceivedQuery session, int id, Name name, int type) {}
 
   private final Name origin;
   private final StandInDns server;
@@ -251,9 +251,9 @@
 
   // ---- Answers -------------------------------------------------------------------------------------------
 
-  private void asked(StandInDns.Asked a) {
+  private void asked(StandInDns.ReceivedQuery a) {
     Fault now = fault;
-    if (now == Fault.SILENT) {
+    if (now == Fault.NO_RESPONSE) {
       return;
     }
     Message m = a.message();
@@ -271,7 +271,7 @@
     }
   }
 
-  private synchronized void answer(StandInDns.Asked a, Record q, Fault now) {
+  private synchronized void answer(StandInDns.ReceivedQuery a, Record q, Fault now) {
     Name n = q.getName();
     int type = q.getType();
     if (type == Type.SOA && n.equals(origin) && now != Fault.NXDOMAIN) {
@@ -280,7 +280,7 @@
       send(a, m);
       return;
     }
-    boolean hidden = now == Fault.NXDOMAIN || now == Fault.NO_TEXT && type == Type.TXT || now == Fault.NO_SERVICE && type == Type.SRV
+    boolean hidden = now == Fault.NXDOMAIN || now == Fault.NO_TXT && type == Type.TXT || now == Fault.NO_SRV && type == Type.SRV
         || now == Fault.NO_ADDRESS && (type == Type.A || type == Type.AAAA);
     Map<Integer, List<Record>> its = hidden ? Map.of() : records.getOrDefault(n, Map.of());
     Message m = a.answer(its.isEmpty() && (now == Fault.NXDOMAIN || !hidden) ? Rcode.NXDOMAIN : Rcode.NOERROR);
@@ -313,7 +313,7 @@
     return new SOARecord(origin, DClass.IN, ttl, name("ns." + origin), name("admin." + origin), serial, 60, 10, 3600, Math.min(ttl, 5));
   }
 
-  private void send(StandInDns.Asked a, Message m) {
+  private void send(StandInDns.ReceivedQuery a, Message m) {
     if (authoritative) {
       m.getHeader().setFlag(Flags.AA);
     }
@@ -329,7 +329,7 @@
 
   // ---- Updates -------------------------------------------------------------------------------------------
 
-  private synchronized void update(StandInDns.Asked a, Message m) {
+  private synchronized void update(StandInDns.ReceivedQuery a, Message m) {
     int rcode = Rcode.NOERROR;
     TSIGRecord signed = m.getTSIG();
     if (key != null) {
@@ -379,7 +379,7 @@
 
   // ---- Push ----------------------------------------------------------------------------------------------
 
-  private synchronized void session(StandInDns.Asked a) {
+  private synchronized void session(StandInDns.ReceivedQuery a) {
     byte[] b = a.octets();
     int id = (b[0] & 0xFF) << 8 | b[1] & 0xFF;
     int type = (b[12] & 0xFF) << 8 | b[13] & 0xFF;
@@ -455,10 +455,10 @@
 
   /** All sessions end, without a word. */
   public synchronized void endSessions() {
-    Set<StandInDns.Asked> sessions = new HashSet<>();
+    Set<StandInDns.ReceivedQuery> sessions = new HashSet<>();
     subscriptions.forEach(s -> sessions.add(s.session));
     subscriptions.clear();
-    sessions.forEach(StandInDns.Asked::reset);
+    sessions.forEach(StandInDns.ReceivedQuery::reset);
   }
 
   /** Everything of one name, in the form of a master file. */
--- a/standins/src/main/java/cloverpulley/standins/faults/BalancerCluster.java
+++ b/standins/src/main/java/cloverpulley/standins/faults/BalancerCluster.java
@@ -100,12 +100,12 @@
   }
 
   /** One more process of an instance, as in an upgrade; whoever asks for it ends it. */
-  public Instance second(int i) {
+  public Instance secondProcess(int i) {
     return new Instance("b" + i, command(i), folder.resolve("b" + i + "-second.log"));
   }
 
   /** From its next start on an instance can write no file past so many blocks of 512 octets, as on a disk that is full. */
-  public void limitFiles(int i, int blocks) {
+  public void limitFileSize(int i, int blocks) {
     List<String> limited = new ArrayList<>(blocks == 0 ? List.of()
         : List.of("/bin/sh", "-c", "ulimit -f " + blocks + "; exec \"$0\" \"$@\""));
     limited.addAll(command(i));
@@ -177,10 +177,10 @@
   }
 
   /** One voter hears and is heard by no other any more, or again. */
-  public void cutOff(int voter, boolean cut) {
+  public void isolate(int voter, boolean cut) {
     relays.forEach((ends, relay) -> {
       if (ends.startsWith(voter + ">") || ends.endsWith(">" + voter)) {
-        relay.pass(cut ? Relay.Passes.NOTHING : Relay.Passes.ALL);
+        relay.allow(cut ? Relay.Direction.NONE : Relay.Direction.BOTH);
       }
     });
   }
--- a/standins/src/main/java/cloverpulley/standins/faults/ContinuousClients.java
+++ b/standins/src/main/java/cloverpulley/standins/faults/ContinuousClients.java
@@ -28,7 +28,7 @@
   }
 
   /** One more client, at this balancer until that is killed. */
-  public void at(Instance instance) throws IOException, InterruptedException {
+  public void addClient(Instance instance) throws IOException, InterruptedException {
     InetSocketAddress address = instance.address("balance");
     String name = instance.name() + "-" + clients.incrementAndGet() + "-";
     Thread thread = new Thread(() -> ask(instance, address, name), "client " + name);
--- a/standins/src/main/java/cloverpulley/standins/faults/Instance.java
+++ b/standins/src/main/java/cloverpulley/standins/faults/Instance.java
@@ -104,7 +104,7 @@
   }
 
   /** SIGCONT. */
-  public void goOn() throws IOException, InterruptedException {
+  public void resume() throws IOException, InterruptedException {
     signal("CONT");
   }
 
@@ -116,7 +116,7 @@
   }
 
   /** Octets of memory that it has resident now, shared ones divided among those that share them. */
-  public long resident() throws IOException {
+  public long residentBytes() throws IOException {
     for (String line : Files.readAllLines(Path.of("/proc", Long.toString(process.pid()), "smaps_rollup"))) {
       if (line.startsWith("Pss:")) {
         return Long.parseLong(line.replaceAll("\\D", "")) * 1024;
--- a/standins/src/main/java/cloverpulley/standins/faults/Relay.java
+++ b/standins/src/main/java/cloverpulley/standins/faults/Relay.java
@@ -21,14 +21,14 @@
   private static final int PIECE = 16 * 1024;
 
   /** What passes: both ways, to the target only, back only, or nothing. */
-  public enum Passes { ALL, FORTH, BACK, NOTHING }
+  public enum Direction { BOTH, TO_TARGET, FROM_TARGET, NONE }
 
   private final ServerSocket listener = new ServerSocket(0, 128, InetAddress.getLoopbackAddress());
   private final InetSocketAddress target;
   private final Set<Link> links = ConcurrentHashMap.newKeySet();
-  private volatile Passes passes = Passes.ALL;
+  private volatile Direction passes = Direction.BOTH;
   private volatile long delayMillis;
-  private volatile long octets;
+  private volatile long bytes;
 
   private final class Link {
     private final Socket near;
@@ -51,19 +51,19 @@
       }
     }
 
-    private void pump(InputStream in, OutputStream out, boolean forth) throws IOException {
+    private void pump(InputStream in, OutputStream out, boolean toTarget) throws IOException {
       byte[] piece = new byte[PIECE];
       try {
         for (int n = in.read(piece); n >= 0; n = in.read(piece)) {
-          Passes now = passes;
-          if (now == Passes.ALL || now == (forth ? Passes.FORTH : Passes.BACK)) {
+          Direction now = passes;
+          if (now == Direction.BOTH || now == (toTarget ? Direction.TO_TARGET : Direction.FROM_TARGET)) {
             if (lossy) {
               break; // Something before this is missing: nobody may take the rest for all.
             }
             if (delayMillis > 0) {
               TimeUnit.MILLISECONDS.sleep(delayMillis);
             }
-            octets += n;
+            bytes += n;
             out.write(piece, 0, n);
             out.flush();
           } else {
@@ -127,9 +127,9 @@
   }
 
   /** Cuts, or heals: then what lost something is reset. */
-  public void pass(Passes what) {
+  public void allow(Direction what) {
     passes = what;
-    if (what == Passes.ALL) {
+    if (what == Direction.BOTH) {
       links.stream().filter(l -> l.lossy).forEach(Link::end);
     }
   }
@@ -140,8 +140,8 @@
   }
 
   /** Octets that came through so far. */
-  public long octets() {
-    return octets;
+  public long bytes() {
+    return bytes;
   }
 
   @Override
--- a/standins/src/main/java/cloverpulley/standins/soak/FaultShim.java
+++ b/standins/src/main/java/cloverpulley/standins/soak/FaultShim.java
@@ -102,7 +102,7 @@
     }
 
     /** Writes to files of the folder store half and fail. */
-    public void halfWrites(boolean on) {
+    public void partialWrites(boolean on) {
       words.put(4, on ? 1 : 0);
     }
 
--- a/standins/src/main/java/cloverpulley/standins/soak/Soak.java
+++ b/standins/src/main/java/cloverpulley/standins/soak/Soak.java
@@ -333,11 +333,11 @@
     int error = errors[r.nextInt(errors.length)];
     boolean half = r.nextInt(3) == 0;
     say("n" + node.number + " p" + process.number + (half ? " half writes" : " folder fails with " + error));
-    process.faults.halfWrites(half);
+    process.faults.partialWrites(half);
     process.faults.failFolder(half ? 0 : error);
     sleep(r.nextInt(200, 3000));
     process.faults.failFolder(0);
-    process.faults.halfWrites(false);
+    process.faults.partialWrites(false);
     say("n" + node.number + " folder works");
   }
 
@@ -418,10 +418,10 @@
 
   private void cutDiscovery(SplittableRandom r) {
     say("discovery is cut off");
-    relay.pass(r.nextBoolean() ? Relay.Passes.NOTHING : Relay.Passes.FORTH);
+    relay.allow(r.nextBoolean() ? Relay.Direction.NONE : Relay.Direction.TO_TARGET);
     notices.discoveryCut();
     sleep(r.nextInt(200, 3500));
-    relay.pass(Relay.Passes.ALL);
+    relay.allow(Relay.Direction.BOTH);
     notices.discoveryBack();
     say("discovery is back");
   }
--- a/standins/src/main/java/cloverpulley/standins/soak/SoakChecker.java
+++ b/standins/src/main/java/cloverpulley/standins/soak/SoakChecker.java
@@ -1,6 +1,6 @@
 package cloverpulley.standins.soak;
 
-import cloverpulley.standins.soak.SoakClients.Asked;
+import cloverpulley.standins.soak.SoakClients.SentRequest;
 import cloverpulley.standins.soak.SoakClients.End;
 import cloverpulley.standins.soak.SoakClients.RequestKind;
 import cloverpulley.standins.soak.SoakCounts.Breach;
@@ -34,7 +34,7 @@
   private final SoakNotifications notices;
   private final List<SoakNode> nodes;
   private final List<SoakServer> servers;
-  private final Map<String, Asked> asked;
+  private final Map<String, SentRequest> asked;
 
   SoakChecker(SoakCounts counts, SoakNotifications notices, List<SoakNode> nodes, List<SoakServer> servers, SoakClients clients) {
     this.counts = counts;
@@ -54,7 +54,7 @@
     notices.restarts().forEach(this::judgeSlowStart);
   }
 
-  private void judgeRequest(Asked a) {
+  private void judgeRequest(SentRequest a) {
     long due = a.sentNanos() + TimeUnit.MILLISECONDS.toNanos(a.expiresMillis()) + LATE_NANOS;
     if (a.end() == End.ANSWERED && a.endNanos() <= due || a.end() == End.LEFT || isExcused(a)) {
       return;
@@ -67,13 +67,13 @@
   }
 
   /** Whether a process of the node may have died with it, or its socket calls failed just then. */
-  private boolean isExcused(Asked a) {
+  private boolean isExcused(SentRequest a) {
     boolean killed = nodes.get(a.node()).processes.stream().anyMatch(p -> p.signal == Signal.KILL
         && p.signalNanos >= a.sentNanos() - KILL_NANOS && p.signalNanos <= a.endNanos() + KILL_NANOS);
     return killed || notices.isTroubled(a.node(), a.sentNanos(), a.endNanos());
   }
 
-  private boolean isServed(Asked a) {
+  private boolean isServed(SentRequest a) {
     return nodes.get(a.node()).processes.stream().anyMatch(p -> p.readyNanos > 0 && p.readyNanos < a.sentNanos()
         && (p.signal == Signal.NONE || p.signalNanos > a.endNanos()));
   }
@@ -84,7 +84,7 @@
       return;
     }
     Received before = first.putIfAbsent(r.id(), r);
-    Asked a = asked.get(r.id());
+    SentRequest a = asked.get(r.id());
     if (before == null || a == null || a.kind() == RequestKind.LOOKUP) {
       return;
     }
@@ -101,7 +101,7 @@
     if (drain != null) {
       counts.add(Breach.DRAIN, server.id + " got " + r.id() + ", " + drain);
     }
-    Asked a = asked.get(r.id());
+    SentRequest a = asked.get(r.id());
     if (a == null) {
       return;
     }
--- a/standins/src/main/java/cloverpulley/standins/soak/SoakClients.java
+++ b/standins/src/main/java/cloverpulley/standins/soak/SoakClients.java
@@ -35,7 +35,7 @@
    * @param fresh whether it was the first on its connection
    * @param endNanos when it was answered, left or its connection broke
    */
-  record Asked(String id, int node, RequestKind kind, boolean fresh, long sentNanos, long endNanos, long expiresMillis, End end, int status) {}
+  record SentRequest(String id, int node, RequestKind kind, boolean fresh, long sentNanos, long endNanos, long expiresMillis, End end, int status) {}
 
   /** Classes of request, as the settings name them. */
   enum RequestKind { LOOKUP, ISSUE, ORDER }
@@ -46,7 +46,7 @@
   private final List<SoakNode> nodes;
   private final long longestMillis;
   private final List<Thread> threads = new ArrayList<>();
-  final Map<String, Asked> asked = new ConcurrentHashMap<>();
+  final Map<String, SentRequest> asked = new ConcurrentHashMap<>();
   /** Requests on kept connections that were sent once more. */
   final AtomicInteger resent = new AtomicInteger();
   private final AtomicLong ids = new AtomicLong();
@@ -155,22 +155,22 @@
       sent = System.nanoTime();
       socket.getOutputStream().write(text(id, kind, expires, random).getBytes(StandardCharsets.US_ASCII));
       Answer answer = answer(socket.getInputStream());
-      keep(new Asked(id, node.number, kind, fresh, sent, System.nanoTime(), expires, End.ANSWERED, answer.status));
+      keep(new SentRequest(id, node.number, kind, fresh, sent, System.nanoTime(), expires, End.ANSWERED, answer.status));
       if (answer.stays) {
         return socket;
       }
       socket.close();
       return null;
     } catch (ConnectException e) {
-      keep(new Asked(id, node.number, kind, true, sent, System.nanoTime(), expires, End.NOT_CONNECTED, 0));
+      keep(new SentRequest(id, node.number, kind, true, sent, System.nanoTime(), expires, End.NOT_CONNECTED, 0));
     } catch (SocketTimeoutException e) {
       close(socket);
-      keep(new Asked(id, node.number, kind, fresh, sent, System.nanoTime(), expires, leaves ? End.LEFT : End.UNANSWERED, 0));
+      keep(new SentRequest(id, node.number, kind, fresh, sent, System.nanoTime(), expires, leaves ? End.LEFT : End.UNANSWERED, 0));
     } catch (IOException e) {
       boolean resend = !fresh && e instanceof EOFException && !again;
       close(socket);
       if (!resend) {
-        keep(new Asked(id, node.number, kind, fresh, sent, System.nanoTime(), expires, End.UNANSWERED, 0));
+        keep(new SentRequest(id, node.number, kind, fresh, sent, System.nanoTime(), expires, End.UNANSWERED, 0));
       } else {
         resent.incrementAndGet();
         return once(node, null, random, true);
@@ -179,7 +179,7 @@
     return null;
   }
 
-  private void keep(Asked request) {
+  private void keep(SentRequest request) {
     asked.put(request.id, request);
   }
 
