--- a/dnssd/src/test/java/cloverpulley/dnssd/PushAndPublishTest.java
+++ b/dnssd/src/test/java/cloverpulley/dnssd/PushAndPublishTest.java
@@ -142,8 +142,8 @@
     int updatesBefore = z.updates().size();
     Rig.await("renewals of the registration", () -> z.updates().size() >= 3 * updatesBefore);
     publisher.withdraw();
-    assertEquals(List.of(), z.at(Rig.SERVICE));
-    assertEquals(List.of(), z.at("Ashdeck\\032A\\.1." + Rig.SERVICE));
+    assertEquals(List.of(), z.recordsAt(Rig.SERVICE));
+    assertEquals(List.of(), z.recordsAt("Ashdeck\\032A\\.1." + Rig.SERVICE));
     Rig.await("removal from the list", () -> rig.list.isEmpty());
   }
 
@@ -165,7 +165,7 @@
     Publisher publisher = rig.keep(Publisher.startSelf(publishConfig(z, keySettings()), 9002, 0, List.of()));
     Rig.await("two update attempts", () -> z.server().seen().stream().filter(s -> s.opcode() == 5).count() >= 2);
     assertFalse(publisher.awaitRegistered(0));
-    assertEquals(List.of(), z.at(Rig.SERVICE));
+    assertEquals(List.of(), z.recordsAt(Rig.SERVICE));
   }
 
   @Test
--- a/dnssd/src/test/java/cloverpulley/dnssd/ReaderTest.java
+++ b/dnssd/src/test/java/cloverpulley/dnssd/ReaderTest.java
@@ -158,7 +158,7 @@
     // One resolver that serves both domains: the other stand-in's records are copied into it.
     combined.transfer(z);
     for (String owner : List.of("_quote._tcp.test.", "s0._quote._tcp.test.", "s9._quote._tcp.test.", "h0.test.")) {
-      other.at(owner).forEach(r -> combined.put(r.replaceAll("\\s+", " ").replace(" IN ", " ")));
+      other.recordsAt(owner).forEach(r -> combined.put(r.replaceAll("\\s+", " ").replace(" IN ", " ")));
     }
     combined.authoritative(false);
     rig.start(Rig.section("", "", combined).replace("[\"example\"]", "[\"example\", \"test\"]"), ServerList.EMPTY);
--- a/standins/src/main/java/cloverpulley/standins/ScriptedHttp.java
+++ b/standins/src/main/java/cloverpulley/standins/ScriptedHttp.java
@@ -23,22 +23,22 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A server that answers bytes with bytes, as its manner says, and counts the requests that began. Requests are told apart by the
- * empty line at their heads' end; bodies are not looked at, so it serves callers that send one request at a time.
+ * A server that writes canned responses without an HTTP codec, as its behaviour says, and counts the requests received. A request ends at the
+ * empty line after its headers. Bodies are not parsed, so clients must not pipeline requests.
  */
 public final class ScriptedHttp implements AutoCloseable {
 
-  /** What it does with a request. */
+  /** How the server responds to a request. */
   public enum Behaviour { SERVE, NEVER_RESPOND, RESET_MID_RESPONSE, RESPOND_EARLY, GARBAGE, REJECT }
 
   private static final String OK = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-  private static final String REFUSED = "HTTP/1.1 429 Too Many Requests\r\nRetry-After: 0.05\r\nContent-Length: 0\r\n\r\n";
+  private static final String REJECTION = "HTTP/1.1 429 Too Many Requests\r\nRetry-After: 0.05\r\nContent-Length: 0\r\n\r\n";
 
   private final EventLoopGroup group;
   private final EventLoop loop;
-  private final ChannelGroup open = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
+  private final ChannelGroup openChannels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
   private final AtomicLong requestCount = new AtomicLong();
-  private final List<Runnable> stalled = new ArrayList<>();
+  private final List<Runnable> delayedResponses = new ArrayList<>();
   private final InetSocketAddress address;
   private volatile Behaviour behaviour;
   private boolean stalling;
@@ -46,7 +46,7 @@
   private volatile long stallEnded;
   private Channel listener;
 
-  /** {@code group} has one thread. */
+  /** Starts a server; {@code group} must have exactly one thread. */
   public ScriptedHttp(EventLoopGroup group, Behaviour behaviour) {
     this.group = group;
     this.loop = group.next();
@@ -61,7 +61,7 @@
         .childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
-            open.add(channel);
+            openChannels.add(channel);
             channel.pipeline().addLast(new Handler());
           }
         }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port)).syncUninterruptibly().channel();
@@ -71,7 +71,7 @@
     return address;
   }
 
-  /** Requests that began. */
+  /** Returns the number of requests received. */
   public long requestCount() {
     return requestCount.get();
   }
@@ -80,7 +80,7 @@
     behaviour = next;
   }
 
-  /** From now on, for so long, it reads and answers nothing; then it answers all that came meanwhile. */
+  /** Holds back all responses for the given time, then responds to every request received in the meantime. */
   public void stall(long millis) {
     loop.execute(() -> {
       stalling = true;
@@ -88,29 +88,29 @@
       loop.schedule(() -> {
         stalling = false;
         stallEnded = System.nanoTime();
-        stalled.forEach(Runnable::run);
-        stalled.clear();
+        delayedResponses.forEach(Runnable::run);
+        delayedResponses.clear();
       }, millis, TimeUnit.MILLISECONDS);
     });
   }
 
-  /** When the last stall began, {@code System.nanoTime()}. */
+  /** Returns the {@code System.nanoTime()} at which the last stall began. */
   public long stallBegan() {
     return stallBegan;
   }
 
-  /** When the last stall ended; 0 before any has. */
+  /** Returns the {@code System.nanoTime()} at which the last stall ended; 0 if none has ended yet. */
   public long stallEnded() {
     return stallEnded;
   }
 
-  /** New connections are refused, and those that are open reset. */
+  /** Refuses new connections and closes the open ones. */
   public void stop() {
     listener.close().syncUninterruptibly();
-    open.close().syncUninterruptibly();
+    openChannels.close().syncUninterruptibly();
   }
 
-  /** It listens again, at the same address. */
+  /** Listens again at the same address. */
   public void restart() {
     listener = listen(address.getPort());
   }
@@ -122,24 +122,25 @@
 
   private final class Handler extends ChannelInboundHandlerAdapter {
 
-    private int line;
+    /** 0 before a request, 1 at the start of a line, 2 within a line, -1 after the empty line. */
+    private int lineState;
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) {
       ByteBuf bytes = (ByteBuf) message;
       while (bytes.isReadable()) {
-        if (line == 0 && behaviour == Behaviour.RESPOND_EARLY) {
+        if (lineState == 0 && behaviour == Behaviour.RESPOND_EARLY) {
           write(context, OK);
         }
         byte b = bytes.readByte();
-        line = b == '\n' ? line == 1 ? -1 : 1 : b == '\r' ? line : 2;
-        if (line < 0) {
-          line = 0;
-          bytes.skipBytes(bytes.readableBytes()); // Its body, which came with it.
+        lineState = b == '\n' ? lineState == 1 ? -1 : 1 : b == '\r' ? lineState : 2;
+        if (lineState < 0) {
+          lineState = 0;
+          bytes.skipBytes(bytes.readableBytes()); // The request's body, if it arrived in the same read.
           requestCount.incrementAndGet();
           Runnable answer = () -> answer(context);
           if (stalling) {
-            stalled.add(answer);
+            delayedResponses.add(answer);
           } else {
             answer.run();
           }
@@ -151,14 +152,14 @@
     private void answer(ChannelHandlerContext context) {
       switch (behaviour) {
         case SERVE -> write(context, OK);
-        case REJECT -> write(context, REFUSED);
+        case REJECT -> write(context, REJECTION);
         case GARBAGE -> write(context, "\u0000\u0001nonsense\r\n\r\n\r\n");
         case RESET_MID_RESPONSE -> {
           write(context, "HTTP/1.1 200 OK\r\nContent-Length: 200\r\n\r\npart");
           context.channel().config().setOption(ChannelOption.SO_LINGER, 0);
           context.close();
         }
-        default -> { } // Never, or it has been answered.
+        default -> { } // NEVER_RESPOND, or RESPOND_EARLY, which has responded already.
       }
     }
 
--- a/standins/src/main/java/cloverpulley/standins/StandInCaller.java
+++ b/standins/src/main/java/cloverpulley/standins/StandInCaller.java
@@ -21,11 +21,11 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A caller of the external processor that sends what it is told to, message by message, and keeps what comes back. */
+/** An external processor client that sends the given messages one by one and queues the replies. */
 public final class StandInCaller implements AutoCloseable {
 
-  /** A generous limit for what has to happen: no test passes by its running out. */
-  private static final long LIMIT_S = 30;
+  /** A generous timeout for events that must happen; reaching it fails the test. */
+  private static final long TIMEOUT_S = 30;
 
   private final ManagedChannel channel;
 
@@ -41,42 +41,42 @@
     return channel;
   }
 
-  /** Opens a stream; nothing is sent on it yet. */
+  /** Opens a stream without sending anything on it. */
   public Stream open() {
     return new Stream(true);
   }
 
-  /** Opens a stream that asks for no replies: its window fills up. */
+  /** Opens a stream that never requests a reply, so that its flow-control window fills up. */
   public Stream openWithoutReading() {
     return new Stream(false);
   }
 
-  /** The connection is dropped, with all that is on it. */
+  /** Drops the connection and all of its streams. */
   @Override
   public void close() {
     channel.shutdownNow();
     try {
-      channel.awaitTermination(LIMIT_S, TimeUnit.SECONDS);
+      channel.awaitTermination(TIMEOUT_S, TimeUnit.SECONDS);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  /** A request's headers, as names and values in turn. */
+  /** Builds a request headers message from alternating names and values. */
   public static ProcessingRequest.Builder request(String... namesAndValues) {
     return ProcessingRequest.newBuilder().setRequestHeaders(HttpHeaders.newBuilder().setHeaders(headers(namesAndValues)));
   }
 
-  /** An answer's head. */
+  /** Builds a response headers message. */
   public static ProcessingRequest.Builder response(int status, String... namesAndValues) {
-    HeaderMap.Builder all = headers(namesAndValues).toBuilder();
-    all.addHeaders(HeaderValue.newBuilder().setKey(":status").setRawValue(ByteString.copyFromUtf8(Integer.toString(status))));
+    HeaderMap.Builder withStatus = headers(namesAndValues).toBuilder();
+    withStatus.addHeaders(HeaderValue.newBuilder().setKey(":status").setRawValue(ByteString.copyFromUtf8(Integer.toString(status))));
     return ProcessingRequest.newBuilder()
-        .setResponseHeaders(HttpHeaders.newBuilder().setHeaders(all).setEndOfStream(true));
+        .setResponseHeaders(HttpHeaders.newBuilder().setHeaders(withStatus).setEndOfStream(true));
   }
 
-  public static HttpBody body(String text, boolean last) {
-    return HttpBody.newBuilder().setBody(ByteString.copyFromUtf8(text)).setEndOfStream(last).build();
+  public static HttpBody body(String text, boolean endOfStream) {
+    return HttpBody.newBuilder().setBody(ByteString.copyFromUtf8(text)).setEndOfStream(endOfStream).build();
   }
 
   public static HeaderMap headers(String... namesAndValues) {
@@ -88,7 +88,7 @@
     return map.build();
   }
 
-  /** The value that a reply to headers or to a body sets a header to; null where it sets none. */
+  /** Returns the value to which a reply sets a header; null if it does not set it. */
   public static String sets(ProcessingResponse reply, String name) {
     var mutation = reply.hasRequestBody() ? reply.getRequestBody().getResponse().getHeaderMutation()
         : reply.hasImmediateResponse() ? reply.getImmediateResponse().getHeaders()
@@ -101,7 +101,7 @@
     return null;
   }
 
-  /** One stream. */
+  /** A processing stream, which corresponds to one attempt of a request. */
   public final class Stream {
 
     private final ClientCall<ProcessingRequest, ProcessingResponse> call =
@@ -109,7 +109,7 @@
     private final BlockingQueue<ProcessingResponse> replies = new LinkedBlockingQueue<>();
     private final CompletableFuture<Status> closed = new CompletableFuture<>();
 
-    private Stream(boolean reads) {
+    private Stream(boolean requestsReplies) {
       call.start(new ClientCall.Listener<ProcessingResponse>() {
         @Override
         public void onMessage(ProcessingResponse reply) {
@@ -122,7 +122,7 @@
           closed.complete(status);
         }
       }, new Metadata());
-      if (reads) {
+      if (requestsReplies) {
         call.request(1);
       }
     }
@@ -137,10 +137,10 @@
       return this;
     }
 
-    /** Waits for the next reply; fails where the stream ends first. */
+    /** Waits for the next reply; fails if the stream ends first. */
     public ProcessingResponse next() throws InterruptedException {
-      long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_S);
-      while (System.nanoTime() < until) {
+      long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
+      while (System.nanoTime() < deadline) {
         ProcessingResponse reply = replies.poll(5, TimeUnit.MILLISECONDS);
         if (reply != null) {
           return reply;
@@ -149,7 +149,7 @@
           throw new AssertionError("the stream ended: " + closed.join());
         }
       }
-      throw new AssertionError("no reply came");
+      throw new AssertionError("no reply received");
     }
 
     public Stream halfClose() {
@@ -157,17 +157,17 @@
       return this;
     }
 
-    /** Hangs up: the stream is reset. */
+    /** Cancels the call, which resets the stream. */
     public void cancel() {
-      call.cancel("hung up on purpose", null);
+      call.cancel("cancelled by the test", null);
     }
 
-    /** Waits for the stream's end and says how it ended. */
+    /** Waits for the end of the stream and returns its status. */
     public Status closed() throws Exception {
-      return closed.get(LIMIT_S, TimeUnit.SECONDS);
+      return closed.get(TIMEOUT_S, TimeUnit.SECONDS);
     }
 
-    /** Replies that came and were not taken. */
+    /** Returns the number of replies received but not yet read by {@link #next}. */
     public int unreadReplies() {
       return replies.size();
     }
--- a/standins/src/main/java/cloverpulley/standins/StandInDiscovery.java
+++ b/standins/src/main/java/cloverpulley/standins/StandInDiscovery.java
@@ -30,7 +30,10 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Discovery on loopback: gives the list when asked, and each change at once to whoever watches. Runs on one loop. */
+/**
+ * A test discovery service on loopback. It returns the endpoint list on request and sends every change to open watches. All state belongs to one
+ * event loop.
+ */
 public final class StandInDiscovery implements AutoCloseable {
 
   private static final long HEARTBEAT_MILLIS = 1000;
@@ -60,10 +63,10 @@
   }
 
   /**
-   * Sets a server and tells of it; returns once it has been written to all who watch.
+   * Adds, updates or removes a server; returns once the change has been written to all watches.
    *
    * @param phase ready, draining or gone
-   * @param upSinceMillis Unix time of its start; 0 for long ago
+   * @param upSinceMillis Unix time of its start; 0 if it started long ago
    */
   public void set(String id, String hostPort, int cell, String phase, long upSinceMillis) {
     loop.submit(() -> {
@@ -79,7 +82,7 @@
     }).syncUninterruptibly();
   }
 
-  /** Watches that stand. */
+  /** Returns the number of open watches. */
   public int watchCount() {
     return watches.size();
   }
@@ -97,15 +100,15 @@
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
       boolean watch = request.uri().contains("follow=1");
       loop.execute(() -> {
-        String all = list(true, String.join(",", members.values()));
+        String completeList = list(true, String.join(",", members.values()));
         if (watch) {
           HttpResponse head = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
           head.headers().set(HttpHeaderNames.TRANSFER_ENCODING, HttpHeaderValues.CHUNKED);
           context.write(head);
-          context.writeAndFlush(line(all));
+          context.writeAndFlush(line(completeList));
           watches.add(context.channel());
         } else {
-          ByteBuf body = Unpooled.copiedBuffer(all, StandardCharsets.UTF_8);
+          ByteBuf body = Unpooled.copiedBuffer(completeList, StandardCharsets.UTF_8);
           DefaultFullHttpResponse answer = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, body);
           answer.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
           context.writeAndFlush(answer);
--- a/standins/src/main/java/cloverpulley/standins/StandInDns.java
+++ b/standins/src/main/java/cloverpulley/standins/StandInDns.java
@@ -35,30 +35,30 @@
 import org.xbill.DNS.Type;
 
 /**
- * A DNS server on loopback, over UDP and TCP on one port: does to each message what its script says, and keeps what it has read
- * and when.
+ * A DNS server on loopback, over UDP and TCP on one port. It handles each message as its script says and records every message received
+ * and its time.
  */
 public final class StandInDns implements AutoCloseable {
 
-  private static final int PORT_TRIES = 50;
-  private static final int MOST = 65_535;
+  private static final int MAX_PORT_RETRIES = 50;
+  private static final int MAX_MESSAGE_BYTES = 65_535;
 
-  /** A message that was read; the time is {@code System.nanoTime()} at its last octet. */
+  /** A message that was received; {@code atNanos} is the {@code System.nanoTime()} of its last octet. */
   public record Seen(int id, int opcode, String name, int type, boolean tcp, boolean edns, long atNanos) {}
 
-  /** One message, and the ways to react to it. */
+  /** A received message and the ways to react to it. */
   public static final class ReceivedQuery {
 
     private final byte[] octets;
     private final boolean tcp;
     private final Channel channel;
-    private final InetSocketAddress from;
+    private final InetSocketAddress sender;
 
-    ReceivedQuery(byte[] octets, boolean tcp, Channel channel, InetSocketAddress from) {
+    ReceivedQuery(byte[] octets, boolean tcp, Channel channel, InetSocketAddress sender) {
       this.octets = octets;
       this.tcp = tcp;
       this.channel = channel;
-      this.from = from;
+      this.sender = sender;
     }
 
     public byte[] octets() {
@@ -73,7 +73,7 @@
       return (octets[0] & 0xFF) << 8 | octets[1] & 0xFF;
     }
 
-    /** Parsed; a test's own error where it can't be. */
+    /** Returns the parsed message. Fails if it is malformed, which is an error of the test. */
     public Message message() {
       try {
         return new Message(octets);
@@ -82,26 +82,26 @@
       }
     }
 
-    /** The name asked, in lower case: the letters' case is the asker's guard against forgers. */
+    /** Returns the queried name in lower case. Resolvers randomize its case as a protection against spoofed answers. */
     public String name() {
       return message().getQuestion().getName().toString().toLowerCase(java.util.Locale.ROOT);
     }
 
-    /** The beginnings of an answer: question kept as it came, EDNS where it was spoken. */
+    /** Builds an answer that keeps the question unchanged and uses EDNS if the query did. */
     public Message answer(int rcode, String... records) {
       try {
-        Message asked = message();
-        Message answer = new Message(asked.getHeader().getID());
-        answer.getHeader().setOpcode(asked.getHeader().getOpcode());
+        Message query = message();
+        Message answer = new Message(query.getHeader().getID());
+        answer.getHeader().setOpcode(query.getHeader().getOpcode());
         answer.getHeader().setFlag(Flags.QR);
         answer.getHeader().setFlag(Flags.RA);
         answer.getHeader().setRcode(rcode);
-        answer.addRecord(asked.getQuestion(), Section.QUESTION);
+        answer.addRecord(query.getQuestion(), Section.QUESTION);
         for (String text : records) {
           answer.addRecord(record(text), Section.ANSWER);
         }
-        if (asked.getOPT() != null) {
-          answer.addRecord(new OPTRecord(1232, 0, 0, asked.getOPT().getFlags() & 0x8000), Section.ADDITIONAL);
+        if (query.getOPT() != null) {
+          answer.addRecord(new OPTRecord(1232, 0, 0, query.getOPT().getFlags() & 0x8000), Section.ADDITIONAL);
         }
         return answer;
       } catch (IOException e) {
@@ -109,74 +109,74 @@
       }
     }
 
-    /** An address record of the name asked, which is what most scripts answer. */
+    /** Builds an answer with an A record for the queried name, as most scripts need. */
     public Message address(long ttl, String address) {
       return answer(0, name() + " " + ttl + " A " + address);
     }
 
     public void reply(Message answer) {
-      reply(answer.toWire(MOST));
+      reply(answer.toWire(MAX_MESSAGE_BYTES));
     }
 
-    /** Sends octets, whatever they are; over TCP with their length before them. */
+    /** Sends the given octets as a message, valid or not; over TCP they are preceded by their length. */
     public void reply(byte[] answer) {
       ByteBuf buffer = tcp ? Unpooled.wrappedBuffer(new byte[] {(byte) (answer.length >> 8), (byte) answer.length}, answer)
           : Unpooled.wrappedBuffer(answer);
-      channel.writeAndFlush(tcp ? buffer : new DatagramPacket(buffer, from));
+      channel.writeAndFlush(tcp ? buffer : new DatagramPacket(buffer, sender));
     }
 
     public void replyAfter(long millis, Message answer) {
       channel.eventLoop().schedule(() -> reply(answer), millis, TimeUnit.MILLISECONDS);
     }
 
-    /** Octets as they are, without a length. */
+    /** Writes the given octets without a length prefix. */
     public void write(byte[] raw) {
-      channel.writeAndFlush(tcp ? Unpooled.wrappedBuffer(raw) : new DatagramPacket(Unpooled.wrappedBuffer(raw), from));
+      channel.writeAndFlush(tcp ? Unpooled.wrappedBuffer(raw) : new DatagramPacket(Unpooled.wrappedBuffer(raw), sender));
     }
 
-    /** Ends the connection after what has been written. */
+    /** Closes the connection after flushing what has been written. */
     public void hangUp() {
-      channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(f -> channel.close());
+      channel.writeAndFlush(Unpooled.EMPTY_BUFFER).addListener(future -> channel.close());
     }
 
-    /** Breaks the connection. */
+    /** Resets the connection. */
     public void reset() {
       channel.config().setOption(ChannelOption.SO_LINGER, 0);
       channel.close();
     }
 
-    /** Whether both came over the same connection. */
+    /** Whether both messages arrived on the same channel. */
     boolean hasSameChannel(ReceivedQuery other) {
       return channel == other.channel;
     }
 
-    /** Reads nothing more from this connection. */
+    /** Stops reading from this connection. */
     public void stopReading() {
       channel.config().setAutoRead(false);
     }
 
-    /** The octets of an answer that says it did not fit. */
+    /** Returns the octets of an empty answer with the TC flag. */
     public byte[] truncated() {
       Message m = answer(0);
       m.getHeader().setFlag(Flags.TC);
-      return m.toWire(MOST);
+      return m.toWire(MAX_MESSAGE_BYTES);
     }
   }
 
-  /** A record in the form of a master file: name, TTL, type, data. */
+  /** Parses a record in zone file format: name, TTL, type, data. */
   public static Record record(String text) throws IOException {
-    String[] f = text.split(" ", 4);
-    return Record.fromString(Name.fromString(f[0]), Type.value(f[2]), DClass.IN, Long.parseLong(f[1]), f[3], Name.root);
+    String[] fields = text.split(" ", 4);
+    return Record.fromString(Name.fromString(fields[0]), Type.value(fields[2]), DClass.IN, Long.parseLong(fields[1]), fields[3], Name.root);
   }
 
   private final Queue<Seen> seen = new ConcurrentLinkedQueue<>();
-  private final ChannelGroup open = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
+  private final ChannelGroup openChannels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
   private final EventLoopGroup group;
   private volatile Consumer<ReceivedQuery> script;
   private Channel tcp;
   private Channel udp;
 
-  /** Starts on a port of its own, the same over both. */
+  /** Starts a server on a free port, the same for TCP and UDP. */
   public StandInDns(EventLoopGroup group, Consumer<ReceivedQuery> script) {
     this.group = group;
     this.script = script;
@@ -187,7 +187,7 @@
         return;
       } catch (RuntimeException e) {
         tcp.close().syncUninterruptibly();
-        if (i == PORT_TRIES) {
+        if (i == MAX_PORT_RETRIES) {
           throw e;
         }
       }
@@ -199,18 +199,18 @@
         .option(ChannelOption.SO_BACKLOG, 1024).childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
-            open.add(channel);
-            channel.pipeline().addLast(new LengthFieldBasedFrameDecoder(MOST + 2, 0, 2, 0, 2), new OverTcp());
+            openChannels.add(channel);
+            channel.pipeline().addLast(new LengthFieldBasedFrameDecoder(MAX_MESSAGE_BYTES + 2, 0, 2, 0, 2), new TcpHandler());
           }
         }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port)).syncUninterruptibly().channel();
   }
 
   private Channel bindUdp(int port) {
     return new Bootstrap().group(group).channel(NioDatagramChannel.class).option(ChannelOption.SO_RCVBUF, 1 << 20)
-        .handler(new OverUdp()).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port)).syncUninterruptibly().channel();
+        .handler(new UdpHandler()).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port)).syncUninterruptibly().channel();
   }
 
-  /** Answers every question for an address with the one given. */
+  /** Returns a script that answers every query with the given address. */
   public static Consumer<ReceivedQuery> addresses(String address) {
     return a -> a.reply(a.address(60, address));
   }
@@ -223,32 +223,32 @@
     return (InetSocketAddress) udp.localAddress();
   }
 
-  /** As lists name it. */
+  /** The address as endpoint lists write it. */
   public String hostPort() {
     return "127.0.0.1:" + address().getPort();
   }
 
-  /** Messages that were read, in order. */
+  /** The messages received so far, in order of arrival. */
   public List<Seen> seen() {
     return List.copyOf(seen);
   }
 
-  /** TCP connections that are open. */
+  /** Returns the number of open TCP connections. */
   public int connections() {
-    return open.size();
+    return openChannels.size();
   }
 
-  /** From now on connections are refused; those that are open stay. */
+  /** Refuses new TCP connections; open ones stay open. */
   public void refuseTcp() {
     tcp.close().syncUninterruptibly();
   }
 
-  /** Dies: connections are reset, nobody listens any more. */
+  /** Simulates a crash: stops listening and resets open connections. */
   @Override
   public void close() {
     tcp.close().syncUninterruptibly();
     udp.close().syncUninterruptibly();
-    open.forEach(c -> c.eventLoop().execute(() -> {
+    openChannels.forEach(c -> c.eventLoop().execute(() -> {
       if (c.isActive()) {
         c.config().setOption(ChannelOption.SO_LINGER, 0);
         c.close();
@@ -256,13 +256,13 @@
     }));
   }
 
-  private void read(byte[] octets, boolean overTcp, Channel channel, InetSocketAddress from) {
-    ReceivedQuery asked = new ReceivedQuery(octets, overTcp, channel, from);
-    Message m = asked.message();
+  private void handle(byte[] octets, boolean overTcp, Channel channel, InetSocketAddress sender) {
+    ReceivedQuery query = new ReceivedQuery(octets, overTcp, channel, sender);
+    Message m = query.message();
     Record q = m.getQuestion();
-    seen.add(new Seen(asked.id(), m.getHeader().getOpcode(), q == null ? "" : q.getName().toString().toLowerCase(java.util.Locale.ROOT),
+    seen.add(new Seen(query.id(), m.getHeader().getOpcode(), q == null ? "" : q.getName().toString().toLowerCase(java.util.Locale.ROOT),
         q == null ? 0 : q.getType(), overTcp, m.getOPT() != null, System.nanoTime()));
-    script.accept(asked);
+    script.accept(query);
   }
 
   private static byte[] octets(ByteBuf buffer) {
@@ -271,10 +271,10 @@
     return octets;
   }
 
-  private final class OverTcp extends SimpleChannelInboundHandler<ByteBuf> {
+  private final class TcpHandler extends SimpleChannelInboundHandler<ByteBuf> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, ByteBuf frame) {
-      read(octets(frame), true, context.channel(), null);
+      handle(octets(frame), true, context.channel(), null);
     }
 
     @Override
@@ -283,15 +283,15 @@
     }
   }
 
-  private final class OverUdp extends SimpleChannelInboundHandler<DatagramPacket> {
+  private final class UdpHandler extends SimpleChannelInboundHandler<DatagramPacket> {
     @Override
     protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
-      read(octets(packet.content()), false, context.channel(), packet.sender());
+      handle(octets(packet.content()), false, context.channel(), packet.sender());
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-      // What a client sends that can't be read is its own business.
+      // A malformed datagram must not close the UDP channel.
     }
   }
 }
--- a/standins/src/main/java/cloverpulley/standins/StandInProxy.java
+++ b/standins/src/main/java/cloverpulley/standins/StandInProxy.java
@@ -57,31 +57,31 @@
 import java.util.function.LongFunction;
 
 /**
- * A small proxy of the kind that calls an external processor: HTTP/1.1 to clients and upstreams, one processor call an
- * attempt, repeats as its configuration says, and faults on demand. Runs on one loop of its own. It is a stand-in: it holds
- * whole messages, and its clients are tests, demos and measurements.
+ * A small proxy that calls an external processor (ext_proc) as Envoy does: HTTP/1.1 to clients and upstreams, one processor
+ * stream per attempt, configurable retries and injected faults. It runs on its own event loop. It buffers whole messages and
+ * is meant for tests, demos and measurements only.
  */
 public final class StandInProxy implements AutoCloseable {
 
-  private static final int MOST_BODY = 1 << 20;
+  private static final int MAX_BODY_BYTES = 1 << 20;
   private static final String ATTRIBUTES = "envoy.filters.http.ext_proc";
 
-  /** What a call does other than a good proxy would. */
+  /** Ways in which a call deviates from the protocol. */
   public enum Fault {
     NONE, CANCEL_BEFORE_DECISION, CANCEL_AFTER_DECISION, NO_RESPONSE_PHASE, EMPTY_MESSAGE, DUPLICATE_HEADERS, STALL, FLOOD
   }
 
   /**
-   * How it behaves.
+   * Settings of the proxy.
    *
-   * @param attempts most attempts of a request, the first among them
-   * @param backOffMillis before each repeat
-   * @param retryOnError whether an upstream's 5xx is tried again, beside failed connections and resets
-   * @param messageTimeoutMillis how long a reply of the processor may take before the call counts as failed
-   * @param tryTimeoutMillis how long an upstream may take
+   * @param attempts maximum number of attempts of a request, including the first
+   * @param backOffMillis delay before each retry
+   * @param retryOnError whether 5xx responses of an upstream are retried, as failed connections and resets always are
+   * @param messageTimeoutMillis how long the processor may take to reply before the call counts as failed
+   * @param attemptTimeoutMillis how long an upstream may take to respond
    */
   public record Config(String destinationHeader, int attempts, long backOffMillis, boolean retryOnError,
-      long messageTimeoutMillis, long tryTimeoutMillis, BodySendMode requestBody, BodySendMode responseBody) {
+      long messageTimeoutMillis, long attemptTimeoutMillis, BodySendMode requestBody, BodySendMode responseBody) {
 
     public static Config of(int attempts) {
       return new Config("x-gateway-destination-endpoint", attempts, 20, true, 1000, 10_000, BodySendMode.NONE,
@@ -89,12 +89,12 @@
     }
 
     public Config with(BodySendMode request, BodySendMode response) {
-      return new Config(destinationHeader, attempts, backOffMillis, retryOnError, messageTimeoutMillis, tryTimeoutMillis,
+      return new Config(destinationHeader, attempts, backOffMillis, retryOnError, messageTimeoutMillis, attemptTimeoutMillis,
           request, response);
     }
   }
 
-  /** What the proxy has seen of its processor. */
+  /** Counters of requests, processor calls and their results. */
   public static final class Counters {
     public final AtomicLong requests = new AtomicLong();
     public final AtomicLong answers = new AtomicLong();
@@ -102,11 +102,11 @@
     public final AtomicLong destinations = new AtomicLong();
     public final AtomicLong rejections = new AtomicLong();
     public final AtomicLong failures = new AtomicLong();
-    /** Calls whose stream failed or whose verdict did not come in time. */
-    public final AtomicLong noVerdict = new AtomicLong();
-    /** Calls that got a verdict after they had one. */
+    /** Calls whose stream failed or timed out before a decision. */
+    public final AtomicLong missingDecisions = new AtomicLong();
+    /** Decisions received for calls that already had one. */
     public final AtomicLong duplicateDecisions = new AtomicLong();
-    /** Verdicts later than the message time-out, by the proxy's own clock: its own delay is in it. */
+    /** Decisions that arrived after the message timeout. Measured on the proxy's event loop, so it includes the proxy's own delay. */
     public final AtomicLong lateDecisions = new AtomicLong();
     public final AtomicLong maxDecisionMicros = new AtomicLong();
   }
@@ -125,7 +125,7 @@
     this(processor, config, n -> Fault.NONE);
   }
 
-  /** {@code faults} says what is wrong with the n-th call, from 0. */
+  /** {@code faults} returns the fault to inject into the n-th call, counted from 0. */
   public StandInProxy(InetSocketAddress processor, Config config, LongFunction<Fault> faults) {
     this.config = config;
     this.faults = faults;
@@ -135,18 +135,18 @@
         .childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
-            channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY), new Client());
+            channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new Client());
           }
         }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).syncUninterruptibly().channel();
   }
 
-  /** Calls go to this processor from now on; those that are open go on where they are. */
+  /** Sends new calls to this processor; open calls continue on the previous one. */
   public void connectTo(InetSocketAddress address) {
-    ManagedChannel before = processor;
+    ManagedChannel previous = processor;
     processor = NettyChannelBuilder.forAddress(address).eventLoopGroup(group).channelType(NioSocketChannel.class)
         .directExecutor().usePlaintext().build();
-    if (before != null) {
-      before.shutdown();
+    if (previous != null) {
+      previous.shutdown();
     }
   }
 
@@ -158,12 +158,12 @@
     return counters;
   }
 
-  /** Drops the connection to the processor, with every call on it. */
+  /** Drops the connection to the processor with every call on it, and connects to the next one. */
   public void dropProcessor(InetSocketAddress next) {
-    ManagedChannel before = processor;
+    ManagedChannel previous = processor;
     processor = null;
     connectTo(next);
-    before.shutdownNow();
+    previous.shutdownNow();
   }
 
   @Override
@@ -191,7 +191,7 @@
     }
   }
 
-  /** One client's request, through all of its attempts. */
+  /** A client's request with all of its attempts. */
   private final class Exchange {
 
     private final Channel client;
@@ -208,7 +208,7 @@
       new Call(this).start();
     }
 
-    boolean again() {
+    boolean retry() {
       if (attempt >= config.attempts || !client.isActive()) {
         return false;
       }
@@ -229,21 +229,21 @@
 
   // ---- The processor -------------------------------------------------------------------------------------
 
-  /** One attempt: a call of the processor, and what it says done. */
+  /** One attempt: a processor call, followed by the upstream request or immediate response that it decides on. */
   private final class Call extends ClientCall.Listener<ProcessingResponse> {
 
     private final Exchange exchange;
     private final long number = counters.calls.getAndIncrement();
     private final Fault fault = faults.apply(number);
     private ClientCall<ProcessingRequest, ProcessingResponse> stream;
-    private long askedAt;
+    private long startNanos;
     private Future<?> timeout;
     private String destination;
-    private boolean bodyAsked;
+    private boolean bodySent;
     private boolean decided;
-    private boolean over;
-    private Runnable afterResponse;
-    private int repliesToCome;
+    private boolean finished;
+    private Runnable afterResponsePhase;
+    private int pendingReplies;
 
     Call(Exchange exchange) {
       this.exchange = exchange;
@@ -253,8 +253,8 @@
       stream = processor.newCall(ExternalProcessor.PROCESS, CallOptions.DEFAULT);
       stream.start(this, new Metadata());
       stream.request(Integer.MAX_VALUE);
-      askedAt = System.nanoTime();
-      timeout = loop.schedule(this::late, config.messageTimeoutMillis, TimeUnit.MILLISECONDS);
+      startNanos = System.nanoTime();
+      timeout = loop.schedule(this::onTimeout, config.messageTimeoutMillis, TimeUnit.MILLISECONDS);
       ProcessingRequest headers = ProcessingRequest.newBuilder()
           .setRequestHeaders(HttpHeaders.newBuilder().setHeaders(requestHeaders())
               .setEndOfStream(!exchange.request.content().isReadable()))
@@ -266,7 +266,7 @@
       }
       stream.sendMessage(headers);
       if (fault == Fault.CANCEL_BEFORE_DECISION) {
-        stream.cancel("hung up while the verdict was awaited", null);
+        stream.cancel("cancelled while the decision was pending", null);
       } else if (fault == Fault.DUPLICATE_HEADERS) {
         stream.sendMessage(headers);
       }
@@ -283,31 +283,31 @@
 
     @Override
     public void onMessage(ProcessingResponse reply) {
-      if (over) {
+      if (finished) {
         return;
       }
       if (reply.hasImmediateResponse()) {
-        immediate(reply);
+        onImmediateResponse(reply);
       } else if (reply.hasRequestHeaders()) {
-        take(reply, reply.getRequestHeaders().getResponse().getHeaderMutation().getSetHeadersList());
+        recordDestination(reply, reply.getRequestHeaders().getResponse().getHeaderMutation().getSetHeadersList());
         if (config.requestBody == BodySendMode.BUFFERED && exchange.request.content().isReadable()) {
-          bodyAsked = true;
+          bodySent = true;
           stream.sendMessage(ProcessingRequest.newBuilder().setRequestBody(HttpBody.newBuilder()
               .setBody(ByteString.copyFrom(exchange.request.content().nioBuffer())).setEndOfStream(true)).build());
         } else {
-          decide();
+          onDecision();
         }
-      } else if (reply.hasRequestBody() && bodyAsked) {
-        take(reply, reply.getRequestBody().getResponse().getHeaderMutation().getSetHeadersList());
-        decide();
-      } else if ((reply.hasResponseHeaders() || reply.hasResponseBody()) && --repliesToCome == 0) {
-        over = true;
+      } else if (reply.hasRequestBody() && bodySent) {
+        recordDestination(reply, reply.getRequestBody().getResponse().getHeaderMutation().getSetHeadersList());
+        onDecision();
+      } else if ((reply.hasResponseHeaders() || reply.hasResponseBody()) && --pendingReplies == 0) {
+        finished = true;
         stream.halfClose();
-        afterResponse.run();
+        afterResponsePhase.run();
       }
     }
 
-    private void take(ProcessingResponse reply, Iterable<HeaderValueOption> set) {
+    private void recordDestination(ProcessingResponse reply, Iterable<HeaderValueOption> set) {
       for (HeaderValueOption option : set) {
         if (option.getHeader().getKey().equals(config.destinationHeader)) {
           destination = option.getHeader().getRawValue().toStringUtf8();
@@ -315,9 +315,9 @@
       }
     }
 
-    private void verdict() {
+    private void recordDecision() {
       timeout.cancel(false);
-      long micros = (System.nanoTime() - askedAt) / 1000;
+      long micros = (System.nanoTime() - startNanos) / 1000;
       counters.maxDecisionMicros.accumulateAndGet(micros, Math::max);
       if (decided) {
         counters.duplicateDecisions.incrementAndGet();
@@ -327,9 +327,9 @@
       decided = true;
     }
 
-    private void immediate(ProcessingResponse reply) {
-      verdict();
-      over = true;
+    private void onImmediateResponse(ProcessingResponse reply) {
+      recordDecision();
+      finished = true;
       int status = reply.getImmediateResponse().getStatus().getCode();
       (status == HttpResponseStatus.TOO_MANY_REQUESTS.code() ? counters.rejections : counters.failures).incrementAndGet();
       Map<String, String> headers = new HashMap<>();
@@ -339,12 +339,12 @@
           Unpooled.wrappedBuffer(reply.getImmediateResponse().getBody().asReadOnlyByteBuffer()));
     }
 
-    private void decide() {
-      verdict();
+    private void onDecision() {
+      recordDecision();
       counters.destinations.incrementAndGet();
       if (fault == Fault.CANCEL_AFTER_DECISION) {
-        over = true;
-        stream.cancel("hung up after the verdict", null);
+        finished = true;
+        stream.cancel("cancelled after the decision", null);
       } else if (fault == Fault.FLOOD) {
         for (int i = 0; i < 500; i++) {
           stream.sendMessage(ProcessingRequest.newBuilder()
@@ -354,23 +354,23 @@
       if (destination == null) {
         finish(500, Map.of(), Unpooled.EMPTY_BUFFER);
       } else {
-        sendOn();
+        forward();
       }
     }
 
-    private void late() {
+    private void onTimeout() {
       if (!decided) {
-        noVerdict();
+        onMissingDecision();
       }
     }
 
-    private void noVerdict() {
+    private void onMissingDecision() {
       timeout.cancel(false);
-      over = true;
+      finished = true;
       decided = true;
-      counters.noVerdict.incrementAndGet();
-      stream.cancel("no verdict in time", null);
-      if (!exchange.again()) {
+      counters.missingDecisions.incrementAndGet();
+      stream.cancel("no decision in time", null);
+      if (!exchange.retry()) {
         exchange.answer(500, Map.of("x-proxy", "no-verdict"), Unpooled.EMPTY_BUFFER);
       }
     }
@@ -378,20 +378,20 @@
     @Override
     public void onClose(Status status, Metadata trailers) {
       if (!decided) {
-        noVerdict();
-      } else if (!over && afterResponse != null) {
-        over = true; // The processor has let go of the stream: what the upstream said goes on without it.
-        afterResponse.run();
+        onMissingDecision();
+      } else if (!finished && afterResponsePhase != null) {
+        finished = true; // The processor closed the stream: the upstream's response is forwarded without it.
+        afterResponsePhase.run();
       }
     }
 
     // ---- The upstream --------------------------------------------------------------------------------------
 
-    private void sendOn() {
-      ArrayDeque<Channel> waiting = idle.computeIfAbsent(destination, d -> new ArrayDeque<>());
-      Channel reused = waiting.pollFirst();
+    private void forward() {
+      ArrayDeque<Channel> pool = idle.computeIfAbsent(destination, d -> new ArrayDeque<>());
+      Channel reused = pool.pollFirst();
       while (reused != null && !reused.isActive()) {
-        reused = waiting.pollFirst();
+        reused = pool.pollFirst();
       }
       if (reused != null) {
         reused.pipeline().get(Upstream.class).send(this);
@@ -403,7 +403,7 @@
           .handler(new ChannelInitializer<Channel>() {
             @Override
             protected void initChannel(Channel channel) {
-              channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MOST_BODY),
+              channel.pipeline().addLast(new HttpClientCodec(), new HttpObjectAggregator(MAX_BODY_BYTES),
                   new Upstream(channel, destination));
             }
           }).connect(destination.substring(0, colon), Integer.parseInt(destination.substring(colon + 1)));
@@ -411,27 +411,27 @@
         if (f.isSuccess()) {
           connect.channel().pipeline().get(Upstream.class).send(this);
         } else {
-          broken("upstream_reset_before_response_started{connection_failure}");
+          onUpstreamFailure("upstream_reset_before_response_started{connection_failure}");
         }
       });
     }
 
-    FullHttpRequest onward() {
-      FullHttpRequest on = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, exchange.request.method(),
+    FullHttpRequest upstreamRequest() {
+      FullHttpRequest forwarded = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, exchange.request.method(),
           exchange.request.uri(), exchange.request.content().retainedDuplicate());
-      on.headers().set(exchange.request.headers());
-      on.headers().set(config.destinationHeader, destination);
-      return on;
+      forwarded.headers().set(exchange.request.headers());
+      forwarded.headers().set(config.destinationHeader, destination);
+      return forwarded;
     }
 
-    void answered(FullHttpResponse response) {
+    void onUpstreamResponse(FullHttpResponse response) {
       boolean error = response.status().code() >= 500;
       Map<String, String> headers = new HashMap<>();
       response.headers().forEach(e -> headers.put(e.getKey().toLowerCase(Locale.ROOT), e.getValue()));
       ByteBuf body = response.content().retain();
-      respond(response.status().code(), headers, body, "", () -> {
-        boolean never = headers.containsKey("x-never-ran");
-        if (error && (config.retryOnError || never) && exchange.again()) {
+      sendResponsePhase(response.status().code(), headers, body, "", () -> {
+        boolean neverExecuted = headers.containsKey("x-never-ran");
+        if (error && (config.retryOnError || neverExecuted) && exchange.retry()) {
           body.release();
         } else {
           exchange.answer(response.status().code(), headers, body);
@@ -439,55 +439,55 @@
       });
     }
 
-    void broken(String details) {
-      respond(503, Map.of(), Unpooled.EMPTY_BUFFER, details, () -> {
-        if (!exchange.again()) {
+    void onUpstreamFailure(String details) {
+      sendResponsePhase(503, Map.of(), Unpooled.EMPTY_BUFFER, details, () -> {
+        if (!exchange.retry()) {
           exchange.answer(503, Map.of("x-proxy", "upstream"), Unpooled.EMPTY_BUFFER);
         }
       });
     }
 
     private void finish(int status, Map<String, String> headers, ByteBuf body) {
-      respond(status, headers, body, "", () -> exchange.answer(status, headers, body));
+      sendResponsePhase(status, headers, body, "", () -> exchange.answer(status, headers, body));
     }
 
-    /** The response phase, and then what comes after it. */
-    private void respond(int status, Map<String, String> headers, ByteBuf body, String details, Runnable then) {
-      if (over || fault == Fault.NO_RESPONSE_PHASE) {
-        if (!over) {
-          over = true;
+    /** Runs the response phase, then the continuation. */
+    private void sendResponsePhase(int status, Map<String, String> headers, ByteBuf body, String details, Runnable continuation) {
+      if (finished || fault == Fault.NO_RESPONSE_PHASE) {
+        if (!finished) {
+          finished = true;
           stream.halfClose();
         }
-        then.run();
+        continuation.run();
         return;
       }
       if (fault == Fault.STALL) {
-        over = true; // Says nothing more on the stream, for good.
-        then.run();
+        finished = true; // Leaves the stream open without sending anything more.
+        continuation.run();
         return;
       }
-      afterResponse = then;
+      afterResponsePhase = continuation;
       HeaderMap.Builder map = HeaderMap.newBuilder();
       add(map, ":status", Integer.toString(status));
       headers.forEach((name, value) -> add(map, name, value));
-      boolean withBody = config.responseBody != BodySendMode.NONE && body.isReadable();
+      boolean hasBody = config.responseBody != BodySendMode.NONE && body.isReadable();
       ProcessingRequest.Builder message = ProcessingRequest.newBuilder()
-          .setResponseHeaders(HttpHeaders.newBuilder().setHeaders(map).setEndOfStream(!withBody));
+          .setResponseHeaders(HttpHeaders.newBuilder().setHeaders(map).setEndOfStream(!hasBody));
       if (!details.isEmpty()) {
         message.putAttributes(ATTRIBUTES, Struct.newBuilder()
             .putFields("response.code_details", Value.newBuilder().setStringValue(details).build()).build());
       }
-      repliesToCome = withBody ? 2 : 1;
+      pendingReplies = hasBody ? 2 : 1;
       stream.sendMessage(message.build());
-      if (withBody) {
+      if (hasBody) {
         stream.sendMessage(ProcessingRequest.newBuilder().setResponseBody(HttpBody.newBuilder()
             .setBody(ByteString.copyFrom(body.nioBuffer())).setEndOfStream(true)).build());
       }
       loop.schedule(() -> {
-        if (!over) {
-          over = true;
+        if (!finished) {
+          finished = true;
           stream.cancel("no reply to the response phase", null);
-          then.run();
+          continuation.run();
         }
       }, config.messageTimeoutMillis, TimeUnit.MILLISECONDS);
     }
@@ -497,7 +497,7 @@
     map.addHeaders(HeaderValue.newBuilder().setKey(name).setRawValue(ByteString.copyFromUtf8(value)));
   }
 
-  /** A connection to an upstream: one request at a time. */
+  /** A connection to an upstream, with at most one request in flight. */
   private final class Upstream extends SimpleChannelInboundHandler<FullHttpResponse> {
 
     private final Channel channel;
@@ -513,34 +513,34 @@
     void send(Call next) {
       call = next;
       timeout = loop.schedule(() -> {
-        Call late = call;
+        Call expired = call;
         call = null;
         channel.close();
-        if (late != null) {
-          late.broken("upstream_response_timeout");
+        if (expired != null) {
+          expired.onUpstreamFailure("upstream_response_timeout");
         }
-      }, config.tryTimeoutMillis, TimeUnit.MILLISECONDS);
-      channel.writeAndFlush(next.onward());
+      }, config.attemptTimeoutMillis, TimeUnit.MILLISECONDS);
+      channel.writeAndFlush(next.upstreamRequest());
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpResponse response) {
-      Call answered = call;
+      Call current = call;
       call = null;
-      if (answered != null) {
+      if (current != null) {
         timeout.cancel(false);
         idle.get(address).push(channel);
-        answered.answered(response);
+        current.onUpstreamResponse(response);
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      Call broken = call;
+      Call current = call;
       call = null;
-      if (broken != null) {
+      if (current != null) {
         timeout.cancel(false);
-        broken.broken("upstream_reset_before_response_started{connection_termination}");
+        current.onUpstreamFailure("upstream_reset_before_response_started{connection_termination}");
       }
     }
 
--- a/standins/src/main/java/cloverpulley/standins/StandInUpstream.java
+++ b/standins/src/main/java/cloverpulley/standins/StandInUpstream.java
@@ -31,18 +31,18 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.Function;
 
-/** An upstream on loopback: answers as its behaviour says, and keeps the time and the id of each request that it began. */
+/** A test HTTP upstream on loopback. It answers each request as its behaviour function says and records the id and time of every request received. */
 public final class StandInUpstream implements AutoCloseable {
 
-  private static final int MOST_BODY = 1 << 20;
+  private static final int MAX_BODY_BYTES = 1 << 20;
 
-  /** A request that was begun; the time is {@code System.nanoTime()} at its last byte. */
+  /** A request received completely; {@code atNanos} is the {@code System.nanoTime()} of its last byte. */
   public record Seen(String id, String key, String className, long atNanos) {}
 
   /**
-   * What a request gets.
+   * The response to a request.
    *
-   * @param status 0 for none: the connection is reset
+   * @param status 0 to send no response and reset the connection
    */
   public record Answer(int status, Map<String, String> headers, long delayMillis) {
 
@@ -58,7 +58,7 @@
       return new Answer(status, Map.of(), 0);
     }
 
-    /** Turned away unseen. */
+    /** A rejection whose header says that the request was never executed. */
     public static Answer full() {
       return new Answer(503, Map.of("X-Never-Ran", "1"), 0);
     }
@@ -69,7 +69,7 @@
   }
 
   private final Queue<Seen> seen = new ConcurrentLinkedQueue<>();
-  private final ChannelGroup open = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
+  private final ChannelGroup openChannels = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
   private final Channel listener;
   private volatile Function<FullHttpRequest, Answer> behaviour;
 
@@ -80,8 +80,8 @@
         .childHandler(new ChannelInitializer<Channel>() {
           @Override
           protected void initChannel(Channel channel) {
-            open.add(channel);
-            channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MOST_BODY), new Handler());
+            openChannels.add(channel);
+            channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(MAX_BODY_BYTES), new Handler());
           }
         }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).syncUninterruptibly().channel();
   }
@@ -90,31 +90,31 @@
     return (InetSocketAddress) listener.localAddress();
   }
 
-  /** As lists name it. */
+  /** The address as endpoint lists write it. */
   public String address() {
     return "127.0.0.1:" + socketAddress().getPort();
   }
 
-  /** Requests that were begun, in order. */
+  /** The requests received so far, in order of arrival. */
   public List<Seen> seen() {
     return List.copyOf(seen);
   }
 
-  /** From now on requests get something else. */
+  /** Replaces the behaviour for the requests that follow. */
   public void behave(Function<FullHttpRequest, Answer> next) {
     behaviour = next;
   }
 
-  /** Connections that are open. */
+  /** Returns the number of open connections. */
   public int connections() {
-    return open.size();
+    return openChannels.size();
   }
 
-  /** Dies: its connections are reset and new ones refused. */
+  /** Simulates a crash: open connections are reset and new ones are refused. */
   @Override
   public void close() {
     listener.close().syncUninterruptibly();
-    open.forEach(StandInUpstream::reset);
+    openChannels.forEach(StandInUpstream::reset);
   }
 
   private static void reset(Channel channel) {
@@ -130,7 +130,7 @@
     @Override
     protected void channelRead0(ChannelHandlerContext context, FullHttpRequest request) {
       if (!request.decoderResult().isSuccess()) {
-        context.close(); // Part of one, whose connection has ended: it was never begun.
+        context.close(); // The connection closed in the middle of the request, which does not count as received.
         return;
       }
       seen.add(new Seen(id(request), request.headers().get("idempotency-key"), request.headers().get("x-qos"),
--- a/standins/src/main/java/cloverpulley/standins/StandInZone.java
+++ b/standins/src/main/java/cloverpulley/standins/StandInZone.java
@@ -31,9 +31,9 @@
 import org.xbill.DNS.Type;
 
 /**
- * An authoritative server of one zone on loopback that changes while it serves: records come and go with a serial that grows, by
- * a test's word or by UPDATE (RFC 2136) signed by a key (RFC 8945), and sessions are told by push (RFC 8765). Its faults are
- * scripted; several that disagree are several of it.
+ * An authoritative DNS server of one zone on loopback whose records change while it serves. A test changes them directly, or a client by
+ * UPDATE (RFC 2136) signed with a key (RFC 8945). Changes that alter the zone increase its serial, and subscribers receive them by push
+ * (RFC 8765). Faults are scripted; servers that disagree are simulated with several instances.
  */
 public final class StandInZone implements AutoCloseable {
 
@@ -44,14 +44,14 @@
   private static final int KEEPALIVE = 1;
   private static final int DSO = 6;
 
-  /** What it does to whoever asks. */
+  /** How the server misbehaves towards its clients. */
   public enum Fault { NONE, NO_RESPONSE, NXDOMAIN, SERVFAIL, REFUSED, NO_TXT, NO_SRV, NO_ADDRESS }
 
   private record Subscription(StandInDns.ReceivedQuery session, int id, Name name, int type) {}
 
   private final Name origin;
   private final StandInDns server;
-  /** All records by name and type; guarded by this. */
+  /** All records by name and type; guarded by {@code this}. */
   private final TreeMap<Name, Map<Integer, List<Record>>> records = new TreeMap<>();
   private final List<Subscription> subscriptions = new ArrayList<>();
   private final List<String> updates = new ArrayList<>();
@@ -61,13 +61,13 @@
   private boolean additional;
   private boolean authoritative = true;
   private boolean push;
-  private long grantSeconds;
+  private long grantedLeaseSeconds;
   private volatile Fault fault = Fault.NONE;
 
-  /** Starts one; {@code origin} with a dot at its end. */
+  /** Starts a server for the zone {@code origin}, which ends with a dot. */
   public StandInZone(EventLoopGroup group, String origin) {
     this.origin = name(origin);
-    server = new StandInDns(group, this::asked);
+    server = new StandInDns(group, this::handle);
   }
 
   private static Name name(String text) {
@@ -78,7 +78,7 @@
     }
   }
 
-  // ---- What a test sets ----------------------------------------------------------------------------------
+  // ---- Test controls -------------------------------------------------------------------------------------
 
   public StandInDns server() {
     return server;
@@ -92,7 +92,7 @@
     fault = next;
   }
 
-  /** Of every record, in seconds. */
+  /** Sets the TTL, in seconds, of the records that {@link #server} adds and of the SOA record. */
   public synchronized void ttl(long seconds) {
     ttl = seconds;
   }
@@ -105,37 +105,37 @@
     return serial;
   }
 
-  /** Whether what a browse names is sent beside it. */
+  /** Sets whether answers to PTR queries carry the records of the instances as additional records. */
   public synchronized void additional(boolean on) {
     additional = on;
   }
 
-  /** Whether its answers are the zone's own, or those of some cache. */
+  /** Sets whether answers are authoritative, or look like those of a cache. */
   public synchronized void authoritative(boolean on) {
     authoritative = on;
   }
 
-  /** Whether it takes sessions and pushes. */
+  /** Sets whether the server accepts DSO sessions and pushes changes. */
   public synchronized void push(boolean on) {
     push = on;
   }
 
-  /** Only updates signed by this key are taken, and answers to them are signed. */
+  /** Accepts only updates signed with this key, and signs the answers to them. */
   public synchronized void key(TSIG next) {
     key = next;
   }
 
-  /** The lease given to who asks for one, in seconds; 0 for the one asked for. */
-  public synchronized void grant(long seconds) {
-    grantSeconds = seconds;
+  /** Sets the lease to grant, in seconds; 0 to grant the requested one. */
+  public synchronized void grantLease(long seconds) {
+    grantedLeaseSeconds = seconds;
   }
 
-  /** Updates that were taken, in words. */
+  /** The accepted update records in text form, as type, class and name. */
   public synchronized List<String> updates() {
     return List.copyOf(updates);
   }
 
-  /** Puts a record in, in the form of a master file: name, TTL, type, data. */
+  /** Adds a record given in zone file format: name, TTL, type, data. */
   public synchronized StandInZone put(String text) {
     try {
       add(StandInDns.record(text));
@@ -149,49 +149,49 @@
     List<Record> all = records.computeIfAbsent(r.getName(), n -> new TreeMap<>()).computeIfAbsent(r.getType(), t -> new ArrayList<>());
     if (!all.contains(r)) {
       all.add(r);
-      tell(r.getName(), r.getType(), r, false);
+      notifySubscribers(r.getName(), r.getType(), r, false);
     }
   }
 
-  /** Takes all records of a type, or with {@link Type#ANY} all, of a name away. */
+  /** Removes all records of a name that have the given type, or all of them for {@link Type#ANY}. */
   public synchronized StandInZone remove(String text, int type) {
     remove(name(text), type);
     return this;
   }
 
   private void remove(Name n, int type) {
-    Map<Integer, List<Record>> its = records.get(n);
-    if (its == null) {
+    Map<Integer, List<Record>> rrsets = records.get(n);
+    if (rrsets == null) {
       return;
     }
-    for (int t : type == Type.ANY ? Set.copyOf(its.keySet()) : Set.of(type)) {
-      List<Record> gone = its.remove(t);
-      if (gone != null) {
-        tell(n, t, null, true);
+    for (int t : type == Type.ANY ? Set.copyOf(rrsets.keySet()) : Set.of(type)) {
+      List<Record> removed = rrsets.remove(t);
+      if (removed != null) {
+        notifySubscribers(n, t, null, true);
       }
     }
-    if (its.isEmpty()) {
+    if (rrsets.isEmpty()) {
       records.remove(n);
     }
   }
 
   private void remove(Record r) {
-    List<Record> its = records.getOrDefault(r.getName(), Map.of()).get(r.getType());
-    if (its != null && its.removeIf(x -> x.rdataToWireCanonical().length > 0
+    List<Record> rrset = records.getOrDefault(r.getName(), Map.of()).get(r.getType());
+    if (rrset != null && rrset.removeIf(x -> x.rdataToWireCanonical().length > 0
         && java.util.Arrays.equals(x.rdataToWireCanonical(), r.rdataToWireCanonical()))) {
-      tell(r.getName(), r.getType(), r, true);
-      if (its.isEmpty()) {
+      notifySubscribers(r.getName(), r.getType(), r, true);
+      if (rrset.isEmpty()) {
         records.get(r.getName()).remove(r.getType());
       }
     }
   }
 
-  /** A server and all its records; a later call for the same label replaces them. The serial grows. */
+  /** Adds an instance with all its records, or replaces those of the same label. Increments the serial. */
   public synchronized void server(String label, String target, int port, String address, String... text) {
     server(label, 0, target, port, address, text);
   }
 
-  /** The same with a priority. */
+  /** Adds or replaces an instance with an SRV priority. */
   public synchronized void server(String label, int priority, String target, int port, String address, String... text) {
     String service = "_quote._tcp." + origin;
     String instance = label + '.' + service;
@@ -208,14 +208,14 @@
       List<Record> before = records.getOrDefault(r.getName(), Map.of()).get(type);
       if (before == null || !before.equals(List.of(r))) {
         records.computeIfAbsent(r.getName(), n -> new TreeMap<>()).put(type, new ArrayList<>(List.of(r)));
-        tell(r.getName(), type, r, false);
+        notifySubscribers(r.getName(), type, r, false);
       }
     } catch (IOException e) {
       throw new IllegalArgumentException(e);
     }
   }
 
-  /** The instance leaves the list; its other records stay, as they do. The serial grows. */
+  /** Removes the PTR record of an instance and keeps its other records, as real servers do. Increments the serial. */
   public synchronized void withdraw(String label) {
     try {
       remove(StandInDns.record("_quote._tcp." + origin + ' ' + ttl + " PTR " + label + "._quote._tcp." + origin));
@@ -225,7 +225,7 @@
     serial++;
   }
 
-  /** Copies another's records and serial, as a secondary does. */
+  /** Copies the records and the serial of another server, as a secondary does. */
   public synchronized void transfer(StandInZone primary) {
     TreeMap<Name, Map<Integer, List<Record>>> all = new TreeMap<>();
     synchronized (primary) {
@@ -237,7 +237,7 @@
     records.putAll(all);
   }
 
-  /** Tells a reader that the zone has changed (RFC 1996), from the address that it answers at. */
+  /** Sends a NOTIFY for the zone (RFC 1996) to a reader, from an ephemeral port on loopback, the address at which the server answers. */
   public void notifyReader(InetSocketAddress reader) throws IOException {
     Message m = new Message();
     m.getHeader().setOpcode(Opcode.NOTIFY);
@@ -251,7 +251,7 @@
 
   // ---- Answers -------------------------------------------------------------------------------------------
 
-  private void asked(StandInDns.ReceivedQuery a) {
+  private void handle(StandInDns.ReceivedQuery a) {
     Fault now = fault;
     if (now == Fault.NO_RESPONSE) {
       return;
@@ -259,7 +259,7 @@
     Message m = a.message();
     int opcode = m.getHeader().getOpcode();
     if (opcode == DSO) {
-      session(a);
+      handleSession(a);
     } else if (opcode == Opcode.UPDATE) {
       update(a, m);
     } else if (m.getQuestion() == null) {
@@ -282,16 +282,16 @@
     }
     boolean hidden = now == Fault.NXDOMAIN || now == Fault.NO_TXT && type == Type.TXT || now == Fault.NO_SRV && type == Type.SRV
         || now == Fault.NO_ADDRESS && (type == Type.A || type == Type.AAAA);
-    Map<Integer, List<Record>> its = hidden ? Map.of() : records.getOrDefault(n, Map.of());
-    Message m = a.answer(its.isEmpty() && (now == Fault.NXDOMAIN || !hidden) ? Rcode.NXDOMAIN : Rcode.NOERROR);
-    Name at = n;
-    for (int i = 0; i < 4 && !its.containsKey(type) && its.containsKey(Type.CNAME); i++) {
-      Record alias = its.get(Type.CNAME).get(0);
+    Map<Integer, List<Record>> rrsets = hidden ? Map.of() : records.getOrDefault(n, Map.of());
+    Message m = a.answer(rrsets.isEmpty() && (now == Fault.NXDOMAIN || !hidden) ? Rcode.NXDOMAIN : Rcode.NOERROR);
+    Name owner = n;
+    for (int i = 0; i < 4 && !rrsets.containsKey(type) && rrsets.containsKey(Type.CNAME); i++) {
+      Record alias = rrsets.get(Type.CNAME).get(0);
       m.addRecord(alias, Section.ANSWER);
-      at = ((org.xbill.DNS.CNAMERecord) alias).getTarget();
-      its = records.getOrDefault(at, Map.of());
+      owner = ((org.xbill.DNS.CNAMERecord) alias).getTarget();
+      rrsets = records.getOrDefault(owner, Map.of());
     }
-    List<Record> found = its.getOrDefault(type, List.of());
+    List<Record> found = rrsets.getOrDefault(type, List.of());
     found.forEach(r -> m.addRecord(r, Section.ANSWER));
     if (found.isEmpty()) {
       m.addRecord(soa(), Section.AUTHORITY);
@@ -319,8 +319,8 @@
     }
     byte[] wire = m.toWire(65_535);
     OPTRecord opt = a.message().getOPT();
-    int most = a.isTcp() ? 65_535 : opt == null ? 512 : opt.getPayloadSize();
-    if (wire.length > most || m.getHeader().getFlag(Flags.TC)) {
+    int maxBytes = a.isTcp() ? 65_535 : opt == null ? 512 : opt.getPayloadSize();
+    if (wire.length > maxBytes || m.getHeader().getFlag(Flags.TC)) {
       a.reply(a.truncated());
     } else {
       a.reply(wire);
@@ -352,9 +352,9 @@
       }
       serial++;
       for (EDNSOption o : m.getOPT() == null ? List.<EDNSOption>of() : m.getOPT().getOptions(LEASE_OPTION)) {
-        byte[] option = o.toWire(); // Code and length, then what it holds.
-        byte[] wanted = java.util.Arrays.copyOfRange(option, 4, option.length);
-        byte[] granted = grantSeconds == 0 ? wanted : new byte[] {0, 0, (byte) (grantSeconds >> 8), (byte) grantSeconds};
+        byte[] option = o.toWire(); // Code and length, then the data.
+        byte[] requested = java.util.Arrays.copyOfRange(option, 4, option.length);
+        byte[] granted = grantedLeaseSeconds == 0 ? requested : new byte[] {0, 0, (byte) (grantedLeaseSeconds >> 8), (byte) grantedLeaseSeconds};
         answer.addRecord(new OPTRecord(1232, 0, 0, 0, List.of(new GenericEDNSOption(LEASE_OPTION, granted))), Section.ADDITIONAL);
       }
     }
@@ -366,7 +366,7 @@
     a.reply(answer.toWire(65_535));
   }
 
-  /** Verified as it was signed: whoever passed it on may have given it another id (RFC 8945, 5.1). */
+  /** Verifies a message under the id it was signed with: a forwarder may have replaced the id (RFC 8945, 5.1). */
   private int verify(byte[] octets, TSIGRecord signed) {
     octets[0] = (byte) (signed.getOriginalID() >> 8);
     octets[1] = (byte) signed.getOriginalID();
@@ -379,7 +379,7 @@
 
   // ---- Push ----------------------------------------------------------------------------------------------
 
-  private synchronized void session(StandInDns.ReceivedQuery a) {
+  private synchronized void handleSession(StandInDns.ReceivedQuery a) {
     byte[] b = a.octets();
     int id = (b[0] & 0xFF) << 8 | b[1] & 0xFF;
     int type = (b[12] & 0xFF) << 8 | b[13] & 0xFF;
@@ -391,7 +391,7 @@
         Subscription s = new Subscription(a, id, new Name(wire), (b[b.length - 4] & 0xFF) << 8 | b[b.length - 3] & 0xFF);
         subscriptions.add(s);
         a.reply(header(id, true, Rcode.NOERROR));
-        // RFC 8765, 6.3: what there is is pushed first.
+        // RFC 8765, 6.3: the existing records are pushed first.
         records.getOrDefault(s.name, Map.of()).forEach((t, all) -> {
           if (s.type == t || s.type == 255) {
             all.forEach(r -> pushTo(s, t, r, false));
@@ -401,8 +401,8 @@
         a.reply(header(id, true, Rcode.FORMERR));
       }
     } else if (type == UNSUBSCRIBE) {
-      int which = (b[16] & 0xFF) << 8 | b[17] & 0xFF;
-      subscriptions.removeIf(s -> s.session.hasSameChannel(a) && s.id == which);
+      int subscriptionId = (b[16] & 0xFF) << 8 | b[17] & 0xFF;
+      subscriptions.removeIf(s -> s.session.hasSameChannel(a) && s.id == subscriptionId);
     } else if (type == KEEPALIVE) {
       byte[] answer = new byte[24];
       System.arraycopy(header(id, true, Rcode.NOERROR), 0, answer, 0, 12);
@@ -425,7 +425,7 @@
     return b;
   }
 
-  private void tell(Name n, int type, Record r, boolean removed) {
+  private void notifySubscribers(Name n, int type, Record r, boolean removed) {
     for (Subscription s : List.copyOf(subscriptions)) {
       if (s.name.equals(n) && (s.type == type || s.type == 255)) {
         pushTo(s, type, r, removed);
@@ -448,12 +448,12 @@
     s.session.reply(out.toByteArray());
   }
 
-  /** Subscriptions that stand. */
+  /** Returns the number of active subscriptions. */
   public synchronized int subscriptions() {
     return subscriptions.size();
   }
 
-  /** All sessions end, without a word. */
+  /** Resets all sessions that have subscriptions. */
   public synchronized void endSessions() {
     Set<StandInDns.ReceivedQuery> sessions = new HashSet<>();
     subscriptions.forEach(s -> sessions.add(s.session));
@@ -461,8 +461,8 @@
     sessions.forEach(StandInDns.ReceivedQuery::reset);
   }
 
-  /** Everything of one name, in the form of a master file. */
-  public synchronized List<String> at(String owner) {
+  /** Returns all records of a name in zone file format. */
+  public synchronized List<String> recordsAt(String owner) {
     List<String> all = new ArrayList<>();
     records.getOrDefault(name(owner), Map.of()).values().forEach(r -> r.forEach(x -> all.add(x.toString())));
     return all;
