--- a/dist/src/test/java/cloverpulley/cli/CommandIT.java
+++ b/dist/src/test/java/cloverpulley/cli/CommandIT.java
@@ -165,17 +165,17 @@
           + "[publish]\nprimary = \"" + zone.server().hostPort() + "\"\nzone = \"example\"\ninstance = \"me\"\nservice = \"_proxy._tcp\"\n");
       Process process = start("process", "--config", file.toString());
       InetSocketAddress address = listening(process);
-      while (zone.at("_proxy._tcp.example.").isEmpty()) {
+      while (zone.recordsAt("_proxy._tcp.example.").isEmpty()) {
         assertTrue(process.isAlive(), lastErr());
         TimeUnit.MILLISECONDS.sleep(5);
       }
-      assertTrue(zone.at("me._proxy._tcp.example.").toString().contains(" " + address.getPort() + " "), zone.at("me._proxy._tcp.example.").toString());
+      assertTrue(zone.recordsAt("me._proxy._tcp.example.").toString().contains(" " + address.getPort() + " "), zone.recordsAt("me._proxy._tcp.example.").toString());
       try (StandInCaller caller = new StandInCaller(address)) {
         while (!destination(caller).equals("127.0.0.1:7001")) {
           assertTrue(process.isAlive(), lastErr());
         }
         signal(process, "-TERM");
-        while (!zone.at("_proxy._tcp.example.").isEmpty()) {
+        while (!zone.recordsAt("_proxy._tcp.example.").isEmpty()) {
           TimeUnit.MILLISECONDS.sleep(1);
         }
         assertEquals("127.0.0.1:7001", destination(caller), "withdrawn, and still serving");
