--- a/standins/src/main/java/cloverpulley/standins/faults/BalancerCluster.java
+++ b/standins/src/main/java/cloverpulley/standins/faults/BalancerCluster.java
@@ -12,20 +12,20 @@
 import java.util.Map;
 
 /**
- * Balancers that agree on who is out, as processes: the first few vote, each pair of voters is joined by a relay each way, and upstreams
- * are written in their files.
+ * Balancer processes that share a disruption ledger. The first ones are voters, each pair of which is connected by one relay per direction. The
+ * upstreams are listed in the configuration files.
  */
 public final class BalancerCluster implements AutoCloseable {
 
-  /** An upstream as lists name it. */
+  /** An upstream of the configuration files. */
   public record Upstream(String id, String address, int cell) {}
 
   /**
-   * What the files say beside addresses.
+   * The configuration of a cluster apart from addresses.
    *
-   * @param groups the limits, as TOML
-   * @param warmMillis how long an upstream takes until it is warm
-   * @param relays whether voters are joined by relays; without, directly
+   * @param groups the group limits, as TOML
+   * @param warmMillis duration of the slow start of an upstream
+   * @param relays whether voters are connected through relays rather than directly
    */
   public record Plan(int voters, int others, List<Upstream> upstreams, String groups, long warmMillis, int pollMillis, int silentMillis,
       boolean relays) {}
@@ -36,15 +36,15 @@
 
   private final Plan plan;
   private final Path folder;
-  private final List<Instance> all = new ArrayList<>();
+  private final List<Instance> instances = new ArrayList<>();
   private final Map<String, Relay> relays = new HashMap<>();
   private final List<String> ashdeck;
-  private final List<Integer> voting = new ArrayList<>();
-  private final List<Integer> raft;
-  private final List<Integer> api;
+  private final List<Integer> voterIndexes = new ArrayList<>();
+  private final List<Integer> raftPorts;
+  private final List<Integer> apiPorts;
 
   /**
-   * Writes the files and makes the voters' ledgers; nothing is started.
+   * Writes the configuration files and initializes the voters' ledgers without starting any process.
    *
    * @param ashdeck the command that stands for {@code ./ashdeck}
    */
@@ -52,64 +52,64 @@
     this.folder = folder;
     this.plan = plan;
     this.ashdeck = List.copyOf(ashdeck);
-    raft = ports(plan.voters() + plan.others());
-    api = ports(plan.voters() + plan.others());
+    raftPorts = ports(plan.voters() + plan.others());
+    apiPorts = ports(plan.voters() + plan.others());
     for (int i = 0; i < plan.voters(); i++) {
-      voting.add(i);
+      voterIndexes.add(i);
     }
-    join();
+    createRelays();
     for (int i = 0; i < plan.voters() + plan.others(); i++) {
-      Files.writeString(config(i), text(i));
-      all.add(new Instance("b" + i, command(i), folder.resolve("b" + i + ".log")));
+      Files.writeString(config(i), configText(i));
+      instances.add(new Instance("b" + i, command(i), folder.resolve("b" + i + ".log")));
     }
-    for (int i : voting) {
+    for (int i : voterIndexes) {
       init(i, false);
     }
   }
 
-  private void join() throws IOException {
-    for (int i : voting) {
-      for (int j : voting) {
-        if (plan.relays() && i != j && link(i, j) == null) {
-          relays.put(i + ">" + j, new Relay(loopback(raft.get(j))));
+  private void createRelays() throws IOException {
+    for (int i : voterIndexes) {
+      for (int j : voterIndexes) {
+        if (plan.relays() && i != j && relayBetween(i, j) == null) {
+          relays.put(i + ">" + j, new Relay(loopback(raftPorts.get(j))));
         }
       }
     }
   }
 
-  private void init(int i, boolean joins) throws IOException, InterruptedException {
+  private void init(int i, boolean join) throws IOException, InterruptedException {
     List<String> command = new ArrayList<>(ashdeck);
     command.addAll(List.of("outs", "init", "--config", config(i).toString()));
-    if (joins) {
+    if (join) {
       command.add("--join");
     }
     int status = new ProcessBuilder(command).inheritIO().redirectOutput(ProcessBuilder.Redirect.DISCARD).start().waitFor();
     if (status != 0) {
-      throw new IOException("outs init ended with " + status);
+      throw new IOException("outs init exited with status " + status);
     }
   }
 
-  /** From their next start on all have another voter in the place of this one, whose ledger is made. */
+  /** Replaces a voter in all configuration files, effective at each instance's next start, and initializes the new voter's ledger. */
   public void replaceVoter(int from, int to) throws IOException, InterruptedException {
-    voting.set(voting.indexOf(from), to);
-    join();
-    for (int i = 0; i < all.size(); i++) {
-      Files.writeString(config(i), text(i));
+    voterIndexes.set(voterIndexes.indexOf(from), to);
+    createRelays();
+    for (int i = 0; i < instances.size(); i++) {
+      Files.writeString(config(i), configText(i));
     }
     init(to, true);
   }
 
-  /** One more process of an instance, as in an upgrade; whoever asks for it ends it. */
+  /** Returns a second process of an instance, as in an upgrade. The caller has to close it. */
   public Instance secondProcess(int i) {
     return new Instance("b" + i, command(i), folder.resolve("b" + i + "-second.log"));
   }
 
-  /** From its next start on an instance can write no file past so many blocks of 512 octets, as on a disk that is full. */
+  /** Simulates a full disk: from its next start on, an instance can write at most this many 512-byte blocks per file; 0 removes the limit. */
   public void limitFileSize(int i, int blocks) {
     List<String> limited = new ArrayList<>(blocks == 0 ? List.of()
         : List.of("/bin/sh", "-c", "ulimit -f " + blocks + "; exec \"$0\" \"$@\""));
     limited.addAll(command(i));
-    all.set(i, new Instance("b" + i, limited, folder.resolve("b" + i + ".log")));
+    instances.set(i, new Instance("b" + i, limited, folder.resolve("b" + i + ".log")));
   }
 
   private List<String> command(int i) {
@@ -118,17 +118,17 @@
     return command;
   }
 
-  /** Free ones below those that the system gives to connections: one of those might be taken by a client before its listener is there. */
+  /** Returns free ports below the ephemeral range: a client connection could take an ephemeral port before the listener binds it. */
   private static List<Integer> ports(int n) throws IOException {
     List<Integer> ports = new ArrayList<>();
-    for (int tries = 0; ports.size() < n; tries++) {
+    for (int attempts = 0; ports.size() < n; attempts++) {
       int port = FIRST_PORT + RANDOM.nextInt(PORTS);
       try (ServerSocket s = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
         if (!ports.contains(port)) {
           ports.add(s.getLocalPort());
         }
       } catch (IOException e) {
-        if (tries > 100 * n) {
+        if (attempts > 100 * n) {
           throw e;
         }
       }
@@ -140,12 +140,12 @@
     return new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
   }
 
-  /** The file of an instance. */
+  /** Returns the configuration file of an instance. */
   public Path config(int i) {
     return folder.resolve("b" + i + ".toml");
   }
 
-  private String text(int i) {
+  private String configText(int i) {
     StringBuilder t = new StringBuilder("[service]\nzone = \"a\"\nwarm_within_ms = " + plan.warmMillis() + "\n\n"
         + "[[class]]\nname = \"lookup\"\neffect = \"safe\"\naim_ms = 400\ndeadline_ms = 2000\n\n"
         + "[log]\nlevel = \"info\"\nformat = \"text\"\n\n[balance]\nlisten = \"127.0.0.1:0\"\nmemory_mb = 64\nsockets = 512\n\n");
@@ -155,44 +155,45 @@
     }
     t.append("[agree]\nfleet = \"test\"\nname = \"b").append(i).append("\"\nfolder = \"").append(folder).append("\"\npoll_ms = ")
         .append(plan.pollMillis()).append("\nsilent_ms = ").append(plan.silentMillis()).append("\nwords = 2\n");
-    if (voting.contains(i)) {
-      t.append("raft_listen = \"127.0.0.1:").append(raft.get(i)).append("\"\napi_listen = \"127.0.0.1:").append(api.get(i)).append("\"\n");
+    if (voterIndexes.contains(i)) {
+      t.append("raft_listen = \"127.0.0.1:").append(raftPorts.get(i)).append("\"\napi_listen = \"127.0.0.1:").append(apiPorts.get(i)).append("\"\n");
     }
-    for (int j : voting) {
+    for (int j : voterIndexes) {
       Relay relay = relays.get(i + ">" + j);
       t.append("[[agree.voter]]\nname = \"b").append(j).append("\"\nraft = \"127.0.0.1:")
-          .append(relay == null ? raft.get(j) : relay.address().getPort()).append("\"\napi = \"127.0.0.1:").append(api.get(j)).append("\"\n");
+          .append(relay == null ? raftPorts.get(j) : relay.address().getPort()).append("\"\napi = \"127.0.0.1:").append(apiPorts.get(j))
+          .append("\"\n");
     }
     return t.append(plan.groups()).toString();
   }
 
-  /** The instances, voters first. */
+  /** Returns the instances, voters first. */
   public List<Instance> instances() {
-    return all;
+    return instances;
   }
 
-  /** What joins two voters, from the first to the second. */
-  public Relay link(int from, int to) {
+  /** Returns the relay that carries connections from the first voter to the second. */
+  public Relay relayBetween(int from, int to) {
     return relays.get(from + ">" + to);
   }
 
-  /** One voter hears and is heard by no other any more, or again. */
-  public void isolate(int voter, boolean cut) {
+  /** Cuts the relays between a voter and all other voters, or restores them. */
+  public void isolate(int voter, boolean isolated) {
     relays.forEach((ends, relay) -> {
       if (ends.startsWith(voter + ">") || ends.endsWith(">" + voter)) {
-        relay.allow(cut ? Relay.Direction.NONE : Relay.Direction.BOTH);
+        relay.allow(isolated ? Relay.Direction.NONE : Relay.Direction.BOTH);
       }
     });
   }
 
-  /** Where a voter is asked. */
+  /** Returns the API address of a voter. */
   public InetSocketAddress api(int voter) {
-    return loopback(api.get(voter));
+    return loopback(apiPorts.get(voter));
   }
 
   @Override
   public void close() throws IOException {
-    all.forEach(Instance::close);
+    instances.forEach(Instance::close);
     for (Relay r : relays.values()) {
       r.close();
     }
--- a/standins/src/main/java/cloverpulley/standins/faults/ContinuousClients.java
+++ b/standins/src/main/java/cloverpulley/standins/faults/ContinuousClients.java
@@ -9,50 +9,50 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Clients that ask balancers without end, one request after the other, on a new connection where the last was closed between two. What is
- * neither an answer 200 nor a refusal is lost, and so is a connection that ends with a request open, unless its balancer was killed.
+ * Clients that continuously send requests to balancers, one at a time. They open a new connection if the balancer closed the last one between
+ * two requests. Responses other than 200 and rejections (429, 503) are counted as lost.
  */
 public final class ContinuousClients implements AutoCloseable {
 
-  private static final int LIMIT_MILLIS = 10_000;
+  private static final int READ_TIMEOUT_MILLIS = 10_000;
 
-  private final long paceMillis;
+  private final long pauseMillis;
   private final AtomicInteger answered = new AtomicInteger();
   private final AtomicInteger lost = new AtomicInteger();
   private final AtomicInteger clients = new AtomicInteger();
-  private volatile boolean over;
+  private volatile boolean closed;
 
-  /** Each client rests for so long after an answer. */
-  public ContinuousClients(long paceMillis) {
-    this.paceMillis = paceMillis;
+  /** Each client pauses for the given time after each response. */
+  public ContinuousClients(long pauseMillis) {
+    this.pauseMillis = pauseMillis;
   }
 
-  /** One more client, at this balancer until that is killed. */
+  /** Starts a client of this balancer, which runs until the balancer is killed. */
   public void addClient(Instance instance) throws IOException, InterruptedException {
     InetSocketAddress address = instance.address("balance");
     String name = instance.name() + "-" + clients.incrementAndGet() + "-";
-    Thread thread = new Thread(() -> ask(instance, address, name), "client " + name);
+    Thread thread = new Thread(() -> run(instance, address, name), "client " + name);
     thread.setDaemon(true);
     thread.start();
   }
 
-  private void ask(Instance instance, InetSocketAddress address, String name) {
+  private void run(Instance instance, InetSocketAddress address, String name) {
     int number = 0;
-    while (!over) {
+    while (!closed) {
       try (Socket s = new Socket(address.getAddress(), address.getPort())) {
-        s.setSoTimeout(LIMIT_MILLIS);
-        for (int status = -1; status != 0 && !over; TimeUnit.MILLISECONDS.sleep(paceMillis)) {
+        s.setSoTimeout(READ_TIMEOUT_MILLIS);
+        for (int status = -1; status != 0 && !closed; TimeUnit.MILLISECONDS.sleep(pauseMillis)) {
           s.getOutputStream().write(("GET /api HTTP/1.1\r\nHost: b\r\nX-Trace-Id: " + name + number++ + "\r\nX-Qos: lookup\r\nCookie: sid=k"
               + number % 50 + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
           status = answer(s.getInputStream());
           if (status != 0) {
             answered.incrementAndGet();
             lost.addAndGet(status == 200 || status == 429 || status == 503 ? 0 : 1);
-          } // Else it was closed between two requests: this one was never read.
+          } // Otherwise the connection was closed between two requests: the balancer has not read this one.
         }
       } catch (IOException e) {
         if (!instance.isAlive()) {
-          return; // It has gone: what it held is the client's to ask again, elsewhere.
+          return; // The balancer was killed: a real client would retry its open request elsewhere.
         }
       } catch (InterruptedException e) {
         return;
@@ -60,7 +60,7 @@
     }
   }
 
-  /** An answer's status; 0 for the connection's end. */
+  /** Reads a response and returns its status; 0 if the connection ended. */
   private static int answer(InputStream in) throws IOException {
     StringBuilder head = new StringBuilder();
     while (head.length() < 4 || !head.substring(head.length() - 4).equals("\r\n\r\n")) {
@@ -70,8 +70,8 @@
       }
       head.append((char) b);
     }
-    int at = head.toString().toLowerCase(java.util.Locale.ROOT).indexOf("content-length: ");
-    in.readNBytes(at < 0 ? 0 : Integer.parseInt(head.substring(at + 16, head.indexOf("\r", at))));
+    int lengthStart = head.toString().toLowerCase(java.util.Locale.ROOT).indexOf("content-length: ");
+    in.readNBytes(lengthStart < 0 ? 0 : Integer.parseInt(head.substring(lengthStart + 16, head.indexOf("\r", lengthStart))));
     return Integer.parseInt(head.substring(9, 12));
   }
 
@@ -85,6 +85,6 @@
 
   @Override
   public void close() {
-    over = true;
+    closed = true;
   }
 }
--- a/standins/src/main/java/cloverpulley/standins/faults/Instance.java
+++ b/standins/src/main/java/cloverpulley/standins/faults/Instance.java
@@ -15,10 +15,10 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
-/** A process of the program that is started, paused, killed and started again, as machines do it to it. */
+/** A process of the program that a test can start, pause, kill and restart. */
 public final class Instance implements AutoCloseable {
 
-  private static final long LIMIT_S = 60;
+  private static final long TIMEOUT_S = 60;
 
   private final String name;
   private final List<String> command;
@@ -26,7 +26,7 @@
   private Process process;
   private Map<String, CompletableFuture<InetSocketAddress>> listening = Map.of();
 
-  /** {@code command} starts it; its log goes to a file. */
+  /** Creates an instance that {@code command} starts and whose standard error is appended to {@code log}. */
   public Instance(String name, List<String> command, Path log) {
     this.name = name;
     this.command = List.copyOf(command);
@@ -37,37 +37,37 @@
     return name;
   }
 
-  /** Starts it and returns at once. */
+  /** Starts the process without waiting for it to serve. */
   public Instance start() throws IOException {
     process = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.appendTo(log.toFile())).start();
-    Map<String, CompletableFuture<InetSocketAddress>> heard = new ConcurrentHashMap<>();
-    listening = heard;
-    Process mine = process;
-    Thread reads = new Thread(() -> {
-      try (BufferedReader out = new BufferedReader(new InputStreamReader(mine.getInputStream(), StandardCharsets.UTF_8))) {
+    Map<String, CompletableFuture<InetSocketAddress>> addresses = new ConcurrentHashMap<>();
+    listening = addresses;
+    Process started = process;
+    Thread reader = new Thread(() -> {
+      try (BufferedReader out = new BufferedReader(new InputStreamReader(started.getInputStream(), StandardCharsets.UTF_8))) {
         for (String line = out.readLine(); line != null; line = out.readLine()) {
           int at = line.indexOf(" listening on ");
           int colon = line.lastIndexOf(':');
           if (at > 0 && colon > at) {
-            heard.computeIfAbsent(line.substring(0, at), k -> new CompletableFuture<>())
+            addresses.computeIfAbsent(line.substring(0, at), k -> new CompletableFuture<>())
                 .complete(new InetSocketAddress(line.substring(at + 14, colon), Integer.parseInt(line.substring(colon + 1))));
           }
         }
       } catch (IOException e) {
-        return; // It has ended.
+        return; // The process has exited.
       }
     }, "output of " + name);
-    reads.setDaemon(true);
-    reads.start();
+    reader.setDaemon(true);
+    reader.start();
     return this;
   }
 
-  /** Where its listener of this name is, once it serves. */
+  /** Waits until the listener of this name serves and returns its address. */
   public InetSocketAddress address(String listener) throws IOException, InterruptedException {
-    CompletableFuture<InetSocketAddress> there = listening.computeIfAbsent(listener, k -> new CompletableFuture<>());
-    process.onExit().thenRun(() -> there.completeExceptionally(new IOException(name + " has ended, see its log")));
+    CompletableFuture<InetSocketAddress> address = listening.computeIfAbsent(listener, k -> new CompletableFuture<>());
+    process.onExit().thenRun(() -> address.completeExceptionally(new IOException(name + " has exited, see its log")));
     try {
-      return there.get(LIMIT_S, TimeUnit.SECONDS);
+      return address.get(TIMEOUT_S, TimeUnit.SECONDS);
     } catch (ExecutionException | TimeoutException e) {
       throw new IOException(name + " does not serve: " + log(), e);
     }
@@ -81,48 +81,48 @@
     return process.pid();
   }
 
-  /** All that it has logged, in all its lives. */
+  /** Returns the log of all starts of this instance. */
   public String log() throws IOException {
     return Files.exists(log) ? Files.readString(log) : "";
   }
 
-  /** SIGTERM; its status, or -1 where it did not end. */
+  /** Sends SIGTERM and returns the exit status, or -1 if the process does not exit in time. */
   public int terminate() throws InterruptedException {
     process.destroy();
-    return process.waitFor(LIMIT_S, TimeUnit.SECONDS) ? process.exitValue() : -1;
+    return process.waitFor(TIMEOUT_S, TimeUnit.SECONDS) ? process.exitValue() : -1;
   }
 
-  /** SIGKILL. */
+  /** Sends SIGKILL and waits for the process to exit. */
   public void kill() throws InterruptedException {
     process.destroyForcibly();
     process.waitFor();
   }
 
-  /** SIGSTOP: it stands still, its sockets open. */
+  /** Sends SIGSTOP: the process is suspended with its sockets open. */
   public void pause() throws IOException, InterruptedException {
     signal("STOP");
   }
 
-  /** SIGCONT. */
+  /** Sends SIGCONT. */
   public void resume() throws IOException, InterruptedException {
     signal("CONT");
   }
 
-  private void signal(String what) throws IOException, InterruptedException {
-    int status = new ProcessBuilder("kill", "-" + what, Long.toString(process.pid())).start().waitFor();
+  private void signal(String signalName) throws IOException, InterruptedException {
+    int status = new ProcessBuilder("kill", "-" + signalName, Long.toString(process.pid())).start().waitFor();
     if (status != 0) {
-      throw new IOException("kill -" + what + " " + name + " ended with " + status);
+      throw new IOException("kill -" + signalName + " " + name + " exited with status " + status);
     }
   }
 
-  /** Octets of memory that it has resident now, shared ones divided among those that share them. */
+  /** Returns the proportional set size (PSS) in bytes. */
   public long residentBytes() throws IOException {
     for (String line : Files.readAllLines(Path.of("/proc", Long.toString(process.pid()), "smaps_rollup"))) {
       if (line.startsWith("Pss:")) {
         return Long.parseLong(line.replaceAll("\\D", "")) * 1024;
       }
     }
-    throw new IOException("no Pss");
+    throw new IOException("smaps_rollup has no Pss line");
   }
 
   @Override
--- a/standins/src/main/java/cloverpulley/standins/faults/Relay.java
+++ b/standins/src/main/java/cloverpulley/standins/faults/Relay.java
@@ -12,79 +12,79 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A link between two processes over TCP on loopback, that can be slow, and cut whole or one way. A cut is silent, as a network's is: what is
- * sent is taken and goes nowhere, connections stay open. Once it is healed, connections that lost something are reset.
+ * A TCP relay on loopback that can delay data, or drop it in one or both directions. As in a network partition, dropped data is read and
+ * discarded while connections stay open. Once the partition heals, connections that lost data are reset.
  */
 public final class Relay implements AutoCloseable {
 
-  private static final int MOST_CONNECTIONS = 256;
-  private static final int PIECE = 16 * 1024;
+  private static final int MAX_CONNECTIONS = 256;
+  private static final int BUFFER_BYTES = 16 * 1024;
 
-  /** What passes: both ways, to the target only, back only, or nothing. */
+  /** The directions in which data is forwarded. */
   public enum Direction { BOTH, TO_TARGET, FROM_TARGET, NONE }
 
   private final ServerSocket listener = new ServerSocket(0, 128, InetAddress.getLoopbackAddress());
   private final InetSocketAddress target;
-  private final Set<Link> links = ConcurrentHashMap.newKeySet();
-  private volatile Direction passes = Direction.BOTH;
+  private final Set<Connection> connections = ConcurrentHashMap.newKeySet();
+  private volatile Direction allowed = Direction.BOTH;
   private volatile long delayMillis;
   private volatile long bytes;
 
-  private final class Link {
-    private final Socket near;
-    private final Socket far = new Socket();
-    private volatile boolean lossy;
+  private final class Connection {
+    private final Socket client;
+    private final Socket server = new Socket();
+    private volatile boolean lostData;
 
-    Link(Socket near) {
-      this.near = near;
+    Connection(Socket client) {
+      this.client = client;
     }
 
     void run() {
       try {
-        near.setTcpNoDelay(true);
-        far.setTcpNoDelay(true);
-        far.connect(target, 1000);
-        thread(() -> pump(far.getInputStream(), near.getOutputStream(), false));
-        pump(near.getInputStream(), far.getOutputStream(), true);
+        client.setTcpNoDelay(true);
+        server.setTcpNoDelay(true);
+        server.connect(target, 1000);
+        startThread(() -> pump(server.getInputStream(), client.getOutputStream(), false));
+        pump(client.getInputStream(), server.getOutputStream(), true);
       } catch (IOException e) {
-        end();
+        reset();
       }
     }
 
     private void pump(InputStream in, OutputStream out, boolean toTarget) throws IOException {
-      byte[] piece = new byte[PIECE];
+      byte[] buffer = new byte[BUFFER_BYTES];
       try {
-        for (int n = in.read(piece); n >= 0; n = in.read(piece)) {
-          Direction now = passes;
-          if (now == Direction.BOTH || now == (toTarget ? Direction.TO_TARGET : Direction.FROM_TARGET)) {
-            if (lossy) {
-              break; // Something before this is missing: nobody may take the rest for all.
+        for (int n = in.read(buffer); n >= 0; n = in.read(buffer)) {
+          Direction current = allowed;
+          if (current == Direction.BOTH || current == (toTarget ? Direction.TO_TARGET : Direction.FROM_TARGET)) {
+            if (lostData) {
+              break; // Earlier data was dropped: the receiver must not take the rest for the complete stream.
             }
             if (delayMillis > 0) {
               TimeUnit.MILLISECONDS.sleep(delayMillis);
             }
             bytes += n;
-            out.write(piece, 0, n);
+            out.write(buffer, 0, n);
             out.flush();
           } else {
-            lossy = true;
+            lostData = true;
           }
         }
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       } finally {
-        end();
+        reset();
       }
     }
 
-    void end() {
-      links.remove(this);
+    void reset() {
+      connections.remove(this);
       try {
-        near.setSoLinger(true, 0);
-        near.close();
-        far.close();
+        client.setSoLinger(true, 0);
+        client.close();
+        server.close();
       } catch (IOException e) {
-        return; // Ended already.
+        return; // Closed already.
       }
     }
   }
@@ -93,31 +93,31 @@
     void run() throws IOException;
   }
 
-  private static void thread(Task task) {
+  private static void startThread(Task task) {
     Thread t = new Thread(() -> {
       try {
         task.run();
       } catch (IOException e) {
-        return; // One side has gone.
+        return; // One side closed the connection.
       }
     }, "relay");
     t.setDaemon(true);
     t.start();
   }
 
-  /** A link to this address, from wherever {@link #address} is connected to. */
+  /** Starts a relay that forwards connections made to {@link #address} to the target. */
   public Relay(InetSocketAddress target) throws IOException {
     this.target = target;
-    thread(() -> {
+    startThread(() -> {
       while (true) {
-        Socket near = listener.accept();
-        if (links.size() >= MOST_CONNECTIONS) {
-          near.close();
+        Socket client = listener.accept();
+        if (connections.size() >= MAX_CONNECTIONS) {
+          client.close();
           continue;
         }
-        Link link = new Link(near);
-        links.add(link);
-        thread(link::run);
+        Connection connection = new Connection(client);
+        connections.add(connection);
+        startThread(connection::run);
       }
     });
   }
@@ -126,20 +126,20 @@
     return (InetSocketAddress) listener.getLocalSocketAddress();
   }
 
-  /** Cuts, or heals: then what lost something is reset. */
-  public void allow(Direction what) {
-    passes = what;
-    if (what == Direction.BOTH) {
-      links.stream().filter(l -> l.lossy).forEach(Link::end);
+  /** Sets the directions that are forwarded. {@code BOTH} heals a partition and resets the connections that lost data. */
+  public void allow(Direction direction) {
+    allowed = direction;
+    if (direction == Direction.BOTH) {
+      connections.stream().filter(c -> c.lostData).forEach(Connection::reset);
     }
   }
 
-  /** Each piece takes so much longer. */
+  /** Delays each buffer that is forwarded by the given time. */
   public void delay(long millis) {
     delayMillis = millis;
   }
 
-  /** Octets that came through so far. */
+  /** Returns the number of bytes forwarded so far. */
   public long bytes() {
     return bytes;
   }
@@ -147,6 +147,6 @@
   @Override
   public void close() throws IOException {
     listener.close();
-    links.forEach(Link::end);
+    connections.forEach(Connection::reset);
   }
 }
--- a/standins/src/main/java/cloverpulley/standins/soak/FaultShim.java
+++ b/standins/src/main/java/cloverpulley/standins/soak/FaultShim.java
@@ -13,12 +13,12 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A library, built from C by the machine's compiler, that is preloaded into processes under test and has their calls to the system fail. Each process
- * has a control of its own.
+ * A shared library, compiled from C with the system compiler, that is preloaded into processes under test and injects failures into their system
+ * calls. Each process has its own control file.
  */
 public final class FaultShim {
 
-  /** Socket calls that may be made to fail, as bits of a mask. */
+  /** Socket calls that can be made to fail, as bits of a mask. */
   public static final int ACCEPT = 1;
   public static final int SOCKET = 2;
   public static final int CONNECT = 4;
@@ -28,14 +28,14 @@
   public static final int OPTION = 64;
   public static final int BIND = 128;
 
-  /** Error numbers of Linux for calls on files. */
+  /** Linux error numbers for calls on files. */
   public static final int EIO = 5;
   public static final int ENOSPC = 28;
   public static final int EROFS = 30;
 
   private static final String SOURCE = "faults.c";
-  private static final int WORDS = 8;
-  private static final int COMPILE_LIMIT_S = 60;
+  private static final int CONTROL_WORDS = 8;
+  private static final int COMPILE_TIMEOUT_S = 60;
 
   private final Path library;
 
@@ -43,7 +43,7 @@
     this.library = library;
   }
 
-  /** Builds the library in a folder. */
+  /** Compiles the library in the given folder. */
   public static FaultShim build(Path folder) throws IOException, InterruptedException {
     Path source = folder.resolve(SOURCE);
     try (InputStream in = FaultShim.class.getResourceAsStream(SOURCE)) {
@@ -52,19 +52,19 @@
     Path library = folder.resolve("faults.so");
     Process compiler = new ProcessBuilder("cc", "-shared", "-fPIC", "-O2", "-o", library.toString(), source.toString(), "-ldl")
         .redirectErrorStream(true).start();
-    String said = new String(compiler.getInputStream().readAllBytes());
-    if (!compiler.waitFor(COMPILE_LIMIT_S, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
-      throw new IOException("the shim was not built: " + said);
+    String output = new String(compiler.getInputStream().readAllBytes());
+    if (!compiler.waitFor(COMPILE_TIMEOUT_S, TimeUnit.SECONDS) || compiler.exitValue() != 0) {
+      throw new IOException("compiling the fault shim failed: " + output);
     }
     return new FaultShim(library);
   }
 
-  /** A control for one process, kept in a file of this folder; {@code watched} is the folder whose calls may fail. */
+  /** Creates the control of one process in a file in {@code folder}; calls on files in {@code watched} can be made to fail. */
   public Control control(Path folder, Path watched, long seed) throws IOException {
     return new Control(Files.createTempFile(folder, "faults", ".control"), watched, seed);
   }
 
-  /** What fails in one process; changes hold at once. */
+  /** The faults of one process; changes take effect immediately. */
   public final class Control {
 
     private final Path file;
@@ -75,38 +75,38 @@
       this.file = file;
       this.watched = watched;
       try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ, StandardOpenOption.WRITE)) {
-        words = channel.map(FileChannel.MapMode.READ_WRITE, 0, WORDS * Long.BYTES).order(ByteOrder.nativeOrder()).asLongBuffer();
+        words = channel.map(FileChannel.MapMode.READ_WRITE, 0, CONTROL_WORDS * Long.BYTES).order(ByteOrder.nativeOrder()).asLongBuffer();
       }
       words.put(5, seed);
     }
 
-    /** What a process under this control has in its environment. */
+    /** The environment variables for a process under this control. */
     public Map<String, String> environment() {
       return Map.of("LD_PRELOAD", library.toString(), "FAULT_CONTROL", file.toString(), "FAULT_FOLDER", watched.toString());
     }
 
-    /** The wall clock is this many nanoseconds ahead. */
+    /** Sets the wall clock ahead by the given number of nanoseconds. */
     public void stepWallClock(long nanos) {
       words.put(0, nanos);
     }
 
-    /** So many of 1000 of these socket calls fail; 0 for none. */
-    public void failSockets(int parts, int calls) {
+    /** Makes {@code perMille} of 1000 of the given socket calls fail; 0 for none. */
+    public void failSockets(int perMille, int calls) {
       words.put(2, calls);
-      words.put(1, parts);
+      words.put(1, perMille);
     }
 
-    /** All calls on the folder fail with this error; 0 for none. */
+    /** Makes all calls on the watched folder fail with the given error; 0 for none. */
     public void failFolder(int error) {
       words.put(3, error);
     }
 
-    /** Writes to files of the folder store half and fail. */
+    /** Makes writes to files in the watched folder store half of the data and then fail. */
     public void partialWrites(boolean on) {
       words.put(4, on ? 1 : 0);
     }
 
-    /** Calls that were made to fail. */
+    /** Returns the number of calls that were made to fail. */
     public long failed() {
       return words.get(6);
     }
--- a/standins/src/main/java/cloverpulley/standins/soak/Soak.java
+++ b/standins/src/main/java/cloverpulley/standins/soak/Soak.java
@@ -24,24 +24,24 @@
 import java.util.stream.Stream;
 
 /**
- * A seeded run of real balancers on loopback under faults: signals and upgrades in series with the earliest kills, steps of the wall clock, failing
- * calls, a folder that fails or is emptied, servers that drain, restart and hang, a discovery that is cut off. What the balancers do is judged by what
- * clients, servers and the system saw, never by their own word.
+ * A soak test with a seed: real balancers run on loopback under injected faults. These are signals and series of upgrades with the earliest allowed
+ * SIGKILL, steps of the wall clock, failing system calls, a folder that fails or is emptied, servers that drain, restart and hang, and a discovery
+ * outage. The balancers are checked by what clients, servers and the operating system observed, never by what they report themselves.
  */
 public final class Soak {
 
   /**
-   * What a run is made of.
+   * The parameters of a run.
    *
-   * @param root the checkout whose deploy file is run
-   * @param seconds how long it lasts
-   * @param memoryMb limit told to each balancer, and held against its processes together
-   * @param clients clients on each balancer; 0 to draw
-   * @param crowd connections on each balancer that say nothing
+   * @param root the checkout whose deploy file starts the balancers
+   * @param seconds duration of the run
+   * @param memoryMb memory limit configured for each balancer and checked against the sum over its processes
+   * @param clients number of clients of each balancer; 0 for a random number
+   * @param idleConnections number of idle connections to each balancer
    */
-  public record Plan(Path root, long seed, int seconds, int nodes, int memoryMb, int clients, int crowd) {}
+  public record Plan(Path root, long seed, int seconds, int nodes, int memoryMb, int clients, int idleConnections) {}
 
-  /** What was counted; {@code breaches} by their rule, nothing where all was kept. */
+  /** The counts of a run; {@code breaches} maps each rule that was broken to its count and is empty if all were kept. */
   public record Result(long seed, int requests, int served, int resent, long failedCalls, int processes, long peakMemoryKb, int peakDescriptors,
       Map<String, Integer> breaches, List<String> examples) {
 
@@ -52,14 +52,14 @@
 
   private static final int SERVERS = 6;
   private static final int WARM_UP_REQUESTS = 20;
-  private static final int SOCKETS = 1024;
+  private static final int MAX_DESCRIPTORS = 1024;
   private static final long KILL_AFTER_DEADLINE_MILLIS = 700;
-  private static final long READY_MILLIS = 6000;
-  private static final long SAMPLE_MILLIS = 50;
-  /** A new process has joined and an old one has told it what it promised by then. */
-  private static final long TELL_MILLIS = 700;
-  /** Trouble of a node's own that frees its connections of their answers ends so long after it. */
-  private static final long TROUBLE_AFTER_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  private static final long READY_TIMEOUT_MILLIS = 6000;
+  private static final long SAMPLE_INTERVAL_MILLIS = 50;
+  /** Time in which a new process joins and its predecessor hands over the state that has to be preserved. */
+  private static final long HANDOVER_MILLIS = 700;
+  /** For this long after injected socket faults, failed management calls of the node are still excused. */
+  private static final long FAULT_RECOVERY_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
 
   private final Plan plan;
   private final SplittableRandom random;
@@ -68,39 +68,39 @@
   private final Path folder;
   private final List<SoakNode> nodes = new ArrayList<>();
   private final List<SoakServer> servers = new ArrayList<>();
-  private final SoakNotifications notices = new SoakNotifications();
-  private final List<String> story = new CopyOnWriteArrayList<>();
-  private final long longestMillis;
-  private final long begunNanos = System.nanoTime();
+  private final SoakNotifications notifications = new SoakNotifications();
+  private final List<String> timeline = new CopyOnWriteArrayList<>();
+  private final long maxDeadlineMillis;
+  private final long startNanos = System.nanoTime();
   private StandInDiscovery discovery;
   private Relay relay;
   private SoakClients clients;
-  private volatile boolean over;
+  private volatile boolean finished;
   private volatile long peakMemoryKb;
   private volatile int peakDescriptors;
 
   private Soak(Plan plan) throws IOException {
     this.plan = plan;
     random = new SplittableRandom(plan.seed);
-    longestMillis = random.nextInt(10, 31) * 100L;
+    maxDeadlineMillis = random.nextInt(10, 31) * 100L;
     folder = Files.createTempDirectory("soak");
   }
 
-  /** Plays a run. */
+  /** Executes a run. */
   public static Result run(Plan plan) throws IOException, InterruptedException {
     Soak soak = new Soak(plan);
     try {
-      return soak.play();
+      return soak.execute();
     } finally {
       soak.close();
     }
   }
 
-  private Result play() throws IOException, InterruptedException {
+  private Result execute() throws IOException, InterruptedException {
     FaultShim shim = FaultShim.build(folder);
     discovery = new StandInDiscovery(group);
-    String[] at = discovery.address().split(":");
-    relay = new Relay(new InetSocketAddress(at[0], Integer.parseInt(at[1])));
+    String[] hostPort = discovery.address().split(":");
+    relay = new Relay(new InetSocketAddress(hostPort[0], Integer.parseInt(hostPort[1])));
     for (int i = 0; i < SERVERS; i++) {
       SoakServer server = new SoakServer("s-" + i, group, random.split());
       servers.add(server);
@@ -108,7 +108,7 @@
     }
     for (int i = 0; i < plan.nodes; i++) {
       nodes.add(new SoakNode(i, folder, plan.root, shim, plan.seed));
-      nodes.get(i).configure(SoakSettings.text(plan, nodes.get(i), relay.address().getPort(), longestMillis, servers, i));
+      nodes.get(i).configure(SoakSettings.text(plan, nodes.get(i), relay.address().getPort(), maxDeadlineMillis, servers, i));
       nodes.get(i).start();
     }
     for (SoakNode node : nodes) {
@@ -119,34 +119,34 @@
     }
     Thread observer = new Thread(this::observe, "observer");
     observer.start();
-    int each = plan.clients > 0 ? plan.clients : random.nextInt(12, 49);
-    clients = new SoakClients(nodes, each * nodes.size(), longestMillis, random.split());
-    if (plan.crowd > 0) {
-      nodes.forEach(n -> clients.crowd(n, plan.crowd));
+    int clientsPerNode = plan.clients > 0 ? plan.clients : random.nextInt(12, 49);
+    clients = new SoakClients(nodes, clientsPerNode * nodes.size(), maxDeadlineMillis, random.split());
+    if (plan.idleConnections > 0) {
+      nodes.forEach(n -> clients.openIdleConnections(n, plan.idleConnections));
     }
     List<Thread> operators = new ArrayList<>();
     for (SoakNode node : nodes) {
-      SplittableRandom own = random.split();
-      operators.add(new Thread(() -> operate(node, own), "operator " + node.number));
+      SplittableRandom operatorRandom = random.split();
+      operators.add(new Thread(() -> operate(node, operatorRandom), "operator " + node.number));
     }
-    SplittableRandom own = random.split();
-    operators.add(new Thread(() -> troubleServers(own), "servers"));
+    SplittableRandom operatorRandom = random.split();
+    operators.add(new Thread(() -> disturbServers(operatorRandom), "servers"));
     operators.forEach(Thread::start);
     for (Thread t : operators) {
       t.join();
     }
     clients.close();
-    over = true;
+    finished = true;
     observer.join();
-    judge();
+    check();
     return result();
   }
 
-  /** Runs the server's own code before it is measured: while it is loaded the server itself is late. */
+  /** Warms up the code of the test server: class loading would delay its first responses during the run. */
   private static void warmUp(SoakServer server) throws IOException {
-    String[] at = server.address().split(":");
+    String[] hostPort = server.address().split(":");
     for (int i = 0; i < WARM_UP_REQUESTS; i++) {
-      try (Socket socket = new Socket(at[0], Integer.parseInt(at[1]))) {
+      try (Socket socket = new Socket(hostPort[0], Integer.parseInt(hostPort[1]))) {
         socket.getOutputStream().write("GET /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: w-0\r\nX-Expires-In-Ms: 1\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
         socket.getInputStream().read();
       }
@@ -154,24 +154,25 @@
   }
 
   private Result result() {
-    int served = (int) clients.asked.values().stream().filter(a -> a.status() == 200).count();
+    int served = (int) clients.requests.values().stream().filter(a -> a.status() == 200).count();
     long failed = nodes.stream().flatMap(n -> n.processes.stream()).mapToLong(p -> p.faults.failed()).sum();
     int processes = nodes.stream().mapToInt(n -> n.processes.size()).sum();
     Map<String, Integer> breaches = new TreeMap<>();
     counts.all().forEach((breach, count) -> breaches.put(breach.name().toLowerCase(Locale.ROOT), count));
-    List<String> told = new ArrayList<>(counts.examples());
+    List<String> examples = new ArrayList<>(counts.examples());
     if (!counts.isEmpty()) {
-      told.addAll(story);
+      examples.addAll(timeline);
     }
-    return new Result(plan.seed, clients.asked.size(), served, clients.resent.get(), failed, processes, peakMemoryKb, peakDescriptors, breaches, told);
+    return new Result(plan.seed, clients.requests.size(), served, clients.resent.get(), failed, processes, peakMemoryKb, peakDescriptors, breaches,
+        examples);
   }
 
-  private boolean goesOn() {
-    return System.nanoTime() - begunNanos < TimeUnit.SECONDS.toNanos(plan.seconds);
+  private boolean isRunning() {
+    return System.nanoTime() - startNanos < TimeUnit.SECONDS.toNanos(plan.seconds);
   }
 
-  private void say(String what) {
-    story.add(String.format("%7.3f %s", (System.nanoTime() - begunNanos) / 1e9, what));
+  private void log(String what) {
+    timeline.add(String.format("%7.3f %s", (System.nanoTime() - startNanos) / 1e9, what));
   }
 
   private static void sleep(long millis) {
@@ -182,20 +183,20 @@
     }
   }
 
-  // ---- What is done to a balancer ------------------------------------------------------------------------
+  // ---- Faults of a balancer ------------------------------------------------------------------------------
 
   private void operate(SoakNode node, SplittableRandom r) {
     try {
-      while (goesOn()) {
+      while (isRunning()) {
         sleep(r.nextInt(100, 800));
-        act(node, r);
+        disturb(node, r);
       }
     } catch (IOException | InterruptedException e) {
       counts.add(Breach.ENDED, "the run failed: " + e);
     }
   }
 
-  private void act(SoakNode node, SplittableRandom r) throws IOException, InterruptedException {
+  private void disturb(SoakNode node, SplittableRandom r) throws IOException, InterruptedException {
     SoakProcess process = node.newest();
     if (process == null) {
       restart(node, r);
@@ -204,23 +205,23 @@
     switch (r.nextInt(12)) {
       case 0, 1, 2 -> upgrade(node, process, r);
       case 3 -> {
-        say("n" + node.number + " SIGKILL, a new start");
+        log("n" + node.number + " SIGKILL, a new start");
         node.alive().forEach(SoakProcess::kill);
-        notices.forget(node.number, System.nanoTime());
+        notifications.forgetOffline(node.number, System.nanoTime());
         sleep(1000);
         restart(node, r);
       }
-      case 4 -> stop(node, r);
+      case 4 -> stopAll(node, r);
       case 5 -> {
-        say("n" + node.number + " SIGHUP");
-        process.hangUp();
+        log("n" + node.number + " SIGHUP");
+        process.sendSighup();
       }
       case 6 -> {
-        say("n" + node.number + " folder emptied");
+        log("n" + node.number + " folder emptied");
         node.emptyFolder();
       }
       case 7 -> failFolder(node, process, r);
-      case 8 -> step(node, process, r);
+      case 8 -> stepWallClock(node, process, r);
       case 9 -> failSockets(node, process, r);
       default -> offline(node, r);
     }
@@ -229,35 +230,35 @@
   private boolean restart(SoakNode node, SplittableRandom r) throws IOException, InterruptedException {
     node.emptyFolder();
     if (node.alive().isEmpty()) {
-      notices.forget(node.number, System.nanoTime());
+      notifications.forgetOffline(node.number, System.nanoTime());
     }
     SoakProcess process = node.start();
-    say("n" + node.number + " started p" + process.number + " beside " + (node.alive().size() - 1));
-    forgetWithoutPredecessor(node, process);
+    log("n" + node.number + " started p" + process.number + " beside " + (node.alive().size() - 1));
+    forgetOfflineWithoutPredecessor(node, process);
     if (r.nextInt(4) == 0) {
-      process.faults.stepWallClock(stepOf(r));
+      process.faults.stepWallClock(randomStep(r));
     }
     return awaitReady(node, process);
   }
 
-  /** What was promised is owed where a process that knew it lives long enough to tell the new one. */
-  private void forgetWithoutPredecessor(SoakNode node, SoakProcess fresh) {
-    sleep(TELL_MILLIS);
-    if (node.alive().stream().noneMatch(p -> p != fresh)) {
-      notices.forget(node.number, fresh.startedNanos);
+  /** Offline calls must be preserved only if a process that knows of them lives long enough to hand them over to the new one. */
+  private void forgetOfflineWithoutPredecessor(SoakNode node, SoakProcess successor) {
+    sleep(HANDOVER_MILLIS);
+    if (node.alive().stream().noneMatch(p -> p != successor)) {
+      notifications.forgetOffline(node.number, successor.startedNanos);
     }
   }
 
-  private static long stepOf(SplittableRandom r) {
+  private static long randomStep(SplittableRandom r) {
     long[] seconds = {-3600, -5, 5, 3600};
     return TimeUnit.SECONDS.toNanos(seconds[r.nextInt(seconds.length)]);
   }
 
   private boolean awaitReady(SoakNode node, SoakProcess process) {
-    while (process.isAlive() && System.nanoTime() - process.startedNanos < TimeUnit.MILLISECONDS.toNanos(READY_MILLIS)) {
+    while (process.isAlive() && System.nanoTime() - process.startedNanos < TimeUnit.MILLISECONDS.toNanos(READY_TIMEOUT_MILLIS)) {
       if (process.call("GET /control/ready") == 200) {
         process.readyNanos = System.nanoTime();
-        notices.disturbed(node.number, process.readyNanos);
+        notifications.watchInterrupted(node.number, process.readyNanos);
         return true;
       }
       sleep(10);
@@ -268,100 +269,101 @@
     return false;
   }
 
-  /** A new version beside the old one; it may be killed at any moment, and another one started in an emptied folder. */
-  private void upgrade(SoakNode node, SoakProcess old, SplittableRandom r) throws IOException, InterruptedException {
-    SoakProcess fresh = node.start();
-    say("n" + node.number + " upgrade: p" + old.number + " to p" + fresh.number);
+  /** Starts a new version next to the old one. It may be killed at any time and replaced by another process in an emptied folder. */
+  private void upgrade(SoakNode node, SoakProcess predecessor, SplittableRandom r) throws IOException, InterruptedException {
+    SoakProcess successor = node.start();
+    log("n" + node.number + " upgrade: p" + predecessor.number + " to p" + successor.number);
     if (r.nextInt(3) == 0) {
-      long step = stepOf(r);
-      fresh.faults.stepWallClock(step);
-      say("n" + node.number + " p" + fresh.number + " wall clock " + step / 1_000_000_000 + " s");
+      long stepNanos = randomStep(r);
+      successor.faults.stepWallClock(stepNanos);
+      log("n" + node.number + " p" + successor.number + " wall clock " + stepNanos / 1_000_000_000 + " s");
     }
     if (r.nextInt(5) == 0) {
       node.emptyFolder();
-      say("n" + node.number + " folder emptied");
+      log("n" + node.number + " folder emptied");
     }
     if (r.nextInt(3) == 0) {
       sleep(r.nextInt(0, 2000));
-      killSuccessor(node, old, fresh, r);
-    } else if (awaitReady(node, fresh)) {
-      end(node, old);
+      killSuccessor(node, predecessor, successor, r);
+    } else if (awaitReady(node, successor)) {
+      terminate(node, predecessor);
       if (r.nextInt(3) == 0) {
         sleep(r.nextInt(0, 500));
-        killSuccessor(node, old, fresh, r);
+        killSuccessor(node, predecessor, successor, r);
       }
-      overdue(node, old);
+      killIfOverdue(node, predecessor);
     }
   }
 
-  private void killSuccessor(SoakNode node, SoakProcess old, SoakProcess fresh, SplittableRandom r) throws IOException, InterruptedException {
-    say("n" + node.number + " SIGKILL p" + fresh.number);
-    fresh.kill();
+  private void killSuccessor(SoakNode node, SoakProcess predecessor, SoakProcess successor, SplittableRandom r)
+      throws IOException, InterruptedException {
+    log("n" + node.number + " SIGKILL p" + successor.number);
+    successor.kill();
     sleep(1000);
-    if (r.nextBoolean() && restart(node, r) && old.signal == SoakProcess.Signal.NONE) {
-      end(node, old);
-      overdue(node, old);
+    if (r.nextBoolean() && restart(node, r) && predecessor.signal == SoakProcess.Signal.NONE) {
+      terminate(node, predecessor);
+      killIfOverdue(node, predecessor);
     }
   }
 
-  private void end(SoakNode node, SoakProcess process) {
-    say("n" + node.number + " SIGTERM p" + process.number);
+  private void terminate(SoakNode node, SoakProcess process) {
+    log("n" + node.number + " SIGTERM p" + process.number);
     process.terminate();
   }
 
-  /** SIGKILL at the earliest moment at which it may come. */
-  private void overdue(SoakNode node, SoakProcess process) throws InterruptedException {
-    long wait = Math.min(3000, longestMillis) + KILL_AFTER_DEADLINE_MILLIS - (System.nanoTime() - process.signalNanos) / 1_000_000;
-    if (!process.awaitEnd(Math.max(0, wait))) {
+  /** Sends SIGKILL at the earliest time allowed after SIGTERM, and counts a process that is still running then. */
+  private void killIfOverdue(SoakNode node, SoakProcess process) throws InterruptedException {
+    long wait = Math.min(3000, maxDeadlineMillis) + KILL_AFTER_DEADLINE_MILLIS - (System.nanoTime() - process.signalNanos) / 1_000_000;
+    if (!process.awaitExit(Math.max(0, wait))) {
       counts.add(Breach.OVERDUE, "n" + node.number + " p" + process.number);
       process.process.destroyForcibly();
     }
   }
 
-  private void stop(SoakNode node, SplittableRandom r) throws IOException, InterruptedException {
+  private void stopAll(SoakNode node, SplittableRandom r) throws IOException, InterruptedException {
     List<SoakProcess> all = node.alive();
-    all.stream().filter(p -> p.signal == SoakProcess.Signal.NONE).forEach(p -> end(node, p));
+    all.stream().filter(p -> p.signal == SoakProcess.Signal.NONE).forEach(p -> terminate(node, p));
     for (SoakProcess p : all) {
-      overdue(node, p);
+      killIfOverdue(node, p);
     }
-    notices.forget(node.number, System.nanoTime());
+    notifications.forgetOffline(node.number, System.nanoTime());
     restart(node, r);
   }
 
   private void failFolder(SoakNode node, SoakProcess process, SplittableRandom r) {
     int[] errors = {FaultShim.EIO, FaultShim.ENOSPC, FaultShim.EROFS};
     int error = errors[r.nextInt(errors.length)];
-    boolean half = r.nextInt(3) == 0;
-    say("n" + node.number + " p" + process.number + (half ? " half writes" : " folder fails with " + error));
-    process.faults.partialWrites(half);
-    process.faults.failFolder(half ? 0 : error);
+    boolean partial = r.nextInt(3) == 0;
+    log("n" + node.number + " p" + process.number + (partial ? " half writes" : " folder fails with " + error));
+    process.faults.partialWrites(partial);
+    process.faults.failFolder(partial ? 0 : error);
     sleep(r.nextInt(200, 3000));
     process.faults.failFolder(0);
     process.faults.partialWrites(false);
-    say("n" + node.number + " folder works");
+    log("n" + node.number + " folder works");
   }
 
-  private void step(SoakNode node, SoakProcess process, SplittableRandom r) {
-    long step = stepOf(r);
-    process.faults.stepWallClock(step);
-    say("n" + node.number + " p" + process.number + " wall clock " + step / 1_000_000_000 + " s");
+  private void stepWallClock(SoakNode node, SoakProcess process, SplittableRandom r) {
+    long stepNanos = randomStep(r);
+    process.faults.stepWallClock(stepNanos);
+    log("n" + node.number + " p" + process.number + " wall clock " + stepNanos / 1_000_000_000 + " s");
   }
 
   private void failSockets(SoakNode node, SoakProcess process, SplittableRandom r) {
     int[] calls = {FaultShim.ACCEPT, FaultShim.SOCKET, FaultShim.CONNECT, FaultShim.NONBLOCK, FaultShim.READ, FaultShim.WRITE, FaultShim.OPTION,
         FaultShim.ACCEPT | FaultShim.SOCKET | FaultShim.CONNECT};
     int chosen = calls[r.nextInt(calls.length)];
-    int parts = r.nextInt(10, 300);
-    say("n" + node.number + " p" + process.number + " socket calls " + chosen + " fail, " + parts + " of 1000");
-    process.troubledUntilNanos = Long.MAX_VALUE;
-    notices.troubled(node.number);
-    process.faults.failSockets(parts, chosen);
+    int perMille = r.nextInt(10, 300);
+    log("n" + node.number + " p" + process.number + " socket calls " + chosen + " fail, " + perMille + " of 1000");
+    process.faultyUntilNanos = Long.MAX_VALUE;
+    notifications.socketFaultsStarted(node.number);
+    process.faults.failSockets(perMille, chosen);
     sleep(r.nextInt(200, 3000));
     process.faults.failSockets(0, 0);
-    notices.untroubled(node.number);
-    process.troubledUntilNanos = System.nanoTime() + TROUBLE_AFTER_NANOS;
-    notices.disturbed(node.number, System.nanoTime());
-    say("n" + node.number + " socket calls work");
+    notifications.socketFaultsEnded(node.number);
+    process.faultyUntilNanos = System.nanoTime() + FAULT_RECOVERY_NANOS;
+    notifications.watchInterrupted(node.number, System.nanoTime());
+    log("n" + node.number + " socket calls work");
   }
 
   private void offline(SoakNode node, SplittableRandom r) {
@@ -370,30 +372,30 @@
       return;
     }
     String id = servers.get(r.nextInt(SERVERS)).id;
-    boolean online = notices.isOffline(node.number, id);
+    boolean online = notifications.isOffline(node.number, id);
     if (online) {
-      notices.online(node.number, id);
+      notifications.online(node.number, id);
     }
     int status = process.call("POST /control/upstreams/" + id + (online ? "/online" : "/offline"));
-    say("n" + node.number + " p" + process.number + " " + id + (online ? " online: " : " offline: ") + status);
-    boolean troubled = process.troubledUntilNanos > System.nanoTime();
+    log("n" + node.number + " p" + process.number + " " + id + (online ? " online: " : " offline: ") + status);
+    boolean faulty = process.faultyUntilNanos > System.nanoTime();
     if (status == 200 && !online) {
-      notices.offline(node.number, id, System.nanoTime());
-    } else if (status != 200 && !troubled && process.isAlive() && process.signal == SoakProcess.Signal.NONE) {
+      notifications.offline(node.number, id, System.nanoTime());
+    } else if (status != 200 && !faulty && process.isAlive() && process.signal == SoakProcess.Signal.NONE) {
       counts.add(Breach.CALL, "n" + node.number + " p" + process.number + " " + status);
     }
   }
 
-  // ---- What is done to servers and discovery -------------------------------------------------------------
+  // ---- Faults of servers and discovery -------------------------------------------------------------------
 
-  private void troubleServers(SplittableRandom r) {
-    while (goesOn()) {
+  private void disturbServers(SplittableRandom r) {
+    while (isRunning()) {
       sleep(r.nextInt(300, 1500));
       SoakServer server = servers.get(r.nextInt(SERVERS));
       switch (r.nextInt(6)) {
         case 0, 1 -> restartServer(server, r);
         case 2 -> {
-          say(server.id + " hangs");
+          log(server.id + " hangs");
           server.hangs = true;
           sleep(r.nextInt(200, 1500));
           server.hangs = false;
@@ -405,41 +407,41 @@
   }
 
   private void restartServer(SoakServer server, SplittableRandom r) {
-    say(server.id + " dies");
+    log(server.id + " dies");
     server.stop();
     sleep(r.nextInt(50, 600));
     server.start();
-    notices.restarted(server.id, System.nanoTime());
-    // Half of the sources word starts by a wall clock that has been stepped.
-    long wall = System.currentTimeMillis() + (r.nextBoolean() ? 0 : TimeUnit.NANOSECONDS.toMillis(stepOf(r)));
+    notifications.restarted(server.id, System.nanoTime());
+    // Half of the restarts are reported with the time of a wall clock that has been stepped.
+    long wall = System.currentTimeMillis() + (r.nextBoolean() ? 0 : TimeUnit.NANOSECONDS.toMillis(randomStep(r)));
     discovery.set(server.id, server.address(), 0, "ready", wall);
-    say(server.id + " started");
+    log(server.id + " started");
   }
 
   private void cutDiscovery(SplittableRandom r) {
-    say("discovery is cut off");
+    log("discovery is cut off");
     relay.allow(r.nextBoolean() ? Relay.Direction.NONE : Relay.Direction.TO_TARGET);
-    notices.discoveryCut();
+    notifications.discoveryDisconnected();
     sleep(r.nextInt(200, 3500));
     relay.allow(Relay.Direction.BOTH);
-    notices.discoveryBack();
-    say("discovery is back");
+    notifications.discoveryReconnected();
+    log("discovery is back");
   }
 
   private void drain(SoakServer server, SplittableRandom r) {
     discovery.set(server.id, server.address(), 0, "draining", 0);
-    notices.draining(server.id, System.nanoTime());
-    say(server.id + " drains");
+    notifications.draining(server.id, System.nanoTime());
+    log(server.id + " drains");
     sleep(r.nextInt(1000, 4500));
-    notices.ready(server.id);
+    notifications.ready(server.id);
     discovery.set(server.id, server.address(), 0, "ready", 0);
-    say(server.id + " is ready");
+    log(server.id + " is ready");
   }
 
-  // ---- What is seen from outside -------------------------------------------------------------------------
+  // ---- Observation from outside --------------------------------------------------------------------------
 
   private void observe() {
-    while (!over) {
+    while (!finished) {
       for (SoakNode node : nodes) {
         long memory = 0;
         int descriptors = 0;
@@ -450,7 +452,7 @@
             descriptors += p.descriptors();
             alive++;
           } else {
-            ended(node, p);
+            checkExit(node, p);
           }
         }
         peakMemoryKb = Math.max(peakMemoryKb, memory);
@@ -458,27 +460,27 @@
         if (memory > plan.memoryMb * 1024L) {
           counts.add(Breach.MEMORY, "n" + node.number + " " + memory / 1024 + " MB in " + alive + " processes");
         }
-        if (descriptors > SOCKETS) {
+        if (descriptors > MAX_DESCRIPTORS) {
           counts.add(Breach.DESCRIPTORS, "n" + node.number + " " + descriptors);
         }
       }
-      sleep(SAMPLE_MILLIS);
+      sleep(SAMPLE_INTERVAL_MILLIS);
     }
   }
 
-  private void ended(SoakNode node, SoakProcess p) {
-    if (p.endSeen) {
+  private void checkExit(SoakNode node, SoakProcess p) {
+    if (p.exitChecked) {
       return;
     }
-    p.endSeen = true;
+    p.exitChecked = true;
     int status = p.process.exitValue();
     if (p.signal == SoakProcess.Signal.NONE || p.signal == SoakProcess.Signal.TERM && status != 0 && status != 137) {
       counts.add(Breach.ENDED, "n" + node.number + " p" + p.number + " status " + status + " after " + p.signal);
     }
   }
 
-  private void judge() {
-    new SoakChecker(counts, notices, nodes, servers, clients).judge();
+  private void check() {
+    new SoakChecker(counts, notifications, nodes, servers, clients).check();
   }
 
   private void close() throws IOException {
--- a/standins/src/main/java/cloverpulley/standins/soak/SoakChecker.java
+++ b/standins/src/main/java/cloverpulley/standins/soak/SoakChecker.java
@@ -11,127 +11,130 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** Holds what clients and servers saw against the rules. */
+/** Checks what clients and servers observed against the rules. */
 final class SoakChecker {
 
-  /** What counts for a rule may come so much later for the observer. */
-  private static final long SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
-  /** An attempt may begin so long after its client closed. */
-  private static final long LEFT_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
-  /** The time told to a server may be so much longer than its client's rest. */
-  private static final long TOLD_MILLIS = 150;
-  /** An answer later than this after its time is lost. */
-  private static final long LATE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
-  /** Whoever died had these connections so long before and after. */
-  private static final long KILL_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
-  /** From its start a server is looked at for so long, against the others in that time. */
+  /** Tolerance for delays between an event and its observation. */
+  private static final long OBSERVATION_SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+  /** An attempt may still begin this long after its client disconnected. */
+  private static final long AFTER_DISCONNECT_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
+  /** The expiry sent to a server may exceed the client's remaining time by this much. */
+  private static final long EXPIRY_SLACK_MILLIS = 150;
+  /** A response that arrives later than this after its deadline counts as lost. */
+  private static final long RESPONSE_SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+  /** A SIGKILL excuses requests that were open within this time before or after it. */
+  private static final long KILL_SLACK_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+  /** A restarted server's requests are compared with those of the other servers over this time. */
   private static final long SLOW_START_NANOS = TimeUnit.MILLISECONDS.toNanos(1500);
-  private static final int ENOUGH_REQUESTS = 40;
-  /** At the end of that time a server is known to have less than this part of its capacity. */
-  private static final double SLOW_START_PART = 0.75;
+  private static final int MIN_REQUESTS = 40;
+  /** At the end of that time a server in slow start has less than this ratio of its capacity. */
+  private static final double SLOW_START_RATIO = 0.75;
 
   private final SoakCounts counts;
-  private final SoakNotifications notices;
+  private final SoakNotifications notifications;
   private final List<SoakNode> nodes;
   private final List<SoakServer> servers;
-  private final Map<String, SentRequest> asked;
+  private final Map<String, SentRequest> requests;
 
-  SoakChecker(SoakCounts counts, SoakNotifications notices, List<SoakNode> nodes, List<SoakServer> servers, SoakClients clients) {
+  SoakChecker(SoakCounts counts, SoakNotifications notifications, List<SoakNode> nodes, List<SoakServer> servers, SoakClients clients) {
     this.counts = counts;
-    this.notices = notices;
+    this.notifications = notifications;
     this.nodes = nodes;
     this.servers = servers;
-    asked = clients.asked;
+    requests = clients.requests;
   }
 
-  void judge() {
-    asked.values().forEach(this::judgeRequest);
-    Map<String, Received> first = new HashMap<>();
-    servers.stream().flatMap(s -> s.received.stream()).sorted((a, b) -> Long.compare(a.atNanos(), b.atNanos())).forEach(r -> judgeCopy(r, first));
+  void check() {
+    requests.values().forEach(this::checkRequest);
+    Map<String, Received> firstReceived = new HashMap<>();
+    servers.stream().flatMap(s -> s.received.stream()).sorted((a, b) -> Long.compare(a.atNanos(), b.atNanos()))
+        .forEach(r -> checkDuplicate(r, firstReceived));
     for (SoakServer server : servers) {
-      server.received.forEach(r -> judgeReceived(server, r));
+      server.received.forEach(r -> checkReceived(server, r));
     }
-    notices.restarts().forEach(this::judgeSlowStart);
+    notifications.restarts().forEach(this::checkSlowStart);
   }
 
-  private void judgeRequest(SentRequest a) {
-    long due = a.sentNanos() + TimeUnit.MILLISECONDS.toNanos(a.expiresMillis()) + LATE_NANOS;
-    if (a.end() == End.ANSWERED && a.endNanos() <= due || a.end() == End.LEFT || isExcused(a)) {
+  private void checkRequest(SentRequest a) {
+    long deadline = a.sentNanos() + TimeUnit.MILLISECONDS.toNanos(a.expiresMillis()) + RESPONSE_SLACK_NANOS;
+    if (a.end() == End.ANSWERED && a.endNanos() <= deadline || a.end() == End.LEFT || isExcused(a)) {
       return;
     }
-    if (a.end() == End.NOT_CONNECTED && !isServed(a)) {
-      return; // Nobody was there to take it.
+    if (a.end() == End.NOT_CONNECTED && !hadServingProcess(a)) {
+      return; // No process was running that could have accepted it.
     }
     counts.add(Breach.LOST, a.id() + " " + a.kind() + (a.fresh() ? " on a new connection " : " on a kept connection ") + a.end() + " after "
         + (a.endNanos() - a.sentNanos()) / 1_000_000 + " of " + a.expiresMillis() + " ms, at " + a.endNanos());
   }
 
-  /** Whether a process of the node may have died with it, or its socket calls failed just then. */
+  /** Whether a process of the node was killed during the request, or its socket calls were made to fail. */
   private boolean isExcused(SentRequest a) {
     boolean killed = nodes.get(a.node()).processes.stream().anyMatch(p -> p.signal == Signal.KILL
-        && p.signalNanos >= a.sentNanos() - KILL_NANOS && p.signalNanos <= a.endNanos() + KILL_NANOS);
-    return killed || notices.isTroubled(a.node(), a.sentNanos(), a.endNanos());
+        && p.signalNanos >= a.sentNanos() - KILL_SLACK_NANOS && p.signalNanos <= a.endNanos() + KILL_SLACK_NANOS);
+    return killed || notifications.hadSocketFaults(a.node(), a.sentNanos(), a.endNanos());
   }
 
-  private boolean isServed(SentRequest a) {
+  private boolean hadServingProcess(SentRequest a) {
     return nodes.get(a.node()).processes.stream().anyMatch(p -> p.readyNanos > 0 && p.readyNanos < a.sentNanos()
         && (p.signal == Signal.NONE || p.signalNanos > a.endNanos()));
   }
 
-  /** Unsafe requests run once, keyed ones within their window. */
-  private void judgeCopy(Received r, Map<String, Received> first) {
+  /** Checks that unsafe requests run at most once, and that repeats of keyed ones stay within the deduplication window. */
+  private void checkDuplicate(Received r, Map<String, Received> firstReceived) {
     if (!r.ran()) {
       return;
     }
-    Received before = first.putIfAbsent(r.id(), r);
-    SentRequest a = asked.get(r.id());
-    if (before == null || a == null || a.kind() == RequestKind.LOOKUP) {
+    Received earlier = firstReceived.putIfAbsent(r.id(), r);
+    SentRequest a = requests.get(r.id());
+    if (earlier == null || a == null || a.kind() == RequestKind.LOOKUP) {
       return;
     }
-    long apart = r.atNanos() - before.atNanos();
-    if (a.kind() == RequestKind.ORDER || apart > TimeUnit.MILLISECONDS.toNanos(SoakSettings.WINDOW_MILLIS) + SLACK_NANOS) {
-      counts.add(Breach.DUPLICATE, r.id() + " " + a.kind() + " at " + before.server() + " and " + r.server() + " after " + apart / 1_000_000 + " ms, "
-          + a.end() + " " + a.status() + ", sent at " + a.sentNanos());
+    long intervalNanos = r.atNanos() - earlier.atNanos();
+    if (a.kind() == RequestKind.ORDER || intervalNanos > TimeUnit.MILLISECONDS.toNanos(SoakSettings.WINDOW_MILLIS) + OBSERVATION_SLACK_NANOS) {
+      counts.add(Breach.DUPLICATE, r.id() + " " + a.kind() + " at " + earlier.server() + " and " + r.server() + " after "
+          + intervalNanos / 1_000_000 + " ms, " + a.end() + " " + a.status() + ", sent at " + a.sentNanos());
     }
   }
 
-  private void judgeReceived(SoakServer server, Received r) {
-    String drain = r.node() < 0 ? null
-        : notices.breaks(r.node(), server.id, r.atNanos(), TimeUnit.MILLISECONDS.toNanos(SoakSettings.GRACE_MILLIS) + SLACK_NANOS);
-    if (drain != null) {
-      counts.add(Breach.DRAIN, server.id + " got " + r.id() + ", " + drain);
+  private void checkReceived(SoakServer server, Received r) {
+    String violation = r.node() < 0 ? null
+        : notifications.findDrainViolation(r.node(), server.id, r.atNanos(),
+            TimeUnit.MILLISECONDS.toNanos(SoakSettings.GRACE_MILLIS) + OBSERVATION_SLACK_NANOS);
+    if (violation != null) {
+      counts.add(Breach.DRAIN, server.id + " got " + r.id() + ", " + violation);
     }
-    SentRequest a = asked.get(r.id());
+    SentRequest a = requests.get(r.id());
     if (a == null) {
       return;
     }
-    if ((a.end() == End.LEFT || a.end() == End.UNANSWERED) && r.atNanos() > a.endNanos() + LEFT_NANOS) {
+    if ((a.end() == End.LEFT || a.end() == End.UNANSWERED) && r.atNanos() > a.endNanos() + AFTER_DISCONNECT_NANOS) {
       counts.add(Breach.AFTER_LEAVING, r.id() + " began " + (r.atNanos() - a.endNanos()) / 1_000_000 + " ms after its client left");
     }
-    long rest = a.expiresMillis() - (r.atNanos() - a.sentNanos()) / 1_000_000;
-    if (r.expiresMillis() > rest + TOLD_MILLIS) {
-      counts.add(Breach.TOLD_TIME, r.id() + " told " + r.expiresMillis() + " ms of " + rest);
+    long remainingMillis = a.expiresMillis() - (r.atNanos() - a.sentNanos()) / 1_000_000;
+    if (r.expiresMillis() > remainingMillis + EXPIRY_SLACK_MILLIS) {
+      counts.add(Breach.TOLD_TIME, r.id() + " told " + r.expiresMillis() + " ms of " + remainingMillis);
     }
   }
 
-  private static long count(SoakServer server, long from) {
-    return server.received.stream().filter(r -> r.atNanos() >= from && r.atNanos() < from + SLOW_START_NANOS).count();
+  private static long count(SoakServer server, long fromNanos) {
+    return server.received.stream().filter(r -> r.atNanos() >= fromNanos && r.atNanos() < fromNanos + SLOW_START_NANOS).count();
   }
 
-  private void judgeSlowStart(SoakNotifications.Restart restart) {
-    long from = restart.atNanos();
-    boolean started = nodes.stream().flatMap(n -> n.processes.stream())
-        .anyMatch(p -> p.readyNanos > from - SLOW_START_NANOS && p.readyNanos < from + SLOW_START_NANOS);
-    long[] others = servers.stream().filter(s -> !s.id.equals(restart.server()) && !notices.isOut(s.id, from, from + SLOW_START_NANOS))
-        .mapToLong(s -> count(s, from)).sorted().toArray();
-    long usual = others.length == 0 ? 0 : others[others.length / 2];
-    if (started || usual < ENOUGH_REQUESTS) {
+  private void checkSlowStart(SoakNotifications.Restart restart) {
+    long fromNanos = restart.atNanos();
+    boolean balancerStarted = nodes.stream().flatMap(node -> node.processes.stream())
+        .anyMatch(p -> p.readyNanos > fromNanos - SLOW_START_NANOS && p.readyNanos < fromNanos + SLOW_START_NANOS);
+    long[] others = servers.stream()
+        .filter(s -> !s.id.equals(restart.server()) && !notifications.wasDrainingOrOffline(s.id, fromNanos, fromNanos + SLOW_START_NANOS))
+        .mapToLong(s -> count(s, fromNanos)).sorted().toArray();
+    long median = others.length == 0 ? 0 : others[others.length / 2];
+    if (balancerStarted || median < MIN_REQUESTS) {
       return;
     }
-    double n = SLOW_START_PART * usual;
-    long got = servers.stream().filter(s -> s.id.equals(restart.server())).mapToLong(s -> count(s, from)).sum();
-    if (got > n + 3 * Math.sqrt(n) + 3) {
-      counts.add(Breach.SLOW_START, restart.server() + " got " + got + " in its first 1.5 s, the others " + usual);
+    double expected = SLOW_START_RATIO * median;
+    long actual = servers.stream().filter(s -> s.id.equals(restart.server())).mapToLong(s -> count(s, fromNanos)).sum();
+    if (actual > expected + 3 * Math.sqrt(expected) + 3) {
+      counts.add(Breach.SLOW_START, restart.server() + " got " + actual + " in its first 1.5 s, the others " + median);
     }
   }
 }
--- a/standins/src/main/java/cloverpulley/standins/soak/SoakClients.java
+++ b/standins/src/main/java/cloverpulley/standins/soak/SoakClients.java
@@ -21,70 +21,70 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Clients of the balancers, on connections that they keep for as long as these stay open. Each keeps what became of each of its requests; a request on a
- * kept connection that ends before the first byte of an answer is sent once more on a new one, as HTTP allows.
+ * Clients of the balancers on persistent connections. They record the outcome of each request. If a reused connection closes before the first
+ * byte of a response, the request is sent once more on a new connection, as HTTP allows.
  */
 final class SoakClients implements AutoCloseable {
 
-  /** What became of a request. */
+  /** The outcome of a request. */
   enum End { ANSWERED, LEFT, UNANSWERED, NOT_CONNECTED }
 
   /**
-   * A request.
+   * A request that was sent.
    *
    * @param fresh whether it was the first on its connection
-   * @param endNanos when it was answered, left or its connection broke
+   * @param endNanos when the response arrived, the client disconnected or the connection failed
    */
   record SentRequest(String id, int node, RequestKind kind, boolean fresh, long sentNanos, long endNanos, long expiresMillis, End end, int status) {}
 
-  /** Classes of request, as the settings name them. */
+  /** The request classes of {@link SoakSettings}. */
   enum RequestKind { LOOKUP, ISSUE, ORDER }
 
-  private static final long GRACE_MILLIS = 700;
+  private static final long RESPONSE_GRACE_MILLIS = 700;
   private static final int MAX_PAUSE_MILLIS = 40;
 
   private final List<SoakNode> nodes;
-  private final long longestMillis;
+  private final long maxDeadlineMillis;
   private final List<Thread> threads = new ArrayList<>();
-  final Map<String, SentRequest> asked = new ConcurrentHashMap<>();
-  /** Requests on kept connections that were sent once more. */
+  final Map<String, SentRequest> requests = new ConcurrentHashMap<>();
+  /** Number of requests on reused connections that were sent once more. */
   final AtomicInteger resent = new AtomicInteger();
   private final AtomicLong ids = new AtomicLong();
-  private volatile boolean over;
+  private volatile boolean stopped;
 
-  SoakClients(List<SoakNode> nodes, int clients, long longestMillis, SplittableRandom seeds) {
+  SoakClients(List<SoakNode> nodes, int clients, long maxDeadlineMillis, SplittableRandom randoms) {
     this.nodes = nodes;
-    this.longestMillis = longestMillis;
+    this.maxDeadlineMillis = maxDeadlineMillis;
     for (int i = 0; i < clients; i++) {
-      SplittableRandom random = seeds.split();
+      SplittableRandom random = randoms.split();
       SoakNode node = nodes.get(i % nodes.size());
-      Thread thread = new Thread(() -> ask(node, random), "client " + i);
+      Thread thread = new Thread(() -> sendRequests(node, random), "client " + i);
       thread.setDaemon(true);
       thread.start();
       threads.add(thread);
     }
   }
 
-  /** The node to which a request's id says that it was sent. */
+  /** Returns the number of the node that a request was sent to, which its id contains; -1 if it does not. */
   static int nodeOf(String id) {
     int dash = id.indexOf('-');
     return dash < 2 ? -1 : Integer.parseInt(id.substring(1, dash));
   }
 
-  /** Keeps so many connections open that say nothing, each anew once the balancer has ended it. */
-  void crowd(SoakNode node, int connections) {
+  /** Keeps the given number of idle connections open and replaces those that the balancer closes. */
+  void openIdleConnections(SoakNode node, int connections) {
     Thread thread = new Thread(() -> {
       List<Socket> idle = new ArrayList<>();
-      while (!over) {
+      while (!stopped) {
         idle.removeIf(SoakClients::hasEnded);
         try {
-          while (idle.size() < connections && !over) {
+          while (idle.size() < connections && !stopped) {
             Socket socket = new Socket(InetAddress.getLoopbackAddress(), node.port);
             socket.setSoTimeout(1);
             idle.add(socket);
           }
         } catch (IOException e) {
-          pause(MAX_PAUSE_MILLIS); // Between two processes.
+          pause(MAX_PAUSE_MILLIS); // No process is listening between two starts.
         }
       }
       idle.forEach(SoakClients::close);
@@ -109,10 +109,10 @@
     return true;
   }
 
-  private void ask(SoakNode node, SplittableRandom random) {
+  private void sendRequests(SoakNode node, SplittableRandom random) {
     Socket socket = null;
-    while (!over) {
-      socket = once(node, socket, random, false);
+    while (!stopped) {
+      socket = sendRequest(node, socket, random, false);
       pause(random.nextInt(1, MAX_PAUSE_MILLIS));
     }
     close(socket);
@@ -132,86 +132,86 @@
         socket.close();
       }
     } catch (IOException e) {
-      return; // It is of no use any more either way.
+      return; // The socket is discarded either way.
     }
   }
 
-  /** One request; the connection to ask on next, or null. */
-  private Socket once(SoakNode node, Socket kept, SplittableRandom random, boolean again) {
+  /** Sends a request and returns the connection to reuse for the next one, or null. */
+  private Socket sendRequest(SoakNode node, Socket reusable, SplittableRandom random, boolean isRetry) {
     RequestKind kind = RequestKind.values()[random.nextInt(RequestKind.values().length)];
-    long expires = Math.max(50, longestMillis * random.nextInt(2, 11) / 10);
-    boolean leaves = random.nextInt(100) < 2;
+    long expires = Math.max(50, maxDeadlineMillis * random.nextInt(2, 11) / 10);
+    boolean disconnectsEarly = random.nextInt(100) < 2;
     String id = "n" + node.number + "-" + ids.incrementAndGet();
-    Socket socket = kept;
+    Socket socket = reusable;
     long sent = System.nanoTime();
-    boolean fresh = kept == null;
+    boolean fresh = reusable == null;
     try {
       if (fresh) {
         socket = new Socket();
-        socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), node.port), (int) longestMillis);
+        socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), node.port), (int) maxDeadlineMillis);
         socket.setTcpNoDelay(true);
       }
-      socket.setSoTimeout((int) (leaves ? random.nextInt(1, 30) : expires + GRACE_MILLIS));
+      socket.setSoTimeout((int) (disconnectsEarly ? random.nextInt(1, 30) : expires + RESPONSE_GRACE_MILLIS));
       sent = System.nanoTime();
-      socket.getOutputStream().write(text(id, kind, expires, random).getBytes(StandardCharsets.US_ASCII));
-      Answer answer = answer(socket.getInputStream());
-      keep(new SentRequest(id, node.number, kind, fresh, sent, System.nanoTime(), expires, End.ANSWERED, answer.status));
-      if (answer.stays) {
+      socket.getOutputStream().write(requestText(id, kind, expires, random).getBytes(StandardCharsets.US_ASCII));
+      Response response = readResponse(socket.getInputStream());
+      recordOutcome(new SentRequest(id, node.number, kind, fresh, sent, System.nanoTime(), expires, End.ANSWERED, response.status));
+      if (response.keepAlive) {
         return socket;
       }
       socket.close();
       return null;
     } catch (ConnectException e) {
-      keep(new SentRequest(id, node.number, kind, true, sent, System.nanoTime(), expires, End.NOT_CONNECTED, 0));
+      recordOutcome(new SentRequest(id, node.number, kind, true, sent, System.nanoTime(), expires, End.NOT_CONNECTED, 0));
     } catch (SocketTimeoutException e) {
       close(socket);
-      keep(new SentRequest(id, node.number, kind, fresh, sent, System.nanoTime(), expires, leaves ? End.LEFT : End.UNANSWERED, 0));
+      recordOutcome(new SentRequest(id, node.number, kind, fresh, sent, System.nanoTime(), expires, disconnectsEarly ? End.LEFT : End.UNANSWERED, 0));
     } catch (IOException e) {
-      boolean resend = !fresh && e instanceof EOFException && !again;
+      boolean isResent = !fresh && e instanceof EOFException && !isRetry;
       close(socket);
-      if (!resend) {
-        keep(new SentRequest(id, node.number, kind, fresh, sent, System.nanoTime(), expires, End.UNANSWERED, 0));
+      if (!isResent) {
+        recordOutcome(new SentRequest(id, node.number, kind, fresh, sent, System.nanoTime(), expires, End.UNANSWERED, 0));
       } else {
         resent.incrementAndGet();
-        return once(node, null, random, true);
+        return sendRequest(node, null, random, true);
       }
     }
     return null;
   }
 
-  private void keep(SentRequest request) {
-    asked.put(request.id, request);
+  private void recordOutcome(SentRequest request) {
+    requests.put(request.id, request);
   }
 
-  private static String text(String id, RequestKind kind, long expires, SplittableRandom random) {
+  private static String requestText(String id, RequestKind kind, long expires, SplittableRandom random) {
     String head = (kind == RequestKind.LOOKUP ? "GET" : "POST") + " /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + id + "\r\nX-Qos: "
         + kind.name().toLowerCase(Locale.ROOT) + "\r\nX-Expires-In-Ms: " + expires + "\r\nCookie: sid=k" + random.nextInt(400) + "\r\n";
     String key = kind == RequestKind.ISSUE ? "Idempotency-Key: " + id + "\r\n" : "";
     return head + key + (kind == RequestKind.LOOKUP ? "\r\n" : "Content-Length: 4\r\n\r\nbody");
   }
 
-  private record Answer(int status, boolean stays) {}
+  private record Response(int status, boolean keepAlive) {}
 
-  /** Reads one. {@link EOFException} where the connection ended before its first byte. */
-  private static Answer answer(InputStream from) throws IOException {
-    InputStream in = new BufferedInputStream(from, 512);
+  /** Reads a response. Throws {@link EOFException} if the connection ended before its first byte. */
+  private static Response readResponse(InputStream input) throws IOException {
+    InputStream in = new BufferedInputStream(input, 512);
     String status = line(in, true);
     int length = 0;
-    boolean stays = true;
+    boolean keepAlive = true;
     for (String header = line(in, false); !header.isEmpty(); header = line(in, false)) {
       String lower = header.toLowerCase(Locale.ROOT);
       length = lower.startsWith("content-length:") ? Integer.parseInt(lower.substring(15).trim()) : length;
-      stays &= !lower.equals("connection: close");
+      keepAlive &= !lower.equals("connection: close");
     }
     in.skipNBytes(length);
-    return new Answer(Integer.parseInt(status.split(" ")[1]), stays);
+    return new Response(Integer.parseInt(status.split(" ")[1]), keepAlive);
   }
 
   private static String line(InputStream in, boolean first) throws IOException {
     StringBuilder line = new StringBuilder();
     for (int b = read(in, first); b != '\n'; b = read(in, false)) {
       if (b < 0) {
-        throw first && line.isEmpty() ? new EOFException("ended") : new IOException("cut off");
+        throw first && line.isEmpty() ? new EOFException("connection closed") : new IOException("truncated response");
       } else if (b != '\r') {
         line.append((char) b);
       }
@@ -225,13 +225,13 @@
     } catch (SocketTimeoutException e) {
       throw e;
     } catch (IOException e) {
-      throw first ? new EOFException("reset") : e;
+      throw first ? new EOFException("connection reset") : e;
     }
   }
 
   @Override
   public void close() throws InterruptedException {
-    over = true;
+    stopped = true;
     for (Thread t : threads) {
       t.join();
     }
--- a/standins/src/main/java/cloverpulley/standins/soak/SoakCounts.java
+++ b/standins/src/main/java/cloverpulley/standins/soak/SoakCounts.java
@@ -5,34 +5,34 @@
 import java.util.List;
 import java.util.Map;
 
-/** What an observer outside has counted against the rules. */
+/** Counts rule breaches that were observed from outside the balancers. */
 final class SoakCounts {
 
-  /** Rules and limits; the words are those of the report. */
+  /** Rules and limits; the report prints the names of the constants. */
   enum Breach {
-    /** A request without a final answer in time. */
+    /** A request without a final response in time. */
     LOST,
     /** An unsafe request that ran twice, or a keyed one outside its window. */
     DUPLICATE,
-    /** A request at an upstream that drained, had gone or was offline for longer than the grace. */
+    /** A request sent to an upstream that had been draining, gone or offline for longer than the grace period. */
     DRAIN,
-    /** More than its share to a server that had just started. */
+    /** A server that had just started received more than its share of requests. */
     SLOW_START,
-    /** An attempt that began after its client had left. */
+    /** An attempt that began after its client had disconnected. */
     AFTER_LEAVING,
-    /** A time told to a server that is longer than its client's rest. */
+    /** An expiry sent to a server that exceeds the client's remaining time. */
     TOLD_TIME,
-    /** Memory of a balancer's processes together. */
+    /** The processes of a balancer together exceed the memory limit. */
     MEMORY,
-    /** File descriptors of a balancer's processes together. */
+    /** The processes of a balancer together exceed the limit on file descriptors. */
     DESCRIPTORS,
-    /** A process that ended without being told to, or not well. */
+    /** A process that exited without a signal, or with an unexpected status after SIGTERM. */
     ENDED,
-    /** A process that was still there when SIGKILL may come. */
+    /** A process still running at the earliest time at which SIGKILL may follow its SIGTERM. */
     OVERDUE,
-    /** A start that was not ready in time. */
+    /** A process that was not ready in time after its start. */
     NOT_READY,
-    /** A call of the management endpoint without a yes in time. */
+    /** A management call that did not succeed in time. */
     CALL
   }
 
--- a/standins/src/main/java/cloverpulley/standins/soak/SoakNode.java
+++ b/standins/src/main/java/cloverpulley/standins/soak/SoakNode.java
@@ -12,10 +12,10 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.stream.Stream;
 
-/** One balancer: the processes at one address with one shared folder. */
+/** A balancer node: all processes that listen on one address and share a folder. */
 final class SoakNode {
 
-  /** What the shared folder's part is called that the program makes. */
+  /** Name of the folder that the balancer creates inside the temporary folder. */
   private static final String SHARED = "ashdeck";
 
   final int number;
@@ -47,19 +47,19 @@
     }
   }
 
-  /** Replaces the configuration, for processes that start or are told to read it again. */
+  /** Replaces the configuration file atomically. Processes read it at their start and on SIGHUP. */
   void configure(String text) throws IOException {
     config = text;
-    Path made = folder.resolve("made.json");
-    Files.writeString(made, text);
-    Files.move(made, folder.resolve("config.json"), StandardCopyOption.ATOMIC_MOVE);
+    Path newFile = folder.resolve("made.json");
+    Files.writeString(newFile, text);
+    Files.move(newFile, folder.resolve("config.json"), StandardCopyOption.ATOMIC_MOVE);
   }
 
   Path log() {
     return folder.resolve("log");
   }
 
-  /** Starts a process beside those that are there. */
+  /** Starts another process next to those running. */
   SoakProcess start() throws IOException {
     int management = freePort();
     FaultShim.Control faults = shim.control(folder, temporary, seed * 31 + started);
@@ -75,7 +75,7 @@
     return process;
   }
 
-  /** The process started last that lives; null for none. */
+  /** Returns the running process that was started last and not killed; null if there is none. */
   SoakProcess newest() {
     SoakProcess newest = null;
     for (SoakProcess p : processes) {
@@ -88,7 +88,7 @@
     return processes.stream().filter(SoakProcess::isAlive).toList();
   }
 
-  /** Empties the temporary folder, as a platform does at a start. */
+  /** Deletes the balancer's files in the temporary folder, as a platform may do at a start. */
   void emptyFolder() {
     Path shared = temporary.resolve(SHARED);
     for (int i = 0; i < 5 && Files.exists(shared); i++) {
@@ -97,7 +97,7 @@
           Files.deleteIfExists(file);
         }
       } catch (IOException | UncheckedIOException e) {
-        continue; // A process wrote there meanwhile.
+        continue; // A process wrote to the folder in the meantime.
       }
     }
   }
--- a/standins/src/main/java/cloverpulley/standins/soak/SoakNotifications.java
+++ b/standins/src/main/java/cloverpulley/standins/soak/SoakNotifications.java
@@ -6,10 +6,13 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** What balancers were notified of and when, and when they could not be: the truth that an observer holds them to. Thread-safe. */
+/**
+ * Records what the balancers were notified of and when, and when notifications could not reach them. {@link SoakChecker} checks their behaviour
+ * against these records. Thread-safe.
+ */
 final class SoakNotifications {
 
-  /** A span of time; an open one has no end yet. */
+  /** A time span; one that is still open ends at {@code Long.MAX_VALUE}. */
   static final class Span {
     final long fromNanos;
     long toNanos = Long.MAX_VALUE;
@@ -19,36 +22,36 @@
     }
   }
 
-  /** A start of a server, and that its balancers were told of it. */
+  /** A restart of a server, of which discovery notified the balancers. */
   record Restart(String server, long atNanos) {}
 
-  private record Promise(int node, String server) {}
+  private record NodeServer(int node, String server) {}
 
-  /** What discovery has to tell counts as told at the latest so long after it could be reached. */
-  private static final long TOLD_LATEST_NANOS = TimeUnit.SECONDS.toNanos(6);
-  /** Trouble of a watch that ended so long before a change may still keep it from being told. */
-  private static final long WATCH_NANOS = TimeUnit.SECONDS.toNanos(6);
+  /** A balancer counts as notified of a change at the latest this long after discovery became reachable. */
+  private static final long MAX_NOTIFICATION_DELAY_NANOS = TimeUnit.SECONDS.toNanos(6);
+  /** A watch interruption that ended up to this long before a change may still delay the notification. */
+  private static final long WATCH_RECOVERY_NANOS = TimeUnit.SECONDS.toNanos(6);
 
   private final Map<String, List<Span>> drains = new HashMap<>();
-  private final Map<Promise, List<Span>> offline = new HashMap<>();
-  private final Map<Integer, List<Long>> disturbances = new HashMap<>();
-  private final Map<Integer, List<Span>> troubles = new HashMap<>();
-  private final List<Span> cuts = new ArrayList<>();
+  private final Map<NodeServer, List<Span>> offline = new HashMap<>();
+  private final Map<Integer, List<Long>> watchInterruptions = new HashMap<>();
+  private final Map<Integer, List<Span>> socketFaults = new HashMap<>();
+  private final List<Span> discoveryOutages = new ArrayList<>();
   private final List<Restart> restarts = new ArrayList<>();
 
-  private static Span open(List<Span> spans) {
+  private static Span openSpan(List<Span> spans) {
     Span last = spans == null || spans.isEmpty() ? null : spans.get(spans.size() - 1);
     return last != null && last.toNanos == Long.MAX_VALUE ? last : null;
   }
 
-  private static void end(List<Span> spans) {
-    end(spans, System.nanoTime());
+  private static void endSpan(List<Span> spans) {
+    endSpan(spans, System.nanoTime());
   }
 
-  private static void end(List<Span> spans, long nanos) {
-    Span open = open(spans);
-    if (open != null) {
-      open.toNanos = nanos;
+  private static void endSpan(List<Span> spans, long nanos) {
+    Span openSpan = openSpan(spans);
+    if (openSpan != null) {
+      openSpan.toNanos = nanos;
     }
   }
 
@@ -57,53 +60,53 @@
   }
 
   synchronized void ready(String server) {
-    end(drains.get(server));
+    endSpan(drains.get(server));
   }
 
-  /** An operator's call was confirmed. */
+  /** Records that a balancer confirmed an operator's call to take a server offline. */
   synchronized void offline(int node, String server, long nanos) {
-    List<Span> spans = offline.computeIfAbsent(new Promise(node, server), p -> new ArrayList<>());
-    if (open(spans) == null) {
+    List<Span> spans = offline.computeIfAbsent(new NodeServer(node, server), p -> new ArrayList<>());
+    if (openSpan(spans) == null) {
       spans.add(new Span(nanos));
     }
   }
 
   synchronized void online(int node, String server) {
-    end(offline.get(new Promise(node, server)));
+    endSpan(offline.get(new NodeServer(node, server)));
   }
 
   synchronized boolean isOffline(int node, String server) {
-    return open(offline.get(new Promise(node, server))) != null;
+    return openSpan(offline.get(new NodeServer(node, server))) != null;
   }
 
-  /** No process is left from then on that knew what was promised. */
-  synchronized void forget(int node, long nanos) {
-    offline.forEach((promise, spans) -> {
-      if (promise.node == node) {
-        end(spans, nanos);
+  /** Ends a balancer's offline spans: from this time on, no process is left that knew of the operator's calls. */
+  synchronized void forgetOffline(int node, long nanos) {
+    offline.forEach((key, spans) -> {
+      if (key.node == node) {
+        endSpan(spans, nanos);
       }
     });
   }
 
-  /** A balancer's watch may not have stood until then. */
-  synchronized void disturbed(int node, long nanos) {
-    disturbances.computeIfAbsent(node, n -> new ArrayList<>()).add(nanos);
+  /** Records that a balancer may have had no watch until this time. */
+  synchronized void watchInterrupted(int node, long nanos) {
+    watchInterruptions.computeIfAbsent(node, n -> new ArrayList<>()).add(nanos);
   }
 
-  synchronized void troubled(int node) {
-    troubles.computeIfAbsent(node, n -> new ArrayList<>()).add(new Span(System.nanoTime()));
+  synchronized void socketFaultsStarted(int node) {
+    socketFaults.computeIfAbsent(node, n -> new ArrayList<>()).add(new Span(System.nanoTime()));
   }
 
-  synchronized void untroubled(int node) {
-    end(troubles.get(node));
+  synchronized void socketFaultsEnded(int node) {
+    endSpan(socketFaults.get(node));
   }
 
-  synchronized void discoveryCut() {
-    cuts.add(new Span(System.nanoTime()));
+  synchronized void discoveryDisconnected() {
+    discoveryOutages.add(new Span(System.nanoTime()));
   }
 
-  synchronized void discoveryBack() {
-    end(cuts);
+  synchronized void discoveryReconnected() {
+    endSpan(discoveryOutages);
   }
 
   synchronized void restarted(String server, long nanos) {
@@ -114,49 +117,50 @@
     return List.copyOf(restarts);
   }
 
-  /** Whether a balancer's own socket calls failed within a span, or a moment before or after it. */
-  synchronized boolean isTroubled(int node, long fromNanos, long toNanos) {
+  /** Whether socket calls of a balancer were made to fail during a time span, or up to 700 ms before it. */
+  synchronized boolean hadSocketFaults(int node, long fromNanos, long toNanos) {
     long after = TimeUnit.MILLISECONDS.toNanos(700);
-    return troubles.getOrDefault(node, List.of()).stream()
+    return socketFaults.getOrDefault(node, List.of()).stream()
         .anyMatch(s -> s.fromNanos <= toNanos && (s.toNanos == Long.MAX_VALUE || s.toNanos + after >= fromNanos));
   }
 
-  /** Whether a server drained or was offline at any balancer at any moment of a span: its share tells nothing of the others'. */
-  synchronized boolean isOut(String server, long fromNanos, long toNanos) {
+  /** Whether a server was draining or offline at any balancer during a time span. Its request count is then no reference for other servers. */
+  synchronized boolean wasDrainingOrOffline(String server, long fromNanos, long toNanos) {
     boolean drained = drains.getOrDefault(server, List.of()).stream().anyMatch(s -> s.fromNanos <= toNanos && s.toNanos >= fromNanos);
     return drained || offline.entrySet().stream().filter(e -> e.getKey().server.equals(server)).flatMap(e -> e.getValue().stream())
         .anyMatch(s -> s.fromNanos <= toNanos && s.toNanos >= fromNanos);
   }
 
-  /** Why something sent by a balancer to a server at this moment is a break of the rule on drains; null where it is none. */
-  synchronized String breaks(int node, String server, long nanos, long graceNanos) {
-    for (Span s : offline.getOrDefault(new Promise(node, server), List.of())) {
+  /** Returns why a request sent by a balancer to a server at this time violates the drain rule; null if it does not. */
+  synchronized String findDrainViolation(int node, String server, long nanos, long graceNanos) {
+    for (Span s : offline.getOrDefault(new NodeServer(node, server), List.of())) {
       if (nanos > s.fromNanos + graceNanos && nanos < s.toNanos) {
         return "offline for " + (nanos - s.fromNanos) / 1_000_000 + " ms";
       }
     }
     for (Span s : drains.getOrDefault(server, List.of())) {
-      long told = told(node, s.fromNanos);
-      if (nanos > told + graceNanos && nanos < s.toNanos) {
+      long notifiedAt = notifiedAt(node, s.fromNanos);
+      if (nanos > notifiedAt + graceNanos && nanos < s.toNanos) {
         return "draining for " + (nanos - s.fromNanos) / 1_000_000 + " ms";
       }
     }
     return null;
   }
 
-  /** When a change counts as told to a balancer. */
-  private long told(int node, long changed) {
-    long told = changed;
-    for (Span cut : cuts) {
-      if (cut.fromNanos <= changed + TOLD_LATEST_NANOS && (cut.toNanos == Long.MAX_VALUE || cut.toNanos >= changed - WATCH_NANOS)) {
-        told = cut.toNanos == Long.MAX_VALUE ? Long.MAX_VALUE / 2 : Math.max(told, cut.toNanos + TOLD_LATEST_NANOS);
+  /** Returns the time at which a balancer counts as notified of a change. */
+  private long notifiedAt(int node, long changedAt) {
+    long notifiedAt = changedAt;
+    for (Span outage : discoveryOutages) {
+      if (outage.fromNanos <= changedAt + MAX_NOTIFICATION_DELAY_NANOS
+          && (outage.toNanos == Long.MAX_VALUE || outage.toNanos >= changedAt - WATCH_RECOVERY_NANOS)) {
+        notifiedAt = outage.toNanos == Long.MAX_VALUE ? Long.MAX_VALUE / 2 : Math.max(notifiedAt, outage.toNanos + MAX_NOTIFICATION_DELAY_NANOS);
       }
     }
-    for (long at : disturbances.getOrDefault(node, List.of())) {
-      if (at >= changed - WATCH_NANOS && at <= changed + TOLD_LATEST_NANOS) {
-        told = Math.max(told, at + TOLD_LATEST_NANOS);
+    for (long at : watchInterruptions.getOrDefault(node, List.of())) {
+      if (at >= changedAt - WATCH_RECOVERY_NANOS && at <= changedAt + MAX_NOTIFICATION_DELAY_NANOS) {
+        notifiedAt = Math.max(notifiedAt, at + MAX_NOTIFICATION_DELAY_NANOS);
       }
     }
-    return told;
+    return notifiedAt;
   }
 }
--- a/standins/src/main/java/cloverpulley/standins/soak/SoakProcess.java
+++ b/standins/src/main/java/cloverpulley/standins/soak/SoakProcess.java
@@ -12,13 +12,13 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Stream;
 
-/** One process of a balancer, started by the deploy file's command; what it holds is counted from outside. */
+/** A balancer process started by the deploy file's command. Its memory and file descriptors are read from /proc. */
 final class SoakProcess {
 
-  /** A caller of the management endpoint waits for so long. */
-  private static final int CALL_MILLIS = 1000;
+  /** Timeout of calls to the management endpoint. */
+  private static final int CALL_TIMEOUT_MILLIS = 1000;
 
-  /** What was done to a process that may end it. */
+  /** The signal sent to a process to end it, if any. */
   enum Signal { NONE, TERM, KILL }
 
   final int number;
@@ -29,9 +29,9 @@
   volatile Signal signal = Signal.NONE;
   volatile long signalNanos;
   volatile long readyNanos;
-  /** Until when its own socket calls fail, and some time after. */
-  volatile long troubledUntilNanos;
-  volatile boolean endSeen;
+  /** Time until which socket faults are injected into the process, plus some time to recover. */
+  volatile long faultyUntilNanos;
+  volatile boolean exitChecked;
 
   SoakProcess(int number, Process process, int managementPort, FaultShim.Control faults) {
     this.number = number;
@@ -56,15 +56,15 @@
     process.destroyForcibly();
   }
 
-  void hangUp() throws IOException, InterruptedException {
+  void sendSighup() throws IOException, InterruptedException {
     new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor();
   }
 
-  /** A call of the management endpoint; its status, or 0 for none in time. */
+  /** Calls the management endpoint and returns the HTTP status, or 0 if none arrives in time. */
   int call(String call) {
     try (Socket socket = new Socket()) {
-      socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), managementPort), CALL_MILLIS);
-      socket.setSoTimeout(CALL_MILLIS);
+      socket.connect(new InetSocketAddress(InetAddress.getLoopbackAddress(), managementPort), CALL_TIMEOUT_MILLIS);
+      socket.setSoTimeout(CALL_TIMEOUT_MILLIS);
       socket.getOutputStream().write((call + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
       String line = new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.US_ASCII)).readLine();
       return line == null ? 0 : Integer.parseInt(line.split(" ")[1]);
@@ -73,7 +73,7 @@
     }
   }
 
-  /** Its proportional share of resident memory, in kilobytes; 0 once it has gone. */
+  /** Returns the proportional set size in kilobytes; 0 once the process has exited. */
   long memoryKb() {
     try (Stream<String> lines = Files.lines(Path.of("/proc", Long.toString(process.pid()), "smaps_rollup"))) {
       return lines.filter(l -> l.startsWith("Pss:")).mapToLong(l -> Long.parseLong(l.replaceAll("\\D", ""))).sum();
@@ -82,7 +82,7 @@
     }
   }
 
-  /** File descriptors that it holds; 0 once it has gone. */
+  /** Returns the number of open file descriptors; 0 once the process has exited. */
   int descriptors() {
     try (Stream<Path> files = Files.list(Path.of("/proc", Long.toString(process.pid()), "fd"))) {
       return (int) files.count();
@@ -91,12 +91,12 @@
     }
   }
 
-  /** Whether it was told to end at least so long ago and has not. */
+  /** Whether SIGTERM was sent longer ago than the given time and the process is still running. */
   boolean isOverdue(long nanos) {
     return signal == Signal.TERM && process.isAlive() && System.nanoTime() - signalNanos > nanos;
   }
 
-  boolean awaitEnd(long millis) throws InterruptedException {
+  boolean awaitExit(long millis) throws InterruptedException {
     return process.waitFor(millis, TimeUnit.MILLISECONDS);
   }
 }
--- a/standins/src/main/java/cloverpulley/standins/soak/SoakServer.java
+++ b/standins/src/main/java/cloverpulley/standins/soak/SoakServer.java
@@ -9,41 +9,41 @@
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.ThreadLocalRandom;
 
-/** A server behind the balancers under one id, which may be restarted; keeps what it was sent. */
+/** An upstream server with a fixed id that can be restarted. Records the requests received. */
 final class SoakServer {
 
   /**
-   * A request that has come whole.
+   * A request received completely.
    *
-   * @param node the balancer that its client sent it to
-   * @param expiresMillis the time that the balancer told
-   * @param ran whether it was begun, and not turned away
+   * @param node number of the balancer that the client sent it to
+   * @param expiresMillis the remaining time that the balancer sent in the request
+   * @param ran whether it was executed rather than rejected
    */
   record Received(String server, String id, int node, long atNanos, long expiresMillis, boolean ran) {}
 
   final String id;
   final Queue<Received> received = new ConcurrentLinkedQueue<>();
   private final EventLoopGroup group;
-  private final int slowestMillis;
-  private final int turnedAwayParts;
+  private final int maxDelayMillis;
+  private final int rejectedPerMille;
   private StandInUpstream server;
   volatile boolean hangs;
 
   SoakServer(String id, EventLoopGroup group, SplittableRandom random) {
     this.id = id;
     this.group = group;
-    slowestMillis = random.nextInt(10, 60);
-    turnedAwayParts = random.nextInt(0, 20);
+    maxDelayMillis = random.nextInt(10, 60);
+    rejectedPerMille = random.nextInt(0, 20);
     start();
   }
 
-  /** Starts anew, at another port. */
+  /** Starts the server on a new port. */
   void start() {
     hangs = false;
     server = new StandInUpstream(group, this::answer);
   }
 
-  /** Dies. */
+  /** Simulates a crash, which resets all connections. */
   void stop() {
     server.close();
   }
@@ -54,13 +54,13 @@
 
   private Answer answer(FullHttpRequest request) {
     ThreadLocalRandom random = ThreadLocalRandom.current();
-    boolean full = !hangs && random.nextInt(1000) < turnedAwayParts;
+    boolean full = !hangs && random.nextInt(1000) < rejectedPerMille;
     String requestId = request.headers().get("x-trace-id", "");
     String expires = request.headers().get("x-expires-in-ms", "0");
     received.add(new Received(id, requestId, SoakClients.nodeOf(requestId), System.nanoTime(), Long.parseLong(expires), !full));
     if (hangs) {
       return Answer.ok(60_000);
     }
-    return full ? Answer.full() : random.nextInt(1000) < 5 ? Answer.status(500) : Answer.ok(random.nextInt(2, slowestMillis));
+    return full ? Answer.full() : random.nextInt(1000) < 5 ? Answer.status(500) : Answer.ok(random.nextInt(2, maxDelayMillis));
   }
 }
--- a/standins/src/main/java/cloverpulley/standins/soak/SoakSettings.java
+++ b/standins/src/main/java/cloverpulley/standins/soak/SoakSettings.java
@@ -3,23 +3,23 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** The configuration of a balancer under soak. */
+/** The configuration of a balancer in the soak test. */
 final class SoakSettings {
 
-  /** For how long an upstream that drops repeats of a keyed request does so. */
+  /** Deduplication window: how long an upstream drops repeats of a keyed request. */
   static final long WINDOW_MILLIS = 2000;
-  /** For how long something new may go to an upstream after notice that it drains. */
+  /** How long new requests may still go to an upstream after the notification that it drains. */
   static final long GRACE_MILLIS = 2000;
 
   private SoakSettings() {}
 
-  /** Lists are pushed with odd seeds and asked for with even ones. */
-  static String text(Soak.Plan plan, SoakNode node, int discoveryPort, long longestMillis, List<SoakServer> servers, int number) {
+  /** Returns the configuration as JSON. Endpoint lists are pushed with odd seeds and requested with even ones. */
+  static String text(Soak.Plan plan, SoakNode node, int discoveryPort, long maxDeadlineMillis, List<SoakServer> servers, int number) {
     String members = servers.stream()
         .map(s -> "{\"id\":\"" + s.id + "\",\"host_port\":\"" + s.address() + "\",\"locality\":\"a\",\"cell\":0,\"phase\":\"ready\",\"size\":1.0,\"up_since_ms\":0}")
         .collect(Collectors.joining(","));
-    String categories = category("lookup", "idempotent", longestMillis) + "," + category("issue", "deduplicated", longestMillis) + ","
-        + category("order", "at_most_once", longestMillis);
+    String categories = category("lookup", "idempotent", maxDeadlineMillis) + "," + category("issue", "deduplicated", maxDeadlineMillis) + ","
+        + category("order", "at_most_once", maxDeadlineMillis);
     return "{\"name\":\"n" + number + "\",\"listen\":\"127.0.0.1:" + node.port + "\",\"discovery\":\"127.0.0.1:" + discoveryPort + "\","
         + "\"seed\":\"" + Long.toHexString(plan.seed() & 0xffffff) + "\",\"limits\":{\"cores\":1.0,\"memory_mb\":" + plan.memoryMb()
         + ",\"sockets\":1024},\"known\":{\"revision\":1,\"complete\":true,\"members\":[" + members + "]},\"settings\":{\"me\":" + number
