--- a/http/src/test/java/cloverpulley/serve/EndToEndTest.java
+++ b/http/src/test/java/cloverpulley/serve/EndToEndTest.java
@@ -88,7 +88,7 @@
   }
 
   @Test
-  void largestBufferedBodyIsForwarded() throws Exception {
+  void largestBufferedResponseIsForwarded() throws Exception {
     String body = "b".repeat(Frontend.MAX_BUFFERED_RESPONSE);
     try (StubServer upstream = StubServer.answering(StubServer.ok(body));
         Rig rig = new Rig(configWith(upstream)); Client client = rig.client()) {
@@ -169,7 +169,7 @@
     }
   }
 
-  /** The client's time counts from when the request was complete: one whose time is over when its turn comes is not forwarded. */
+  /** A request's deadline counts from its completion: a pipelined one whose deadline has passed when its turn comes is not forwarded. */
   @Test
   void pipelinedRequestPastItsDeadlineIsNotForwarded() throws Exception {
     CountDownLatch done = new CountDownLatch(1);
--- a/http/src/test/java/cloverpulley/serve/LaunchCommandTest.java
+++ b/http/src/test/java/cloverpulley/serve/LaunchCommandTest.java
@@ -61,7 +61,7 @@
         Files.readString(errors.toPath(), StandardCharsets.UTF_8));
   }
 
-  /** The heap is half of what the limit exceeds 64 MB by, 12 MB at least and 64 MB at most. The limit used to be read by sed in a subshell. */
+  /** The heap is (limit - 64 MB) / 2, at least 12 MB and at most 64 MB. The limit used to be read by sed in a subshell. */
   @ParameterizedTest
   @CsvSource(delimiter = '|', quoteCharacter = '`', value = {
     "{\"limits\":{\"cores\":1.0,\"memory_mb\":32,\"sockets\":4}}|12|4",
--- a/http/src/test/java/cloverpulley/serve/MisbehavingClientTest.java
+++ b/http/src/test/java/cloverpulley/serve/MisbehavingClientTest.java
@@ -62,17 +62,17 @@
   /** Guards against an error response that overtakes the response to an earlier pipelined request. */
   @Test
   void errorIsAnsweredInOrder() throws Exception {
-    CountDownLatch bad = new CountDownLatch(1);
+    CountDownLatch invalidSent = new CountDownLatch(1);
     try (StubServer upstream = new StubServer(c -> {
       c.next();
-      bad.await();
+      invalidSent.await();
       c.write(StubServer.ok("first"));
       c.ends();
     }); Rig rig = new Rig(configWith(upstream, 1024)); Client client = rig.client()) {
       client.write(Rig.get("t", ""));
       assertNotNull(upstream.requests.poll(Rig.LIMIT_S, TimeUnit.SECONDS));
       client.write("POST /api HTTP/1.1\r\nExpect: 100-continue\r\nContent-Length: 40000000\r\n\r\n");
-      bad.countDown();
+      invalidSent.countDown();
       assertTrue(client.answer().endsWith("\r\n\r\nfirst"));
       assertTrue(client.answer().startsWith("HTTP/1.1 413 "));
       assertNull(client.answer());
