--- a/dnssd/src/main/java/cloverpulley/dnssd/DnsSdSource.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/DnsSdSource.java
@@ -37,7 +37,7 @@
 
   /** The interval for timers and due queries; answers are processed at once. */
   private static final long TICK_MILLIS = 10;
-  /** An incomplete first list is published after this many times the first wait. */
+  /** An incomplete first list is published after this many times the first wait, which is the wait for a second resolver. */
   private static final int MAX_FIRST_WAITS = 5;
 
   private final EventLoop loop;
@@ -211,7 +211,7 @@
     changeListener = listener;
   }
 
-  /** Whether a first list has been published. */
+  /** Whether there is a list to publish: the cached list or a first list from the resolvers. */
   public boolean isReady() {
     return ready;
   }
--- a/dnssd/src/main/java/cloverpulley/dnssd/Dso.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Dso.java
@@ -178,10 +178,10 @@
   static byte[] change(String name, int type, boolean removed, byte[] data) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     out.writeBytes(question(name, type));
-    byte[] rest = new byte[6];
-    Message.put32(rest, 0, removed ? data.length == 0 ? REMOVE_ALL : REMOVE_ONE : 10);
-    Message.put16(rest, 4, data.length);
-    out.writeBytes(rest);
+    byte[] ttlAndLength = new byte[6];
+    Message.put32(ttlAndLength, 0, removed ? data.length == 0 ? REMOVE_ALL : REMOVE_ONE : 10);
+    Message.put16(ttlAndLength, 4, data.length);
+    out.writeBytes(ttlAndLength);
     out.writeBytes(data);
     return out.toByteArray();
   }
--- a/dnssd/src/main/java/cloverpulley/dnssd/Push.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/Push.java
@@ -34,8 +34,8 @@
 import org.xbill.DNS.Type;
 
 /**
- * A DNS push session with one resolver (RFC 8765). Changes that withdraw a server are reported as pushed: an instance removed from the
- * list, a TXT record that marks it as draining. All other changes are hints, and the affected records are queried. A server without
+ * A DNS push session with one resolver (RFC 8765). Changes that withdraw a server are reported at once, before any query: an instance removed
+ * from the list, a TXT record that marks it as draining. All other changes are hints, and the affected records are queried. A server without
  * push support is retried with back-off, and polled as usual meanwhile.
  */
 final class Push implements AutoCloseable {
--- a/dnssd/src/test/java/cloverpulley/dnssd/RulesTest.java
+++ b/dnssd/src/test/java/cloverpulley/dnssd/RulesTest.java
@@ -38,7 +38,7 @@
 import org.xbill.DNS.SimpleResolver;
 import org.xbill.DNS.Type;
 
-/** No requests to draining servers and slow start, for fleets discovered through DNS-SD: through a frontend, counted at the servers. */
+/** Draining servers get no new requests and new servers start slowly, with discovery through DNS-SD: counted at the servers. */
 @Timeout(value = 3 * Rig.TIMEOUT_S, unit = TimeUnit.SECONDS)
 class RulesTest {
 
--- a/standins/src/main/java/cloverpulley/standins/StandInZone.java
+++ b/standins/src/main/java/cloverpulley/standins/StandInZone.java
@@ -237,7 +237,7 @@
     records.putAll(all);
   }
 
-  /** Sends a NOTIFY for the zone (RFC 1996) to a reader, from an ephemeral port on loopback, the address at which the server answers. */
+  /** Sends a NOTIFY for the zone (RFC 1996) to a reader, from the IP address of the server and an ephemeral port. */
   public void notifyReader(InetSocketAddress reader) throws IOException {
     Message m = new Message();
     m.getHeader().setOpcode(Opcode.NOTIFY);
--- a/standins/src/main/java/cloverpulley/standins/faults/ContinuousClients.java
+++ b/standins/src/main/java/cloverpulley/standins/faults/ContinuousClients.java
@@ -10,7 +10,8 @@
 
 /**
  * Clients that continuously send requests to balancers, one at a time. They open a new connection if the balancer closed the last one between
- * two requests. Responses other than 200 and rejections (429, 503) are counted as lost.
+ * two requests. Responses other than 200 and rejections (429, 503) are counted as lost. A request without a complete response is not counted: its
+ * client reconnects, or stops if the balancer was killed.
  */
 public final class ContinuousClients implements AutoCloseable {
 
@@ -48,7 +49,7 @@
           if (status != 0) {
             answered.incrementAndGet();
             lost.addAndGet(status == 200 || status == 429 || status == 503 ? 0 : 1);
-          } // Otherwise the connection was closed between two requests: the balancer has not read this one.
+          } // Otherwise the connection ended, as when the balancer closed it between two requests without reading this one.
         }
       } catch (IOException e) {
         if (!instance.isAlive()) {
@@ -60,7 +61,7 @@
     }
   }
 
-  /** Reads a response and returns its status; 0 if the connection ended. */
+  /** Reads a response and returns its status; 0 if the connection ended before the end of its headers. */
   private static int answer(InputStream in) throws IOException {
     StringBuilder head = new StringBuilder();
     while (head.length() < 4 || !head.substring(head.length() - 4).equals("\r\n\r\n")) {
--- a/standins/src/main/java/cloverpulley/standins/soak/FaultShim.java
+++ b/standins/src/main/java/cloverpulley/standins/soak/FaultShim.java
@@ -90,7 +90,7 @@
       words.put(0, nanos);
     }
 
-    /** Makes {@code perMille} of 1000 of the given socket calls fail; 0 for none. */
+    /** Makes the given socket calls fail at the given rate, per mille; 0 for none. */
     public void failSockets(int perMille, int calls) {
       words.put(2, calls);
       words.put(1, perMille);
--- a/standins/src/main/java/cloverpulley/standins/soak/SoakChecker.java
+++ b/standins/src/main/java/cloverpulley/standins/soak/SoakChecker.java
@@ -1,8 +1,8 @@
 package cloverpulley.standins.soak;
 
-import cloverpulley.standins.soak.SoakClients.SentRequest;
 import cloverpulley.standins.soak.SoakClients.End;
 import cloverpulley.standins.soak.SoakClients.RequestKind;
+import cloverpulley.standins.soak.SoakClients.SentRequest;
 import cloverpulley.standins.soak.SoakCounts.Breach;
 import cloverpulley.standins.soak.SoakProcess.Signal;
 import cloverpulley.standins.soak.SoakServer.Received;
@@ -67,7 +67,7 @@
         + (a.endNanos() - a.sentNanos()) / 1_000_000 + " of " + a.expiresMillis() + " ms, at " + a.endNanos());
   }
 
-  /** Whether a process of the node was killed during the request, or its socket calls were made to fail. */
+  /** Whether a process of the node was killed, or its socket calls were made to fail, during the request or shortly around it. */
   private boolean isExcused(SentRequest a) {
     boolean killed = nodes.get(a.node()).processes.stream().anyMatch(p -> p.signal == Signal.KILL
         && p.signalNanos >= a.sentNanos() - KILL_SLACK_NANOS && p.signalNanos <= a.endNanos() + KILL_SLACK_NANOS);
