--- a/standins/src/main/java/cloverpulley/standins/faults/ContinuousClients.java
+++ b/standins/src/main/java/cloverpulley/standins/faults/ContinuousClients.java
@@ -10,8 +10,8 @@
 
 /**
  * Clients that continuously send requests to balancers, one at a time. They open a new connection if the balancer closed the last one between
- * two requests. Responses other than 200 and rejections (429, 503) are counted as lost. A request without a complete response is not counted: its
- * client reconnects, or stops if the balancer was killed.
+ * two requests. Responses other than 200 and rejections (429, 503) are counted as lost. A request without complete
+ * response headers is not counted: its client reconnects, or stops if the balancer was killed.
  */
 public final class ContinuousClients implements AutoCloseable {
 
