--- a/standins/src/main/java/cloverpulley/standins/soak/SoakChecker.java
+++ b/standins/src/main/java/cloverpulley/standins/soak/SoakChecker.java
@@ -67,7 +67,7 @@
         + (a.endNanos() - a.sentNanos()) / 1_000_000 + " of " + a.expiresMillis() + " ms, at " + a.endNanos());
   }
 
-  /** Whether a process of the node was killed shortly before, during or after the request, or socket faults were active during it or shortly before. */
+  /** Whether a node process was killed shortly before, during or after the request, or socket faults were active during it or shortly before. */
   private boolean isExcused(SentRequest a) {
     boolean killed = nodes.get(a.node()).processes.stream().anyMatch(p -> p.signal == Signal.KILL
         && p.signalNanos >= a.sentNanos() - KILL_SLACK_NANOS && p.signalNanos <= a.endNanos() + KILL_SLACK_NANOS);
