--- a/agree/src/main/java/cloverpulley/agree/AgreeConfig.java
+++ b/agree/src/main/java/cloverpulley/agree/AgreeConfig.java
@@ -47,35 +47,35 @@
     for (Section v : s.tables("voter")) {
       String voter = name(v, "name");
       if (!names.add(voter)) {
-        v.wrong("name", "two voters are called \"" + voter + "\"");
+        v.reportError("name", "two voters are called \"" + voter + "\"");
       }
       voters.add(new VoterAddress(voter, v.address("raft", null), v.address("api", null)));
     }
     if (voters.size() != 3 && voters.size() != 5 && voters.size() != 7) {
-      s.wrong("voter", "expected three, five or seven voters, got " + voters.size());
+      s.reportError("voter", "expected three, five or seven voters, got " + voters.size());
     }
     Map<String, Limit> limits = new TreeMap<>();
     for (Section g : s.tables("group")) {
       String group = name(g, "name");
       if (limits.containsKey(group)) {
-        g.wrong("name", "two groups are called \"" + group + "\"");
+        g.reportError("name", "two groups are called \"" + group + "\"");
       }
-      limits.put(group, new Limit((int) g.whole("most", 0, 100_000, 100_000), g.number("part", 0, 1, 1), (int) g.whole("back", 1, 100_000, 1)));
+      limits.put(group, new Limit((int) g.integer("most", 0, 100_000, 100_000), g.number("part", 0, 1, 1), (int) g.integer("back", 1, 100_000, 1)));
     }
     int minority = Math.max(0, (voters.size() - 1) / 2);
     if (limits.containsKey(VOTERS) && limits.get(VOTERS).most() > minority) {
-      s.wrong("group", "expected most of " + VOTERS + " of " + minority + " or less: more would cost the majority");
+      s.reportError("group", "expected most of " + VOTERS + " of " + minority + " or less: more would cost the majority");
     }
     limits.putIfAbsent(VOTERS, new Limit(minority, 1, 1));
     Map<String, List<String>> labels = new TreeMap<>();
     for (Section l : s.tables("label")) {
-      labels.put(l.text("upstream"), l.texts("groups", List.of()));
+      labels.put(l.string("upstream"), l.strings("groups", List.of()));
     }
-    Command.Rules rules = new Command.Rules(s.whole("version", 1, Long.MAX_VALUE, 1), limits, (int) s.whole("words", 1, 8, 2),
-        s.whole("fresh_ms", 100, 3_600_000, 10_000), s.number("dead_part", 0.001, 1, 1), s.number("refused_part", 0.001, 1, 1));
+    Command.Rules rules = new Command.Rules(s.integer("version", 1, Long.MAX_VALUE, 1), limits, (int) s.integer("words", 1, 8, 2),
+        s.integer("fresh_ms", 100, 3_600_000, 10_000), s.number("dead_part", 0.001, 1, 1), s.number("refused_part", 0.001, 1, 1));
     VoterAddress own = voters.stream().filter(v -> v.name().equals(name)).findFirst().orElse(null);
-    return new AgreeConfig(name(s, "fleet"), name, groups(s, own != null, zone), Path.of(s.text("folder", ".")),
-        (int) s.whole("poll_ms", 10, 60_000, 200), (int) s.whole("silent_ms", 100, 600_000, 2000), (int) s.whole("most_mb", 1, 1024, 16),
+    return new AgreeConfig(name(s, "fleet"), name, groups(s, own != null, zone), Path.of(s.string("folder", ".")),
+        (int) s.integer("poll_ms", 10, 60_000, 200), (int) s.integer("silent_ms", 100, 600_000, 2000), (int) s.integer("most_mb", 1, 1024, 16),
         List.copyOf(voters), rules, labels,
         s.has("raft_listen") || own == null ? s.address("raft_listen", "127.0.0.1:0") : own.raft(),
         s.has("api_listen") || own == null ? s.address("api_listen", "127.0.0.1:0") : own.api());
@@ -89,14 +89,14 @@
     if (isVoter) {
       groups.add(VOTERS);
     }
-    groups.addAll(s.texts("groups", List.of()));
+    groups.addAll(s.strings("groups", List.of()));
     return groups.stream().distinct().sorted().toList();
   }
 
   private static String name(Section s, String key) {
-    String name = s.text(key);
+    String name = s.string(key);
     if (!name.isEmpty() && !isName(name)) {
-      s.wrong(key, "expected letters, digits and . : # - _, " + MAX_NAME_LENGTH + " at most, got \"" + name + "\"");
+      s.reportError(key, "expected letters, digits and . : # - _, " + MAX_NAME_LENGTH + " at most, got \"" + name + "\"");
     }
     return name;
   }
--- a/config/src/main/java/cloverpulley/config/Section.java
+++ b/config/src/main/java/cloverpulley/config/Section.java
@@ -59,15 +59,15 @@
   }
 
   /** Notes something wrong with a key that its type and range don't show. */
-  public void wrong(String key, String what) {
+  public void reportError(String key, String what) {
     problems.add(full(key), line(key), what);
   }
 
   private void unexpected(String key, String expected, Object value) {
-    wrong(key, "expected " + expected + ", got " + word(value));
+    reportError(key, "expected " + expected + ", got " + describe(value));
   }
 
-  private static String word(Object value) {
+  private static String describe(Object value) {
     if (value == null) {
       return "nothing";
     } else if (value instanceof String text) {
@@ -77,7 +77,7 @@
   }
 
   /** A text that has to be there and not empty. */
-  public String text(String key) {
+  public String string(String key) {
     Object value = get(key);
     if (value instanceof String text && !text.isBlank()) {
       return text;
@@ -87,7 +87,7 @@
   }
 
   /** A text, which may be empty. */
-  public String text(String key, String absent) {
+  public String string(String key, String absent) {
     Object value = get(key);
     if (value != null && !(value instanceof String)) {
       unexpected(key, "a text", value);
@@ -96,7 +96,7 @@
   }
 
   /** A whole number within bounds, both included. */
-  public long whole(String key, long least, long most, long absent) {
+  public long integer(String key, long least, long most, long absent) {
     Object value = get(key);
     if (value == null) {
       return absent;
@@ -108,12 +108,12 @@
   }
 
   /** A whole number within bounds that has to be there. */
-  public long whole(String key, long least, long most) {
+  public long integer(String key, long least, long most) {
     if (!has(key)) {
       unexpected(key, "a whole number from " + least + " to " + most, get(key));
       return least;
     }
-    return whole(key, least, most, least);
+    return integer(key, least, most, least);
   }
 
   /** A number, whole or not, within bounds, both included. */
@@ -133,7 +133,7 @@
     return BigDecimal.valueOf(number).stripTrailingZeros().toPlainString();
   }
 
-  public boolean flag(String key, boolean absent) {
+  public boolean bool(String key, boolean absent) {
     Object value = get(key);
     if (value == null || value instanceof Boolean) {
       return value == null ? absent : (Boolean) value;
@@ -143,7 +143,7 @@
   }
 
   /** One of the words; with {@code absent} null it has to be there, and null stands for what was wrong. */
-  public <T> T word(String key, Map<String, T> words, T absent) {
+  public <T> T oneOf(String key, Map<String, T> words, T absent) {
     Object value = get(key);
     if (value == null && absent != null) {
       return absent;
@@ -157,7 +157,7 @@
   }
 
   /** Texts, none of them empty. */
-  public List<String> texts(String key, List<String> absent) {
+  public List<String> strings(String key, List<String> absent) {
     Object value = get(key);
     if (value == null) {
       return absent;
@@ -178,7 +178,7 @@
   }
 
   /** Whole numbers within bounds, both included. */
-  public List<Integer> wholes(String key, int least, int most, List<Integer> absent) {
+  public List<Integer> integers(String key, int least, int most, List<Integer> absent) {
     Object value = get(key);
     if (value == null) {
       return absent;
@@ -271,7 +271,7 @@
   void close() {
     for (String key : table.keySet()) {
       if (!asked.contains(key)) {
-        wrong(key, "unknown key" + (asked.isEmpty() ? "" : ", known here are " + String.join(", ", new TreeSet<>(asked))));
+        reportError(key, "unknown key" + (asked.isEmpty() ? "" : ", known here are " + String.join(", ", new TreeSet<>(asked))));
       }
     }
     opened.forEach(Section::close);
--- a/config/src/main/java/cloverpulley/config/ServiceSection.java
+++ b/config/src/main/java/cloverpulley/config/ServiceSection.java
@@ -35,47 +35,47 @@
     List<RequestClass> classes = classes(file);
     List<Tenant> tenants = tenants(file);
     Section s = file.table("service");
-    int group = (int) s.whole("processes", 1, 10_000, 1);
-    int me = (int) s.whole("number", 0, 9_999, 0);
+    int group = (int) s.integer("processes", 1, 10_000, 1);
+    int me = (int) s.integer("number", 0, 9_999, 0);
     if (me >= group) {
-      s.wrong("number", "expected one below service.processes, got " + me);
+      s.reportError("number", "expected one below service.processes, got " + me);
       me = 0;
     }
-    Limits limits = new Limits(true, false, false, s.flag("second_copies", false), true, millis(s, "retry_after_most_ms", 2000),
-        (int) s.whole("attempts", 1, 16, 6), (int) s.whole("most_in_hand", 1, 1_000_000, 20_000), 1, millis(s, "connect_ms", 200));
+    Limits limits = new Limits(true, false, false, s.bool("second_copies", false), true, millis(s, "retry_after_most_ms", 2000),
+        (int) s.integer("attempts", 1, 16, 6), (int) s.integer("most_in_hand", 1, 1_000_000, 20_000), 1, millis(s, "connect_ms", 200));
     Contract contract = new Contract(0, 10_000_000_000L, millis(s, "drain_grace_ms", 2000),
         s.number("cold_from", 0.01, 1, 0.32), millis(s, "warm_within_ms", 8500), s.number("fall_multiple", 1, 100, 3),
         millis(s, "fall_window_ms", 3000));
-    return new Settings(me, group, s.text("zone", ""), classes, tenants, limits, contract, new Penalties(0, 0, 0),
-        true, s.flag("sizes", true) ? WeightKind.NOMINAL : WeightKind.NONE, s.number("over_share_worth", 0, 1, 0.2),
-        s.flag("warm_keys", true), 1_000_000L);
+    return new Settings(me, group, s.string("zone", ""), classes, tenants, limits, contract, new Penalties(0, 0, 0),
+        true, s.bool("sizes", true) ? WeightKind.NOMINAL : WeightKind.NONE, s.number("over_share_worth", 0, 1, 0.2),
+        s.bool("warm_keys", true), 1_000_000L);
   }
 
   private static List<RequestClass> classes(Section file) {
     List<RequestClass> classes = new ArrayList<>();
     Set<String> names = new HashSet<>();
     for (Section c : file.tables("class")) {
-      String name = c.text("name");
+      String name = c.string("name");
       if (!names.add(name)) {
-        c.wrong("name", "two classes are called \"" + name + "\"");
+        c.reportError("name", "two classes are called \"" + name + "\"");
       }
-      Effect said = c.word("effect", EFFECTS, null);
+      Effect said = c.oneOf("effect", EFFECTS, null);
       Effect effect = said == null ? Effect.UNSAFE : said;
-      long window = c.whole("dedup_window_ms", 1, MOST_MS, effect == Effect.KEYED ? 0 : 1);
+      long window = c.integer("dedup_window_ms", 1, MOST_MS, effect == Effect.KEYED ? 0 : 1);
       if (effect == Effect.KEYED && window == 0) {
-        c.wrong("dedup_window_ms", "expected how long a repeat is dropped, for a keyed class");
+        c.reportError("dedup_window_ms", "expected how long a repeat is dropped, for a keyed class");
       }
-      long aim = c.whole("aim_ms", 1, MOST_MS);
-      long deadline = c.whole("deadline_ms", 1, MOST_MS, aim);
+      long aim = c.integer("aim_ms", 1, MOST_MS);
+      long deadline = c.integer("deadline_ms", 1, MOST_MS, aim);
       if (deadline < aim) {
-        c.wrong("deadline_ms", "expected no less than aim_ms, got " + deadline);
+        c.reportError("deadline_ms", "expected no less than aim_ms, got " + deadline);
       }
-      classes.add(new RequestClass(name, effect, c.word("dedup_scope", SCOPES, DedupScope.CELL),
+      classes.add(new RequestClass(name, effect, c.oneOf("dedup_scope", SCOPES, DedupScope.CELL),
           TimeUnit.MILLISECONDS.toNanos(window), TimeUnit.MILLISECONDS.toNanos(aim), 0,
           TimeUnit.MILLISECONDS.toNanos(deadline), c.number("worth", 0, 1e6, 1), c.number("late_worth", 0, 1, 0), false));
     }
     if (classes.isEmpty()) {
-      file.wrong("class", "expected at least one [[class]], got nothing");
+      file.reportError("class", "expected at least one [[class]], got nothing");
       classes.add(new RequestClass("none", Effect.UNSAFE, DedupScope.CELL, 0, 1_000_000L, 0, 1_000_000L, 1, 0, false));
     }
     return classes;
@@ -86,14 +86,14 @@
     Set<String> names = new HashSet<>();
     double shares = 0;
     for (Section t : file.tables("tenant")) {
-      String name = t.text("name");
+      String name = t.string("name");
       if (!names.add(name)) {
-        t.wrong("name", "two tenants are called \"" + name + "\"");
+        t.reportError("name", "two tenants are called \"" + name + "\"");
       }
       double share = t.number("share", 0, 1, 0);
       shares += share;
       if (shares > 1 + 1e-9) {
-        t.wrong("share", "the shares add up to more than 1");
+        t.reportError("share", "the shares add up to more than 1");
         shares = 0;
       }
       tenants.add(new Tenant(name, share, t.number("quota_per_s", 0, 1e9, 0)));
@@ -102,6 +102,6 @@
   }
 
   private static long millis(Section s, String key, long absent) {
-    return TimeUnit.MILLISECONDS.toNanos(s.whole(key, 0, MOST_MS, absent));
+    return TimeUnit.MILLISECONDS.toNanos(s.integer(key, 0, MOST_MS, absent));
   }
 }
--- a/config/src/test/java/cloverpulley/config/OperatorsFileTest.java
+++ b/config/src/test/java/cloverpulley/config/OperatorsFileTest.java
@@ -52,11 +52,11 @@
         "f: line 10: b[1].share: expected a number from 0 to 1, got \"x\"",
         "f: line 11: c: unknown key, known here are a, b"), wrong(text, file -> {
           Section a = file.table("a");
-          a.whole("port", 1, 65535, 1);
-          a.text("name");
-          a.flag("flag", false);
-          a.word("kind", Map.of("first", 1, "second", 2), 1);
-          a.text("missing", "default");
+          a.integer("port", 1, 65535, 1);
+          a.string("name");
+          a.bool("flag", false);
+          a.oneOf("kind", Map.of("first", 1, "second", 2), 1);
+          a.string("missing", "default");
           file.tables("b").forEach(b -> b.number("share", 0, 1, 0));
           return null;
         }));
@@ -68,13 +68,13 @@
         + "[::1]:8000, got nothing", "f: line 2: t.name: expected a text, got nothing"), wrong("\n[t]\n", file -> {
           Section t = file.table("t");
           t.address("address", null);
-          return t.text("name");
+          return t.string("name");
         }));
   }
 
   @Test
   void whatIsNotTomlIsSaidByLine() {
-    List<String> lines = wrong("a = 1\nb = \nc = [1,\n", file -> file.whole("a", 0, 1, 0));
+    List<String> lines = wrong("a = 1\nb = \nc = [1,\n", file -> file.integer("a", 0, 1, 0));
     assertTrue(lines.get(0).startsWith("f: line 2: not TOML: "), lines.toString());
   }
 
@@ -93,7 +93,7 @@
   @ParameterizedTest
   @ValueSource(strings = {"k = [1, \"a\"]", "k = 1", "k = [\"\"]", "k = [[\"a\"]]", "[k]\na = 1"})
   void listsOfTextsAreJustThat(String text) {
-    assertEquals(1, wrong(text, file -> file.texts("k", List.of())).stream().filter(l -> l.contains("array of texts")).count());
+    assertEquals(1, wrong(text, file -> file.strings("k", List.of())).stream().filter(l -> l.contains("array of texts")).count());
   }
 
   @Test
--- a/dist/src/main/java/cloverpulley/cli/BalanceConfig.java
+++ b/dist/src/main/java/cloverpulley/cli/BalanceConfig.java
@@ -17,9 +17,9 @@
     long agreeMillis) {
 
   static BalanceConfig read(Section s) {
-    String folder = s.text("folder", "");
+    String folder = s.string("folder", "");
     return new BalanceConfig(s.address("listen", "127.0.0.1:8000"), s.has("management") ? s.address("management", null) : null,
-        folder.isEmpty() ? null : Path.of(folder), (int) s.whole("sockets", 32, 1 << 20, 1024), (int) s.whole("memory_mb", 16, 1 << 20, 192),
-        s.whole("idle_ms", 100, 3_600_000, 5000), s.whole("agree_ms", 0, 600_000, 2000));
+        folder.isEmpty() ? null : Path.of(folder), (int) s.integer("sockets", 32, 1 << 20, 1024), (int) s.integer("memory_mb", 16, 1 << 20, 192),
+        s.integer("idle_ms", 100, 3_600_000, 5000), s.integer("agree_ms", 0, 600_000, 2000));
   }
 }
--- a/dist/src/main/java/cloverpulley/cli/LogConfig.java
+++ b/dist/src/main/java/cloverpulley/cli/LogConfig.java
@@ -24,7 +24,7 @@
   private static final Map<String, Format> FORMATS = Map.of("auto", Format.AUTO, "text", Format.TEXT, "json", Format.JSON);
 
   static LogConfig read(Section s) {
-    return new LogConfig(s.word("level", LEVELS, USUAL.level), s.word("format", FORMATS, USUAL.format),
-        (int) s.whole("repeats", 1, 1_000_000, USUAL.repeats), s.whole("window_ms", 100, 3_600_000, USUAL.windowMillis));
+    return new LogConfig(s.oneOf("level", LEVELS, USUAL.level), s.oneOf("format", FORMATS, USUAL.format),
+        (int) s.integer("repeats", 1, 1_000_000, USUAL.repeats), s.integer("window_ms", 100, 3_600_000, USUAL.windowMillis));
   }
 }
--- a/dns/src/main/java/cloverpulley/dns/DnsConfig.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsConfig.java
@@ -85,18 +85,18 @@
     Settings settings = ServiceSection.read(s);
     FleetSource fleet = s.has("fleet") ? FleetSource.read(s.table("fleet")) : null;
     Section u = s.table("upstream");
-    ClientConfig upstream = new ClientConfig((int) u.whole("ports", 1, 1024, 8), (int) u.whole("port_uses", 1, 1_000_000, 2000),
-        (int) u.whole("pending_per_port", 1, 32_768, 4096), (int) u.whole("wrong_most", 1, 1_000_000, 20),
-        (int) u.whole("udp_size", 512, 4096, 1232), (int) u.whole("connections", 1, 256, 2),
-        (int) u.whole("pipelined", 1, 32_768, 100), settings.limits().connectTimeoutNanos(),
+    ClientConfig upstream = new ClientConfig((int) u.integer("ports", 1, 1024, 8), (int) u.integer("port_uses", 1, 1_000_000, 2000),
+        (int) u.integer("pending_per_port", 1, 32_768, 4096), (int) u.integer("wrong_most", 1, 1_000_000, 20),
+        (int) u.integer("udp_size", 512, 4096, 1232), (int) u.integer("connections", 1, 256, 2),
+        (int) u.integer("pipelined", 1, 32_768, 100), settings.limits().connectTimeoutNanos(),
         nanos(u, "late_ms", 1, DAY_MS, 5000), nanos(u, "idle_ms", 100, DAY_MS, 10_000), nanos(u, "drain_ms", 1, DAY_MS, 5000),
-        u.flag("mix_case", true), TimeUnit.SECONDS.toNanos(u.whole("traits_s", 1, WEEK_S, 900)));
-    return new DnsConfig(listen, (int) s.whole("udp_size", 512, 4096, 1232), s.flag("reuse_port", true),
-        s.whole("lame_ms", 0, DAY_MS, 500), s.whole("drain_ms", 0, DAY_MS, 5000),
-        (int) s.whole("warm_up_queries", 0, 1_000_000, 5000), settings, fleet, matches(s, settings),
-        clients(s, settings), keys(s, settings), (int) s.whole("tenant_option", 0, 65_534, 0), secret(s),
-        nanos(s, "answer_margin_ms", 0, 10_000, 20), nanos(u, "attempt_ms", 1, DAY_MS, 800), u.flag("refused_is_full", false),
-        u.flag("unsafe_over_tcp", true), limits(s.table("limits")), caching(s.table("cache")), upstream, zones(s),
+        u.bool("mix_case", true), TimeUnit.SECONDS.toNanos(u.integer("traits_s", 1, WEEK_S, 900)));
+    return new DnsConfig(listen, (int) s.integer("udp_size", 512, 4096, 1232), s.bool("reuse_port", true),
+        s.integer("lame_ms", 0, DAY_MS, 500), s.integer("drain_ms", 0, DAY_MS, 5000),
+        (int) s.integer("warm_up_queries", 0, 1_000_000, 5000), settings, fleet, matches(s, settings),
+        clients(s, settings), keys(s, settings), (int) s.integer("tenant_option", 0, 65_534, 0), secret(s),
+        nanos(s, "answer_margin_ms", 0, 10_000, 20), nanos(u, "attempt_ms", 1, DAY_MS, 800), u.bool("refused_is_full", false),
+        u.bool("unsafe_over_tcp", true), limits(s.table("limits")), caching(s.table("cache")), upstream, zones(s),
         fleetZone(s, listen, service == null ? settings : service));
   }
 
@@ -111,35 +111,35 @@
   }
 
   private static long nanos(Section s, String key, long min, long max, long defaultMillis) {
-    return TimeUnit.MILLISECONDS.toNanos(s.whole(key, min, max, defaultMillis));
+    return TimeUnit.MILLISECONDS.toNanos(s.integer(key, min, max, defaultMillis));
   }
 
   private static Limits limits(Section l) {
     ResponseRateLimiter.Config responseRate = new ResponseRateLimiter.Config(l.number("udp_per_prefix_per_s", 0, 1e9, 1000),
-        (int) l.whole("slip", 0, 100, 2), (int) l.whole("prefixes", 1, 10_000_000, 100_000));
-    return new Limits((int) l.whole("tcp_connections", 1, 1_000_000, 2000), (int) l.whole("tcp_per_client", 1, 1_000_000, 100),
-        (int) l.whole("tcp_pipelined", 1, 65_535, 100), l.whole("tcp_idle_ms", 1, DAY_MS, 10_000),
-        l.whole("tcp_message_ms", 1, DAY_MS, 3000), l.whole("tcp_stall_ms", 1, DAY_MS, 5000),
-        (int) l.whole("query_bytes", 512, Message.MAX_LENGTH, 4096), (int) l.whole("update_bytes", 512, Message.MAX_LENGTH, Message.MAX_LENGTH),
-        responseRate, (int) l.whole("prefix_ipv4", 8, 32, 24), (int) l.whole("prefix_ipv6", 8, 128, 56));
+        (int) l.integer("slip", 0, 100, 2), (int) l.integer("prefixes", 1, 10_000_000, 100_000));
+    return new Limits((int) l.integer("tcp_connections", 1, 1_000_000, 2000), (int) l.integer("tcp_per_client", 1, 1_000_000, 100),
+        (int) l.integer("tcp_pipelined", 1, 65_535, 100), l.integer("tcp_idle_ms", 1, DAY_MS, 10_000),
+        l.integer("tcp_message_ms", 1, DAY_MS, 3000), l.integer("tcp_stall_ms", 1, DAY_MS, 5000),
+        (int) l.integer("query_bytes", 512, Message.MAX_LENGTH, 4096), (int) l.integer("update_bytes", 512, Message.MAX_LENGTH, Message.MAX_LENGTH),
+        responseRate, (int) l.integer("prefix_ipv4", 8, 32, 24), (int) l.integer("prefix_ipv6", 8, 128, 56));
   }
 
   private static Caching caching(Section c) {
-    TtlPolicy.Config ttlPolicy = new TtlPolicy.Config(c.whole("ttl_most_s", 0, WEEK_S, 86_400),
-        c.whole("negative_most_s", 0, WEEK_S, 3600), c.whole("stale_s", 0, WEEK_S, 86_400), c.number("prefetch_part", 0, 0.9, 0.1),
-        (int) c.whole("prefetch_hits", 0, 1_000_000, 3));
-    return new Caching(c.whole("mb", 0, 1 << 20, 64) << 20, ttlPolicy, c.whole("stale_ttl_s", 1, WEEK_S, 30),
+    TtlPolicy.Config ttlPolicy = new TtlPolicy.Config(c.integer("ttl_most_s", 0, WEEK_S, 86_400),
+        c.integer("negative_most_s", 0, WEEK_S, 3600), c.integer("stale_s", 0, WEEK_S, 86_400), c.number("prefetch_part", 0, 0.9, 0.1),
+        (int) c.integer("prefetch_hits", 0, 1_000_000, 3));
+    return new Caching(c.integer("mb", 0, 1 << 20, 64) << 20, ttlPolicy, c.integer("stale_ttl_s", 1, WEEK_S, 30),
         nanos(c, "stale_wait_ms", 1, DAY_MS, 1800));
   }
 
   private static byte[] secret(Section s) {
-    String text = s.text("cookie_secret", "");
+    String text = s.string("cookie_secret", "");
     if (text.isEmpty()) {
       byte[] random = new byte[16];
       new java.security.SecureRandom().nextBytes(random);
       return random;
     } else if (!text.matches("[0-9a-fA-F]{32}")) {
-      s.wrong("cookie_secret", "expected 32 hexadecimal digits");
+      s.reportError("cookie_secret", "expected 32 hexadecimal digits");
       return new byte[16];
     }
     return HexFormat.of().parseHex(text);
@@ -148,21 +148,21 @@
   private static List<Match> matches(Section s, Settings settings) {
     List<Match> matches = new ArrayList<>();
     for (Section m : s.tables("match")) {
-      Integer opcode = m.word("opcode", OPCODES, Message.QUERY);
+      Integer opcode = m.oneOf("opcode", OPCODES, Message.QUERY);
       List<Integer> types = new ArrayList<>();
-      for (String name : m.texts("types", List.of())) {
+      for (String name : m.strings("types", List.of())) {
         int type = Type.value(name.toUpperCase(Locale.ROOT));
         if (type < 0) {
-          m.wrong("types", "expected types such as A, SRV or TYPE65, got \"" + name + "\"");
+          m.reportError("types", "expected types such as A, SRV or TYPE65, got \"" + name + "\"");
         }
         types.add(type);
       }
-      String name = m.text("class");
+      String name = m.string("class");
       RequestClass requestClass = settings.classes().stream().filter(c -> c.name().equals(name)).findFirst().orElse(null);
       if (requestClass == null) {
-        m.wrong("class", "expected the name of a [[dns.class]], got \"" + name + "\"");
+        m.reportError("class", "expected the name of a [[dns.class]], got \"" + name + "\"");
       } else if (requestClass.effect() != REQUIRED_EFFECTS.get(opcode)) {
-        m.wrong("class", "expected a class whose effect is " + REQUIRED_EFFECTS.get(opcode).name().toLowerCase(Locale.ROOT)
+        m.reportError("class", "expected a class whose effect is " + REQUIRED_EFFECTS.get(opcode).name().toLowerCase(Locale.ROOT)
             + " for this opcode, got \"" + name + "\"");
       } else {
         matches.add(new Match(opcode, List.copyOf(types), requestClass));
@@ -175,9 +175,9 @@
   }
 
   private static String tenant(Section s, Settings settings) {
-    String name = s.text("tenant");
+    String name = s.string("tenant");
     if (settings.tenants().stream().map(Tenant::name).noneMatch(name::equals)) {
-      s.wrong("tenant", "expected the name of a [[dns.tenant]], got \"" + name + "\"");
+      s.reportError("tenant", "expected the name of a [[dns.tenant]], got \"" + name + "\"");
     }
     return name;
   }
@@ -185,11 +185,11 @@
   private static List<ClientPrefix> clients(Section s, Settings settings) {
     List<ClientPrefix> clients = new ArrayList<>();
     for (Section c : s.tables("client")) {
-      String text = c.text("prefix");
+      String text = c.string("prefix");
       Prefix prefix = Prefix.of(text);
       String tenant = tenant(c, settings);
       if (prefix == null) {
-        c.wrong("prefix", "expected a range of addresses such as 10.0.0.0/8, got \"" + text + "\"");
+        c.reportError("prefix", "expected a range of addresses such as 10.0.0.0/8, got \"" + text + "\"");
       } else {
         clients.add(new ClientPrefix(prefix, tenant));
       }
@@ -202,27 +202,27 @@
     Map<String, org.xbill.DNS.Name> algorithms = new HashMap<>(Map.of("hmac-sha256", TSIG.HMAC_SHA256, "hmac-sha384",
         TSIG.HMAC_SHA384, "hmac-sha512", TSIG.HMAC_SHA512));
     for (Section k : s.tables("tsig")) {
-      String name = k.text("name");
-      org.xbill.DNS.Name algorithm = k.word("algorithm", algorithms, TSIG.HMAC_SHA256);
-      String secret = k.text("secret");
+      String name = k.string("name");
+      org.xbill.DNS.Name algorithm = k.oneOf("algorithm", algorithms, TSIG.HMAC_SHA256);
+      String secret = k.string("secret");
       String tenant = tenant(k, settings);
       try {
         byte[] octets = Base64.getDecoder().decode(secret);
         org.xbill.DNS.Name full = org.xbill.DNS.Name.fromString(name, org.xbill.DNS.Name.root);
         keys.add(new Key(full.toString().toLowerCase(Locale.ROOT), new TSIG(algorithm, full, octets), tenant));
       } catch (IllegalArgumentException e) {
-        k.wrong("secret", "expected a key in Base64");
+        k.reportError("secret", "expected a key in Base64");
       } catch (TextParseException e) {
-        k.wrong("name", "expected a domain name, got \"" + name + "\"");
+        k.reportError("name", "expected a domain name, got \"" + name + "\"");
       }
     }
     return List.copyOf(keys);
   }
 
   private static String origin(Section s) {
-    String origin = s.text("origin").toLowerCase(Locale.ROOT);
+    String origin = s.string("origin").toLowerCase(Locale.ROOT);
     if (!origin.isEmpty() && Names.of(origin) == null) {
-      s.wrong("origin", "expected a domain name, got \"" + origin + "\"");
+      s.reportError("origin", "expected a domain name, got \"" + origin + "\"");
       return "invalid.";
     }
     return origin.endsWith(".") ? origin : origin + ".";
@@ -231,9 +231,9 @@
   private static List<ZoneFile> zones(Section s) {
     List<ZoneFile> zones = new ArrayList<>();
     for (Section z : s.tables("zone")) {
-      Path file = Path.of(z.text("file"));
+      Path file = Path.of(z.string("file"));
       if (!file.toFile().isFile()) {
-        z.wrong("file", "expected a file, found none at \"" + file + "\"");
+        z.reportError("file", "expected a file, found none at \"" + file + "\"");
       }
       zones.add(new ZoneFile(origin(z), file));
     }
@@ -245,11 +245,11 @@
       return null;
     }
     Section f = s.table("fleet_zone");
-    String type = f.text("service", "_quote._tcp");
+    String type = f.string("service", "_quote._tcp");
     if (!type.matches("_[a-z0-9-]{1,15}\\._(tcp|udp)")) {
-      f.wrong("service", "expected a service such as _quote._tcp, got \"" + type + "\""); // RFC 6763, 7
+      f.reportError("service", "expected a service such as _quote._tcp, got \"" + type + "\""); // RFC 6763, 7
     }
-    return new FleetZoneConfig(origin(f), type, f.whole("ttl_s", 1, 3600, 5),
+    return new FleetZoneConfig(origin(f), type, f.integer("ttl_s", 1, 3600, 5),
         f.address("name_server", listen.getAddress().getHostAddress().contains(":")
             ? "[" + listen.getAddress().getHostAddress() + "]:53" : listen.getAddress().getHostAddress() + ":53"),
         service.contract().slowStartNanos(), service.contract().slowStartMinRatio());
--- a/dnssd/src/main/java/cloverpulley/dnssd/DnsSdConfig.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/DnsSdConfig.java
@@ -64,71 +64,71 @@
     for (Section r : tables) {
       InetSocketAddress address = r.address("address", null);
       if (!known.add(address)) {
-        r.wrong("address", "two resolvers have the address " + address.getHostString() + ":" + address.getPort());
+        r.reportError("address", "two resolvers have the address " + address.getHostString() + ":" + address.getPort());
       }
-      PushMode push = r.word("push", MODES, PushMode.OFF);
+      PushMode push = r.oneOf("push", MODES, PushMode.OFF);
       if (push == PushMode.TCP && !address.getAddress().isLoopbackAddress()) {
-        r.wrong("push", "expected \"tls\" beyond loopback (RFC 8765, 3)");
+        r.reportError("push", "expected \"tls\" beyond loopback (RFC 8765, 3)");
       }
-      String name = r.text("push_name", "");
+      String name = r.string("push_name", "");
       if (push == PushMode.TLS && name.isEmpty()) {
-        r.wrong("push_name", "expected the name in the resolver's certificate");
+        r.reportError("push_name", "expected the name in the resolver's certificate");
       }
       InetSocketAddress pushAt = r.has("push_address") ? r.address("push_address", null) : address;
       resolvers.add(new ResolverAddress(address, push, pushAt, name));
       weights.add(r.number("weight", 0, 1, tables.size() == 1 ? 1 : 1.0 / tables.size()));
     }
     if (resolvers.isEmpty()) {
-      s.wrong("resolver", "expected at least one [[" + "fleet.dnssd.resolver]], got nothing");
+      s.reportError("resolver", "expected at least one [[" + "fleet.dnssd.resolver]], got nothing");
       weights.add(1.0);
     }
     int n = weights.size();
     Section t = s.table("trust");
     Rules u = Rules.of(n);
-    int witnesses = (int) t.whole("witnesses", 1, n, u.witnesses());
-    int empty = (int) t.whole("empty_witnesses", 1, n, Math.max(witnesses, u.emptyWitnesses()));
+    int witnesses = (int) t.integer("witnesses", 1, n, u.witnesses());
+    int empty = (int) t.integer("empty_witnesses", 1, n, Math.max(witnesses, u.emptyWitnesses()));
     if (empty < witnesses) {
-      t.wrong("empty_witnesses", "expected no less than witnesses, got " + empty);
+      t.reportError("empty_witnesses", "expected no less than witnesses, got " + empty);
       empty = witnesses;
     }
     Rules rules = new Rules(weights, t.number("floor_share", 0, 1, u.floorShare()), witnesses, empty,
         millis(t, "confirm_ms", 0, u.confirmMillis()), millis(t, "settle_ms", 0, u.settleMillis()),
-        millis(t, "longest_ttl_ms", 1000, u.longestTtlMillis()), t.whole("stale_ms", 0, 30 * DAY_MS, u.staleMillis()),
+        millis(t, "longest_ttl_ms", 1000, u.longestTtlMillis()), t.integer("stale_ms", 0, 30 * DAY_MS, u.staleMillis()),
         millis(t, "clock_skew_ms", 0, u.clockSkewMillis()), millis(t, "first_wait_ms", 0, u.firstWaitMillis()),
-        millis(t, "lone_wait_ms", 0, u.loneWaitMillis()), (int) t.whole("reserve_below", 1, 100_000, u.reserveBelow()),
-        (int) t.whole("instances", 1, 1_000_000, u.maxInstances()));
+        millis(t, "lone_wait_ms", 0, u.loneWaitMillis()), (int) t.integer("reserve_below", 1, 100_000, u.reserveBelow()),
+        (int) t.integer("instances", 1, 1_000_000, u.maxInstances()));
     Section k = s.table("text");
     TextKeys d = TextKeys.DEFAULT;
-    TextKeys keys = new TextKeys(k.text("locality", d.locality()), k.text("flavor", d.flavor()), k.text("cell", d.cell()),
-        k.text("size", d.size()), k.text("phase", d.phase()), k.text("started", d.started()));
-    String file = s.text("records_file", "");
+    TextKeys keys = new TextKeys(k.string("locality", d.locality()), k.string("flavor", d.flavor()), k.string("cell", d.cell()),
+        k.string("size", d.size()), k.string("phase", d.phase()), k.string("started", d.started()));
+    String file = s.string("records_file", "");
     long poll = millis(s, "poll_ms", 10, 1000);
     return new DnsSdConfig(browses, resolvers, rules, keys, poll, millis(s, "least_ttl_ms", 10, 1000),
         millis(s, "back_off_ms", 10, 500), millis(s, "most_back_off_ms", 10, 30_000), millis(s, "ask_ms", 10, 2000),
-        (int) s.whole("in_flight", 1, 4096, 128), millis(s, "contact_ms", 0, 0), s.has("notify") ? s.address("notify", null) : null,
-        file.isEmpty() ? null : Path.of(file), s.whole("records_most_mb", 1, 100_000, 64) << 20,
+        (int) s.integer("in_flight", 1, 4096, 128), millis(s, "contact_ms", 0, 0), s.has("notify") ? s.address("notify", null) : null,
+        file.isEmpty() ? null : Path.of(file), s.integer("records_most_mb", 1, 100_000, 64) << 20,
         new ClientConfig(4, 5000, 4096, 20, 1232, 1, 128, TimeUnit.MILLISECONDS.toNanos(1000), TimeUnit.SECONDS.toNanos(5),
-        TimeUnit.SECONDS.toNanos(10), TimeUnit.SECONDS.toNanos(5), s.flag("mix_case", true), TimeUnit.MINUTES.toNanos(15)));
+        TimeUnit.SECONDS.toNanos(10), TimeUnit.SECONDS.toNanos(5), s.bool("mix_case", true), TimeUnit.MINUTES.toNanos(15)));
   }
 
   private static long millis(Section s, String key, long least, long absent) {
-    return s.whole(key, least, DAY_MS, absent);
+    return s.integer(key, least, DAY_MS, absent);
   }
 
   private static List<Browse> browses(Section s) {
-    String service = s.text("service", "_quote._tcp");
+    String service = s.string("service", "_quote._tcp");
     if (!service.matches("_[A-Za-z0-9-]{1,15}\\._(tcp|udp)")) {
-      s.wrong("service", "expected a service and its transport, such as _quote._tcp, got \"" + service + '"');
+      s.reportError("service", "expected a service and its transport, such as _quote._tcp, got \"" + service + '"');
       service = "_quote._tcp";
     }
-    String subtype = s.text("subtype", "");
+    String subtype = s.string("subtype", "");
     if (!subtype.isEmpty() && !subtype.matches("_?[A-Za-z0-9-]{1,62}")) {
-      s.wrong("subtype", "expected one label, got \"" + subtype + '"');
+      s.reportError("subtype", "expected one label, got \"" + subtype + '"');
       subtype = "";
     }
-    List<String> domains = s.texts("domains", List.of());
+    List<String> domains = s.strings("domains", List.of());
     if (domains.isEmpty()) {
-      s.wrong("domains", "expected at least one domain to browse, got nothing");
+      s.reportError("domains", "expected at least one domain to browse, got nothing");
     }
     List<Browse> browses = new ArrayList<>();
     for (String domain : domains) {
@@ -136,11 +136,11 @@
         String zone = text(Name.fromString(domain, Name.root));
         String name = text(Name.fromString((subtype.isEmpty() ? "" : subtype + "._sub.") + service + '.' + domain, Name.root));
         if (browses.stream().anyMatch(b -> b.name.equals(name))) {
-          s.wrong("domains", "\"" + domain + "\" is there twice");
+          s.reportError("domains", "\"" + domain + "\" is there twice");
         }
         browses.add(new Browse(name, zone));
       } catch (TextParseException e) {
-        s.wrong("domains", "expected domain names, got \"" + domain + "\": " + e.getMessage());
+        s.reportError("domains", "expected domain names, got \"" + domain + "\": " + e.getMessage());
       }
     }
     return List.copyOf(browses);
--- a/dnssd/src/main/java/cloverpulley/dnssd/PublishConfig.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/PublishConfig.java
@@ -36,40 +36,40 @@
   /** Reads the section. */
   public static PublishConfig read(Section s) {
     InetSocketAddress primary = s.address("primary", null);
-    Name zone = name(s, "zone", s.text("zone"));
-    String service = s.text("service", "_quote._tcp");
+    Name zone = name(s, "zone", s.string("zone"));
+    String service = s.string("service", "_quote._tcp");
     if (!service.matches("_[A-Za-z0-9-]{1,15}\\._(tcp|udp)")) {
-      s.wrong("service", "expected a service and its transport, such as _quote._tcp, got \"" + service + '"');
+      s.reportError("service", "expected a service and its transport, such as _quote._tcp, got \"" + service + '"');
       service = "_quote._tcp";
     }
-    String instance = s.text("instance");
+    String instance = s.string("instance");
     if (instance.getBytes(java.nio.charset.StandardCharsets.UTF_8).length > 63) {
-      s.wrong("instance", "expected 63 octets at most (RFC 6763, 4.1.1)");
+      s.reportError("instance", "expected 63 octets at most (RFC 6763, 4.1.1)");
       instance = "wrong";
     }
-    String host = s.text("target", "");
+    String host = s.string("target", "");
     Name target = host.isEmpty() ? below(s, "instance", instance.toLowerCase(java.util.Locale.ROOT).replaceAll("[^a-z0-9-]", "-"), zone)
         : name(s, "target", host);
     InetSocketAddress address = s.address("address", "127.0.0.1:0");
     Map<String, String> text = new LinkedHashMap<>();
-    for (String pair : s.texts("text", List.of())) {
+    for (String pair : s.strings("text", List.of())) {
       int equals = pair.indexOf('=');
       if (equals < 1 || pair.getBytes(java.nio.charset.StandardCharsets.UTF_8).length > MOST_PAIR) {
-        s.wrong("text", "expected key=value of " + MOST_PAIR + " octets at most, got \"" + pair + '"');
+        s.reportError("text", "expected key=value of " + MOST_PAIR + " octets at most, got \"" + pair + '"');
       } else {
         text.put(pair.substring(0, equals), pair.substring(equals + 1));
       }
     }
     return new PublishConfig(primary, zone, service, instance, target, address.getAddress(), address.getPort(),
-        (int) s.whole("priority", 0, 65_535, 0), (int) s.whole("weight", 0, 65_535, 0), s.whole("ttl_s", 1, 86_400, 10),
-        1000 * s.whole("lease_s", 1, 86_400, 60), s.whole("withdraw_ms", 0, 60_000, 1000), key(s), text, s.flag("fleet", false));
+        (int) s.integer("priority", 0, 65_535, 0), (int) s.integer("weight", 0, 65_535, 0), s.integer("ttl_s", 1, 86_400, 10),
+        1000 * s.integer("lease_s", 1, 86_400, 60), s.integer("withdraw_ms", 0, 60_000, 1000), key(s), text, s.bool("fleet", false));
   }
 
   private static Name name(Section s, String key, String text) {
     try {
       return Name.fromString(text, Name.root);
     } catch (TextParseException e) {
-      s.wrong(key, "expected a domain name, got \"" + text + "\": " + e.getMessage());
+      s.reportError(key, "expected a domain name, got \"" + text + "\": " + e.getMessage());
       return Name.root;
     }
   }
@@ -78,7 +78,7 @@
     try {
       return Name.fromString(label, zone);
     } catch (TextParseException e) {
-      s.wrong(key, "no name can be made of it: " + e.getMessage());
+      s.reportError(key, "no name can be made of it: " + e.getMessage());
       return zone;
     }
   }
@@ -87,16 +87,16 @@
     if (!s.has("tsig_name")) {
       return null;
     }
-    Name name = name(s, "tsig_name", s.text("tsig_name"));
-    Name algorithm = s.word("tsig_algorithm", ALGORITHMS, TSIG.HMAC_SHA256);
+    Name name = name(s, "tsig_name", s.string("tsig_name"));
+    Name algorithm = s.oneOf("tsig_algorithm", ALGORITHMS, TSIG.HMAC_SHA256);
     try {
-      byte[] secret = Base64.getDecoder().decode(s.text("tsig_secret"));
+      byte[] secret = Base64.getDecoder().decode(s.string("tsig_secret"));
       if (secret.length >= 16) {
         return new TSIG(algorithm, name, secret);
       }
-      s.wrong("tsig_secret", "expected 16 octets at least");
+      s.reportError("tsig_secret", "expected 16 octets at least");
     } catch (IllegalArgumentException e) {
-      s.wrong("tsig_secret", "expected base64");
+      s.reportError("tsig_secret", "expected base64");
     }
     return null;
   }
--- a/fleet/src/main/java/cloverpulley/fleet/FleetSource.java
+++ b/fleet/src/main/java/cloverpulley/fleet/FleetSource.java
@@ -39,16 +39,16 @@
   /** Reads the section. */
   public static FleetSource read(Section s) {
     InetSocketAddress discovery = s.has("discovery") ? s.address("discovery", null) : null;
-    String state = s.text("state_file", "");
+    String state = s.string("state_file", "");
     List<Server> servers = new ArrayList<>();
     Set<String> ids = new HashSet<>();
     for (Section m : s.tables("server")) {
-      String id = m.text("id");
+      String id = m.string("id");
       if (!ids.add(id)) {
-        m.wrong("id", "two servers are called \"" + id + "\"");
+        m.reportError("id", "two servers are called \"" + id + "\"");
       }
-      servers.add(new Server(id, m.address("address", null), m.text("zone", ""), (int) m.whole("cell", 0, 1 << 30, 0),
-          m.word("phase", PHASES, State.READY), m.number("size", 0.001, 1000, 1), m.whole("started_ms", 0, 1L << 50, 0)));
+      servers.add(new Server(id, m.address("address", null), m.string("zone", ""), (int) m.integer("cell", 0, 1 << 30, 0),
+          m.oneOf("phase", PHASES, State.READY), m.number("size", 0.001, 1000, 1), m.integer("started_ms", 0, 1L << 50, 0)));
     }
     ListProvider.Opener opener = null;
     List<String> given = new ArrayList<>();
@@ -64,12 +64,12 @@
       given.add("discovery");
     }
     if (given.isEmpty() && servers.isEmpty()) {
-      s.wrong("server", "expected at least one [[fleet.server]], or fleet.discovery" + (further.isEmpty() ? ""
+      s.reportError("server", "expected at least one [[fleet.server]], or fleet.discovery" + (further.isEmpty() ? ""
           : ", or " + String.join(", or ", further)));
     } else if (!given.isEmpty() && !servers.isEmpty()) {
-      s.wrong("server", "expected no list beside fleet." + given.get(0));
+      s.reportError("server", "expected no list beside fleet." + given.get(0));
     } else if (given.size() > 1) {
-      s.wrong(given.get(1), "expected one source of servers, got fleet." + given.get(0) + " as well");
+      s.reportError(given.get(1), "expected one source of servers, got fleet." + given.get(0) + " as well");
     }
     return new FleetSource(discovery, state.isEmpty() ? null : Path.of(state), new ServerList(0, true, servers), opener);
   }
--- a/load/src/main/java/cloverpulley/load/Plan.java
+++ b/load/src/main/java/cloverpulley/load/Plan.java
@@ -74,19 +74,19 @@
   public static Plan read(Section file) {
     Section s = file.table("load");
     double seconds = s.number("seconds", 0.1, DAY_S, 30);
-    Arrivals.Process process = s.word("process", PROCESSES, Arrivals.Process.POISSON);
+    Arrivals.Process process = s.oneOf("process", PROCESSES, Arrivals.Process.POISSON);
     Arrivals.Bursts bursts = null;
     if (process == Arrivals.Process.BURSTY) {
       Section b = s.table("bursts");
       double factor = b.number("factor", 1.001, 1000, 4);
       double part = b.number("part", 0.0001, 0.9999, 0.1);
       if (part * factor >= 1) {
-        b.wrong("part", "expected less than 1/factor, got " + part);
+        b.reportError("part", "expected less than 1/factor, got " + part);
         part = 0.5 / factor;
       }
       bursts = new Arrivals.Bursts(factor, part, b.number("mean_s", 0.001, DAY_S, 1));
     }
-    return new Plan(s.whole("seed", Long.MIN_VALUE, Long.MAX_VALUE, 1), seconds, s.number("rate", 0.01, 1e6, 100), process,
+    return new Plan(s.integer("seed", Long.MIN_VALUE, Long.MAX_VALUE, 1), seconds, s.number("rate", 0.01, 1e6, 100), process,
         bursts, shape(s, seconds), types(s), tenants(s), keys(s.table("keys")), target(s.table("target")),
         clients(s.table("clients")), s.number("late_ms", 0.01, 10_000, 10));
   }
@@ -94,22 +94,22 @@
   private static Shape shape(Section s, double length) {
     List<Shape> parts = new ArrayList<>();
     for (Section p : s.tables("shape")) {
-      String kind = p.text("kind");
+      String kind = p.string("kind");
       try {
         switch (kind) {
           case "ramp" -> parts.add(new Shape.Ramp(p.number("from", 0, 1000, 0), p.number("to", 0, 1000, 1),
               p.number("start_s", 0, DAY_S, 0), p.number("end_s", 0, DAY_S, length)));
           case "wave" -> parts.add(new Shape.Wave(p.number("amplitude", 0, 1, 0.5), p.number("period_s", 0.01, DAY_S, length),
               p.number("phase", 0, 1, 0)));
-          case "month_end" -> parts.add(new Shape.MonthEnd((int) p.whole("days", 1, 31, 3), p.number("rise", 1, 100, 2),
+          case "month_end" -> parts.add(new Shape.MonthEnd((int) p.integer("days", 1, 31, 3), p.number("rise", 1, 100, 2),
               p.number("peak", 1, 100, 1.5), length));
           case "season" -> parts.add(new Shape.Season(p.number("top", 1, 100, 2), length));
           case "flash" -> parts.add(new Shape.Flash(p.number("start_s", 0, DAY_S, length / 2), p.number("factor", 1, 1000, 5),
               p.number("half_life_s", 0.01, DAY_S, length / 10)));
-          default -> p.wrong("kind", "expected one of " + String.join(", ", SHAPES) + ", got \"" + kind + "\"");
+          default -> p.reportError("kind", "expected one of " + String.join(", ", SHAPES) + ", got \"" + kind + "\"");
         }
       } catch (IllegalArgumentException e) {
-        p.wrong("kind", e.getMessage());
+        p.reportError("kind", e.getMessage());
       }
     }
     return parts.isEmpty() ? new Shape.Flat() : parts.size() == 1 ? parts.get(0) : new Shape.Product(List.copyOf(parts));
@@ -119,28 +119,28 @@
     List<Type> types = new ArrayList<>();
     Set<String> names = new HashSet<>();
     for (Section c : s.tables("class")) {
-      String name = c.text("name");
+      String name = c.string("name");
       if (!names.add(name)) {
-        c.wrong("name", "two classes are called \"" + name + "\"");
+        c.reportError("name", "two classes are called \"" + name + "\"");
       }
-      Effect effect = c.word("effect", EFFECTS, null);
+      Effect effect = c.oneOf("effect", EFFECTS, null);
       double aim = c.number("aim_ms", 0.1, DAY_MS, 1000);
       double deadline = c.number("deadline_ms", 0.1, DAY_MS, Math.max(aim, 3000));
       if (deadline < aim) {
-        c.wrong("deadline_ms", "expected no less than aim_ms, got " + deadline);
+        c.reportError("deadline_ms", "expected no less than aim_ms, got " + deadline);
       }
-      long least = c.whole("hint_least_us", 0, 100_000_000, 0);
-      long most = c.whole("hint_most_us", 0, 100_000_000, least);
+      long least = c.integer("hint_least_us", 0, 100_000_000, 0);
+      long most = c.integer("hint_most_us", 0, 100_000_000, least);
       if (most < least) {
-        c.wrong("hint_most_us", "expected no less than hint_least_us, got " + most);
+        c.reportError("hint_most_us", "expected no less than hint_least_us, got " + most);
         most = least;
       }
       types.add(new Type(name, effect == null ? Effect.UNSAFE : effect, c.number("share", 0.0001, 1e6, 1),
-          c.number("worth", 0, 1e6, 1), aim, deadline, (int) c.whole("bytes", 0, 65536, effect == Effect.SAFE ? 0 : 200), least,
+          c.number("worth", 0, 1e6, 1), aim, deadline, (int) c.integer("bytes", 0, 65536, effect == Effect.SAFE ? 0 : 200), least,
           most));
     }
     if (types.isEmpty()) {
-      s.wrong("class", "expected at least one [[load.class]], got nothing");
+      s.reportError("class", "expected at least one [[load.class]], got nothing");
       types.add(new Type("none", Effect.SAFE, 1, 1, 1, 1, 0, 0, 0));
     }
     return List.copyOf(types);
@@ -150,9 +150,9 @@
     List<Tenant> tenants = new ArrayList<>();
     Set<String> names = new HashSet<>();
     for (Section t : s.tables("tenant")) {
-      String name = t.text("name");
+      String name = t.string("name");
       if (!names.add(name)) {
-        t.wrong("name", "two tenants are called \"" + name + "\"");
+        t.reportError("name", "two tenants are called \"" + name + "\"");
       }
       double share = t.number("share", 0.0001, 1e6, 1);
       tenants.add(new Tenant(name, share, t.number("portion", 0, 1, 0)));
@@ -161,26 +161,26 @@
   }
 
   private static Keys keys(Section k) {
-    return new Keys((int) k.whole("count", 0, 1_000_000, 1000), k.number("zipf", 0, 4, 1));
+    return new Keys((int) k.integer("count", 0, 1_000_000, 1000), k.number("zipf", 0, 4, 1));
   }
 
   private static Target target(Section t) {
-    String path = t.text("path", "/api");
+    String path = t.string("path", "/api");
     if (!path.matches("/[!-~]*")) {
-      t.wrong("path", "expected a path such as /api, got \"" + path + "\"");
+      t.reportError("path", "expected a path such as /api, got \"" + path + "\"");
     }
-    String domain = t.text("domain", "load.test.");
+    String domain = t.string("domain", "load.test.");
     if (Names.of(domain) == null || domain.length() > MOST_DOMAIN) {
-      t.wrong("domain", "expected a domain name, got \"" + domain + "\"");
+      t.reportError("domain", "expected a domain name, got \"" + domain + "\"");
       domain = "load.test.";
     }
-    return new Target(t.word("protocol", PROTOCOLS, Protocol.HTTP), t.address("address", null), path,
-        (int) t.whole("connections", 1, 60_000, 256), t.whole("connect_ms", 1, 60_000, 1000),
+    return new Target(t.oneOf("protocol", PROTOCOLS, Protocol.HTTP), t.address("address", null), path,
+        (int) t.integer("connections", 1, 60_000, 256), t.integer("connect_ms", 1, 60_000, 1000),
         domain.endsWith(".") ? domain : domain + ".");
   }
 
   private static Clients clients(Section c) {
-    return new Clients((int) c.whole("retries", 0, 10, 0), c.number("back_off_ms", 0, DAY_MS, 200),
+    return new Clients((int) c.integer("retries", 0, 10, 0), c.number("back_off_ms", 0, DAY_MS, 200),
         c.number("honour_retry_after", 0, 1, 1), c.number("patience_least", 0.01, 1, 1));
   }
 }
--- a/model/src/main/java/cloverpulley/model/ModelPlan.java
+++ b/model/src/main/java/cloverpulley/model/ModelPlan.java
@@ -39,37 +39,37 @@
       policies.put(p.name().toLowerCase(Locale.ROOT), p);
     }
     List<Policies> chosen = new ArrayList<>();
-    for (String name : s.texts("policies", List.of("module", "random", "two_choices", "least_outstanding"))) {
+    for (String name : s.strings("policies", List.of("module", "random", "two_choices", "least_outstanding"))) {
       if (policies.containsKey(name)) {
         chosen.add(policies.get(name));
       } else {
-        s.wrong("policies", "expected some of " + policies.keySet().stream().sorted().toList() + ", got \"" + name + "\"");
+        s.reportError("policies", "expected some of " + policies.keySet().stream().sorted().toList() + ", got \"" + name + "\"");
       }
     }
     Map<String, Kind> kinds = Map.of("kill", Kind.KILL, "drain", Kind.DRAIN, "slow", Kind.SLOW, "replace", Kind.REPLACE);
     List<Fault> faults = new ArrayList<>();
     for (Section f : s.tables("fault")) {
-      faults.add(new Fault(f.word("kind", kinds, Kind.KILL), f.number("at_s", 0, 86_400, 0), f.number("part", 0, 1, 0.25),
+      faults.add(new Fault(f.oneOf("kind", kinds, Kind.KILL), f.number("at_s", 0, 86_400, 0), f.number("part", 0, 1, 0.25),
           f.number("factor", 0.01, 100, 3)));
     }
     double seconds = s.number("seconds", 0.1, 86_400, 60);
     double rate = s.number("rate", 0.1, 10_000_000, 1000);
     if (rate * seconds > MOST_REQUESTS) {
-      s.wrong("rate", "expected no more than " + (long) MOST_REQUESTS + " requests in all, got " + (long) (rate * seconds));
+      s.reportError("rate", "expected no more than " + (long) MOST_REQUESTS + " requests in all, got " + (long) (rate * seconds));
       rate = 1;
     }
-    int balancers = (int) s.whole("balancers", 1, 10_000, 1);
-    int servers = (int) s.whole("servers", 1, 100_000, 10);
+    int balancers = (int) s.integer("balancers", 1, 10_000, 1);
+    int servers = (int) s.integer("servers", 1, 100_000, 10);
     // Some 20 KB for each server that a balancer knows: its ring points above all.
     double gigabytes = (double) balancers * servers * 20_000 / (1 << 30);
     double there = Runtime.getRuntime().maxMemory() / (double) (1 << 30);
     if (gigabytes > there) {
-      s.wrong("balancers", String.format(Locale.ROOT, "would take some %.1f GB beside %d servers, and there are %.1f", gigabytes, servers,
+      s.reportError("balancers", String.format(Locale.ROOT, "would take some %.1f GB beside %d servers, and there are %.1f", gigabytes, servers,
           there));
     }
-    return new ModelPlan(settings, s.whole("seed", Long.MIN_VALUE, Long.MAX_VALUE, 1), seconds, rate, balancers, servers,
-        (int) s.whole("workers", 1, 10_000, 4), s.number("work_ms", 0.001, 100_000, 10), s.flag("steady", false),
-        (int) s.whole("queue", 0, 1_000_000, 100), s.number("network_ms", 0, 10_000, 0.5), s.number("list_ms", 0, 600_000, 100),
-        (int) s.whole("keys", 0, 10_000_000, 1000), List.copyOf(faults), chosen.isEmpty() ? List.of(Policies.MODULE) : List.copyOf(chosen));
+    return new ModelPlan(settings, s.integer("seed", Long.MIN_VALUE, Long.MAX_VALUE, 1), seconds, rate, balancers, servers,
+        (int) s.integer("workers", 1, 10_000, 4), s.number("work_ms", 0.001, 100_000, 10), s.bool("steady", false),
+        (int) s.integer("queue", 0, 1_000_000, 100), s.number("network_ms", 0, 10_000, 0.5), s.number("list_ms", 0, 600_000, 100),
+        (int) s.integer("keys", 0, 10_000_000, 1000), List.copyOf(faults), chosen.isEmpty() ? List.of(Policies.MODULE) : List.copyOf(chosen));
   }
 }
--- a/processor/src/main/java/cloverpulley/processor/ProcessorConfig.java
+++ b/processor/src/main/java/cloverpulley/processor/ProcessorConfig.java
@@ -55,59 +55,59 @@
    */
   public static ProcessorConfig read(Section s, long longestNanos) {
     InetSocketAddress listen = s.address("listen", "127.0.0.1:9002");
-    long timeout = s.whole("message_timeout_ms", 10, 60_000, 200);
+    long timeout = s.integer("message_timeout_ms", 10, 60_000, 200);
     Section l = s.table("limits");
-    Limits limits = new Limits((int) l.whole("streams", 1, 1_000_000, 20_000),
-        (int) l.whole("streams_per_connection", 1, 1_000_000, 10_000),
-        (int) l.whole("message_bytes", 1024, 64 << 20, 1 << 20), (int) l.whole("header_bytes", 256, 16 << 20, 64 << 10),
-        (int) l.whole("headers", 1, 100_000, 256), l.whole("first_message_ms", 1, DAY_MS, 5000),
-        l.whole("stream_idle_ms", 1, DAY_MS, 60_000), l.whole("connection_idle_ms", 1, DAY_MS, 300_000),
-        l.whole("connection_age_ms", 1000, 30 * DAY_MS, DAY_MS));
+    Limits limits = new Limits((int) l.integer("streams", 1, 1_000_000, 20_000),
+        (int) l.integer("streams_per_connection", 1, 1_000_000, 10_000),
+        (int) l.integer("message_bytes", 1024, 64 << 20, 1 << 20), (int) l.integer("header_bytes", 256, 16 << 20, 64 << 10),
+        (int) l.integer("headers", 1, 100_000, 256), l.integer("first_message_ms", 1, DAY_MS, 5000),
+        l.integer("stream_idle_ms", 1, DAY_MS, 60_000), l.integer("connection_idle_ms", 1, DAY_MS, 300_000),
+        l.integer("connection_age_ms", 1000, 30 * DAY_MS, DAY_MS));
     Section r = s.table("repeats");
-    long keep = r.whole("keep_ms", 1, DAY_MS, Math.max(LEAST_KEPT_MS, TimeUnit.NANOSECONDS.toMillis(longestNanos)));
+    long keep = r.integer("keep_ms", 1, DAY_MS, Math.max(LEAST_KEPT_MS, TimeUnit.NANOSECONDS.toMillis(longestNanos)));
     if (TimeUnit.MILLISECONDS.toNanos(keep) < longestNanos) {
-      r.wrong("keep_ms", "expected no less than the longest deadline and dedup window together, "
+      r.reportError("keep_ms", "expected no less than the longest deadline and dedup window together, "
           + TimeUnit.NANOSECONDS.toMillis(longestNanos) + ", got " + keep);
     }
     AttemptTracker.Config repeats =
-        new AttemptTracker.Config((int) r.whole("most", 1, 10_000_000, 100_000), TimeUnit.MILLISECONDS.toNanos(keep));
-    return new ProcessorConfig(listen, TimeUnit.MILLISECONDS.toNanos(timeout), (int) s.whole("io_threads", 1, 64, 1),
-        s.flag("ask_for_responses", true), s.flag("reflection", false), s.flag("reuse_port", true),
-        s.whole("lame_ms", 0, DAY_MS, 500), s.whole("drain_ms", 0, DAY_MS, 10_000),
-        (int) s.whole("warm_up_calls", 0, 100_000, 500), names(s.table("headers")), limits, repeats,
-        r.flag("count_required", false), tls(s, listen),
-        records(s), s.whole("records_most_mb", 1, 100_000, 256) << 20);
+        new AttemptTracker.Config((int) r.integer("most", 1, 10_000_000, 100_000), TimeUnit.MILLISECONDS.toNanos(keep));
+    return new ProcessorConfig(listen, TimeUnit.MILLISECONDS.toNanos(timeout), (int) s.integer("io_threads", 1, 64, 1),
+        s.bool("ask_for_responses", true), s.bool("reflection", false), s.bool("reuse_port", true),
+        s.integer("lame_ms", 0, DAY_MS, 500), s.integer("drain_ms", 0, DAY_MS, 10_000),
+        (int) s.integer("warm_up_calls", 0, 100_000, 500), names(s.table("headers")), limits, repeats,
+        r.bool("count_required", false), tls(s, listen),
+        records(s), s.integer("records_most_mb", 1, 100_000, 256) << 20);
   }
 
   private static Path records(Section s) {
-    String file = s.text("records_file", "");
+    String file = s.string("records_file", "");
     return file.isEmpty() ? null : Path.of(file);
   }
 
   private static Names names(Section h) {
     List<String> ids = new ArrayList<>();
-    h.texts("id", List.of("x-request-id", "x-trace-id")).forEach(id -> ids.add(name(h, "id", id)));
+    h.strings("id", List.of("x-request-id", "x-trace-id")).forEach(id -> ids.add(name(h, "id", id)));
     List<String> strip = new ArrayList<>();
-    h.texts("strip", List.of("x-gateway-destination-endpoint", "x-envoy-original-dst-host"))
+    h.strings("strip", List.of("x-gateway-destination-endpoint", "x-envoy-original-dst-host"))
         .forEach(n -> strip.add(name(h, "strip", n)));
-    String destination = name(h, "destination", h.text("destination", "x-gateway-destination-endpoint"));
+    String destination = name(h, "destination", h.string("destination", "x-gateway-destination-endpoint"));
     strip.remove(destination); // It is overwritten, or removed where the caller gets no destination.
-    return new Names(destination, List.copyOf(strip), h.text("metadata", "envoy.lb"), List.copyOf(ids),
-        header(h, "attempt_count", "x-envoy-attempt-count"), header(h, "class", "x-qos"), h.text("default_class", ""),
-        header(h, "tenant", "x-customer"), header(h, "key", "cookie"), h.text("key_cookie", "sid"),
+    return new Names(destination, List.copyOf(strip), h.string("metadata", "envoy.lb"), List.copyOf(ids),
+        header(h, "attempt_count", "x-envoy-attempt-count"), header(h, "class", "x-qos"), h.string("default_class", ""),
+        header(h, "tenant", "x-customer"), header(h, "key", "cookie"), h.string("key_cookie", "sid"),
         header(h, "hint_us", "x-size-hint"), header(h, "expires_ms", "x-expires-in-ms"),
         header(h, "retry", "x-second-try"), header(h, "idempotency_key", "idempotency-key"),
         header(h, "quota", "x-quota-path"));
   }
 
   private static String header(Section h, String key, String absent) {
-    return name(h, key, h.text(key, absent));
+    return name(h, key, h.string(key, absent));
   }
 
   private static String name(Section h, String key, String name) {
     String lower = name.toLowerCase(Locale.ROOT);
     if (!lower.matches("[a-z0-9!#$%&'*+.^_`|~-]{1,128}")) {
-      h.wrong(key, "expected the name of a header, got \"" + name + "\"");
+      h.reportError(key, "expected the name of a header, got \"" + name + "\"");
       return "x-unreadable";
     }
     return lower;
@@ -116,7 +116,7 @@
   private static Tls tls(Section s, InetSocketAddress listen) {
     if (!s.has("tls")) {
       if (!listen.getAddress().isLoopbackAddress()) {
-        s.wrong("listen", "expected [processor.tls] beside an address that is not loopback");
+        s.reportError("listen", "expected [processor.tls] beside an address that is not loopback");
       }
       return null;
     }
@@ -126,12 +126,12 @@
 
   private static Path file(Section t, String key, boolean needed) {
     if (!needed && !t.has(key)) {
-      t.text(key, "");
+      t.string(key, "");
       return null;
     }
-    Path path = Path.of(t.text(key));
+    Path path = Path.of(t.string(key));
     if (!path.toFile().isFile()) {
-      t.wrong(key, "expected a file, found none at \"" + path + "\"");
+      t.reportError(key, "expected a file, found none at \"" + path + "\"");
     }
     return path;
   }
--- a/quota/src/main/java/cloverpulley/quota/service/LeaseConfig.java
+++ b/quota/src/main/java/cloverpulley/quota/service/LeaseConfig.java
@@ -25,38 +25,38 @@
       return null;
     }
     Section section = quota.table("leases");
-    String instance = section.text("instance");
+    String instance = section.string("instance");
     if (!instance.matches("[!-~]{1,64}")) {
-      section.wrong("instance", "expected 1 to 64 printable characters without spaces");
+      section.reportError("instance", "expected 1 to 64 printable characters without spaces");
     }
     List<InetSocketAddress> coordinators = new ArrayList<>();
-    for (String text : section.texts("coordinators", List.of())) {
+    for (String text : section.strings("coordinators", List.of())) {
       InetSocketAddress address = Section.address(text);
       if (address == null || !address.getAddress().isLoopbackAddress()) {
-        section.wrong("coordinators", "expected numeric loopback addresses with a port, got \"" + text + "\"");
+        section.reportError("coordinators", "expected numeric loopback addresses with a port, got \"" + text + "\"");
       } else {
         coordinators.add(address);
       }
     }
     if (coordinators.isEmpty()) {
-      section.wrong("coordinators", "expected at least one");
+      section.reportError("coordinators", "expected at least one");
     }
     InetSocketAddress listen = section.has("listen") ? section.address("listen", null) : null;
     if (listen != null && !listen.getAddress().isLoopbackAddress()) {
-      section.wrong("listen", "expected a loopback address: leases are not authenticated");
+      section.reportError("listen", "expected a loopback address: leases are not authenticated");
     }
-    long validMillis = section.whole("valid_ms", 10, 600_000, 10_000);
-    long fallMillis = section.whole("fall_ms", 0, 600_000, 10_000);
-    long reclaimMillis = section.whole("reclaim_ms", 0, DAY_MS, 0);
+    long validMillis = section.integer("valid_ms", 10, 600_000, 10_000);
+    long fallMillis = section.integer("fall_ms", 0, 600_000, 10_000);
+    long reclaimMillis = section.integer("reclaim_ms", 0, DAY_MS, 0);
     if (reclaimMillis > 0 && reclaimMillis < validMillis + fallMillis) {
-      section.wrong("reclaim_ms", "expected 0 or at least the sum of valid_ms and fall_ms, got " + reclaimMillis);
+      section.reportError("reclaim_ms", "expected 0 or at least the sum of valid_ms and fall_ms, got " + reclaimMillis);
       reclaimMillis = 0;
     }
-    long reportMillis = section.whole("report_ms", 5, 60_000, 1000);
+    long reportMillis = section.integer("report_ms", 5, 60_000, 1000);
     if (reportMillis * 3 > validMillis) {
-      section.wrong("report_ms", "expected at most a third of valid_ms, got " + reportMillis);
+      section.reportError("report_ms", "expected at most a third of valid_ms, got " + reportMillis);
     }
-    return new LeaseConfig(instance, new Leases.Terms((int) section.whole("instances", 1, 10_000), validMillis * 1_000_000, fallMillis * 1_000_000,
+    return new LeaseConfig(instance, new Leases.Terms((int) section.integer("instances", 1, 10_000), validMillis * 1_000_000, fallMillis * 1_000_000,
         reclaimMillis * 1_000_000), coordinators, listen, reportMillis);
   }
 }
--- a/quota/src/main/java/cloverpulley/quota/service/QuotaConfig.java
+++ b/quota/src/main/java/cloverpulley/quota/service/QuotaConfig.java
@@ -38,25 +38,25 @@
     List<Lane> lanes = new ArrayList<>();
     List<Double> totals = new ArrayList<>();
     for (Section lane : s.tables("lane")) {
-      Dimension d = lane.word("dimension", DIMENSIONS, Dimension.REQUESTS);
-      long window = lane.whole("window_ms", 1, 3_600_000, d == Dimension.CONCURRENCY ? 0 : 1000);
+      Dimension d = lane.oneOf("dimension", DIMENSIONS, Dimension.REQUESTS);
+      long window = lane.integer("window_ms", 1, 3_600_000, d == Dimension.CONCURRENCY ? 0 : 1000);
       if (d == Dimension.CONCURRENCY && window != 0) {
-        lane.wrong("window_ms", "concurrency has no window");
+        lane.reportError("window_ms", "concurrency has no window");
       }
       lanes.add(new Lane(d, d == Dimension.CONCURRENCY ? 0 : window * 1_000_000));
       totals.add(lane.number("total", 1e-6, MAX_TOTAL, 1000));
     }
     QuotaPlan plan = plan(s, lanes, totals);
     Section journal = s.table("journal");
-    String journalFile = journal.text("file", "");
+    String journalFile = journal.string("file", "");
     Section service = s.table("service");
     InetSocketAddress listen = service.has("listen") ? service.address("listen", null) : null;
     if (listen != null && !listen.getAddress().isLoopbackAddress()) {
-      service.wrong("listen", "expected a loopback address: the service has no TLS");
+      service.reportError("listen", "expected a loopback address: the service has no TLS");
     }
-    return new QuotaConfig(plan, (int) s.whole("most_nodes", 0, 10_000_000, 100_000), journalFile.isEmpty() ? null : Path.of(journalFile),
-        journal.whole("flush_ms", 1, 60_000, 100), journal.whole("most_mb", 1, 100_000, 64) << 20, journal.flag("force", false), listen,
-        service.text("domain", "ashdeck"), LeaseConfig.read(s));
+    return new QuotaConfig(plan, (int) s.integer("most_nodes", 0, 10_000_000, 100_000), journalFile.isEmpty() ? null : Path.of(journalFile),
+        journal.integer("flush_ms", 1, 60_000, 100), journal.integer("most_mb", 1, 100_000, 64) << 20, journal.bool("force", false), listen,
+        service.string("domain", "ashdeck"), LeaseConfig.read(s));
   }
 
   private static QuotaPlan plan(Section s, List<Lane> lanes, List<Double> totals) {
@@ -64,15 +64,15 @@
     try {
       builder = new QuotaPlan.Builder(lanes, array(totals));
     } catch (IllegalArgumentException e) {
-      s.wrong("lane", e.getMessage());
+      s.reportError("lane", e.getMessage());
       s.tables("node").forEach(n -> { });
-      s.text("others", "");
+      s.string("others", "");
       return null;
     }
     Map<String, double[]> guarantees = new HashMap<>();
     guarantees.put("", array(totals));
     for (Section n : s.tables("node")) {
-      String path = n.text("path");
+      String path = n.string("path");
       int slash = path.lastIndexOf('/');
       double[] parentGuarantee = guarantees.getOrDefault(slash < 0 ? "" : path.substring(0, slash), new double[lanes.size()]);
       double share = n.number("share", 0, 1, 0);
@@ -84,7 +84,7 @@
         guarantee[i] = n.has("guarantee") ? guarantee[i] : share * parentGuarantee[i];
       }
       if (n.has("guarantee") && n.has("share")) {
-        n.wrong("share", "expected share or guarantee, not both");
+        n.reportError("share", "expected share or guarantee, not both");
       }
       double[] ceiling = values(n, "ceiling", lanes.size());
       QuotaPlan.ChildTemplate childTemplate = n.has("child_weight") || n.has("child_share")
@@ -93,14 +93,14 @@
         builder.node(path, n.number("weight", 1e-6, 1e6, 1), guarantee, ceiling, childTemplate);
         guarantees.put(path, guarantee);
       } catch (IllegalArgumentException e) {
-        n.wrong("path", e.getMessage());
+        n.reportError("path", e.getMessage());
       }
     }
-    String others = s.text("others", "");
+    String others = s.string("others", "");
     try {
       builder.others(others);
     } catch (IllegalArgumentException e) {
-      s.wrong("others", e.getMessage());
+      s.reportError("others", e.getMessage());
     }
     return builder.build();
   }
@@ -110,9 +110,9 @@
     if (!n.has(key)) {
       return null;
     }
-    List<Integer> numbers = n.wholes(key, 0, Integer.MAX_VALUE, List.of());
+    List<Integer> numbers = n.integers(key, 0, Integer.MAX_VALUE, List.of());
     if (numbers.size() != lanes) {
-      n.wrong(key, "expected one value for each of the " + lanes + " lanes, got " + numbers.size());
+      n.reportError(key, "expected one value for each of the " + lanes + " lanes, got " + numbers.size());
     }
     double[] values = new double[lanes];
     for (int i = 0; i < lanes; i++) {
--- a/records/src/main/java/cloverpulley/records/RecordsConfig.java
+++ b/records/src/main/java/cloverpulley/records/RecordsConfig.java
@@ -25,19 +25,19 @@
 
   /** Reads the section; without a folder, recording is disabled. */
   public static RecordsConfig read(Section section) {
-    String folder = section.text("folder", "");
-    String instance = section.text("instance", "ashdeck");
+    String folder = section.string("folder", "");
+    String instance = section.string("instance", "ashdeck");
     if (!instance.matches("[!-~]{1,64}")) {
-      section.wrong("instance", "expected 1 to 64 printable characters without spaces, got \"" + instance + "\"");
+      section.reportError("instance", "expected 1 to 64 printable characters without spaces, got \"" + instance + "\"");
       instance = "ashdeck";
     }
-    long segmentBytes = section.whole("segment_mb", 1, 1024, 16) * MB;
-    long maxBytes = section.whole("most_mb", 2, 1_000_000, 512) * MB;
+    long segmentBytes = section.integer("segment_mb", 1, 1024, 16) * MB;
+    long maxBytes = section.integer("most_mb", 2, 1_000_000, 512) * MB;
     if (maxBytes < 2 * segmentBytes) {
-      section.wrong("most_mb", "expected at least two segments, " + 2 * segmentBytes / MB + ", got " + maxBytes / MB);
+      section.reportError("most_mb", "expected at least two segments, " + 2 * segmentBytes / MB + ", got " + maxBytes / MB);
     }
-    return new RecordsConfig(folder.isEmpty() ? null : Path.of(folder), instance, segmentBytes, maxBytes, section.whole("flush_ms", 10, 60_000, 500),
-        (int) section.whole("queue", 1024, 1 << 22, 1 << 16), section.word("sync", SYNCS, Sync.SEGMENT));
+    return new RecordsConfig(folder.isEmpty() ? null : Path.of(folder), instance, segmentBytes, maxBytes,
+        section.integer("flush_ms", 10, 60_000, 500), (int) section.integer("queue", 1024, 1 << 22, 1 << 16), section.oneOf("sync", SYNCS, Sync.SEGMENT));
   }
 
   /** Default settings for a folder and an instance name. */
