--- a/bench/src/main/java/cloverpulley/bench/DnsBench.java
+++ b/bench/src/main/java/cloverpulley/bench/DnsBench.java
@@ -1,7 +1,7 @@
 package cloverpulley.bench;
 
-import cloverpulley.config.BadFileException;
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
+import cloverpulley.config.InvalidConfigException;
 import cloverpulley.dns.wire.Message;
 import cloverpulley.dns.wire.Names;
 import cloverpulley.dns.wire.Question;
@@ -60,7 +60,7 @@
   }
 
   /** {@code [--seconds N]} for each rate; {@code --flood} for the flood alone. */
-  public static void main(String[] args) throws IOException, InterruptedException, BadFileException {
+  public static void main(String[] args) throws IOException, InterruptedException, InvalidConfigException {
     if (args.length > 0 && args[0].equals("generate")) {
       generate();
       System.exit(0);
@@ -80,11 +80,11 @@
   // ---- The generator, in a process of its own --------------------------------------------------------------
 
   /** A line in: protocol, port, rate, seconds, names, seed. A line out: asked, served, timed out, p50 and p99 in us, doubles, p99 lateness. */
-  private static void generate() throws IOException, InterruptedException, BadFileException {
+  private static void generate() throws IOException, InterruptedException, InvalidConfigException {
     BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
     for (String line = in.readLine(); line != null; line = in.readLine()) {
       String[] f = line.split(" ");
-      Plan plan = OperatorsFile.parse("bench", "[load]\nseed = " + f[5] + "\nrate = " + f[2] + "\nseconds = " + f[3]
+      Plan plan = ConfigFile.parse("bench", "[load]\nseed = " + f[5] + "\nrate = " + f[2] + "\nseconds = " + f[3]
           + "\n[[load.class]]\nname = \"query\"\neffect = \"safe\"\naim_ms = 300\ndeadline_ms = 2000\n[load.keys]\ncount = " + f[4]
           + "\nzipf = 0\n[load.target]\nprotocol = \"" + f[0] + "\"\nconnections = 16\naddress = \"127.0.0.1:" + f[1] + "\"\n",
           Plan::read);
--- a/bench/src/main/java/cloverpulley/bench/DnsSdBench.java
+++ b/bench/src/main/java/cloverpulley/bench/DnsSdBench.java
@@ -4,8 +4,8 @@
 import cloverpulley.Balancer.Settings;
 import cloverpulley.Balancer.Status;
 import cloverpulley.Logic;
-import cloverpulley.config.BadFileException;
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
+import cloverpulley.config.InvalidConfigException;
 import cloverpulley.config.Section;
 import cloverpulley.config.ServiceSection;
 import cloverpulley.dnssd.DnsSdConfig;
@@ -209,12 +209,12 @@
     }
   }
 
-  private static Told told(StandInDns server) throws BadFileException {
+  private static Told told(StandInDns server) throws InvalidConfigException {
     StringBuilder domains = new StringBuilder();
     for (int d = 0; d < DOMAINS; d++) {
       domains.append(d == 0 ? "" : ", ").append("\"d").append(d).append(".test\"");
     }
-    return OperatorsFile.parse("bench", """
+    return ConfigFile.parse("bench", """
         [service]
         zone = "a"
         most_in_hand = 100000
--- a/bench/src/main/java/cloverpulley/bench/DnsServers.java
+++ b/bench/src/main/java/cloverpulley/bench/DnsServers.java
@@ -1,8 +1,8 @@
 package cloverpulley.bench;
 
 import cloverpulley.Balancer.State;
-import cloverpulley.config.BadFileException;
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
+import cloverpulley.config.InvalidConfigException;
 import cloverpulley.dns.DnsConfig;
 import cloverpulley.dns.DnsServer;
 import cloverpulley.dns.Warmup;
@@ -55,7 +55,7 @@
    * <p>{@code null TTL}: answers every question with one address at once; or {@code front MB PORT...}: the front before servers at these
    * ports. Prints its port; then does what each line of its input says: {@code count}, {@code drain}, {@code report}.
    */
-  public static void main(String[] args) throws IOException, BadFileException {
+  public static void main(String[] args) throws IOException, InvalidConfigException {
     BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
     if (args[0].equals("null")) {
       Null server = new Null(Integer.parseInt(args[1]));
@@ -69,7 +69,7 @@
       for (int i = 2; i < args.length; i++) {
         text.append("[[dns.fleet.server]]\nid = \"d").append(i).append("\"\naddress = \"127.0.0.1:").append(args[i]).append("\"\nzone = \"a\"\n");
       }
-      DnsConfig config = OperatorsFile.parse("bench", text.toString(), f -> DnsConfig.read(f.table("dns"), null));
+      DnsConfig config = ConfigFile.parse("bench", text.toString(), f -> DnsConfig.read(f.table("dns"), null));
       Warmup.run(config, WARM_UP);
       DnsServer server = DnsServer.start(config, null, 1);
       System.out.println("port " + server.address().getPort());
--- a/bench/src/main/java/cloverpulley/bench/IncidentBench.java
+++ b/bench/src/main/java/cloverpulley/bench/IncidentBench.java
@@ -1,8 +1,8 @@
 package cloverpulley.bench;
 
 import cloverpulley.bench.Caller.Result;
-import cloverpulley.config.BadFileException;
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
+import cloverpulley.config.InvalidConfigException;
 import cloverpulley.incident.Clocks;
 import cloverpulley.incident.Entry;
 import cloverpulley.incident.Kind;
@@ -48,7 +48,7 @@
   private IncidentBench() {}
 
   /** {@code --rounds N}, {@code --seconds N} of each run, {@code --records N} of the day. */
-  public static void main(String[] args) throws IOException, InterruptedException, BadFileException {
+  public static void main(String[] args) throws IOException, InterruptedException, InvalidConfigException {
     List<String> given = Arrays.asList(args);
     int rounds = (int) option(given, "--rounds", 5);
     int seconds = (int) option(given, "--seconds", 3);
@@ -130,11 +130,11 @@
     return r.rate() * r.destinations() / r.calls();
   }
 
-  private static long mismatches(Path folder) throws IOException, InterruptedException, BadFileException {
+  private static long mismatches(Path folder) throws IOException, InterruptedException, InvalidConfigException {
     Map<String, Long> asked = new TreeMap<>();
     Map<String, Long> counted = new TreeMap<>();
     try (Child child = new Child(OPTIONS, Servers.class, "100", folder.resolve("p").toString())) {
-      Plan plan = OperatorsFile.parse("plan", """
+      Plan plan = ConfigFile.parse("plan", """
           [load]
           seconds = 4.0
           rate = 2000.0
--- a/bench/src/main/java/cloverpulley/bench/LoadBench.java
+++ b/bench/src/main/java/cloverpulley/bench/LoadBench.java
@@ -1,7 +1,7 @@
 package cloverpulley.bench;
 
-import cloverpulley.config.BadFileException;
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
+import cloverpulley.config.InvalidConfigException;
 import cloverpulley.load.Draw;
 import cloverpulley.load.Driver.Outcome;
 import cloverpulley.load.LoadRun;
@@ -36,7 +36,7 @@
   private LoadBench() {}
 
   /** {@code [--seconds N]} for each rate. */
-  public static void main(String[] args) throws IOException, InterruptedException, BadFileException {
+  public static void main(String[] args) throws IOException, InterruptedException, InvalidConfigException {
     if (args.length > 0 && args[0].equals("generate")) {
       generate(Integer.parseInt(args[1]), Integer.parseInt(args[2]));
       System.exit(0);
@@ -77,15 +77,15 @@
     System.exit(0);
   }
 
-  private static Plan plan(int port, double rate, double seconds, String process) throws BadFileException {
-    return OperatorsFile.parse("bench", "[load]\nseed = " + SEED + "\nrate = " + rate + "\nseconds = " + seconds + "\nprocess = \""
+  private static Plan plan(int port, double rate, double seconds, String process) throws InvalidConfigException {
+    return ConfigFile.parse("bench", "[load]\nseed = " + SEED + "\nrate = " + rate + "\nseconds = " + seconds + "\nprocess = \""
         + process + "\"\n[[load.class]]\nname = \"rate-lookup\"\neffect = \"safe\"\naim_ms = 400\ndeadline_ms = 20000\n"
         + "hint_most_us = 20000\n[[load.tenant]]\nname = \"steppe-auto\"\n[load.target]\nconnections = 6000\naddress = "
         + "\"127.0.0.1:" + port + "\"\n", Plan::read);
   }
 
   /** In the generator's process: each rate in turn; a line for each with rate, achieved, part served, lateness, CPU. */
-  private static void generate(int port, int seconds) throws BadFileException, InterruptedException {
+  private static void generate(int port, int seconds) throws InvalidConfigException, InterruptedException {
     for (int i = 0; i < WARM_UPS; i++) {
       LoadRun.play(plan(port, i % 2 == 0 ? 3000 : 10_000, seconds, "poisson"), r -> { });
     }
@@ -109,7 +109,7 @@
   }
 
   /** The part by which the measured waiting in a stall of two seconds differs from the true one. */
-  private static double stall() throws BadFileException, InterruptedException {
+  private static double stall() throws InvalidConfigException, InterruptedException {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     try (ScriptedHttp server = new ScriptedHttp(group, ScriptedHttp.Manner.SERVE)) {
       LoadRun.play(plan(server.address().getPort(), 2000, 3, "poisson"), r -> { });
--- a/bench/src/main/java/cloverpulley/bench/ModelBench.java
+++ b/bench/src/main/java/cloverpulley/bench/ModelBench.java
@@ -1,7 +1,7 @@
 package cloverpulley.bench;
 
-import cloverpulley.config.BadFileException;
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
+import cloverpulley.config.InvalidConfigException;
 import cloverpulley.model.ModelPlan;
 import cloverpulley.model.Policies;
 import cloverpulley.model.Result;
@@ -14,8 +14,8 @@
 
   private ModelBench() {}
 
-  private static ModelPlan plan(int servers, double rate, double seconds, int balancers) throws BadFileException {
-    return OperatorsFile.parse("bench", """
+  private static ModelPlan plan(int servers, double rate, double seconds, int balancers) throws InvalidConfigException {
+    return ConfigFile.parse("bench", """
         [service]
         zone = "a"
         [[class]]
--- a/bench/src/main/java/cloverpulley/bench/Servers.java
+++ b/bench/src/main/java/cloverpulley/bench/Servers.java
@@ -2,8 +2,8 @@
 
 import cloverpulley.Balancer.RequestClass;
 import cloverpulley.Balancer.Settings;
-import cloverpulley.config.BadFileException;
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
+import cloverpulley.config.InvalidConfigException;
 import cloverpulley.config.Section;
 import cloverpulley.config.ServiceSection;
 import cloverpulley.extproc.ExtProc.HeadersResponse;
@@ -46,7 +46,7 @@
    * {@code http} for a null HTTP server; a second one is the folder of the processor's records, or -; a
    * third one how many requests it remembers.
    */
-  public static void main(String[] args) throws IOException, BadFileException, InterruptedException {
+  public static void main(String[] args) throws IOException, InvalidConfigException, InterruptedException {
     if (args[0].equals("http")) {
       EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
       System.out.println("port " + new ScriptedHttp(group, ScriptedHttp.Manner.SERVE).address().getPort());
@@ -100,7 +100,7 @@
     }
   }
 
-  private static int processor(int upstreams, Path records, int remembered) throws IOException, BadFileException {
+  private static int processor(int upstreams, Path records, int remembered) throws IOException, InvalidConfigException {
     StringBuilder text = new StringBuilder("""
         [service]
         zone = "a"
@@ -127,7 +127,7 @@
       text.append("[[fleet.server]]\nid = \"s").append(i).append("\"\nzone = \"a\"\ncell = ").append(i / 4)
           .append("\naddress = \"127.").append(1 + i / 250).append(".0.").append(1 + i % 250).append(":8000\"\n");
     }
-    Told told = OperatorsFile.parse("bench", text.toString(), Told::read);
+    Told told = ConfigFile.parse("bench", text.toString(), Told::read);
     Recorder recorder = records == null ? Recorder.NONE
         : Recorder.open(RecordsConfig.of(records, "p" + ProcessHandle.current().pid()), "process", told.settings);
     return ProcessorServer.start(told.processor, told.settings, told.fleet, 1, recorder).address().getPort();
--- a/config/src/main/java/cloverpulley/config/OperatorsFile.java
+++ b/config/src/main/java/cloverpulley/config/ConfigFile.java
@@ -10,40 +10,40 @@
 import org.tomlj.TomlParseResult;
 
 /** A file of the operators (TOML 1.0): read whole, with all that is wrong in it said at once. */
-public final class OperatorsFile {
+public final class ConfigFile {
 
   /** A longer file is no configuration. */
   private static final long MOST_BYTES = 1 << 20;
 
-  private OperatorsFile() {}
+  private ConfigFile() {}
 
   /**
    * Reads a file.
    *
    * @param reader makes of the whole file what its user needs; whatever it does not ask for is unknown
-   * @throws BadFileException names every key at fault, its line and what was expected
+   * @throws InvalidConfigException names every key at fault, its line and what was expected
    */
-  public static <T> T read(Path path, Function<Section, T> reader) throws BadFileException {
+  public static <T> T read(Path path, Function<Section, T> reader) throws InvalidConfigException {
     Problems problems = new Problems();
     String text;
     try {
       if (Files.size(path) > MOST_BYTES) {
         problems.add("", 0, "longer than " + MOST_BYTES + " bytes");
-        throw new BadFileException(path.toString(), problems.all());
+        throw new InvalidConfigException(path.toString(), problems.all());
       }
       text = Files.readString(path);
     } catch (CharacterCodingException e) {
       problems.add("", 0, "not UTF-8");
-      throw new BadFileException(path.toString(), problems.all());
+      throw new InvalidConfigException(path.toString(), problems.all());
     } catch (IOException e) {
       problems.add("", 0, "can't be read: " + e);
-      throw new BadFileException(path.toString(), problems.all());
+      throw new InvalidConfigException(path.toString(), problems.all());
     }
     return parse(path.toString(), text, reader);
   }
 
   /** The same for a text; {@code name} is what messages call it. */
-  public static <T> T parse(String name, String text, Function<Section, T> reader) throws BadFileException {
+  public static <T> T parse(String name, String text, Function<Section, T> reader) throws InvalidConfigException {
     TomlParseResult parsed = Toml.parse(text);
     Problems problems = new Problems();
     if (parsed.hasErrors()) {
@@ -51,7 +51,7 @@
       for (TomlParseError error : parsed.errors()) {
         problems.add("", error.position().line(), "not TOML: " + error.getMessage().replace('\n', ' '));
       }
-      throw new BadFileException(name, problems.all());
+      throw new InvalidConfigException(name, problems.all());
     }
     Section root = new Section(parsed, "", 0, problems);
     T read = null;
@@ -65,7 +65,7 @@
     }
     root.close();
     if (!problems.isEmpty()) {
-      throw new BadFileException(name, problems.all());
+      throw new InvalidConfigException(name, problems.all());
     }
     return read;
   }
--- a/config/src/test/java/cloverpulley/config/OperatorsFileTest.java
+++ b/config/src/test/java/cloverpulley/config/ConfigFileTest.java
@@ -17,13 +17,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /** A file is read whole, and all that is wrong with it is said at once: key, line, what was expected. */
-class OperatorsFileTest {
+class ConfigFileTest {
 
   @TempDir
   Path folder;
 
   private static List<String> wrong(String text, Function<Section, Object> reader) {
-    BadFileException e = assertThrows(BadFileException.class, () -> OperatorsFile.parse("f", text, reader));
+    InvalidConfigException e = assertThrows(InvalidConfigException.class, () -> ConfigFile.parse("f", text, reader));
     return e.getMessage().lines().toList();
   }
 
@@ -98,11 +98,11 @@
 
   @Test
   void filesThatCantBeReadAreOneLine() throws Exception {
-    assertThrows(BadFileException.class, () -> OperatorsFile.read(folder.resolve("none"), f -> null));
+    assertThrows(InvalidConfigException.class, () -> ConfigFile.read(folder.resolve("none"), f -> null));
     Path bytes = Files.write(folder.resolve("bytes"), new byte[] {(byte) 0xff, (byte) 0xfe});
-    assertEquals(1, assertThrows(BadFileException.class, () -> OperatorsFile.read(bytes, f -> null)).getMessage().lines().count());
+    assertEquals(1, assertThrows(InvalidConfigException.class, () -> ConfigFile.read(bytes, f -> null)).getMessage().lines().count());
     Path large = Files.writeString(folder.resolve("large"), "#".repeat((1 << 20) + 1));
-    assertTrue(assertThrows(BadFileException.class, () -> OperatorsFile.read(large, f -> null)).getMessage().contains("longer"));
+    assertTrue(assertThrows(InvalidConfigException.class, () -> ConfigFile.read(large, f -> null)).getMessage().contains("longer"));
   }
 
   @Test
--- a/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
@@ -7,7 +7,7 @@
 import cloverpulley.agree.AgreeConfig;
 import cloverpulley.agree.Follower;
 import cloverpulley.agree.Voter;
-import cloverpulley.config.BadFileException;
+import cloverpulley.config.InvalidConfigException;
 import cloverpulley.discovery.Discovery;
 import cloverpulley.engine.Attempt;
 import cloverpulley.engine.CompositeEngineListener;
@@ -121,7 +121,7 @@
   }
 
   @Override
-  public Integer call() throws BadFileException, IOException, InterruptedException {
+  public Integer call() throws InvalidConfigException, IOException, InterruptedException {
     Operators operators = Operators.read(config);
     Logs.configure(operators.log());
     if (operators.balance() == null) {
@@ -230,7 +230,7 @@
         balance.listed(read.list()).get(BACK_MILLIS, TimeUnit.MILLISECONDS);
         LOG.info("list of servers read again: {}", read.list().members().size());
       }
-    } catch (BadFileException | ExecutionException | TimeoutException e) {
+    } catch (InvalidConfigException | ExecutionException | TimeoutException e) {
       LOG.warn("not taken, all stays as it was: {}", e.getMessage());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/dist/src/main/java/cloverpulley/cli/CheckCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/CheckCommand.java
@@ -1,6 +1,6 @@
 package cloverpulley.cli;
 
-import cloverpulley.config.BadFileException;
+import cloverpulley.config.InvalidConfigException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -14,7 +14,7 @@
   private Path file;
 
   @Override
-  public Integer call() throws BadFileException {
+  public Integer call() throws InvalidConfigException {
     Operators read = Operators.read(file);
     String servers = read.fleet() == null ? "DNS alone" : read.fleet().isWritten()
         ? read.fleet().list().members().size() + " servers" : read.fleet().opener() == null ? "servers from discovery"
--- a/dist/src/main/java/cloverpulley/cli/DnsCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/DnsCommand.java
@@ -1,6 +1,6 @@
 package cloverpulley.cli;
 
-import cloverpulley.config.BadFileException;
+import cloverpulley.config.InvalidConfigException;
 import cloverpulley.dnssd.Publisher;
 import cloverpulley.dns.DnsServer;
 import cloverpulley.dns.Warmup;
@@ -27,7 +27,7 @@
   private Path config;
 
   @Override
-  public Integer call() throws BadFileException, IOException, InterruptedException {
+  public Integer call() throws InvalidConfigException, IOException, InterruptedException {
     Operators operators = Operators.read(config);
     Logs.configure(operators.log());
     if (operators.dns() == null) {
@@ -64,7 +64,7 @@
         server.updateEndpoints(servers ? read.dns().fleet().list() : null, shown ? read.fleet().list() : null);
         LOG.info("lists of servers read again");
       }
-    } catch (BadFileException | IllegalStateException e) {
+    } catch (InvalidConfigException | IllegalStateException e) {
       LOG.warning("not taken, all stays as it was: " + e.getMessage());
     }
   }
--- a/dist/src/main/java/cloverpulley/cli/DnsSdCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/DnsSdCommand.java
@@ -1,6 +1,6 @@
 package cloverpulley.cli;
 
-import cloverpulley.config.BadFileException;
+import cloverpulley.config.InvalidConfigException;
 import cloverpulley.dnssd.DnsSdView;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -32,7 +32,7 @@
     private long waitMillis;
 
     @Override
-    public Integer call() throws BadFileException, IOException, InterruptedException {
+    public Integer call() throws InvalidConfigException, IOException, InterruptedException {
       Operators operators = Operators.read(config);
       if (operators.dnssd() == null) {
         throw new IOException(config + ": fleet.dnssd: expected a table [fleet.dnssd], got nothing");
--- a/dist/src/main/java/cloverpulley/cli/LoadCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/LoadCommand.java
@@ -1,6 +1,6 @@
 package cloverpulley.cli;
 
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
 import cloverpulley.incident.Entry;
 import cloverpulley.load.ArchiveTrace;
 import cloverpulley.load.Comparison;
@@ -109,7 +109,7 @@
 
     @Override
     public Integer call() throws Exception {
-      Plan plan = OperatorsFile.read(file, Plan::read);
+      Plan plan = ConfigFile.read(file, Plan::read);
       LoadRun.warmUp(plan);
       try (Recorder recorder = records == null ? Recorder.NONE : Recorder.forCaller(records, instance)) {
         return output.finish(LoadRun.play(plan, output.live(plan.seconds()), recording(plan, recorder)), file.toString());
@@ -137,7 +137,7 @@
 
     @Override
     public Integer call() throws Exception {
-      Plan plan = OperatorsFile.read(file, Plan::read);
+      Plan plan = ConfigFile.read(file, Plan::read);
       System.out.print(show ? PlanPicture.draw(plan) : file + ": ok, " + PlanPicture.line(plan) + "\n");
       return 0;
     }
@@ -161,7 +161,7 @@
 
     @Override
     public Integer call() throws Exception {
-      Plan plan = OperatorsFile.read(file, Plan::read);
+      Plan plan = ConfigFile.read(file, Plan::read);
       LoadRun.warmUp(plan);
       LoadRun.Replayed replayed = LoadRun.replay(plan, trace, speed, output.live(plan.seconds()));
       if (replayed.damage() != null) {
--- a/dist/src/main/java/cloverpulley/cli/ModelCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/ModelCommand.java
@@ -1,6 +1,6 @@
 package cloverpulley.cli;
 
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
 import cloverpulley.model.ModelPlan;
 import cloverpulley.model.Policies;
 import cloverpulley.model.Result;
@@ -39,7 +39,7 @@
 
     @Override
     public Integer call() throws Exception {
-      ModelPlan plan = OperatorsFile.read(file, ModelPlan::read);
+      ModelPlan plan = ConfigFile.read(file, ModelPlan::read);
       int status = 0;
       System.out.printf("%-18s %9s %7s %8s %8s %8s %8s %9s  %s%n", "policy", "asked", "G", "served", "refused", "p50 ms", "p99 ms",
           "requests/s", "rules");
@@ -81,7 +81,7 @@
       if (seeds < 3 || seeds > 10_000 || !(within > 0)) {
         throw new IllegalArgumentException("--seeds has to be 3 to 10000 and --within above 0");
       }
-      ModelPlan plan = OperatorsFile.read(file, ModelPlan::read);
+      ModelPlan plan = ConfigFile.read(file, ModelPlan::read);
       Sweep.Difference d = Sweep.compare(plan, a, b, seeds, within, Runtime.getRuntime().availableProcessors());
       System.out.printf(Locale.ROOT, "G %s less %s: %.4f, 95%% interval %.4f to %.4f, %d pairs%n", a.name().toLowerCase(Locale.ROOT),
           b.name().toLowerCase(Locale.ROOT), d.mean(), d.mean() - d.halfWidth(), d.mean() + d.halfWidth(), d.pairs());
--- a/dist/src/main/java/cloverpulley/cli/Operators.java
+++ b/dist/src/main/java/cloverpulley/cli/Operators.java
@@ -3,8 +3,8 @@
 import cloverpulley.Balancer.RequestClass;
 import cloverpulley.Balancer.Settings;
 import cloverpulley.agree.AgreeConfig;
-import cloverpulley.config.BadFileException;
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
+import cloverpulley.config.InvalidConfigException;
 import cloverpulley.config.Section;
 import cloverpulley.config.ServiceSection;
 import cloverpulley.dns.DnsConfig;
@@ -33,8 +33,8 @@
     PublishConfig publish, RecordsConfig records, LogConfig log,
     QuotaConfig quota, BalanceConfig balance, AgreeConfig agree) {
 
-  static Operators read(Path path) throws BadFileException {
-    return OperatorsFile.read(path, Operators::read);
+  static Operators read(Path path) throws InvalidConfigException {
+    return ConfigFile.read(path, Operators::read);
   }
 
   static Operators read(Section file) {
--- a/dist/src/main/java/cloverpulley/cli/OutsCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/OutsCommand.java
@@ -2,7 +2,7 @@
 
 import cloverpulley.agree.AgreeClient;
 import cloverpulley.agree.AgreeConfig;
-import cloverpulley.config.BadFileException;
+import cloverpulley.config.InvalidConfigException;
 import cloverpulley.outs.Command;
 import cloverpulley.outs.DisruptionLedger;
 import cloverpulley.outs.Limit;
@@ -49,7 +49,7 @@
     @Option(names = "--by", paramLabel = "WHO", description = "who asks (default: ${DEFAULT-VALUE})", defaultValue = "${sys:user.name}")
     private String by;
 
-    AgreeConfig agree() throws BadFileException, IOException {
+    AgreeConfig agree() throws InvalidConfigException, IOException {
       AgreeConfig agree = Operators.read(config).agree();
       if (agree == null) {
         throw new IOException(config + ": agree: expected [agree], got nothing");
@@ -57,7 +57,7 @@
       return agree;
     }
 
-    AgreeClient client() throws BadFileException, IOException {
+    AgreeClient client() throws InvalidConfigException, IOException {
       return new AgreeClient(agree().voters());
     }
   }
@@ -81,7 +81,7 @@
     private boolean joins;
 
     @Override
-    public Integer call() throws BadFileException, IOException {
+    public Integer call() throws InvalidConfigException, IOException {
       System.out.println("made " + common.agree().init(joins));
       return 0;
     }
@@ -111,7 +111,7 @@
     private String name;
 
     @Override
-    public Integer call() throws BadFileException, IOException, InterruptedException {
+    public Integer call() throws InvalidConfigException, IOException, InterruptedException {
       AgreeClient client = common.client();
       String ask = name == null ? UUID.randomUUID().toString() : name;
       Command.Ask command = new Command.Ask(ask, id, common.by, why, TimeUnit.SECONDS.toMillis(waitSeconds), force);
@@ -149,7 +149,7 @@
   @picocli.CommandLine.Command(name = "left", mixinStandardHelpOptions = true, description = "Says that one with a permit is out now.")
   static final class LeftNow extends OnMember {
     @Override
-    public Integer call() throws BadFileException, IOException {
+    public Integer call() throws InvalidConfigException, IOException {
       AgreeClient client = common.client();
       LedgerState.Permit out = client.fullState().outs().get(id);
       return say(id, client.command(new Command.Left(id, out == null ? 0 : out.epoch()), TRY_MILLIS));
@@ -160,7 +160,7 @@
       description = "Says that one is back: modules send to it again, as to a cold one; it counts as out until it is seen warm.")
   static final class ReturnNow extends OnMember {
     @Override
-    public Integer call() throws BadFileException, IOException {
+    public Integer call() throws InvalidConfigException, IOException {
       AgreeClient client = common.client();
       LedgerState.Permit out = client.fullState().outs().get(id);
       return say(id, client.command(new Command.Return(id, common.by, out == null ? 0 : out.epoch()), TRY_MILLIS));
@@ -171,7 +171,7 @@
       description = "Says that a member is no more and won't come back: a balancer that is gone for good would hold its place for ever.")
   static final class StrikeOut extends OnMember {
     @Override
-    public Integer call() throws BadFileException, IOException {
+    public Integer call() throws InvalidConfigException, IOException {
       return say(id, common.client().command(new Command.Strike(id), TRY_MILLIS));
     }
   }
@@ -189,7 +189,7 @@
     private String to;
 
     @Override
-    public Integer call() throws BadFileException, IOException {
+    public Integer call() throws InvalidConfigException, IOException {
       VoterReplacement.Next end = common.client().replace(from, to, TRY_MILLIS,
           n -> System.out.println(n.voter() + ": " + n.step().name().toLowerCase(java.util.Locale.ROOT)));
       boolean done = end.step() == VoterReplacement.Step.DONE;
@@ -204,7 +204,7 @@
     private Common common;
 
     @Override
-    public Integer call() throws BadFileException, IOException {
+    public Integer call() throws InvalidConfigException, IOException {
       AgreeClient client = common.client();
       LedgerState s = client.fullState();
       System.out.println("index " + s.index() + ", leader " + (client.leader().isEmpty() ? "nobody" : client.leader()) + ", "
@@ -239,7 +239,7 @@
   @picocli.CommandLine.Command(name = "why", mixinStandardHelpOptions = true, description = "Why one is out, or could not be now. Changes nothing.")
   static final class Why extends OnMember {
     @Override
-    public Integer call() throws BadFileException, IOException {
+    public Integer call() throws InvalidConfigException, IOException {
       LedgerState s = common.client().fullState();
       LedgerState.Member m = s.members().get(id);
       if (m == null) {
@@ -273,7 +273,7 @@
     private String name;
 
     @Override
-    public Integer call() throws BadFileException, IOException {
+    public Integer call() throws InvalidConfigException, IOException {
       return say("halt " + name, common.client().command(new Command.Halt(name, common.by, why), TRY_MILLIS));
     }
   }
@@ -287,7 +287,7 @@
     private String name;
 
     @Override
-    public Integer call() throws BadFileException, IOException {
+    public Integer call() throws InvalidConfigException, IOException {
       return say("halt " + name, common.client().command(new Command.Resume(name, common.by), TRY_MILLIS));
     }
   }
@@ -305,7 +305,7 @@
     private String group;
 
     @Override
-    public Integer call() throws BadFileException, IOException {
+    public Integer call() throws InvalidConfigException, IOException {
       if (all == (group != null)) {
         throw new picocli.CommandLine.ParameterException(new picocli.CommandLine(this), "expected --all or one GROUP");
       }
@@ -319,7 +319,7 @@
     private Common common;
 
     @Override
-    public Integer call() throws BadFileException, IOException {
+    public Integer call() throws InvalidConfigException, IOException {
       for (LedgerState.HistoryEntry c : common.client().fullState().history()) {
         System.out.println(c.index() + " " + Instant.ofEpochMilli(c.atMillis()) + " " + c.what() + " " + c.member()
             + (c.by().isEmpty() ? "" : " by " + c.by()) + (c.why().isEmpty() ? "" : ": " + c.why()));
--- a/dist/src/main/java/cloverpulley/cli/ProcessCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/ProcessCommand.java
@@ -1,6 +1,6 @@
 package cloverpulley.cli;
 
-import cloverpulley.config.BadFileException;
+import cloverpulley.config.InvalidConfigException;
 import cloverpulley.dnssd.Publisher;
 import cloverpulley.processor.ProcessorServer;
 import cloverpulley.processor.Warmup;
@@ -32,7 +32,7 @@
   private Path config;
 
   @Override
-  public Integer call() throws BadFileException, IOException, InterruptedException {
+  public Integer call() throws InvalidConfigException, IOException, InterruptedException {
     Operators operators = Operators.read(config);
     Logs.configure(operators.log());
     if (operators.processor() == null) {
@@ -84,7 +84,7 @@
         server.listed(read.fleet().list());
         LOG.info(() -> "list of servers read again: " + read.fleet().list().members().size());
       }
-    } catch (BadFileException | IllegalStateException e) {
+    } catch (InvalidConfigException | IllegalStateException e) {
       LOG.warning("not taken, all stays as it was: " + e.getMessage());
     }
   }
--- a/dist/src/main/java/cloverpulley/cli/QuotaCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/QuotaCommand.java
@@ -38,7 +38,7 @@
     throw new CommandLine.ParameterException(spec.commandLine(), "expected a subcommand");
   }
 
-  private static QuotaConfig read(Path file) throws cloverpulley.config.BadFileException, IOException {
+  private static QuotaConfig read(Path file) throws cloverpulley.config.InvalidConfigException, IOException {
     QuotaConfig quota = Operators.read(file).quota();
     if (quota == null) {
       throw new IOException(file + ": quota: expected a table [quota], got nothing");
--- a/dist/src/test/java/cloverpulley/cli/IncidentIT.java
+++ b/dist/src/test/java/cloverpulley/cli/IncidentIT.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
 import cloverpulley.incident.Audit;
 import cloverpulley.incident.Entry;
 import cloverpulley.incident.Timeline;
@@ -97,7 +97,7 @@
     Path config = Files.writeString(folder.resolve("o.toml"), CONFIG.replace("RECORDS", records.toString()));
     process = start("process", "--config", config.toString());
     String line = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8)).readLine();
-    Plan plan = OperatorsFile.parse("plan", PLAN.replace("ADDRESS", line.substring(line.lastIndexOf(' ') + 1)), Plan::read);
+    Plan plan = ConfigFile.parse("plan", PLAN.replace("ADDRESS", line.substring(line.lastIndexOf(' ') + 1)), Plan::read);
     AtomicLong served = new AtomicLong();
     AtomicBoolean killed = new AtomicBoolean();
     try (Recorder caller = Recorder.forCaller(records, "caller")) {
--- a/dist/src/test/java/cloverpulley/cli/LogsTest.java
+++ b/dist/src/test/java/cloverpulley/cli/LogsTest.java
@@ -8,8 +8,8 @@
 import ch.qos.logback.classic.spi.ILoggingEvent;
 import ch.qos.logback.classic.spi.LoggingEvent;
 import ch.qos.logback.core.read.ListAppender;
-import cloverpulley.config.BadFileException;
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
+import cloverpulley.config.InvalidConfigException;
 import com.fasterxml.jackson.core.JsonFactory;
 import com.fasterxml.jackson.core.JsonParser;
 import com.fasterxml.jackson.core.JsonToken;
@@ -109,10 +109,10 @@
   }
 
   @Test
-  void theSectionIsChecked() throws BadFileException {
-    assertEquals(LogConfig.Format.JSON, OperatorsFile.parse("f", "[log]\nformat = \"json\"", s -> LogConfig.read(s.table("log"))).format());
-    BadFileException e = org.junit.jupiter.api.Assertions.assertThrows(BadFileException.class,
-        () -> OperatorsFile.parse("f", "[log]\nlevel = \"loud\"\nwindow_ms = 1\nx = 2", s -> LogConfig.read(s.table("log"))));
+  void theSectionIsChecked() throws InvalidConfigException {
+    assertEquals(LogConfig.Format.JSON, ConfigFile.parse("f", "[log]\nformat = \"json\"", s -> LogConfig.read(s.table("log"))).format());
+    InvalidConfigException e = org.junit.jupiter.api.Assertions.assertThrows(InvalidConfigException.class,
+        () -> ConfigFile.parse("f", "[log]\nlevel = \"loud\"\nwindow_ms = 1\nx = 2", s -> LogConfig.read(s.table("log"))));
     for (String part : List.of("log.level", "log.window_ms", "log.x")) {
       assertTrue(e.getMessage().contains(part), e.getMessage());
     }
--- a/dns/src/test/java/cloverpulley/dns/ConfigTest.java
+++ b/dns/src/test/java/cloverpulley/dns/ConfigTest.java
@@ -7,7 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.config.BadFileException;
+import cloverpulley.config.InvalidConfigException;
 import java.net.InetAddress;
 import java.util.List;
 import net.jqwik.api.ForAll;
@@ -22,7 +22,7 @@
 class ConfigTest {
 
   private static String errorOf(String dns, String rest) {
-    return assertThrows(BadFileException.class, () -> Rig.parse(dns, rest + Rig.server("d", "127.0.0.1:53", "ready"))).getMessage();
+    return assertThrows(InvalidConfigException.class, () -> Rig.parse(dns, rest + Rig.server("d", "127.0.0.1:53", "ready"))).getMessage();
   }
 
   @ParameterizedTest
--- a/dns/src/test/java/cloverpulley/dns/QuotaTest.java
+++ b/dns/src/test/java/cloverpulley/dns/QuotaTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
 import cloverpulley.quota.service.QuotaConfig;
 import cloverpulley.records.Recorder;
 import cloverpulley.standins.StandInDns;
@@ -50,7 +50,7 @@
   private void start(StandInDns server) throws Exception {
     Rig.ParsedConfig parsed = Rig.parse("", "[[dns.tenant]]\nname = \"p1\"\n[[dns.client]]\nprefix = \"127.0.0.2/32\"\ntenant = \"p1\"\n"
         + Rig.servers(server));
-    QuotaConfig quota = OperatorsFile.parse("q", QUOTA, s -> QuotaConfig.read(s.table("quota")));
+    QuotaConfig quota = ConfigFile.parse("q", QUOTA, s -> QuotaConfig.read(s.table("quota")));
     rig.server = rig.keep(DnsServer.start(parsed.dns(), null, 7, Recorder.NONE, quota));
   }
 
--- a/dns/src/test/java/cloverpulley/dns/Rig.java
+++ b/dns/src/test/java/cloverpulley/dns/Rig.java
@@ -1,7 +1,7 @@
 package cloverpulley.dns;
 
-import cloverpulley.config.BadFileException;
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
+import cloverpulley.config.InvalidConfigException;
 import cloverpulley.config.Section;
 import cloverpulley.config.ServiceSection;
 import cloverpulley.fleet.FleetSource;
@@ -84,26 +84,26 @@
   private final List<AutoCloseable> resources = new java.util.concurrent.CopyOnWriteArrayList<>();
   DnsServer server;
 
-  static ParsedConfig parse(String dns, String rest) throws BadFileException {
+  static ParsedConfig parse(String dns, String rest) throws InvalidConfigException {
     // Arrays of tables come first, preceded by the keys of [dns].
-    return OperatorsFile.parse("test", "[dns]\nlisten = \"127.0.0.1:0\"\n" + dns + "\n" + CLASSES + rest, ParsedConfig::read);
+    return ConfigFile.parse("test", "[dns]\nlisten = \"127.0.0.1:0\"\n" + dns + "\n" + CLASSES + rest, ParsedConfig::read);
   }
 
   /** Starts a frontend. {@code dns} has lines of the [dns] section, {@code rest} further tables. */
-  DnsServer start(String dns, String rest) throws BadFileException, IOException {
+  DnsServer start(String dns, String rest) throws InvalidConfigException, IOException {
     ParsedConfig parsed = parse(dns, rest);
     server = keep(DnsServer.start(parsed.dns, parsed.published, 7));
     return server;
   }
 
   /** Starts a frontend for these servers. */
-  DnsServer start(String dns, String rest, StandInDns... servers) throws BadFileException, IOException {
+  DnsServer start(String dns, String rest, StandInDns... servers) throws InvalidConfigException, IOException {
     return start(dns, rest + servers(servers));
   }
 
   /** Starts a frontend on the port of another, which may still be listening. */
-  DnsServer startOnPort(InetSocketAddress address, String dns, String rest) throws BadFileException, IOException {
-    ParsedConfig parsed = OperatorsFile.parse("test", "[dns]\nlisten = \"127.0.0.1:" + address.getPort() + "\"\n" + dns + "\n" + CLASSES + rest,
+  DnsServer startOnPort(InetSocketAddress address, String dns, String rest) throws InvalidConfigException, IOException {
+    ParsedConfig parsed = ConfigFile.parse("test", "[dns]\nlisten = \"127.0.0.1:" + address.getPort() + "\"\n" + dns + "\n" + CLASSES + rest,
         ParsedConfig::read);
     return keep(DnsServer.start(parsed.dns, parsed.published, 8));
   }
--- a/dnssd/src/test/java/cloverpulley/dnssd/PushAndPublishTest.java
+++ b/dnssd/src/test/java/cloverpulley/dnssd/PushAndPublishTest.java
@@ -6,8 +6,8 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cloverpulley.Balancer.State;
-import cloverpulley.config.BadFileException;
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
+import cloverpulley.config.InvalidConfigException;
 import cloverpulley.dns.wire.MalformedException;
 import cloverpulley.dns.wire.Message;
 import cloverpulley.engine.ServerList;
@@ -119,8 +119,8 @@
 
   // ---- Publisher -----------------------------------------------------------------------------------------
 
-  private static PublishConfig publish(StandInZone z, String more) throws BadFileException {
-    return OperatorsFile.parse("test", "[publish]\nprimary = \"127.0.0.1:" + z.address().getPort()
+  private static PublishConfig publish(StandInZone z, String more) throws InvalidConfigException {
+    return ConfigFile.parse("test", "[publish]\nprimary = \"127.0.0.1:" + z.address().getPort()
         + "\"\nzone = \"example\"\ninstance = \"Ashdeck A.1\"\nlease_s = 1\nttl_s = 2\ntext = [\"locality=a\"]\n" + more,
         file -> PublishConfig.read(file.table("publish")));
   }
@@ -214,7 +214,7 @@
 
   @Test
   void allThatIsWrongIsSaidAtOnce() {
-    BadFileException e = assertThrows(BadFileException.class, () -> Rig.config("""
+    InvalidConfigException e = assertThrows(InvalidConfigException.class, () -> Rig.config("""
         [fleet.dnssd]
         service = "quote"
         domains = []
--- a/dnssd/src/test/java/cloverpulley/dnssd/Rig.java
+++ b/dnssd/src/test/java/cloverpulley/dnssd/Rig.java
@@ -2,8 +2,8 @@
 
 import cloverpulley.Balancer.ListKind;
 import cloverpulley.Balancer.State;
-import cloverpulley.config.BadFileException;
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
+import cloverpulley.config.InvalidConfigException;
 import cloverpulley.engine.ServerList;
 import cloverpulley.engine.ServerList.Server;
 import cloverpulley.standins.StandInZone;
@@ -50,8 +50,8 @@
     return text + TRUST + tables;
   }
 
-  static DnsSdConfig config(String text) throws BadFileException {
-    return OperatorsFile.parse("test", text, file -> DnsSdConfig.read(file.table("fleet").table("dnssd")));
+  static DnsSdConfig config(String text) throws InvalidConfigException {
+    return ConfigFile.parse("test", text, file -> DnsSdConfig.read(file.table("fleet").table("dnssd")));
   }
 
   DnsSdSource start(StandInZone... zones) throws Exception {
--- a/dnssd/src/test/java/cloverpulley/dnssd/RulesTest.java
+++ b/dnssd/src/test/java/cloverpulley/dnssd/RulesTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cloverpulley.Balancer.Settings;
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
 import cloverpulley.config.Section;
 import cloverpulley.config.ServiceSection;
 import cloverpulley.dns.DnsConfig;
@@ -83,7 +83,7 @@
   }
 
   private StandInProxy proxy(String service, String section) throws Exception {
-    Told told = OperatorsFile.parse("test", CLASS + service + "[processor]\nlisten = \"127.0.0.1:0\"\n" + section, Told::read);
+    Told told = ConfigFile.parse("test", CLASS + service + "[processor]\nlisten = \"127.0.0.1:0\"\n" + section, Told::read);
     ProcessorServer server = rig.keep(ProcessorServer.start(told.processor, told.settings, told.fleet, 7));
     return rig.keep(new StandInProxy(server.address(), StandInProxy.Config.of(2)));
   }
@@ -183,7 +183,7 @@
       z.server("d" + i, "d" + i + "h.example.", d[i].address().getPort(), "127.0.0.1", "started=b" + i);
     }
     String section = Rig.section("", "", z).replace("fleet.dnssd", "dns.fleet.dnssd");
-    Told told = OperatorsFile.parse("test", CLASS + "[fleet]\n[[fleet.server]]\nid = \"x\"\naddress = \"127.0.0.1:1\"\n[dns]\nlisten = \"127.0.0.1:0\"\n"
+    Told told = ConfigFile.parse("test", CLASS + "[fleet]\n[[fleet.server]]\nid = \"x\"\naddress = \"127.0.0.1:1\"\n[dns]\nlisten = \"127.0.0.1:0\"\n"
         + "[[dns.class]]\nname = \"query\"\neffect = \"safe\"\naim_ms = 1000\ndeadline_ms = 3000\n"
         // One client asks as fast as it can: past the usual limit of a prefix it would get no answer to some.
         + "[dns.limits]\nudp_per_prefix_per_s = 0\n[dns.fleet]\n" + section, Told::read);
--- a/incident/src/test/java/cloverpulley/incident/tool/ScriptedIncidentTest.java
+++ b/incident/src/test/java/cloverpulley/incident/tool/ScriptedIncidentTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import cloverpulley.Balancer.Settings;
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
 import cloverpulley.config.Section;
 import cloverpulley.config.ServiceSection;
 import cloverpulley.dns.DnsConfig;
@@ -181,7 +181,7 @@
   }
 
   private Plan plan(String protocol, InetSocketAddress address, long seed) throws Exception {
-    return OperatorsFile.parse("plan", PLAN.replace("SEED", "" + seed).replace("PROTOCOL", protocol)
+    return ConfigFile.parse("plan", PLAN.replace("SEED", "" + seed).replace("PROTOCOL", protocol)
         .replace("ADDRESS", "127.0.0.1:" + address.getPort()).replace("CLASSES", protocol.equals("ext_proc") ? QUOTES : QUESTIONS),
         Plan::read);
   }
@@ -240,7 +240,7 @@
         servers.put("d" + i, new StandInDns(group, StandInDns.addresses("10.0.0.1")));
         set(discovery, "d" + i, "ready", 0);
       }
-      config = OperatorsFile.parse("test", SERVICE.replace("DISCOVERY", discovery.address()), ParsedConfig::read);
+      config = ConfigFile.parse("test", SERVICE.replace("DISCOVERY", discovery.address()), ParsedConfig::read);
       incident(discovery);
     } finally {
       servers.values().forEach(StandInDns::close);
--- a/load/src/test/java/cloverpulley/load/DnsDriverTest.java
+++ b/load/src/test/java/cloverpulley/load/DnsDriverTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.config.BadFileException;
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
+import cloverpulley.config.InvalidConfigException;
 import cloverpulley.load.Driver.Outcome;
 import cloverpulley.standins.StandInDns;
 import io.netty.channel.EventLoopGroup;
@@ -33,8 +33,8 @@
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  private static Plan plan(String protocol, StandInDns server, String more) throws BadFileException {
-    return OperatorsFile.parse("test", """
+  private static Plan plan(String protocol, StandInDns server, String more) throws InvalidConfigException {
+    return ConfigFile.parse("test", """
         [load]
         seed = 5
         rate = 200
@@ -128,7 +128,7 @@
 
   @Test
   void aDomainThatIsNoneIsRefused() {
-    assertThrows(BadFileException.class, () -> OperatorsFile.parse("test", "[load]\n[[load.class]]\nname = \"a\"\neffect = \"safe\"\n"
+    assertThrows(InvalidConfigException.class, () -> ConfigFile.parse("test", "[load]\n[[load.class]]\nname = \"a\"\neffect = \"safe\"\n"
         + "[load.target]\naddress = \"127.0.0.1:1\"\ndomain = \"a..b\"\n", Plan::read));
   }
 }
--- a/load/src/test/java/cloverpulley/load/GoalTest.java
+++ b/load/src/test/java/cloverpulley/load/GoalTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.config.BadFileException;
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
+import cloverpulley.config.InvalidConfigException;
 import cloverpulley.load.Draw.Planned;
 import cloverpulley.load.Driver.Outcome;
 import com.fasterxml.jackson.core.JsonFactory;
@@ -44,8 +44,8 @@
 
   private static Plan plan(String text) {
     try {
-      return OperatorsFile.parse("plan", text, Plan::read);
-    } catch (BadFileException e) {
+      return ConfigFile.parse("plan", text, Plan::read);
+    } catch (InvalidConfigException e) {
       throw new IllegalArgumentException(e);
     }
   }
@@ -114,7 +114,7 @@
     String bad = PLAN.replace("aim_ms = 100\nworth = 1", "aim_ms = 100\ndeadline_ms = 50\nhint_least_us = 5\nhint_most_us = 4")
         .replace("seconds = 30", "seconds = 0\nrate = -1\nprocess = \"bursty\"\nbursts.part = 0.5\nodd = 1")
         + "[[load.shape]]\nkind = \"cube\"\n[[load.shape]]\nkind = \"ramp\"\nstart_s = 9\nend_s = 3\n";
-    BadFileException e = assertThrows(BadFileException.class, () -> OperatorsFile.parse("p", bad, Plan::read));
+    InvalidConfigException e = assertThrows(InvalidConfigException.class, () -> ConfigFile.parse("p", bad, Plan::read));
     List<String> lines = e.getMessage().lines().toList();
     for (String part : List.of("load.seconds:", "load.rate:", "load.bursts.part: expected less than 1/factor",
         "load.odd: unknown key", "load.class[1].deadline_ms:", "load.class[1].hint_most_us:",
--- a/load/src/test/java/cloverpulley/load/HonestyTest.java
+++ b/load/src/test/java/cloverpulley/load/HonestyTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
 import cloverpulley.load.Driver.Outcome;
 import cloverpulley.load.Results.Tally;
 import cloverpulley.standins.ScriptedHttp;
@@ -33,7 +33,7 @@
   }
 
   static Plan plan(ScriptedHttp server, double rate, double seconds, String more) throws Exception {
-    return OperatorsFile.parse("plan", "[load]\nseed = 7\nrate = " + rate + "\nseconds = " + seconds + "\n" + more
+    return ConfigFile.parse("plan", "[load]\nseed = 7\nrate = " + rate + "\nseconds = " + seconds + "\n" + more
         + "\n[load.target]\naddress = \"127.0.0.1:" + server.address().getPort() + "\"\nconnections = 8000\n", Plan::read);
   }
 
--- a/load/src/test/java/cloverpulley/load/RecordReplayTest.java
+++ b/load/src/test/java/cloverpulley/load/RecordReplayTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
 import cloverpulley.config.ServiceSection;
 import cloverpulley.fleet.FleetSource;
 import cloverpulley.load.Driver.Outcome;
@@ -44,7 +44,7 @@
   }
 
   private ProcessorServer processor(Path records) throws Exception {
-    return OperatorsFile.parse("test", "[[class]]\nname = \"safe\"\neffect = \"safe\"\naim_ms = 20000\ndeadline_ms = 40000\n"
+    return ConfigFile.parse("test", "[[class]]\nname = \"safe\"\neffect = \"safe\"\naim_ms = 20000\ndeadline_ms = 40000\n"
         + "[[class]]\nname = \"unsafe\"\neffect = \"unsafe\"\naim_ms = 20000\ndeadline_ms = 40000\n[processor]\nlisten = "
         + "\"127.0.0.1:0\"\nrecords_file = \"" + records + "\"\n[[fleet.server]]\nid = \"s\"\naddress = \"127.0.0.1:1\"\n",
         f -> {
@@ -64,7 +64,7 @@
     Path records = folder.resolve("records");
     Results first;
     try (ProcessorServer server = processor(records)) {
-      Plan plan = OperatorsFile.parse("plan", "[load]\nrate = 200\nseconds = 2\n" + TYPES + "[load.target]\nprotocol = \"ext_proc\""
+      Plan plan = ConfigFile.parse("plan", "[load]\nrate = 200\nseconds = 2\n" + TYPES + "[load.target]\nprotocol = \"ext_proc\""
           + "\nconnections = 2\naddress = \"127.0.0.1:" + server.address().getPort() + "\"", Plan::read);
       first = LoadRun.play(plan, r -> { });
       assertEquals(first.all.asked, first.all.outcomes[Outcome.SERVED.ordinal()]);
@@ -86,7 +86,7 @@
     assertEquals(first.tenants.get(1).asked, entries.stream().filter(e -> e.tenant().equals("b")).count());
     assertTrue(entries.stream().allMatch(e -> e.outcome() == Outcome.SERVED && e.keyHash() != 0));
     try (ScriptedHttp server = new ScriptedHttp(group, Manner.SERVE)) {
-      Plan plan = OperatorsFile.parse("plan", "[load]\n" + TYPES + "[load.target]\naddress = \"127.0.0.1:"
+      Plan plan = ConfigFile.parse("plan", "[load]\n" + TYPES + "[load.target]\naddress = \"127.0.0.1:"
           + server.address().getPort() + "\"", Plan::read);
       LoadRun.Replayed again = LoadRun.replay(plan, trace, 4, r -> { });
       assertNull(again.damage());
@@ -107,7 +107,7 @@
   @Test
   void theWarmUpIsServed() throws Exception {
     for (String protocol : List.of("http", "ext_proc")) {
-      Plan plan = OperatorsFile.parse("plan", "[load]\n" + TYPES + "[load.target]\nprotocol = \"" + protocol
+      Plan plan = ConfigFile.parse("plan", "[load]\n" + TYPES + "[load.target]\nprotocol = \"" + protocol
           + "\"\naddress = \"127.0.0.1:1\"", Plan::read);
       Results r = WarmUp.run(plan);
       assertTrue(r.all.asked > 1000);
--- a/model/src/test/java/cloverpulley/model/WorldTest.java
+++ b/model/src/test/java/cloverpulley/model/WorldTest.java
@@ -5,8 +5,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.config.BadFileException;
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
+import cloverpulley.config.InvalidConfigException;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
@@ -34,8 +34,8 @@
       %s
       """;
 
-  private static ModelPlan plan(int aim, int deadline, String model) throws BadFileException {
-    return OperatorsFile.parse("m", CLASSES.formatted(aim, deadline, aim, deadline, model), ModelPlan::read);
+  private static ModelPlan plan(int aim, int deadline, String model) throws InvalidConfigException {
+    return ConfigFile.parse("m", CLASSES.formatted(aim, deadline, aim, deadline, model), ModelPlan::read);
   }
 
   /** The mean time in a system over some seeds, with the half width of its 99.9% interval. */
@@ -159,7 +159,7 @@
 
   @Test
   void aPlanThatNeedsMoreThanThereIsIsRefusedWithTheFigure() {
-    BadFileException e = assertThrows(BadFileException.class,
+    InvalidConfigException e = assertThrows(InvalidConfigException.class,
         () -> plan(1, 1, "servers = 100000\nbalancers = 10000\nrate = 10000000\nseconds = 86400\npolicies = [\"best\"]"));
     for (String part : List.of("model.balancers", "GB", "model.rate", "model.policies")) {
       assertTrue(e.getMessage().contains(part), e.getMessage());
--- a/processor/src/test/java/cloverpulley/processor/MappingTest.java
+++ b/processor/src/test/java/cloverpulley/processor/MappingTest.java
@@ -6,7 +6,7 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.config.BadFileException;
+import cloverpulley.config.InvalidConfigException;
 import cloverpulley.extproc.ExtProc.HeaderMap;
 import cloverpulley.extproc.ExtProc.HeaderValue;
 import cloverpulley.processor.Mapping.Bad;
@@ -35,7 +35,7 @@
     try {
       Rig.Told told = Rig.told("", Rig.servers("127.0.0.1:1"));
       return new Mapping(told.processor(), told.settings());
-    } catch (BadFileException e) {
+    } catch (InvalidConfigException e) {
       throw new IllegalStateException(e);
     }
   }
--- a/processor/src/test/java/cloverpulley/processor/QuotaTest.java
+++ b/processor/src/test/java/cloverpulley/processor/QuotaTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
 import cloverpulley.config.Section;
 import cloverpulley.config.ServiceSection;
 import cloverpulley.extproc.ExtProc.HeaderMap;
@@ -79,7 +79,7 @@
   }
 
   private StandInCaller start(String quota) throws Exception {
-    Told t = OperatorsFile.parse("test", Rig.CLASSES + quota + "[processor]\nlisten = \"127.0.0.1:0\"\nlame_ms = 0\n" + Rig.servers("127.0.0.1:7001", "127.0.0.1:7002"), Told::read);
+    Told t = ConfigFile.parse("test", Rig.CLASSES + quota + "[processor]\nlisten = \"127.0.0.1:0\"\nlame_ms = 0\n" + Rig.servers("127.0.0.1:7001", "127.0.0.1:7002"), Told::read);
     rig.server = rig.keep(ProcessorServer.start(t.told.processor(), t.told.settings(), t.told.fleet(), 7, Recorder.NONE, t.quota));
     return rig.caller();
   }
--- a/processor/src/test/java/cloverpulley/processor/Rig.java
+++ b/processor/src/test/java/cloverpulley/processor/Rig.java
@@ -2,8 +2,8 @@
 
 import cloverpulley.Balancer;
 import cloverpulley.Balancer.Settings;
-import cloverpulley.config.BadFileException;
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
+import cloverpulley.config.InvalidConfigException;
 import cloverpulley.config.Section;
 import cloverpulley.config.ServiceSection;
 import cloverpulley.fleet.FleetSource;
@@ -72,27 +72,27 @@
     return text.toString();
   }
 
-  static Told told(String processor, String fleet) throws BadFileException {
-    return OperatorsFile.parse("test", CLASSES + "[processor]\nlisten = \"127.0.0.1:0\"\n" + processor + "\n" + fleet,
+  static Told told(String processor, String fleet) throws InvalidConfigException {
+    return ConfigFile.parse("test", CLASSES + "[processor]\nlisten = \"127.0.0.1:0\"\n" + processor + "\n" + fleet,
         Told::read);
   }
 
   /** Starts a processor; {@code processor} are further lines of its section, tables last. */
-  ProcessorServer start(String processor, String fleet) throws BadFileException, IOException {
+  ProcessorServer start(String processor, String fleet) throws InvalidConfigException, IOException {
     Told told = told(processor, fleet);
     server = keep(ProcessorServer.start(told.processor, told.settings, told.fleet, 7));
     return server;
   }
 
   /** Starts one on the port of another, which may still listen there. */
-  ProcessorServer start(String processor, String fleet, java.net.InetSocketAddress same) throws BadFileException, IOException {
-    Told told = OperatorsFile.parse("test", CLASSES + "[processor]\nlisten = \"127.0.0.1:" + same.getPort() + "\"\n"
+  ProcessorServer start(String processor, String fleet, java.net.InetSocketAddress same) throws InvalidConfigException, IOException {
+    Told told = ConfigFile.parse("test", CLASSES + "[processor]\nlisten = \"127.0.0.1:" + same.getPort() + "\"\n"
         + processor + "\n" + fleet, Told::read);
     server = keep(ProcessorServer.start(told.processor, told.settings, told.fleet, 8));
     return server;
   }
 
-  ProcessorServer start(String processor, String fleet, Balancer module) throws BadFileException, IOException {
+  ProcessorServer start(String processor, String fleet, Balancer module) throws InvalidConfigException, IOException {
     Told told = told(processor, fleet);
     server = keep(ProcessorServer.start(told.processor, told.settings, told.fleet, n -> module));
     return server;
--- a/processor/src/test/java/cloverpulley/processor/RulesTest.java
+++ b/processor/src/test/java/cloverpulley/processor/RulesTest.java
@@ -145,7 +145,7 @@
   void aKeyedRequestIsNotRepeatedPastItsWindow() throws Exception {
     StandInUpstream a = upstream(r -> Answer.reset());
     StandInUpstream b = upstream(r -> Answer.reset());
-    Rig.Told told = cloverpulley.config.OperatorsFile.parse("test", Rig.CLASSES.replace("dedup_window_ms = 4000",
+    Rig.Told told = cloverpulley.config.ConfigFile.parse("test", Rig.CLASSES.replace("dedup_window_ms = 4000",
         "dedup_window_ms = 60") + "[processor]\nlisten = \"127.0.0.1:0\"\n" + Rig.servers(a.address(), b.address()),
         Rig.Told::read);
     rig.server = rig.keep(ProcessorServer.start(told.processor(), told.settings(), told.fleet(), 7));
@@ -242,7 +242,7 @@
     }
     StandInProxy[] proxies = new StandInProxy[2];
     for (int i = 0; i < 2; i++) {
-      Rig.Told told = cloverpulley.config.OperatorsFile.parse("test", Rig.CLASSES + "processes = 2\nnumber = " + i
+      Rig.Told told = cloverpulley.config.ConfigFile.parse("test", Rig.CLASSES + "processes = 2\nnumber = " + i
           + "\n[processor]\nlisten = \"127.0.0.1:0\"\n[fleet]\ndiscovery = \"" + discovery.address() + "\"", Rig.Told::read);
       ProcessorServer server = rig.keep(ProcessorServer.start(told.processor(), told.settings(), told.fleet(), i));
       Rig.await("the list has come", () -> server.onEngine(server::servesNow));
--- a/processor/src/test/java/cloverpulley/processor/TlsTest.java
+++ b/processor/src/test/java/cloverpulley/processor/TlsTest.java
@@ -4,7 +4,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.config.BadFileException;
+import cloverpulley.config.InvalidConfigException;
 import cloverpulley.standins.StandInCaller;
 import io.grpc.Status;
 import io.grpc.netty.GrpcSslContexts;
@@ -88,10 +88,10 @@
   @Test
   void plaintextIsForLoopbackAndFilesHaveToBeThere() {
     String text = Rig.CLASSES + "[processor]\nlisten = \"10.0.0.1:9002\"\n" + Rig.servers("127.0.0.1:1");
-    BadFileException e = assertThrows(BadFileException.class,
-        () -> cloverpulley.config.OperatorsFile.parse("f", text, Rig.Told::read));
+    InvalidConfigException e = assertThrows(InvalidConfigException.class,
+        () -> cloverpulley.config.ConfigFile.parse("f", text, Rig.Told::read));
     assertTrue(e.getMessage().contains("processor.listen: expected [processor.tls]"), e.getMessage());
-    BadFileException missing = assertThrows(BadFileException.class,
+    InvalidConfigException missing = assertThrows(InvalidConfigException.class,
         () -> rig.start("", Rig.servers("127.0.0.1:1") + tls(false).replace("server.key", "none.key")));
     assertTrue(missing.getMessage().contains("processor.tls.key: expected a file"), missing.getMessage());
   }
--- a/quota/src/test/java/cloverpulley/quota/service/LeaseLinkTest.java
+++ b/quota/src/test/java/cloverpulley/quota/service/LeaseLinkTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.config.BadFileException;
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
+import cloverpulley.config.InvalidConfigException;
 import cloverpulley.quota.Quotas;
 import cloverpulley.quota.service.LeaseMessages.LeaseReport;
 import io.grpc.CallOptions;
@@ -79,8 +79,8 @@
     }
   }
 
-  private static QuotaConfig config(String instance, int first, int second, int listen) throws BadFileException {
-    return OperatorsFile.parse("f", """
+  private static QuotaConfig config(String instance, int first, int second, int listen) throws InvalidConfigException {
+    return ConfigFile.parse("f", """
         [quota]
         [[quota.lane]]
         dimension = "requests"
@@ -154,7 +154,7 @@
 
   @Test
   void configurationErrorsNameTheSettings() {
-    BadFileException e = assertThrows(BadFileException.class, () -> OperatorsFile.parse("f", """
+    InvalidConfigException e = assertThrows(InvalidConfigException.class, () -> ConfigFile.parse("f", """
         [quota]
         [[quota.lane]]
         dimension = "requests"
--- a/quota/src/test/java/cloverpulley/quota/service/RateLimitServerTest.java
+++ b/quota/src/test/java/cloverpulley/quota/service/RateLimitServerTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.config.BadFileException;
-import cloverpulley.config.OperatorsFile;
+import cloverpulley.config.ConfigFile;
+import cloverpulley.config.InvalidConfigException;
 import cloverpulley.quota.service.RateLimit.RateLimitDescriptor;
 import cloverpulley.quota.service.RateLimit.RateLimitRequest;
 import cloverpulley.quota.service.RateLimit.RateLimitResponse;
@@ -65,8 +65,8 @@
   private RateLimitServer server;
   private ManagedChannel channel;
 
-  private QuotaConfig config() throws BadFileException {
-    return OperatorsFile.parse("f", CONFIG.replace("FILE", directory.resolve("q.journal").toString()), s -> QuotaConfig.read(s.table("quota")));
+  private QuotaConfig config() throws InvalidConfigException {
+    return ConfigFile.parse("f", CONFIG.replace("FILE", directory.resolve("q.journal").toString()), s -> QuotaConfig.read(s.table("quota")));
   }
 
   private void start() throws Exception {
@@ -170,7 +170,7 @@
 
   @Test
   void configurationErrorsNameTheSettings() {
-    BadFileException e = assertThrows(BadFileException.class, () -> OperatorsFile.parse("f", """
+    InvalidConfigException e = assertThrows(InvalidConfigException.class, () -> ConfigFile.parse("f", """
         [quota]
         others = "nobody"
         [[quota.lane]]
--- a/records/src/main/java/cloverpulley/records/RecordsConfig.java
+++ b/records/src/main/java/cloverpulley/records/RecordsConfig.java
@@ -37,7 +37,8 @@
       section.reportError("most_mb", "expected at least two segments, " + 2 * segmentBytes / MB + ", got " + maxBytes / MB);
     }
     return new RecordsConfig(folder.isEmpty() ? null : Path.of(folder), instance, segmentBytes, maxBytes,
-        section.integer("flush_ms", 10, 60_000, 500), (int) section.integer("queue", 1024, 1 << 22, 1 << 16), section.oneOf("sync", SYNCS, Sync.SEGMENT));
+        section.integer("flush_ms", 10, 60_000, 500), (int) section.integer("queue", 1024, 1 << 22, 1 << 16),
+        section.oneOf("sync", SYNCS, Sync.SEGMENT));
   }
 
   /** Default settings for a folder and an instance name. */
