--- a/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
@@ -18,7 +18,7 @@
 import cloverpulley.engine.ServerList;
 import cloverpulley.fleet.FleetSource;
 import cloverpulley.fleet.HeldList;
-import cloverpulley.fleet.WrittenList;
+import cloverpulley.fleet.StaticListSource;
 import cloverpulley.outs.MemberKind;
 import cloverpulley.outs.MembershipReconciler;
 import cloverpulley.records.Recorder;
@@ -213,10 +213,10 @@
         held.write(fleet.list());
       }
     };
-    if (source.isWritten()) {
-      return new WrittenList(fleet, news);
-    } else if (source.opener() != null) {
-      return source.opener().open(loop, source.first(), fleet::revision, kept);
+    if (source.isStatic()) {
+      return new StaticListSource(fleet, news);
+    } else if (source.sourceFactory() != null) {
+      return source.sourceFactory().open(loop, source.initialList(), fleet::revision, kept);
     }
     Bootstrap bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DISCOVERY_CONNECT_MILLIS);
@@ -226,7 +226,7 @@
   private void reload(Balance balance) {
     try {
       FleetSource read = Operators.read(config).fleet();
-      if (read.isWritten()) {
+      if (read.isStatic()) {
         balance.listed(read.list()).get(BACK_MILLIS, TimeUnit.MILLISECONDS);
         LOG.info("list of servers read again: {}", read.list().members().size());
       }
--- a/dist/src/main/java/cloverpulley/cli/CheckCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/CheckCommand.java
@@ -16,8 +16,8 @@
   @Override
   public Integer call() throws InvalidConfigException {
     Operators read = Operators.read(file);
-    String servers = read.fleet() == null ? "DNS alone" : read.fleet().isWritten()
-        ? read.fleet().list().members().size() + " servers" : read.fleet().opener() == null ? "servers from discovery"
+    String servers = read.fleet() == null ? "DNS alone" : read.fleet().isStatic()
+        ? read.fleet().list().members().size() + " servers" : read.fleet().sourceFactory() == null ? "servers from discovery"
         : "servers found by a source of its own";
     System.out.println(file + ": ok, " + read.settings().classes().size() + " classes, "
         + read.settings().tenants().size() + " tenants, " + servers);
--- a/dist/src/main/java/cloverpulley/cli/DnsCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/DnsCommand.java
@@ -59,8 +59,8 @@
         server.updateQuotas(read.quota().plan());
       }
       if (read.dns() != null) {
-        boolean servers = read.dns().fleet() != null && read.dns().fleet().isWritten();
-        boolean shown = read.fleet() != null && read.fleet().isWritten();
+        boolean servers = read.dns().fleet() != null && read.dns().fleet().isStatic();
+        boolean shown = read.fleet() != null && read.fleet().isStatic();
         server.updateEndpoints(servers ? read.dns().fleet().list() : null, shown ? read.fleet().list() : null);
         LOG.info("lists of servers read again");
       }
--- a/dist/src/main/java/cloverpulley/cli/OutsCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/OutsCommand.java
@@ -331,7 +331,7 @@
   /** Groups of the file's own servers that can never grant. */
   static List<String> neverGrant(Operators read) {
     Map<String, Integer> sizes = new TreeMap<>();
-    if (read.fleet().isWritten()) {
+    if (read.fleet().isStatic()) {
       read.fleet().list().members().forEach(s -> read.agree().groupsOf(s.id(), s.zone(), s.cell()).forEach(g -> sizes.merge(g, 1, Integer::sum)));
     }
     sizes.put(AgreeConfig.VOTERS, read.agree().voters().size());
--- a/dist/src/main/java/cloverpulley/cli/ProcessCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/ProcessCommand.java
@@ -80,7 +80,7 @@
       if (read.quota() != null) {
         server.quotas(read.quota().plan());
       }
-      if (read.fleet() != null && read.fleet().isWritten()) {
+      if (read.fleet() != null && read.fleet().isStatic()) {
         server.listed(read.fleet().list());
         LOG.info(() -> "list of servers read again: " + read.fleet().list().members().size());
       }
--- a/dns/src/main/java/cloverpulley/dns/DnsServer.java
+++ b/dns/src/main/java/cloverpulley/dns/DnsServer.java
@@ -17,7 +17,7 @@
 import cloverpulley.engine.Transport;
 import cloverpulley.fleet.FleetSource;
 import cloverpulley.fleet.HeldList;
-import cloverpulley.fleet.WrittenList;
+import cloverpulley.fleet.StaticListSource;
 import cloverpulley.quota.QuotaPlan;
 import cloverpulley.quota.service.QuotaConfig;
 import cloverpulley.quota.service.QuotaKeeper;
@@ -161,8 +161,8 @@
 
   private void assemble(LongFunction<Balancer> modules, List<LocalZone> zones, FleetSource publishedSource) {
     FleetSource source = config.fleet();
-    ServerList initial = source == null ? ServerList.EMPTY : source.first();
-    Engine.ListSource lists = source == null || source.isWritten() ? new WrittenList(fleet, (kind, list) -> engine.serverListUpdated(kind, list))
+    ServerList initial = source == null ? ServerList.EMPTY : source.initialList();
+    Engine.ListSource lists = source == null || source.isStatic() ? new StaticListSource(fleet, (kind, list) -> engine.serverListUpdated(kind, list))
         : openSource(source, initial, fleet, this::onEndpoints);
     client = new DnsClient(loop, clock, config.upstream());
     engine = new Engine(loop, clock, config.settings(), modules, fleet, lists, (to, data) -> { },
@@ -182,7 +182,7 @@
   }
 
   private Engine.ListSource openSource(FleetSource source, ServerList initial, Fleet of, BiConsumer<ListKind, ServerList> listener) {
-    return source.opener() != null ? source.opener().open(loop, initial, of::revision, listener)
+    return source.sourceFactory() != null ? source.sourceFactory().open(loop, initial, of::revision, listener)
         : new Discovery(discoveryBootstrap(), source.discovery(), of::revision, listener);
   }
 
@@ -202,12 +202,12 @@
 
   private void publishFleet(FleetSource source) {
     publishedFleet = new Fleet(clock);
-    ServerList initial = source.first();
+    ServerList initial = source.initialList();
     publishedFleet.update(ListKind.CACHED, initial);
     fleetZone = new FleetZone(config.fleetZone());
     publishedZone = new LocalZone(Names.of(config.fleetZone().origin()), fleetZone.zone(publishedFleet.list(), System.currentTimeMillis()));
     resolver.addZone(publishedZone);
-    if (!source.isWritten()) {
+    if (!source.isStatic()) {
       publishedDiscovery = openSource(source, initial, publishedFleet, this::onPublishedEndpoints);
       publishedDiscovery.watch(true);
     }
--- a/dnssd/src/main/java/cloverpulley/dnssd/DnsSdProvider.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/DnsSdProvider.java
@@ -13,7 +13,7 @@
   }
 
   @Override
-  public Opener read(Section s) {
+  public SourceFactory read(Section s) {
     DnsSdConfig config = DnsSdConfig.read(s);
     return (loop, held, revision, news) -> new DnsSdSource(loop, config, held, revision, news, new SecureRandom().nextLong());
   }
--- a/fleet/src/main/java/cloverpulley/fleet/FleetSource.java
+++ b/fleet/src/main/java/cloverpulley/fleet/FleetSource.java
@@ -20,9 +20,9 @@
  * @param discovery null where it is none
  * @param stateFile where the list last held is kept for a successor; null for nowhere
  * @param list the one written in the file; empty where there is none
- * @param opener opens a further source; null where it is none
+ * @param sourceFactory opens a further source; null where it is none
  */
-public record FleetSource(InetSocketAddress discovery, Path stateFile, ServerList list, ListProvider.Opener opener) {
+public record FleetSource(InetSocketAddress discovery, Path stateFile, ServerList list, ListProvider.SourceFactory sourceFactory) {
 
   /** One without a further source. */
   public FleetSource(InetSocketAddress discovery, Path stateFile, ServerList list) {
@@ -30,8 +30,8 @@
   }
 
   /** Whether the list is written in the operators' file, and changes when that is read again. */
-  public boolean isWritten() {
-    return discovery == null && opener == null;
+  public boolean isStatic() {
+    return discovery == null && sourceFactory == null;
   }
 
   private static final Map<String, State> PHASES = Map.of("ready", State.READY, "draining", State.DRAINING);
@@ -50,13 +50,13 @@
       servers.add(new Server(id, m.address("address", null), m.string("zone", ""), (int) m.integer("cell", 0, 1 << 30, 0),
           m.oneOf("phase", PHASES, State.READY), m.number("size", 0.001, 1000, 1), m.integer("started_ms", 0, 1L << 50, 0)));
     }
-    ListProvider.Opener opener = null;
+    ListProvider.SourceFactory sourceFactory = null;
     List<String> given = new ArrayList<>();
     List<String> further = new ArrayList<>();
     for (ListProvider p : ServiceLoader.load(ListProvider.class)) {
       further.add("fleet." + p.key());
       if (s.has(p.key())) {
-        opener = p.read(s.table(p.key()));
+        sourceFactory = p.read(s.table(p.key()));
         given.add(p.key());
       }
     }
@@ -71,11 +71,11 @@
     } else if (given.size() > 1) {
       s.reportError(given.get(1), "expected one source of servers, got fleet." + given.get(0) + " as well");
     }
-    return new FleetSource(discovery, state.isEmpty() ? null : Path.of(state), new ServerList(0, true, servers), opener);
+    return new FleetSource(discovery, state.isEmpty() ? null : Path.of(state), new ServerList(0, true, servers), sourceFactory);
   }
 
   /** What the front starts with: the list written in the file, or the one last held. */
-  public ServerList first() {
-    return isWritten() ? list : HeldList.read(stateFile);
+  public ServerList initialList() {
+    return isStatic() ? list : HeldList.read(stateFile);
   }
 }
--- a/fleet/src/main/java/cloverpulley/fleet/ListProvider.java
+++ b/fleet/src/main/java/cloverpulley/fleet/ListProvider.java
@@ -18,10 +18,10 @@
   String key();
 
   /** Reads the table. */
-  Opener read(Section s);
+  SourceFactory read(Section s);
 
   /** Begins to look for servers. */
-  interface Opener {
+  interface SourceFactory {
     /**
      * Opens the source, on {@code loop}, where all of it runs.
      *
--- a/fleet/src/main/java/cloverpulley/fleet/WrittenList.java
+++ b/fleet/src/main/java/cloverpulley/fleet/StaticListSource.java
@@ -8,13 +8,13 @@
 import java.util.function.BiConsumer;
 
 /** A list written in the operators' file: it changes when the file is read again, and is never asked for in vain. */
-public final class WrittenList implements Engine.ListSource {
+public final class StaticListSource implements Engine.ListSource {
 
   private final Fleet fleet;
   private final BiConsumer<ListKind, ServerList> news;
 
   /** {@code news} is told of the list as it is held whenever it is asked for. */
-  public WrittenList(Fleet fleet, BiConsumer<ListKind, ServerList> news) {
+  public StaticListSource(Fleet fleet, BiConsumer<ListKind, ServerList> news) {
     this.fleet = fleet;
     this.news = news;
   }
--- a/processor/src/main/java/cloverpulley/processor/ProcessorServer.java
+++ b/processor/src/main/java/cloverpulley/processor/ProcessorServer.java
@@ -15,7 +15,7 @@
 import cloverpulley.extproc.ExternalProcessor;
 import cloverpulley.fleet.FleetSource;
 import cloverpulley.fleet.HeldList;
-import cloverpulley.fleet.WrittenList;
+import cloverpulley.fleet.StaticListSource;
 import cloverpulley.quota.QuotaPlan;
 import cloverpulley.quota.service.QuotaConfig;
 import cloverpulley.quota.service.QuotaKeeper;
@@ -142,11 +142,11 @@
 
   private void wire(Settings settings, FleetSource source, LongFunction<Balancer> modules) {
     Engine.ListSource lists;
-    ServerList first = source.first();
-    if (source.isWritten()) {
-      lists = new WrittenList(fleet, (kind, list) -> engine.serverListUpdated(kind, list));
-    } else if (source.opener() != null) {
-      lists = source.opener().open(engineLoop, first, fleet::revision, this::news);
+    ServerList first = source.initialList();
+    if (source.isStatic()) {
+      lists = new StaticListSource(fleet, (kind, list) -> engine.serverListUpdated(kind, list));
+    } else if (source.sourceFactory() != null) {
+      lists = source.sourceFactory().open(engineLoop, first, fleet::revision, this::news);
     } else {
       lists = new Discovery(new Bootstrap().group(engineGroup).channel(NioSocketChannel.class)
           .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DISCOVERY_CONNECT_MILLIS), source.discovery(), fleet::revision,
