--- a/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
@@ -140,7 +140,7 @@
     Balance.Lists lists = (loop, f, news) -> open(fleet, held, loop, f, news);
     // The ledger is heard before clients are: one that starts must not send to what is out.
     Balance balance = Balance.start(new Balance.Given(agree == null ? "balance" : agree.name(), b.listen(), b.management(), b.folder(), b.sockets(),
-        (long) b.memoryMb() << 20, fleet.first(), operators.settings(), TimeUnit.MILLISECONDS.toNanos(b.idleMillis()),
+        (long) b.memoryMb() << 20, fleet.initialList(), operators.settings(), TimeUnit.MILLISECONDS.toNanos(b.idleMillis()),
         new SecureRandom().nextLong(), lists, witness, wired -> {
           if (agree == null) {
             return;
--- a/dist/src/main/java/cloverpulley/cli/ProcessCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/ProcessCommand.java
@@ -78,10 +78,10 @@
     try {
       Operators read = Operators.read(config);
       if (read.quota() != null) {
-        server.quotas(read.quota().plan());
+        server.updateQuotas(read.quota().plan());
       }
       if (read.fleet() != null && read.fleet().isStatic()) {
-        server.listed(read.fleet().list());
+        server.updateServerList(read.fleet().list());
         LOG.info(() -> "list of servers read again: " + read.fleet().list().members().size());
       }
     } catch (InvalidConfigException | IllegalStateException e) {
--- a/processor/src/main/java/cloverpulley/processor/ProcessorServer.java
+++ b/processor/src/main/java/cloverpulley/processor/ProcessorServer.java
@@ -165,7 +165,7 @@
   }
 
   /** The operators' quotas have changed: what was used, is owed and is in flight stays. */
-  public void quotas(QuotaPlan plan) {
+  public void updateQuotas(QuotaPlan plan) {
     if (quotas != null) {
       onEngine(() -> {
         quotas.updatePlan(plan);
@@ -180,7 +180,7 @@
   }
 
   /** The operators' list has changed; one that comes from discovery is not touched. */
-  public void listed(ServerList list) {
+  public void updateServerList(ServerList list) {
     engineLoop.execute(() -> engine.serverListUpdated(ListKind.FULL, list));
   }
 
@@ -261,17 +261,17 @@
   }
 
   /** Calls in hand: without a verdict, or with an attempt whose end is not known. */
-  public int inHand() {
+  public int pendingCalls() {
     return onEngine(engine::pendingRequests);
   }
 
   /** Attempts of which no end is known. */
-  public int inFlight() {
+  public int inFlightAttempts() {
     return onEngine(engine::inFlightAttempts);
   }
 
   /** Whether a call that came now could be sent somewhere; asked on the engine's loop. */
-  boolean servesNow() {
+  boolean canServe() {
     return engine.canServe();
   }
 
--- a/processor/src/test/java/cloverpulley/processor/HardCasesTest.java
+++ b/processor/src/test/java/cloverpulley/processor/HardCasesTest.java
@@ -105,7 +105,7 @@
     Stream s = start("", true).open().send(get("a"));
     held.await();
     s.cancel();
-    rig.awaitNothingInHand();
+    rig.awaitNoPendingCalls();
     assertEquals(1, told(ClientGone.class));
     assertEquals(0, told(Outcome.class));
   }
@@ -115,7 +115,7 @@
     Stream s = start().open().send(get("a"));
     s.next();
     s.cancel();
-    rig.awaitNothingInHand();
+    rig.awaitNoPendingCalls();
     assertEquals(1, told(Outcome.class));
     assertEquals(0, told(ClientGone.class));
   }
@@ -129,7 +129,7 @@
     s.send(ProcessingRequest.newBuilder().setRequestBody(body("half", false)));
     s.next();
     s.cancel();
-    rig.awaitNothingInHand();
+    rig.awaitNoPendingCalls();
     assertEquals(1, told(Outcome.class));
   }
 
@@ -149,7 +149,7 @@
         assertTrue(streams.get(i).closed().isOk());
       }
     }
-    rig.awaitNothingInHand();
+    rig.awaitNoPendingCalls();
     assertEquals(told(Request.class), told(Outcome.class) + told(ClientGone.class), "each is told to have ended once");
   }
 
@@ -161,9 +161,9 @@
     for (int i = 0; i < 500; i++) {
       streams.add(caller.open().send(get("a" + i)));
     }
-    Rig.await("500 calls in hand", () -> rig.server.inHand() == 500);
+    Rig.await("500 calls in hand", () -> rig.server.pendingCalls() == 500);
     caller.close();
-    rig.awaitNothingInHand();
+    rig.awaitNoPendingCalls();
     assertEquals(500, told(ClientGone.class) + told(Outcome.class), "each told once");
     for (Stream s : streams) {
       assertTrue(!s.closed().isOk());
@@ -196,7 +196,7 @@
     Stream queued = caller.open().send(get("b"));
     assertEquals("deadline", sets(queued.next(), "x-ashdeck-reason"), "nor does one that waits behind it");
     over.countDown();
-    rig.awaitNothingInHand();
+    rig.awaitNoPendingCalls();
     assertEquals(2, rig.server.counts().guarded());
     assertEquals(0, s.left() + queued.left(), "one verdict each");
     Outcome outcome = (Outcome) events.stream().filter(Outcome.class::isInstance).findFirst().orElseThrow();
@@ -217,7 +217,7 @@
     Stream s = start("", true).open().send(get("a"));
     ProcessingResponse reply = s.next();
     assertEquals("deadline", sets(reply, "x-ashdeck-reason"));
-    rig.awaitNothingInHand();
+    rig.awaitNoPendingCalls();
     assertEquals(1, told(ClientGone.class));
   }
 
@@ -251,7 +251,7 @@
     before.send(response(200)).next();
     before.halfClose();
     stillServes();
-    rig.awaitNothingInHand();
+    rig.awaitNoPendingCalls();
   }
 
   // ---- Floods and silence --------------------------------------------------------------------------------
@@ -274,14 +274,14 @@
       }
     }
     assertTrue(sent > 0 && (codes.isEmpty() || codes.equals(Set.of(429))), sent + " sent, else " + codes);
-    assertEquals(sent, rig.server.inFlight(), "what is open is what was sent");
+    assertEquals(sent, rig.server.inFlightAttempts(), "what is open is what was sent");
     for (Stream s : streams) {
       s.halfClose();
     }
     for (Stream s : streams) {
       assertTrue(s.closed().isOk());
     }
-    rig.awaitNothingInHand();
+    rig.awaitNoPendingCalls();
   }
 
   @Test
@@ -298,7 +298,7 @@
     stillServes();
     assertEquals(1, rig.server.openStreams());
     deaf.cancel();
-    rig.awaitNothingInHand();
+    rig.awaitNoPendingCalls();
   }
 
   @Test
@@ -307,7 +307,7 @@
     Stream s = caller.open();
     assertEquals(Status.Code.DEADLINE_EXCEEDED, s.closed().getCode());
     stillServes();
-    rig.awaitNothingInHand();
+    rig.awaitNoPendingCalls();
   }
 
   @Test
@@ -316,7 +316,7 @@
     Stream s = caller.open().send(get("a"));
     s.next();
     assertTrue(s.closed().isOk(), "its caller goes on without us");
-    rig.awaitNothingInHand();
+    rig.awaitNoPendingCalls();
     assertEquals(1, told(Outcome.class));
   }
 
@@ -352,7 +352,7 @@
   void aMessageOfAMegabyteIsNotRead() throws Exception {
     Stream s = start().open().send(request("x-request-id", "a", "x-qos", "safe", "x-large", "v".repeat(1 << 20)));
     assertTrue(!s.closed().isOk(), "the stream ends, and the proxy does as its failure mode says");
-    rig.awaitNothingInHand();
+    rig.awaitNoPendingCalls();
     stillServes();
   }
 
@@ -364,7 +364,7 @@
     assertEquals(Status.Code.FAILED_PRECONDITION, caller.open().send(response(200)).closed().getCode());
     assertEquals(Status.Code.INVALID_ARGUMENT, caller.open().send(get("a")).send(get("a")).closed().getCode());
     assertEquals(Status.Code.UNIMPLEMENTED, caller.open().send(ProcessingRequest.newBuilder()).closed().getCode());
-    rig.awaitNothingInHand();
+    rig.awaitNoPendingCalls();
     assertEquals(4, rig.server.counts().broken());
     assertEquals(told(Request.class), told(Outcome.class) + told(ClientGone.class));
     stillServes();
@@ -398,7 +398,7 @@
     call.request(1);
     call.sendMessage(bytes);
     assertTrue(!closed.get(Rig.LIMIT_S, TimeUnit.SECONDS).isOk());
-    rig.awaitNothingInHand();
+    rig.awaitNoPendingCalls();
     stillServes();
   }
 
--- a/processor/src/test/java/cloverpulley/processor/ProtocolTest.java
+++ b/processor/src/test/java/cloverpulley/processor/ProtocolTest.java
@@ -116,7 +116,7 @@
     assertTrue(outcome.finished());
     s.halfClose();
     assertTrue(s.closed().isOk());
-    rig.awaitNothingInHand();
+    rig.awaitNoPendingCalls();
   }
 
   @ParameterizedTest
@@ -194,10 +194,10 @@
     ProcessingRequest.Builder head = response(200);
     head.getResponseHeadersBuilder().setEndOfStream(false);
     s.send(head).next();
-    assertEquals(1, rig.server.inFlight());
+    assertEquals(1, rig.server.inFlightAttempts());
     s.send(ProcessingRequest.newBuilder().setResponseTrailers(HttpTrailers.getDefaultInstance())).next();
     assertEquals(Status.SERVED, told(Outcome.class).status());
-    Rig.await("none in flight", () -> rig.server.inFlight() == 0);
+    Rig.await("none in flight", () -> rig.server.inFlightAttempts() == 0);
   }
 
   @Test
@@ -225,7 +225,7 @@
     assertTrue(reply.getImmediateResponse().getBody().toStringUtf8().startsWith(header), reply.toString());
     assertTrue(s.closed().isOk());
     assertEquals(1, rig.server.counts().ended(Reason.BAD_REQUEST));
-    assertEquals(0, rig.server.inHand());
+    assertEquals(0, rig.server.pendingCalls());
   }
 
   @Test
@@ -278,7 +278,7 @@
     Stream s = start("", two).open().send(modes(get(), BodySendMode.BUFFERED, BodySendMode.NONE));
     String first = sets(s.next(), DESTINATION);
     String other = first.equals(ADDRESS) ? "127.0.0.1:7002" : ADDRESS;
-    rig.server.listed(Rig.told("", two.replace("address = \"" + first, "phase = \"draining\"\naddress = \"" + first))
+    rig.server.updateServerList(Rig.told("", two.replace("address = \"" + first, "phase = \"draining\"\naddress = \"" + first))
         .fleet().list());
     ProcessingResponse reply = s.send(ProcessingRequest.newBuilder().setRequestBody(body("late", true))).next();
     assertEquals(other, sets(reply, DESTINATION), reply.toString());
@@ -286,7 +286,7 @@
     assertEquals(Status.NOT_SENT, told(Outcome.class).status());
     s.send(response(200)).next();
     assertEquals(Status.SERVED, told(Outcome.class).status());
-    rig.awaitNothingInHandBut(1);
+    rig.awaitNoPendingCallsExcept(1);
   }
 
   @Test
@@ -313,7 +313,7 @@
     s.next();
     s.cancel();
     assertEquals(Status.CANCELLED, told(Outcome.class).status());
-    rig.awaitNothingInHand();
+    rig.awaitNoPendingCalls();
     assertTrue(events.stream().noneMatch(e -> e instanceof Outcome || e instanceof ClientGone), events.toString());
   }
 
--- a/processor/src/test/java/cloverpulley/processor/QuotaTest.java
+++ b/processor/src/test/java/cloverpulley/processor/QuotaTest.java
@@ -138,7 +138,7 @@
     open.get(0).halfClose();
     open.get(1).cancel();
     open.get(2).halfClose();
-    Rig.await("three have ended", () -> rig.server.inFlight() == 4);
+    Rig.await("three have ended", () -> rig.server.inFlightAttempts() == 4);
     got.clear();
     for (int i = 0; i < 5; i++) {
       ask(caller, "steppe", null, got);
@@ -156,7 +156,7 @@
       open.add(ask(caller, "steppe", null, got));
     }
     open.get(0).cancel();
-    Rig.await("it has ended", () -> rig.server.inFlight() == 5);
+    Rig.await("it has ended", () -> rig.server.inFlightAttempts() == 5);
     ask(caller, "steppe", null, got); // Takes the place that is free.
     Stream again = caller.open().send(request("steppe", null, 2, "id0"));
     assertTrue(sent(again.next()), "its first may have run: it is not for the quota to say that nothing has");
@@ -171,7 +171,7 @@
       if (sent(got.get(i))) {
         s.send(answer()).next();
         s.halfClose();
-        Rig.await("it has ended", () -> rig.server.inFlight() == 0);
+        Rig.await("it has ended", () -> rig.server.inFlightAttempts() == 0);
       }
     }
     long given = got.stream().filter(QuotaTest::sent).count();
@@ -183,7 +183,7 @@
       if (sent(got.get(i))) {
         s.send(answer()).next();
         s.halfClose();
-        Rig.await("it has ended", () -> rig.server.inFlight() == 0);
+        Rig.await("it has ended", () -> rig.server.inFlightAttempts() == 0);
       }
     }
     assertEquals(60, got.stream().filter(QuotaTest::sent).count(), "a guarantee is not touched by what was lent");
@@ -198,7 +198,7 @@
       if (sent(got.get(i))) {
         s.send(answer()).next();
         s.halfClose();
-        Rig.await("it has ended", () -> rig.server.inFlight() == 0);
+        Rig.await("it has ended", () -> rig.server.inFlightAttempts() == 0);
       }
     }
     long before = got.stream().filter(QuotaTest::sent).count();
@@ -246,7 +246,7 @@
       }
       s.send(answer(length, over)).next();
       s.halfClose();
-      Rig.await("it has ended", () -> rig.server.inFlight() == 0);
+      Rig.await("it has ended", () -> rig.server.inFlightAttempts() == 0);
     }
     return most;
   }
@@ -276,7 +276,7 @@
       Stream s = ask(caller, "steppe", null, got);
       assertTrue(sent(got.get(0)), "hang-up " + i + " was charged");
       s.cancel();
-      Rig.await("it has ended", () -> rig.server.inFlight() == 0);
+      Rig.await("it has ended", () -> rig.server.inFlightAttempts() == 0);
     }
     assertEquals(4, answeredWith(caller, "steppe", "10000", false, 40));
   }
--- a/processor/src/test/java/cloverpulley/processor/RestartTest.java
+++ b/processor/src/test/java/cloverpulley/processor/RestartTest.java
@@ -123,7 +123,7 @@
     rig.start("message_timeout_ms = 60000\nlame_ms = 1000\ndrain_ms = 50", Rig.servers("127.0.0.1:1"), (now, event, out) -> { });
     StandInCaller caller = rig.caller();
     StandInCaller.Stream held = caller.open().send(StandInCaller.request("x-request-id", "a", "x-qos", "safe"));
-    Rig.await("a call in hand", () -> rig.server.inHand() == 1);
+    Rig.await("a call in hand", () -> rig.server.pendingCalls() == 1);
     var health = HealthGrpc.newBlockingStub(caller.channel());
     CompletableFuture<Void> stopped = CompletableFuture.runAsync(() -> {
       try {
--- a/processor/src/test/java/cloverpulley/processor/Rig.java
+++ b/processor/src/test/java/cloverpulley/processor/Rig.java
@@ -119,13 +119,13 @@
   }
 
   /** Nothing is left of any call, and no stream. */
-  void awaitNothingInHand() throws InterruptedException {
-    awaitNothingInHandBut(0);
+  void awaitNoPendingCalls() throws InterruptedException {
+    awaitNoPendingCallsExcept(0);
   }
 
   /** Nothing is left of any call; so many streams are still open. */
-  void awaitNothingInHandBut(int streams) throws InterruptedException {
-    await("nothing in hand", () -> server.inHand() == 0 && server.inFlight() == 0 && server.openStreams() == streams);
+  void awaitNoPendingCallsExcept(int streams) throws InterruptedException {
+    await("nothing in hand", () -> server.pendingCalls() == 0 && server.inFlightAttempts() == 0 && server.openStreams() == streams);
   }
 
   @Override
--- a/processor/src/test/java/cloverpulley/processor/RulesTest.java
+++ b/processor/src/test/java/cloverpulley/processor/RulesTest.java
@@ -79,7 +79,7 @@
     }
     assertEquals(60, proxy.tally().answers.get());
     assertEquals(0, proxy.tally().doubleVerdicts.get());
-    rig.awaitNothingInHand();
+    rig.awaitNoPendingCalls();
   }
 
   // ---- Rule 2 --------------------------------------------------------------------------------------------
@@ -204,7 +204,7 @@
     discovery.set("a", a.address(), 0, "ready", 0);
     discovery.set("b", b.address(), 0, "ready", 0);
     rig.start("", "[fleet]\ndiscovery = \"" + discovery.address() + "\"");
-    Rig.await("the list has come", () -> rig.server.onEngine(rig.server::servesNow) && discovery.watching() > 0);
+    Rig.await("the list has come", () -> rig.server.onEngine(rig.server::canServe) && discovery.watching() > 0);
     StandInProxy proxy = proxy(Config.of(2));
     AtomicInteger n = new AtomicInteger();
     Runnable some = () -> {
@@ -245,7 +245,7 @@
       Rig.Told told = cloverpulley.config.ConfigFile.parse("test", Rig.CLASSES + "processes = 2\nnumber = " + i
           + "\n[processor]\nlisten = \"127.0.0.1:0\"\n[fleet]\ndiscovery = \"" + discovery.address() + "\"", Rig.Told::read);
       ProcessorServer server = rig.keep(ProcessorServer.start(told.processor(), told.settings(), told.fleet(), i));
-      Rig.await("the list has come", () -> server.onEngine(server::servesNow));
+      Rig.await("the list has come", () -> server.onEngine(server::canServe));
       rig.server = server;
       proxies[i] = proxy(Config.of(1));
     }
