--- a/extproc/src/main/java/cloverpulley/extproc/Encoded.java
+++ b/extproc/src/main/java/cloverpulley/extproc/EncodedResponse.java
@@ -9,11 +9,11 @@
 import java.io.UncheckedIOException;
 
 /** A reply in the bytes that go on the wire: one that is sent often is encoded once. */
-public final class Encoded {
+public final class EncodedResponse {
 
   private final byte[] bytes;
 
-  public Encoded(ProcessingResponse reply) {
+  public EncodedResponse(ProcessingResponse reply) {
     bytes = reply.toByteArray();
   }
 
@@ -33,16 +33,16 @@
     }
   }
 
-  static final Marshaller<Encoded> MARSHALLER = new Marshaller<>() {
+  static final Marshaller<EncodedResponse> MARSHALLER = new Marshaller<>() {
     @Override
-    public InputStream stream(Encoded reply) {
+    public InputStream stream(EncodedResponse reply) {
       return new Bytes(reply.bytes);
     }
 
     @Override
-    public Encoded parse(InputStream stream) {
+    public EncodedResponse parse(InputStream stream) {
       try {
-        return new Encoded(ProcessingResponse.parseFrom(stream));
+        return new EncodedResponse(ProcessingResponse.parseFrom(stream));
       } catch (IOException e) {
         throw new UncheckedIOException(e);
       }
--- a/extproc/src/main/java/cloverpulley/extproc/ExternalProcessor.java
+++ b/extproc/src/main/java/cloverpulley/extproc/ExternalProcessor.java
@@ -22,8 +22,8 @@
           .build();
 
   /** The same method for a server that encodes its replies itself. */
-  public static final MethodDescriptor<ProcessingRequest, Encoded> PROCESS_ENCODED =
-      PROCESS.toBuilder(PROCESS.getRequestMarshaller(), Encoded.MARSHALLER).build();
+  public static final MethodDescriptor<ProcessingRequest, EncodedResponse> PROCESS_ENCODED =
+      PROCESS.toBuilder(PROCESS.getRequestMarshaller(), EncodedResponse.MARSHALLER).build();
 
   private ExternalProcessor() {}
 }
--- a/processor/src/main/java/cloverpulley/processor/Calls.java
+++ b/processor/src/main/java/cloverpulley/processor/CallDispatcher.java
@@ -25,7 +25,7 @@
  * The calls in hand, between their streams and the engine: carries out what {@link AttemptTracker} finds of each, and tells it and
  * the engine what becomes of attempts. It decides nothing. All of it runs on the engine's loop.
  */
-final class Calls {
+final class CallDispatcher {
 
   private final ScheduledExecutorService loop;
   private final Clock clock;
@@ -37,7 +37,7 @@
   /** Null where there are none. */
   private final QuotaKeeper quotas;
 
-  Calls(ScheduledExecutorService loop, Clock clock, Engine engine, Fleet fleet, AttemptTracker repeats, Counts counts,
+  CallDispatcher(ScheduledExecutorService loop, Clock clock, Engine engine, Fleet fleet, AttemptTracker repeats, Counts counts,
       RecordsFile records, QuotaKeeper quotas) {
     this.quotas = quotas;
     this.loop = loop;
@@ -56,7 +56,7 @@
    * @param answerBy clock reading by which the module has to have sent or ended it
    * @return what stands for it here; null where it has been answered already
    */
-  CallExchange take(Mapping.Call call, long receivedAt, long answerBy, CallExchange.Caller caller) {
+  CallExchange take(RequestParser.Call call, long receivedAt, long answerBy, CallExchange.Caller caller) {
     long now = clock.now();
     return take(call, receivedAt, answerBy, caller, call.id() == null ? new AttemptTracker.FirstCall()
         : repeats.onCall(now, call.id(), call.type().name(), call.type().effect(), call.count()));
@@ -72,7 +72,7 @@
         x.call.id() == null ? new AttemptTracker.FirstCall() : repeats.onReselect(clock.now(), x.call.id()));
   }
 
-  private CallExchange take(Mapping.Call call, long receivedAt, long answerBy, CallExchange.Caller caller, Result finding) {
+  private CallExchange take(RequestParser.Call call, long receivedAt, long answerBy, CallExchange.Caller caller, Result finding) {
     List<PriorAttempt> earlier = List.of();
     if (finding instanceof AttemptTracker.Retry joined) {
       earlier = joined.priorAttempts();
--- a/processor/src/main/java/cloverpulley/processor/CallExchange.java
+++ b/processor/src/main/java/cloverpulley/processor/CallExchange.java
@@ -12,9 +12,9 @@
  */
 final class CallExchange extends Exchange {
 
-  final Mapping.Call call;
+  final RequestParser.Call call;
   final Caller caller;
-  private final Calls calls;
+  private final CallDispatcher calls;
   Attempt attempt;
   Future<?> timeout;
   /** What its quota granted, to be given back once. */
@@ -38,7 +38,7 @@
     void bad(int status, String what, String reason);
   }
 
-  CallExchange(RequestInfo info, Mapping.Call call, Caller caller, Calls calls) {
+  CallExchange(RequestInfo info, RequestParser.Call call, Caller caller, CallDispatcher calls) {
     super(info);
     this.call = call;
     this.caller = caller;
@@ -50,7 +50,7 @@
     return kind(call);
   }
 
-  static String kind(Mapping.Call call) {
+  static String kind(RequestParser.Call call) {
     return call.type().name() + ' ' + call.tenant();
   }
 
--- a/processor/src/main/java/cloverpulley/processor/ProcessorServer.java
+++ b/processor/src/main/java/cloverpulley/processor/ProcessorServer.java
@@ -10,7 +10,7 @@
 import cloverpulley.engine.EngineListener;
 import cloverpulley.engine.Fleet;
 import cloverpulley.engine.ServerList;
-import cloverpulley.extproc.Encoded;
+import cloverpulley.extproc.EncodedResponse;
 import cloverpulley.extproc.ExtProc.ProcessingRequest;
 import cloverpulley.extproc.ExternalProcessor;
 import cloverpulley.fleet.FleetSource;
@@ -185,9 +185,9 @@
   }
 
   private void listen(Settings settings) throws IOException {
-    Calls calls = new Calls(engineLoop, clock, engine, fleet, new AttemptTracker(config.repeats()), counts, records, quotas);
-    Replies replies = new Replies(config);
-    ProcessorStream.Shared shared = new ProcessorStream.Shared(config, new Mapping(config, settings), replies, engineLoop,
+    CallDispatcher calls = new CallDispatcher(engineLoop, clock, engine, fleet, new AttemptTracker(config.repeats()), counts, records, quotas);
+    ResponseFactory replies = new ResponseFactory(config);
+    ProcessorStream.Shared shared = new ProcessorStream.Shared(config, new RequestParser(config, settings), replies, engineLoop,
         calls, clock, counts, recorder);
     ioGroup.forEach(loop -> loops.add(new StreamLoop(loop, config, replies, openStreams)));
     ProcessorConfig.Limits limits = config.limits();
@@ -224,7 +224,7 @@
   }
 
   private ServerCall.Listener<ProcessingRequest> open(ProcessorStream.Shared shared,
-      ServerCall<ProcessingRequest, Encoded> call, Metadata headers) {
+      ServerCall<ProcessingRequest, EncodedResponse> call, Metadata headers) {
     StreamLoop loop = ownLoop();
     if (!loop.mayEnter()) {
       call.close(Status.RESOURCE_EXHAUSTED.withDescription("too many streams"), new Metadata());
--- a/processor/src/main/java/cloverpulley/processor/ProcessorStream.java
+++ b/processor/src/main/java/cloverpulley/processor/ProcessorStream.java
@@ -4,7 +4,7 @@
 import cloverpulley.Reason;
 import cloverpulley.engine.Clock;
 import cloverpulley.engine.LocalReply;
-import cloverpulley.extproc.Encoded;
+import cloverpulley.extproc.EncodedResponse;
 import cloverpulley.extproc.ExtProc.HttpBody;
 import cloverpulley.extproc.ExtProc.HttpHeaders;
 import cloverpulley.extproc.ExtProc.ProcessingMode.BodySendMode;
@@ -28,7 +28,7 @@
 final class ProcessorStream extends ServerCall.Listener<ProcessingRequest> implements CallExchange.Caller {
 
   /** What all streams of a processor share. */
-  record Shared(ProcessorConfig config, Mapping mapping, Replies replies, ScheduledExecutorService engineLoop, Calls calls,
+  record Shared(ProcessorConfig config, RequestParser mapping, ResponseFactory replies, ScheduledExecutorService engineLoop, CallDispatcher calls,
       Clock clock, Counts counts, Recorder recorder) {}
 
   /** Where a call stands. */
@@ -38,11 +38,11 @@
   private static final double DECIDE_PART = 0.7;
 
   private final Shared shared;
-  private final ServerCall<ProcessingRequest, Encoded> call;
+  private final ServerCall<ProcessingRequest, EncodedResponse> call;
   private final StreamLoop loop;
   private State state = State.NEW;
   private ProtocolConfiguration protocol = ProtocolConfiguration.getDefaultInstance();
-  private Mapping.Call request;
+  private RequestParser.Call request;
   /** Set on the engine's loop and used there only. */
   private CallExchange exchange;
   private HttpBody rechecked;
@@ -68,7 +68,7 @@
   private long heardAt = System.nanoTime();
   private long receivedAt;
 
-  ProcessorStream(Shared shared, ServerCall<ProcessingRequest, Encoded> call, StreamLoop loop) {
+  ProcessorStream(Shared shared, ServerCall<ProcessingRequest, EncodedResponse> call, StreamLoop loop) {
     this.shared = shared;
     this.call = call;
     this.loop = loop;
@@ -115,19 +115,19 @@
     } else {
       switch (phase) {
         case REQUEST_BODY -> requestBody(message.getRequestBody());
-        case REQUEST_TRAILERS -> reply(Replies.REQUEST_TRAILERS);
+        case REQUEST_TRAILERS -> reply(ResponseFactory.REQUEST_TRAILERS);
         case RESPONSE_HEADERS -> responseHeaders(message);
         case RESPONSE_BODY -> {
           HttpBody body = message.getResponseBody();
           octets = (pieces ? octets : 0) + body.getBody().size();
           pieces = true;
-          reply(Replies.body(body, false, protocol.getResponseBodyMode()));
+          reply(ResponseFactory.body(body, false, protocol.getResponseBodyMode()));
           if (body.getEndOfStream()) {
             answerEnded();
           }
         }
         default -> {
-          reply(Replies.RESPONSE_TRAILERS);
+          reply(ResponseFactory.RESPONSE_TRAILERS);
           answerEnded();
         }
       }
@@ -139,14 +139,14 @@
     Headers headers = new Headers(message.getHeaders());
     String type = headers.get("content-type");
     grpc = type != null && type.startsWith("application/grpc");
-    Mapping.Read read = shared.mapping.read(headers);
-    if (read instanceof Mapping.Bad bad) {
+    RequestParser.Read read = shared.mapping.read(headers);
+    if (read instanceof RequestParser.Bad bad) {
       shared.counts.count(Reason.BAD_REQUEST);
       answered(Reason.BAD_REQUEST.code(), Entry.FAILED);
       finish(shared.replies.bad(bad.status(), bad.what(), Reason.BAD_REQUEST.code(), grpc));
       return;
     }
-    request = (Mapping.Call) read;
+    request = (RequestParser.Call) read;
     receivedAt = shared.clock.now();
     guarded(State.ASKED);
     held = true;
@@ -183,7 +183,7 @@
       long answerBy = shared.clock.now() + (long) (shared.config.messageTimeoutNanos() * DECIDE_PART);
       shared.engineLoop.execute(() -> recheck(answerBy));
     } else {
-      reply(Replies.body(body, true, protocol.getRequestBodyMode()));
+      reply(ResponseFactory.body(body, true, protocol.getRequestBodyMode()));
     }
   }
 
@@ -195,7 +195,7 @@
     loop.execute(() -> {
       if (state == State.RECHECKING && !closed) {
         state = State.SENT;
-        reply(Replies.body(rechecked, true, protocol.getRequestBodyMode()));
+        reply(ResponseFactory.body(rechecked, true, protocol.getRequestBodyMode()));
         endIfHalfClosed();
       }
     });
@@ -204,12 +204,12 @@
   private void responseHeaders(ProcessingRequest message) {
     HttpHeaders head = message.getResponseHeaders();
     Headers headers = new Headers(head.getHeaders());
-    Status status = Outcomes.status(headers, message.getAttributesMap());
-    reply(Replies.RESPONSE_HEADERS);
+    Status status = ResponseClassifier.status(headers, message.getAttributesMap());
+    reply(ResponseFactory.RESPONSE_HEADERS);
     if (status != null && outcome == null) {
       outcome = status;
-      load = Outcomes.load(headers);
-      octets = head.getEndOfStream() ? 0 : Outcomes.octets(headers);
+      load = ResponseClassifier.load(headers);
+      octets = head.getEndOfStream() ? 0 : ResponseClassifier.octets(headers);
       if (head.getEndOfStream() || protocol.getResponseBodyMode() == BodySendMode.NONE) {
         answerEnded();
       }
@@ -291,7 +291,7 @@
   }
 
   /** Guards rule 1: a call that has its verdict gets no second one, whatever the engine comes to say of it. */
-  private void endedBy(Encoded last, String word, int kind) {
+  private void endedBy(EncodedResponse last, String word, int kind) {
     held = false;
     if (state == State.ASKED || state == State.RECHECKING) {
       answered(word, kind);
@@ -302,7 +302,7 @@
   // ---- Replies -------------------------------------------------------------------------------------------
 
   /** An answer in the upstream's place: the last word on the stream. */
-  private void finish(Encoded last) {
+  private void finish(EncodedResponse last) {
     if (!closed) {
       state = State.ENDED;
       write(last);
@@ -320,7 +320,7 @@
         request == null ? null : request.tenant(), word, kind, request == null ? 0 : shared.clock.now() - receivedAt);
   }
 
-  private void reply(Encoded reply) {
+  private void reply(EncodedResponse reply) {
     if (!closed) {
       write(reply);
       askForMore();
@@ -328,7 +328,7 @@
   }
 
   /** The stream's own headers leave with its first message: by themselves they would cost a packet of their own. */
-  private void write(Encoded reply) {
+  private void write(EncodedResponse reply) {
     if (!begun) {
       begun = true;
       call.sendHeaders(new Metadata());
--- a/processor/src/main/java/cloverpulley/processor/Mapping.java
+++ b/processor/src/main/java/cloverpulley/processor/RequestParser.java
@@ -13,7 +13,7 @@
 import java.util.stream.Collectors;
 
 /** Reads from a request's headers what the module is told of it, strictly: what can't be right is named, not guessed. */
-final class Mapping {
+final class RequestParser {
 
   /** The longest id, tenant or key that is kept as it came. */
   private static final int MOST_NAME = 128;
@@ -47,7 +47,7 @@
   private final Map<String, RequestClass> classes;
   private final Set<String> tenants;
 
-  Mapping(ProcessorConfig config, Settings settings) {
+  RequestParser(ProcessorConfig config, Settings settings) {
     this.config = config;
     names = config.names();
     classes = settings.classes().stream().collect(Collectors.toMap(RequestClass::name, Function.identity()));
--- a/processor/src/main/java/cloverpulley/processor/Outcomes.java
+++ b/processor/src/main/java/cloverpulley/processor/ResponseClassifier.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 
 /** Words an answer's head as the outcome of its attempt. */
-final class Outcomes {
+final class ResponseClassifier {
 
   private static final String NEVER_RAN = "x-never-ran";
   private static final int SERVICE_UNAVAILABLE = 503;
@@ -20,7 +20,7 @@
   /** Any length that a number holds; what it is charged as is bounded by the quotas. */
   private static final int LENGTH_DIGITS = 18;
 
-  private Outcomes() {}
+  private ResponseClassifier() {}
 
   /** The outcome, or null for an answer that only announces another (1xx). */
   static Status status(Headers h, Map<String, Struct> attributes) {
@@ -29,7 +29,7 @@
       return said;
     }
     String text = h.get(":status");
-    long code = text == null ? -1 : Mapping.wholeNumber(text);
+    long code = text == null ? -1 : RequestParser.wholeNumber(text);
     if (code >= 100 && code < 200) {
       return null;
     }
@@ -57,7 +57,7 @@
   /** The length that an answer's head states; 0 for none that can be read. */
   static long octets(Headers h) {
     String text = h.get("content-length");
-    return text == null ? 0 : Math.max(0, Mapping.wholeNumber(text, LENGTH_DIGITS));
+    return text == null ? 0 : Math.max(0, RequestParser.wholeNumber(text, LENGTH_DIGITS));
   }
 
   static Map<String, Double> load(Headers h) {
--- a/processor/src/main/java/cloverpulley/processor/Replies.java
+++ b/processor/src/main/java/cloverpulley/processor/ResponseFactory.java
@@ -1,7 +1,7 @@
 package cloverpulley.processor;
 
 import cloverpulley.engine.LocalReply;
-import cloverpulley.extproc.Encoded;
+import cloverpulley.extproc.EncodedResponse;
 import cloverpulley.extproc.ExtProc.BodyMutation;
 import cloverpulley.extproc.ExtProc.BodyResponse;
 import cloverpulley.extproc.ExtProc.CommonResponse;
@@ -29,7 +29,7 @@
 import java.net.SocketAddress;
 
 /** The protocol's messages for each thing that is to be said. */
-final class Replies {
+final class ResponseFactory {
 
   /** Where records and callers find why. */
   static final String REASON = "x-ashdeck-reason";
@@ -40,25 +40,25 @@
   private static final int GRPC_UNKNOWN = 2;
   private static final int GRPC_INVALID = 3;
 
-  static final Encoded RESPONSE_HEADERS =
-      new Encoded(ProcessingResponse.newBuilder().setResponseHeaders(HeadersResponse.getDefaultInstance()).build());
-  static final Encoded REQUEST_TRAILERS =
-      new Encoded(ProcessingResponse.newBuilder().setRequestTrailers(TrailersResponse.getDefaultInstance()).build());
-  static final Encoded RESPONSE_TRAILERS =
-      new Encoded(ProcessingResponse.newBuilder().setResponseTrailers(TrailersResponse.getDefaultInstance()).build());
-  private static final Encoded REQUEST_BODY =
-      new Encoded(ProcessingResponse.newBuilder().setRequestBody(BodyResponse.getDefaultInstance()).build());
-  private static final Encoded RESPONSE_BODY =
-      new Encoded(ProcessingResponse.newBuilder().setResponseBody(BodyResponse.getDefaultInstance()).build());
+  static final EncodedResponse RESPONSE_HEADERS =
+      new EncodedResponse(ProcessingResponse.newBuilder().setResponseHeaders(HeadersResponse.getDefaultInstance()).build());
+  static final EncodedResponse REQUEST_TRAILERS =
+      new EncodedResponse(ProcessingResponse.newBuilder().setRequestTrailers(TrailersResponse.getDefaultInstance()).build());
+  static final EncodedResponse RESPONSE_TRAILERS =
+      new EncodedResponse(ProcessingResponse.newBuilder().setResponseTrailers(TrailersResponse.getDefaultInstance()).build());
+  private static final EncodedResponse REQUEST_BODY =
+      new EncodedResponse(ProcessingResponse.newBuilder().setRequestBody(BodyResponse.getDefaultInstance()).build());
+  private static final EncodedResponse RESPONSE_BODY =
+      new EncodedResponse(ProcessingResponse.newBuilder().setResponseBody(BodyResponse.getDefaultInstance()).build());
 
   private final ProcessorConfig config;
 
-  Replies(ProcessorConfig config) {
+  ResponseFactory(ProcessorConfig config) {
     this.config = config;
   }
 
   /** The destination, as the reply to the request's headers or, where {@code inBody}, to its buffered body. */
-  Encoded send(SocketAddress address, boolean inBody, ProtocolConfiguration protocol) {
+  EncodedResponse send(SocketAddress address, boolean inBody, ProtocolConfiguration protocol) {
     ByteString value = ByteString.copyFromUtf8(text((InetSocketAddress) address));
     HeaderMutation.Builder mutation = HeaderMutation.newBuilder().addSetHeaders(set(config.names().destination(), value));
     config.names().strip().forEach(mutation::addRemoveHeaders);
@@ -76,7 +76,7 @@
     }
     Struct destination = Struct.newBuilder().putFields(config.names().destination(),
         Value.newBuilder().setStringValueBytes(value).build()).build();
-    return new Encoded(reply.setDynamicMetadata(Struct.newBuilder().putFields(config.names().metadata(),
+    return new EncodedResponse(reply.setDynamicMetadata(Struct.newBuilder().putFields(config.names().metadata(),
         Value.newBuilder().setStructValue(destination).build())).build());
   }
 
@@ -91,7 +91,7 @@
   }
 
   /** A refusal (429) or a failure (502: unlike 503 it does not tell the caller that trying again is harmless). */
-  Encoded end(LocalReply verdict, boolean grpc) {
+  EncodedResponse end(LocalReply verdict, boolean grpc) {
     HeaderMutation.Builder headers =
         HeaderMutation.newBuilder().addSetHeaders(set(REASON, ByteString.copyFromUtf8(verdict.reason().code())));
     if (verdict.retryAfterNanos() > 0) {
@@ -103,26 +103,26 @@
   }
 
   /** What can't be read is answered at once. */
-  Encoded bad(int status, String what, String reason, boolean grpc) {
+  EncodedResponse bad(int status, String what, String reason, boolean grpc) {
     return immediate(status, HeaderMutation.newBuilder().addSetHeaders(set(REASON, ByteString.copyFromUtf8(reason))), what,
         reason, grpc, GRPC_INVALID);
   }
 
-  private static Encoded immediate(int status, HeaderMutation.Builder headers, String text, String details,
+  private static EncodedResponse immediate(int status, HeaderMutation.Builder headers, String text, String details,
       boolean grpc, int grpcStatus) {
     ImmediateResponse.Builder reply = ImmediateResponse.newBuilder().setStatus(HttpStatus.newBuilder().setCode(status))
         .setHeaders(headers).setBody(ByteString.copyFromUtf8(text + "\n")).setDetails("ashdeck_" + details);
     if (grpc) {
       reply.setGrpcStatus(GrpcStatus.newBuilder().setStatus(grpcStatus));
     }
-    return new Encoded(ProcessingResponse.newBuilder().setImmediateResponse(reply).build());
+    return new EncodedResponse(ProcessingResponse.newBuilder().setImmediateResponse(reply).build());
   }
 
   /**
    * A piece of a body, untouched. In full duplex mode the caller has let go of it and takes only what it is sent back; in all
    * others it keeps it and waits for the word to go on.
    */
-  static Encoded body(HttpBody piece, boolean request, BodySendMode mode) {
+  static EncodedResponse body(HttpBody piece, boolean request, BodySendMode mode) {
     if (mode != BodySendMode.FULL_DUPLEX_STREAMED) {
       return request ? REQUEST_BODY : RESPONSE_BODY;
     }
@@ -130,7 +130,7 @@
         .setEndOfStream(piece.getEndOfStream()).build();
     BodyResponse reply = BodyResponse.newBuilder().setResponse(CommonResponse.newBuilder()
         .setBodyMutation(BodyMutation.newBuilder().setStreamedResponse(same))).build();
-    return new Encoded(request ? ProcessingResponse.newBuilder().setRequestBody(reply).build()
+    return new EncodedResponse(request ? ProcessingResponse.newBuilder().setRequestBody(reply).build()
         : ProcessingResponse.newBuilder().setResponseBody(reply).build());
   }
 }
--- a/processor/src/main/java/cloverpulley/processor/StreamLoop.java
+++ b/processor/src/main/java/cloverpulley/processor/StreamLoop.java
@@ -1,6 +1,6 @@
 package cloverpulley.processor;
 
-import cloverpulley.extproc.Encoded;
+import cloverpulley.extproc.EncodedResponse;
 import cloverpulley.extproc.ExtProc.ProtocolConfiguration;
 import io.netty.util.concurrent.EventExecutor;
 import java.net.SocketAddress;
@@ -37,24 +37,24 @@
   private final EventExecutor loop;
   private final AtomicInteger open;
   private final int mostOpen;
-  private final Replies replies;
+  private final ResponseFactory replies;
   private final long guardNanos;
   private final long idleLookNanos;
   /** All wait equally long, so that the first is the first to be due. */
   private final ArrayDeque<Awaited> awaited = new ArrayDeque<>();
   private final Set<ProcessorStream> streams = new LinkedHashSet<>();
-  private final Map<Said, Encoded> said = new LinkedHashMap<>(64, 0.75f, true) {
+  private final Map<Said, EncodedResponse> said = new LinkedHashMap<>(64, 0.75f, true) {
     private static final long serialVersionUID = 1L;
 
     @Override
-    protected boolean removeEldestEntry(Map.Entry<Said, Encoded> eldest) {
+    protected boolean removeEldestEntry(Map.Entry<Said, EncodedResponse> eldest) {
       return size() > MOST_REPLIES;
     }
   };
   private long lookAt;
 
   /** {@code open} counts the streams of all loops. */
-  StreamLoop(EventExecutor loop, ProcessorConfig config, Replies replies, AtomicInteger open) {
+  StreamLoop(EventExecutor loop, ProcessorConfig config, ResponseFactory replies, AtomicInteger open) {
     this.loop = loop;
     this.open = open;
     this.replies = replies;
@@ -118,8 +118,8 @@
     }
   }
 
-  /** {@link Replies#send}, made once for all that want the same. */
-  Encoded send(SocketAddress address, boolean inBody, ProtocolConfiguration protocol) {
+  /** {@link ResponseFactory#send}, made once for all that want the same. */
+  EncodedResponse send(SocketAddress address, boolean inBody, ProtocolConfiguration protocol) {
     return said.computeIfAbsent(new Said(address, protocol.getRequestBodyModeValue(), protocol.getResponseBodyModeValue(),
         inBody), s -> replies.send(address, inBody, protocol));
   }
--- a/processor/src/test/java/cloverpulley/processor/MappingTest.java
+++ b/processor/src/test/java/cloverpulley/processor/RequestParserTest.java
@@ -9,8 +9,8 @@
 import cloverpulley.config.InvalidConfigException;
 import cloverpulley.extproc.ExtProc.HeaderMap;
 import cloverpulley.extproc.ExtProc.HeaderValue;
-import cloverpulley.processor.Mapping.Bad;
-import cloverpulley.processor.Mapping.Call;
+import cloverpulley.processor.RequestParser.Bad;
+import cloverpulley.processor.RequestParser.Call;
 import cloverpulley.standins.StandInCaller;
 import com.google.protobuf.ByteString;
 import java.util.ArrayList;
@@ -27,20 +27,20 @@
 import org.junit.jupiter.api.Test;
 
 /** Headers to requests: what is right is read, what is not is named, and no bytes break it. */
-class MappingTest {
+class RequestParserTest {
 
-  private static final Mapping MAPPING = mapping();
+  private static final RequestParser MAPPING = mapping();
 
-  private static Mapping mapping() {
+  private static RequestParser mapping() {
     try {
       Rig.Told told = Rig.told("", Rig.servers("127.0.0.1:1"));
-      return new Mapping(told.processor(), told.settings());
+      return new RequestParser(told.processor(), told.settings());
     } catch (InvalidConfigException e) {
       throw new IllegalStateException(e);
     }
   }
 
-  private static Mapping.Read read(String... headers) {
+  private static RequestParser.Read read(String... headers) {
     return MAPPING.read(new Headers(StandInCaller.headers(headers)));
   }
 
@@ -77,7 +77,7 @@
 
   @Property(seed = "20261201")
   boolean anyHeadersAreReadOrNamed(@ForAll("headers") HeaderMap headers) {
-    Mapping.Read read = MAPPING.read(new Headers(headers));
+    RequestParser.Read read = MAPPING.read(new Headers(headers));
     if (read instanceof Call call) {
       assertTrue(call.waitNanos() >= 0 && call.waitNanos() <= call.type().deadlineNanos());
       assertTrue(call.hintNanos() >= 0 && call.count() >= 0);
@@ -126,16 +126,16 @@
 
   @Property(seed = "20261201")
   void aGrpcTimeoutIsReadInEveryUnit(@ForAll @IntRange(max = 99_999_999) int number) {
-    assertEquals(TimeUnit.HOURS.toNanos(number), Mapping.grpcTimeout(number + "H"));
-    assertEquals(TimeUnit.MINUTES.toNanos(number), Mapping.grpcTimeout(number + "M"));
-    assertEquals(TimeUnit.SECONDS.toNanos(number), Mapping.grpcTimeout(number + "S"));
-    assertEquals(TimeUnit.MILLISECONDS.toNanos(number), Mapping.grpcTimeout(number + "m"));
-    assertEquals(TimeUnit.MICROSECONDS.toNanos(number), Mapping.grpcTimeout(number + "u"));
-    assertEquals(number, Mapping.grpcTimeout(number + "n"));
+    assertEquals(TimeUnit.HOURS.toNanos(number), RequestParser.grpcTimeout(number + "H"));
+    assertEquals(TimeUnit.MINUTES.toNanos(number), RequestParser.grpcTimeout(number + "M"));
+    assertEquals(TimeUnit.SECONDS.toNanos(number), RequestParser.grpcTimeout(number + "S"));
+    assertEquals(TimeUnit.MILLISECONDS.toNanos(number), RequestParser.grpcTimeout(number + "m"));
+    assertEquals(TimeUnit.MICROSECONDS.toNanos(number), RequestParser.grpcTimeout(number + "u"));
+    assertEquals(number, RequestParser.grpcTimeout(number + "n"));
   }
 
   @Property(seed = "20261201")
   boolean whatIsNoGrpcTimeoutIsNone(@ForAll String text) {
-    return text.matches("[0-9]{1,8}[HMSmun]") || Mapping.grpcTimeout(text) == -1;
+    return text.matches("[0-9]{1,8}[HMSmun]") || RequestParser.grpcTimeout(text) == -1;
   }
 }
--- a/processor/src/test/java/cloverpulley/processor/HardCasesTest.java
+++ b/processor/src/test/java/cloverpulley/processor/RobustnessTest.java
@@ -49,7 +49,7 @@
 
 /** Callers that break off, stall, flood and send garbage: nothing is left of them, and the others are served. */
 @Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
-class HardCasesTest {
+class RobustnessTest {
 
   private static final String DESTINATION = "x-gateway-destination-endpoint";
   private static final String ADDRESS = "127.0.0.1:7001";
