--- a/processor/src/main/java/cloverpulley/processor/CallDispatcher.java
+++ b/processor/src/main/java/cloverpulley/processor/CallDispatcher.java
@@ -22,191 +22,194 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The calls in hand, between their streams and the engine: carries out what {@link AttemptTracker} finds of each, and tells it and
- * the engine what becomes of attempts. It decides nothing. All of it runs on the engine's loop.
+ * Passes calls from their streams to the engine: acts on what {@link AttemptTracker} knows of each request, and reports the
+ * outcomes of attempts to the tracker and the engine. It makes no decisions. Used on the engine's loop only.
  */
 final class CallDispatcher {
 
-  private final ScheduledExecutorService loop;
+  private final ScheduledExecutorService engineLoop;
   private final Clock clock;
   private final Engine engine;
   private final Fleet fleet;
-  private final AttemptTracker repeats;
+  private final AttemptTracker attemptTracker;
   private final Counts counts;
-  private final RecordsFile records;
-  /** Null where there are none. */
+  private final RecordsFile recordsFile;
+  /** Null if no quotas are configured. */
   private final QuotaKeeper quotas;
 
-  CallDispatcher(ScheduledExecutorService loop, Clock clock, Engine engine, Fleet fleet, AttemptTracker repeats, Counts counts,
-      RecordsFile records, QuotaKeeper quotas) {
+  CallDispatcher(ScheduledExecutorService engineLoop, Clock clock, Engine engine, Fleet fleet, AttemptTracker attemptTracker, Counts counts,
+      RecordsFile recordsFile, QuotaKeeper quotas) {
     this.quotas = quotas;
-    this.loop = loop;
+    this.engineLoop = engineLoop;
     this.clock = clock;
     this.engine = engine;
     this.fleet = fleet;
-    this.repeats = repeats;
+    this.attemptTracker = attemptTracker;
     this.counts = counts;
-    this.records = records;
+    this.recordsFile = recordsFile;
   }
 
   /**
-   * A call has come.
+   * Accepts a call.
    *
-   * @param receivedAt clock reading at which its headers came
-   * @param answerBy clock reading by which the module has to have sent or ended it
-   * @return what stands for it here; null where it has been answered already
+   * @param receivedAt clock reading at which its headers arrived
+   * @param answerBy clock reading by which the module must have forwarded or ended it
+   * @return its exchange; null if it has been answered already
    */
-  CallExchange take(RequestParser.Call call, long receivedAt, long answerBy, CallExchange.Caller caller) {
+  CallExchange acceptCall(RequestParser.ParsedRequest request, long receivedAt, long answerBy, CallExchange.DecisionListener listener) {
     long now = clock.now();
-    return take(call, receivedAt, answerBy, caller, call.id() == null ? new AttemptTracker.FirstCall()
-        : repeats.onCall(now, call.id(), call.type().name(), call.type().effect(), call.count()));
+    return acceptCall(request, receivedAt, answerBy, listener, request.id() == null ? new AttemptTracker.FirstCall()
+        : attemptTracker.onCall(now, request.id(), request.requestClass().name(), request.requestClass().effect(), request.attemptCount()));
   }
 
   /**
-   * A call's attempt may not go where it was to go, and its caller has not sent it yet: it is asked about anew, as the same
-   * call.
+   * Selects another upstream for a call whose upstream is no longer eligible and whose attempt the proxy has not sent yet. It counts as
+   * the same call.
    */
-  CallExchange takeAgain(CallExchange x, long answerBy) {
-    ended(x, Status.NOT_SENT, Map.of());
-    return take(x.call, x.info().deadline() - x.call.waitNanos(), answerBy, x.caller,
-        x.call.id() == null ? new AttemptTracker.FirstCall() : repeats.onReselect(clock.now(), x.call.id()));
+  CallExchange reselect(CallExchange x, long answerBy) {
+    finishAttempt(x, Status.NOT_SENT, Map.of());
+    return acceptCall(x.request, x.info().deadline() - x.request.waitNanos(), answerBy, x.listener,
+        x.request.id() == null ? new AttemptTracker.FirstCall() : attemptTracker.onReselect(clock.now(), x.request.id()));
   }
 
-  private CallExchange take(RequestParser.Call call, long receivedAt, long answerBy, CallExchange.Caller caller, Result finding) {
-    List<PriorAttempt> earlier = List.of();
-    if (finding instanceof AttemptTracker.Retry joined) {
-      earlier = joined.priorAttempts();
-      counts.joined.increment();
-    } else if (finding instanceof AttemptTracker.UnknownHistory) {
-      end(caller, LocalReply.failed(Reason.UNKNOWN_EARLIER));
+  private CallExchange acceptCall(RequestParser.ParsedRequest request, long receivedAt, long answerBy,
+      CallExchange.DecisionListener listener, Result history) {
+    List<PriorAttempt> priorAttempts = List.of();
+    if (history instanceof AttemptTracker.Retry retry) {
+      priorAttempts = retry.priorAttempts();
+      counts.retries.increment();
+    } else if (history instanceof AttemptTracker.UnknownHistory) {
+      replyLocally(listener, LocalReply.failed(Reason.UNKNOWN_EARLIER));
       return null;
-    } else if (finding instanceof AttemptTracker.TableFull) {
-      // Nothing of it has run: trying again, elsewhere or later, is harmless.
-      end(caller, new LocalReply(true, Reason.RECORD_FULL, TimeUnit.SECONDS.toNanos(1)));
+    } else if (history instanceof AttemptTracker.TableFull) {
+      // No attempt has run, so a retry elsewhere or later is safe.
+      replyLocally(listener, new LocalReply(true, Reason.RECORD_FULL, TimeUnit.SECONDS.toNanos(1)));
       return null;
-    } else if (finding instanceof AttemptTracker.InProgress) {
-      counts.count(Reason.IN_HAND);
-      caller.bad(409, "the request's id is that of a call in hand", Reason.IN_HAND.code());
+    } else if (history instanceof AttemptTracker.InProgress) {
+      counts.countLocalReply(Reason.IN_HAND);
+      listener.onInvalid(409, "a request with the same id is in progress", Reason.IN_HAND.code());
       return null;
     }
-    long grant = 0;
-    double octets = 0;
-    if (quotas != null && finding instanceof AttemptTracker.FirstCall) {
-      // A first alone: of what was asked before something may have run, and a refusal would say that nothing has.
-      octets = quotas.expectedResponseBytes(CallExchange.kind(call));
-      grant = quotas.tryAcquire(call.quotaPath(), 1, 0, octets, call.hintNanos() / 1e6, true);
-      if (Quotas.isRejected(grant)) {
-        if (call.id() != null) {
-          repeats.onNotSent(clock.now(), call.id());
+    long quotaGrant = 0;
+    double expectedBytes = 0;
+    if (quotas != null && history instanceof AttemptTracker.FirstCall) {
+      // First calls only: an earlier attempt of a retry may have run, and a rejection would state that none has.
+      expectedBytes = quotas.expectedResponseBytes(CallExchange.responseSizeKey(request));
+      quotaGrant = quotas.tryAcquire(request.quotaPath(), 1, 0, expectedBytes, request.hintNanos() / 1e6, true);
+      if (Quotas.isRejected(quotaGrant)) {
+        if (request.id() != null) {
+          attemptTracker.onNotSent(clock.now(), request.id());
         }
-        end(caller, new LocalReply(true, Reason.QUOTA, quotas.retryAfterNanos()));
+        replyLocally(listener, new LocalReply(true, Reason.QUOTA, quotas.retryAfterNanos()));
         return null;
       }
     }
-    CallExchange x = new CallExchange(new Exchange.RequestInfo(call.type(), call.tenant(), call.key(), call.hintNanos(),
-        call.retry(), receivedAt + call.waitNanos(), answerBy, earlier), call, caller, this);
-    x.granted = quotas != null && finding instanceof AttemptTracker.FirstCall;
-    x.grant = grant;
-    x.grantedAt = clock.now();
-    x.expectedOctets = octets;
+    CallExchange x = new CallExchange(new Exchange.RequestInfo(request.requestClass(), request.tenant(), request.key(), request.hintNanos(),
+        request.retry(), receivedAt + request.waitNanos(), answerBy, priorAttempts), request, listener, this);
+    x.quotaGranted = quotas != null && history instanceof AttemptTracker.FirstCall;
+    x.quotaGrant = quotaGrant;
+    x.quotaGrantedAt = clock.now();
+    x.expectedResponseBytes = expectedBytes;
     engine.accept(x);
     return x;
   }
 
-  /** Nothing is left of it: its place in flight is given back, whatever its end, and its answer's octets are charged. */
-  void forgotten(CallExchange x) {
-    if (x.granted) {
-      x.granted = false;
-      quotas.settleResponse(x.call.quotaPath(), x.grant, x.grantedAt, x.kind(), x.expectedOctets, x.octets);
-      quotas.release(x.call.quotaPath(), x.grant);
+  /** Releases the concurrency quota of a call that the engine has dropped, however it ended, and charges the bytes of its response. */
+  void settleQuota(CallExchange x) {
+    if (x.quotaGranted) {
+      x.quotaGranted = false;
+      quotas.settleResponse(x.request.quotaPath(), x.quotaGrant, x.quotaGrantedAt, x.responseSizeKey(),
+          x.expectedResponseBytes, x.responseBytes);
+      quotas.release(x.request.quotaPath(), x.quotaGrant);
     }
   }
 
-  private void end(CallExchange.Caller caller, LocalReply verdict) {
-    counts.count(verdict.reason());
-    caller.end(verdict);
+  private void replyLocally(CallExchange.DecisionListener listener, LocalReply reply) {
+    counts.countLocalReply(reply.reason());
+    listener.onLocalReply(reply);
   }
 
-  /** The module has a call sent: the caller is told, and its time starts. */
-  Attempt.CancelHandle started(CallExchange x, SocketAddress address, long timeoutNanos) {
+  /** The module has selected an upstream: sends it to the caller and starts the attempt's time-out. */
+  Attempt.CancelHandle onAttemptStarted(CallExchange x, SocketAddress address, long timeoutNanos) {
     counts.sent.increment();
     Server server = fleet.server(x.attempt.upstream());
-    if (x.call.id() != null) {
-      repeats.onSent(clock.now(), x.call.id(), x.attempt.upstream(), server.zone(), server.cell());
+    if (x.request.id() != null) {
+      attemptTracker.onSent(clock.now(), x.request.id(), x.attempt.upstream(), server.zone(), server.cell());
     }
-    x.timeout = loop.schedule(() -> ended(x, Status.TIMEOUT, Map.of()), timeoutNanos, TimeUnit.NANOSECONDS);
-    x.caller.send(x, address);
-    return () -> ended(x, Status.CANCELLED, Map.of());
+    x.timeout = engineLoop.schedule(() -> finishAttempt(x, Status.TIMEOUT, Map.of()), timeoutNanos, TimeUnit.NANOSECONDS);
+    x.listener.onUpstreamSelected(x, address);
+    return () -> finishAttempt(x, Status.CANCELLED, Map.of());
   }
 
   /** The module has ended a call without an attempt. */
-  void answered(CallExchange x, LocalReply verdict) {
-    counts.count(verdict.reason());
-    record(x, verdict.reason().code(), false);
-    over(x);
+  void recordLocalReply(CallExchange x, LocalReply reply) {
+    counts.countLocalReply(reply.reason());
+    record(x, reply.reason().code(), false);
+    markNotSent(x);
   }
 
-  private void record(CallExchange x, String word, boolean sent) {
-    if (records.isKept()) {
-      long took = (clock.now() - (x.info().deadline() - x.call.waitNanos())) / 1000;
-      records.add(new RecordsFile.Call(RecordsFile.nowMicros() - took, x.call.type().name(), x.call.tenant(),
-          RecordsFile.hash(x.call.key()), x.call.hintNanos() / 1000, word, sent, sent ? x.attempt.upstream() : 0, took));
+  private void record(CallExchange x, String outcome, boolean sent) {
+    if (recordsFile.isEnabled()) {
+      long latencyMicros = (clock.now() - (x.info().deadline() - x.request.waitNanos())) / 1000;
+      recordsFile.add(new RecordsFile.CallRecord(RecordsFile.nowMicros() - latencyMicros, x.request.requestClass().name(), x.request.tenant(),
+          RecordsFile.hash(x.request.key()), x.request.hintNanos() / 1000, outcome, sent, sent ? x.attempt.upstream() : 0,
+          latencyMicros));
     }
   }
 
-  private void over(CallExchange x) {
-    if (x.call.id() != null) {
-      repeats.onNotSent(clock.now(), x.call.id());
+  private void markNotSent(CallExchange x) {
+    if (x.request.id() != null) {
+      attemptTracker.onNotSent(clock.now(), x.request.id());
     }
   }
 
-  /** The attempt has ended with an answer whose body had so many octets; see the other. */
-  void ended(CallExchange x, Status status, Map<String, Double> load, long octets) {
+  /** Ends the attempt with a response whose body had {@code responseBytes}; see {@link #finishAttempt(CallExchange, Status, Map)}. */
+  void finishAttempt(CallExchange x, Status status, Map<String, Double> load, long responseBytes) {
     if (!x.isEnded()) {
-      x.octets = octets;
+      x.responseBytes = responseBytes;
     }
-    ended(x, status, load);
+    finishAttempt(x, status, load);
   }
 
   /**
-   * The attempt has ended, whatever a caller may do next: what comes for the same request then is a call of its own. A second
-   * word on the same attempt is ignored.
+   * Ends the attempt, whatever the caller does next: a later call for the same request is a call of its own. Further reports on the
+   * same attempt are ignored.
    */
-  void ended(CallExchange x, Status status, Map<String, Double> load) {
+  void finishAttempt(CallExchange x, Status status, Map<String, Double> load) {
     if (x.attempt == null || x.isEnded()) {
       return;
     }
     x.timeout.cancel(false);
-    counts.outcome(status);
+    counts.countOutcome(status);
     record(x, status.name().toLowerCase(Locale.ROOT), true);
-    if (x.call.id() != null) {
-      repeats.onAttemptEnded(clock.now(), x.call.id(), x.attempt.upstream(), status);
+    if (x.request.id() != null) {
+      attemptTracker.onAttemptEnded(clock.now(), x.request.id(), x.attempt.upstream(), status);
     }
     x.end();
     engine.attemptEnded(x.attempt, status, load, () -> { });
   }
 
   /**
-   * The caller has hung up: a call without a verdict is over, an attempt may go on and may have run.
+   * The caller has closed the stream or its connection is lost: an undecided call is over; an attempt may still be running, or may have run.
    *
-   * @param told whether the caller has been told where to send it
+   * @param destinationDelivered whether the destination has been sent to the caller
    */
-  void gone(CallExchange x, boolean told) {
+  void onCallerGone(CallExchange x, boolean destinationDelivered) {
     if (x.attempt != null) {
-      ended(x, told ? Status.CANCELLED : Status.NOT_SENT, Map.of());
+      finishAttempt(x, destinationDelivered ? Status.CANCELLED : Status.NOT_SENT, Map.of());
     } else if (!x.isEnded()) {
-      over(x);
+      markNotSent(x);
       engine.clientGone(x);
     }
   }
 
-  /** A destination has not reached the caller, which has answered its client in another way: nothing was sent. */
-  void undelivered(CallExchange x) {
-    ended(x, Status.NOT_SENT, Map.of());
+  /** The destination did not reach the caller, whose call has ended in another way: the attempt was not sent. */
+  void onUndelivered(CallExchange x) {
+    finishAttempt(x, Status.NOT_SENT, Map.of());
   }
 
-  /** Whether an attempt that the caller has not sent yet may still go where it was to go. */
-  boolean stillStands(CallExchange x) {
+  /** Whether the upstream of an attempt that the caller has not sent yet is still eligible. */
+  boolean isUpstreamReady(CallExchange x) {
     return !x.isEnded() && fleet.isReady(x.attempt.upstream());
   }
 }
--- a/processor/src/main/java/cloverpulley/processor/CallExchange.java
+++ b/processor/src/main/java/cloverpulley/processor/CallExchange.java
@@ -7,72 +7,72 @@
 import java.util.concurrent.Future;
 
 /**
- * A caller's call: its one attempt is made by the caller, once it has been told where. Lives on the engine's loop, speaks to
- * its stream by posting to the stream's own.
+ * The exchange of one call. The proxy makes its only attempt, once it has received the destination. Used on the engine's loop only;
+ * the listener posts to the event loop of its stream.
  */
 final class CallExchange extends Exchange {
 
-  final RequestParser.Call call;
-  final Caller caller;
-  private final CallDispatcher calls;
+  final RequestParser.ParsedRequest request;
+  final DecisionListener listener;
+  private final CallDispatcher dispatcher;
   Attempt attempt;
   Future<?> timeout;
-  /** What its quota granted, to be given back once. */
-  boolean granted;
-  long grant;
-  long grantedAt;
-  double expectedOctets;
-  /** Octets of the answer's body that the caller spoke of; below 0 while there was none. */
-  long octets = -1;
+  /** Whether it holds a quota grant, which is released exactly once. */
+  boolean quotaGranted;
+  long quotaGrant;
+  long quotaGrantedAt;
+  double expectedResponseBytes;
+  /** Size of the response body as seen or announced by the proxy; below 0 if there was no response. */
+  long responseBytes = -1;
 
-  /** The side that the caller sees; each is called once at most, on the engine's loop. */
-  interface Caller {
+  /** Receives the decision on a call. Each method is called at most once, on the engine's loop. */
+  interface DecisionListener {
 
-    /** The module has the attempt sent there. */
-    void send(CallExchange x, SocketAddress address);
+    /** The module selected an upstream for the attempt. */
+    void onUpstreamSelected(CallExchange x, SocketAddress address);
 
-    /** The module has ended the call. */
-    void end(LocalReply verdict);
+    /** The call ends with a reply of the balancer's own. */
+    void onLocalReply(LocalReply reply);
 
-    /** The call can't be taken: the status to answer, what is wrong and the word for it. */
-    void bad(int status, String what, String reason);
+    /** The call can't be accepted: the HTTP status, an error message and the reason code to reply with. */
+    void onInvalid(int status, String message, String reason);
   }
 
-  CallExchange(RequestInfo info, RequestParser.Call call, Caller caller, CallDispatcher calls) {
+  CallExchange(RequestInfo info, RequestParser.ParsedRequest request, DecisionListener listener, CallDispatcher dispatcher) {
     super(info);
-    this.call = call;
-    this.caller = caller;
-    this.calls = calls;
+    this.request = request;
+    this.listener = listener;
+    this.dispatcher = dispatcher;
   }
 
-  /** Like which others it is answered: class and partner. */
-  String kind() {
-    return kind(call);
+  /** The key by which response sizes are estimated for quotas: class and tenant. */
+  String responseSizeKey() {
+    return responseSizeKey(request);
   }
 
-  static String kind(RequestParser.Call call) {
-    return call.type().name() + ' ' + call.tenant();
+  static String responseSizeKey(RequestParser.ParsedRequest request) {
+    return request.requestClass().name() + ' ' + request.tenant();
   }
 
   @Override
   public String clientRequestId() {
-    return call.id();
+    return request.id();
   }
 
   @Override
-  protected Attempt.CancelHandle startAttempt(Attempt started, SocketAddress address, long timeoutNanos) {
-    attempt = started;
-    return calls.started(this, address, timeoutNanos);
+  protected Attempt.CancelHandle startAttempt(Attempt newAttempt, SocketAddress address, long timeoutNanos) {
+    attempt = newAttempt;
+    return dispatcher.onAttemptStarted(this, address, timeoutNanos);
   }
 
   @Override
   protected void onRemoved() {
-    calls.forgotten(this);
+    dispatcher.settleQuota(this);
   }
 
   @Override
-  protected void respond(LocalReply verdict) {
-    calls.answered(this, verdict);
-    caller.end(verdict);
+  protected void respond(LocalReply reply) {
+    dispatcher.recordLocalReply(this, reply);
+    listener.onLocalReply(reply);
   }
 }
--- a/processor/src/main/java/cloverpulley/processor/Counts.java
+++ b/processor/src/main/java/cloverpulley/processor/Counts.java
@@ -6,34 +6,34 @@
 import java.util.Map;
 import java.util.concurrent.atomic.LongAdder;
 
-/** What a processor has done since its start; read from any thread. */
+/** Counters of a processor since its start; may be read from any thread. */
 public final class Counts {
 
   final LongAdder calls = new LongAdder();
-  final LongAdder joined = new LongAdder();
+  final LongAdder retries = new LongAdder();
   final LongAdder sent = new LongAdder();
-  /** Verdicts given by the guard: neither the module nor the engine had one in time. */
-  final LongAdder guarded = new LongAdder();
-  /** Streams whose caller broke the protocol. */
-  final LongAdder broken = new LongAdder();
-  final LongAdder observed = new LongAdder();
-  private final Map<Reason, LongAdder> ended = new EnumMap<>(Reason.class);
+  /** Calls that the stream's guard timer answered, because neither the module nor the engine had decided in time. */
+  final LongAdder guardTimeouts = new LongAdder();
+  /** Streams closed because the caller violated the protocol. */
+  final LongAdder protocolErrors = new LongAdder();
+  final LongAdder observedStreams = new LongAdder();
+  private final Map<Reason, LongAdder> localReplies = new EnumMap<>(Reason.class);
   private final Map<Status, LongAdder> outcomes = new EnumMap<>(Status.class);
 
   Counts() {
     for (Reason reason : Reason.values()) {
-      ended.put(reason, new LongAdder());
+      localReplies.put(reason, new LongAdder());
     }
     for (Status status : Status.values()) {
       outcomes.put(status, new LongAdder());
     }
   }
 
-  void count(Reason reason) {
-    ended.get(reason).increment();
+  void countLocalReply(Reason reason) {
+    localReplies.get(reason).increment();
   }
 
-  void outcome(Status status) {
+  void countOutcome(Status status) {
     outcomes.get(status).increment();
   }
 
@@ -46,49 +46,49 @@
     return sent.sum();
   }
 
-  /** Calls that were found to repeat an earlier one. */
-  public long joined() {
-    return joined.sum();
+  /** Calls recognized as retries of an earlier call. */
+  public long retries() {
+    return retries.sum();
   }
 
-  public long guarded() {
-    return guarded.sum();
+  public long guardTimeouts() {
+    return guardTimeouts.sum();
   }
 
-  public long broken() {
-    return broken.sum();
+  public long protocolErrors() {
+    return protocolErrors.sum();
   }
 
-  /** Streams that only watched. */
-  public long observed() {
-    return observed.sum();
+  /** Streams in observability mode. */
+  public long observedStreams() {
+    return observedStreams.sum();
   }
 
-  /** Calls that were answered without a destination, for a reason. */
-  public long ended(Reason reason) {
-    return ended.get(reason).sum();
+  /** Calls answered with a reply of the balancer's own, by reason. */
+  public long localReplies(Reason reason) {
+    return localReplies.get(reason).sum();
   }
 
-  /** Attempts that ended so. */
+  /** Attempts that ended with this status. */
   public long outcomes(Status status) {
     return outcomes.get(status).sum();
   }
 
-  /** One line, without what never happened. */
+  /** One line of counters; reasons and outcomes that never occurred are left out. */
   @Override
   public String toString() {
-    StringBuilder text = new StringBuilder("calls=" + calls + " sent=" + sent + " joined=" + joined + " guarded=" + guarded
-        + " broken=" + broken);
-    ended.forEach((reason, count) -> {
+    StringBuilder line = new StringBuilder("calls=" + calls + " sent=" + sent + " joined=" + retries + " guarded=" + guardTimeouts
+        + " broken=" + protocolErrors);
+    localReplies.forEach((reason, count) -> {
       if (count.sum() > 0) {
-        text.append(' ').append(reason.code()).append('=').append(count);
+        line.append(' ').append(reason.code()).append('=').append(count);
       }
     });
     outcomes.forEach((status, count) -> {
       if (count.sum() > 0) {
-        text.append(' ').append(status.name().toLowerCase(java.util.Locale.ROOT)).append('=').append(count);
+        line.append(' ').append(status.name().toLowerCase(java.util.Locale.ROOT)).append('=').append(count);
       }
     });
-    return text.toString();
+    return line.toString();
   }
 }
--- a/processor/src/main/java/cloverpulley/processor/Headers.java
+++ b/processor/src/main/java/cloverpulley/processor/Headers.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Locale;
 
-/** The headers of a request or an answer, as the protocol brings them: a value is text or bytes, and need not be UTF-8. */
+/** The headers of a request or a response as ext_proc carries them: a value is text or bytes, and need not be UTF-8. */
 final class Headers {
 
   private final HeaderMap map;
@@ -20,44 +20,44 @@
     return map.getHeadersCount();
   }
 
-  /** Letters of names and values, as many bytes as there are for any header that means something here. */
-  long bytes() {
-    long bytes = 0;
-    for (HeaderValue h : map.getHeadersList()) {
-      // Not the bytes themselves: asked for, each would be made of its text anew.
-      bytes += h.getKey().length() + h.getValue().length() + h.getRawValue().size();
+  /** The size of names and values in characters: for every header that is read here, this equals its size in bytes. */
+  long sizeBytes() {
+    long sizeBytes = 0;
+    for (HeaderValue header : map.getHeadersList()) {
+      // Not their size in UTF-8, because protobuf would encode each string again to return its bytes.
+      sizeBytes += header.getKey().length() + header.getValue().length() + header.getRawValue().size();
     }
-    return bytes;
+    return sizeBytes;
   }
 
-  /** The first value of a header, null where there is none; the name is in lower case. */
+  /** The first value of a header, null if there is none; {@code name} is in lower case. */
   String get(String name) {
-    for (HeaderValue h : map.getHeadersList()) {
-      if (is(h, name)) {
-        return value(h);
+    for (HeaderValue header : map.getHeadersList()) {
+      if (hasName(header, name)) {
+        return value(header);
       }
     }
     return null;
   }
 
-  List<String> all(String name) {
+  List<String> values(String name) {
     List<String> values = new ArrayList<>(1);
-    for (HeaderValue h : map.getHeadersList()) {
-      if (is(h, name)) {
-        values.add(value(h));
+    for (HeaderValue header : map.getHeadersList()) {
+      if (hasName(header, name)) {
+        values.add(value(header));
       }
     }
     return values;
   }
 
-  private static boolean is(HeaderValue h, String name) {
-    // HTTP/2 names are in lower case already; a caller that sends others means the same.
-    String key = h.getKey();
+  private static boolean hasName(HeaderValue header, String name) {
+    // Names in HTTP/2 are in lower case; callers that send upper case are tolerated.
+    String key = header.getKey();
     return key.length() == name.length() && (key.equals(name) || key.toLowerCase(Locale.ROOT).equals(name));
   }
 
-  /** Bytes that are no text become letters one for one: such a value names nothing known, and breaks nothing. */
-  private static String value(HeaderValue h) {
-    return h.getRawValue().isEmpty() ? h.getValue() : h.getRawValue().toString(StandardCharsets.ISO_8859_1);
+  /** Decodes bytes as ISO 8859-1, which never fails: a value that is not ASCII matches no known name. */
+  private static String value(HeaderValue header) {
+    return header.getRawValue().isEmpty() ? header.getValue() : header.getRawValue().toString(StandardCharsets.ISO_8859_1);
   }
 }
--- a/processor/src/main/java/cloverpulley/processor/ProcessorServer.java
+++ b/processor/src/main/java/cloverpulley/processor/ProcessorServer.java
@@ -56,15 +56,15 @@
 import java.util.logging.Logger;
 import javax.net.ssl.SSLException;
 
-/** One external processor, from start to stop. */
+/** An Envoy external processor (ext_proc) server. */
 public final class ProcessorServer implements AutoCloseable {
 
   private static final Logger LOG = Logger.getLogger(ProcessorServer.class.getName());
 
   private static final int DISCOVERY_CONNECT_MILLIS = 2000;
   private static final long STOP_CHECK_MILLIS = 10;
-  /** After the last stream has been told to end, its last word has this long to leave. */
-  private static final long LAST_WORD_MILLIS = 1000;
+  /** How long the last messages of the streams may take to be flushed at shutdown. */
+  private static final long FINAL_FLUSH_MILLIS = 1000;
 
   private final ProcessorConfig config;
   private final EventLoopGroup engineGroup = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
@@ -77,20 +77,20 @@
   private final List<StreamLoop> loops = new ArrayList<>();
   private final Clock clock = new Clock();
   private final Fleet fleet = new Fleet(clock);
-  private final HeldList held;
-  private final RecordsFile records;
+  private final HeldList cachedList;
+  private final RecordsFile recordsFile;
   private final Recorder recorder;
   private Engine engine;
-  private QuotaKeeper quotas;
-  private RateLimitServer rateLimits;
+  private QuotaKeeper quotaKeeper;
+  private RateLimitServer rateLimitServer;
   private Server server;
 
   private ProcessorServer(ProcessorConfig config, FleetSource source, Recorder recorder) {
     this.config = config;
     this.recorder = recorder;
-    held = new HeldList(source.stateFile());
-    records = config.recordsFile() == null ? RecordsFile.NONE : new RecordsFile(config.recordsFile(), config.recordsMostBytes());
-    // One thread accepts and serves: a second would only pass connections on.
+    cachedList = new HeldList(source.stateFile());
+    recordsFile = config.recordsFile() == null ? RecordsFile.NONE : new RecordsFile(config.recordsFile(), config.recordsMaxBytes());
+    // With one I/O thread, that thread accepts connections too: a second would only hand them over.
     ioGroup = new MultiThreadIoEventLoopGroup(config.ioThreads(), NioIoHandler.newFactory());
     acceptors = config.ioThreads() == 1 ? ioGroup : new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
   }
@@ -101,95 +101,97 @@
     return start(config, settings, source, seed, Recorder.NONE);
   }
 
-  /** The same with somebody who records what happens; whoever made the recorder ends it after this. */
+  /** The same with a recorder, which the caller closes after the processor. */
   public static ProcessorServer start(ProcessorConfig config, Settings settings, FleetSource source, long seed, Recorder recorder)
       throws IOException {
     return start(config, settings, source, seed, recorder, null);
   }
 
-  /** The same with quotas before the module's own line; null for none. */
+  /** The same with quotas, which are checked before the module's own admission rate; null for none. */
   public static ProcessorServer start(ProcessorConfig config, Settings settings, FleetSource source, long seed, Recorder recorder,
-      QuotaConfig quota) throws IOException {
-    return start(config, settings, source, n -> new Logic(settings, seed + n), recorder, quota);
+      QuotaConfig quotaConfig) throws IOException {
+    return start(config, settings, source, n -> new Logic(settings, seed + n), recorder, quotaConfig);
   }
 
-  /** The same around other decisions; {@code modules} makes the n-th module of this process. */
+  /** The same with other modules; {@code moduleFactory} creates the n-th module of this process. */
   static ProcessorServer start(ProcessorConfig config, Settings settings, FleetSource source,
-      LongFunction<Balancer> modules) throws IOException {
-    return start(config, settings, source, modules, Recorder.NONE, null);
+      LongFunction<Balancer> moduleFactory) throws IOException {
+    return start(config, settings, source, moduleFactory, Recorder.NONE, null);
   }
 
-  private static ProcessorServer start(ProcessorConfig config, Settings settings, FleetSource source, LongFunction<Balancer> modules,
-      Recorder recorder, QuotaConfig quota) throws IOException {
-    ProcessorServer p = new ProcessorServer(config, source, recorder);
+  private static ProcessorServer start(ProcessorConfig config, Settings settings, FleetSource source, LongFunction<Balancer> moduleFactory,
+      Recorder recorder, QuotaConfig quotaConfig) throws IOException {
+    ProcessorServer processor = new ProcessorServer(config, source, recorder);
     try {
-      p.onEngine(() -> {
-        p.wire(settings, source, modules);
-        p.quotas = quota == null ? null : new QuotaKeeper(quota, p.engineLoop, p.clock::now);
+      processor.onEngine(() -> {
+        processor.startEngine(settings, source, moduleFactory);
+        processor.quotaKeeper = quotaConfig == null ? null : new QuotaKeeper(quotaConfig, processor.engineLoop, processor.clock::now);
         return null;
       });
-      p.listen(settings);
-      p.rateLimits = quota == null || quota.listen() == null ? null : new RateLimitServer(quota, p.quotas, p.engineLoop);
-      p.health.setStatus(HealthStatusManager.SERVICE_NAME_ALL_SERVICES, ServingStatus.SERVING);
-      p.health.setStatus(ExternalProcessor.SERVICE, ServingStatus.SERVING);
+      processor.listen(settings);
+      processor.rateLimitServer = quotaConfig == null || quotaConfig.listen() == null ? null
+          : new RateLimitServer(quotaConfig, processor.quotaKeeper, processor.engineLoop);
+      processor.health.setStatus(HealthStatusManager.SERVICE_NAME_ALL_SERVICES, ServingStatus.SERVING);
+      processor.health.setStatus(ExternalProcessor.SERVICE, ServingStatus.SERVING);
     } catch (IOException | RuntimeException e) {
-      p.close();
+      processor.close();
       throw e;
     }
-    LOG.info("processor at " + p.address() + ", " + source.list().members().size() + " upstreams written in the file");
-    return p;
+    LOG.info("processor at " + processor.address() + ", " + source.list().members().size() + " upstreams in the configuration file");
+    return processor;
   }
 
-  private void wire(Settings settings, FleetSource source, LongFunction<Balancer> modules) {
-    Engine.ListSource lists;
-    ServerList first = source.initialList();
+  private void startEngine(Settings settings, FleetSource source, LongFunction<Balancer> moduleFactory) {
+    Engine.ListSource listSource;
+    ServerList initialList = source.initialList();
     if (source.isStatic()) {
-      lists = new StaticListSource(fleet, (kind, list) -> engine.serverListUpdated(kind, list));
+      listSource = new StaticListSource(fleet, (kind, list) -> engine.serverListUpdated(kind, list));
     } else if (source.sourceFactory() != null) {
-      lists = source.sourceFactory().open(engineLoop, first, fleet::revision, this::news);
+      listSource = source.sourceFactory().open(engineLoop, initialList, fleet::revision, this::onListUpdate);
     } else {
-      lists = new Discovery(new Bootstrap().group(engineGroup).channel(NioSocketChannel.class)
+      listSource = new Discovery(new Bootstrap().group(engineGroup).channel(NioSocketChannel.class)
           .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DISCOVERY_CONNECT_MILLIS), source.discovery(), fleet::revision,
-          this::news);
+          this::onListUpdate);
     }
-    engine = new Engine(engineLoop, clock, settings, modules, fleet, lists, (to, data) -> { },
+    engine = new Engine(engineLoop, clock, settings, moduleFactory, fleet, listSource, (to, data) -> { },
         recorder.isOn() ? recorder : EngineListener.NO_OP);
-    engine.serverListUpdated(ListKind.CACHED, first);
+    engine.serverListUpdated(ListKind.CACHED, initialList);
   }
 
-  private void news(ListKind kind, ServerList list) {
+  private void onListUpdate(ListKind kind, ServerList list) {
     engine.serverListUpdated(kind, list);
     if (kind != ListKind.FAILED) {
-      held.write(fleet.list());
+      cachedList.write(fleet.list());
     }
   }
 
-  /** The operators' quotas have changed: what was used, is owed and is in flight stays. */
+  /** Replaces the quota plan; usage, outstanding debts and requests in flight are kept. */
   public void updateQuotas(QuotaPlan plan) {
-    if (quotas != null) {
+    if (quotaKeeper != null) {
       onEngine(() -> {
-        quotas.updatePlan(plan);
+        quotaKeeper.updatePlan(plan);
         return null;
       });
     }
   }
 
-  /** Where the rate limit service listens; null where it does not. */
+  /** The address of the rate limit service; null if it is not enabled. */
   public InetSocketAddress rateLimitAddress() {
-    return rateLimits == null ? null : rateLimits.address();
+    return rateLimitServer == null ? null : rateLimitServer.address();
   }
 
-  /** The operators' list has changed; one that comes from discovery is not touched. */
+  /** Replaces the server list of the configuration file; not to be called if the list comes from discovery. */
   public void updateServerList(ServerList list) {
     engineLoop.execute(() -> engine.serverListUpdated(ListKind.FULL, list));
   }
 
   private void listen(Settings settings) throws IOException {
-    CallDispatcher calls = new CallDispatcher(engineLoop, clock, engine, fleet, new AttemptTracker(config.repeats()), counts, records, quotas);
-    ResponseFactory replies = new ResponseFactory(config);
-    ProcessorStream.Shared shared = new ProcessorStream.Shared(config, new RequestParser(config, settings), replies, engineLoop,
-        calls, clock, counts, recorder);
-    ioGroup.forEach(loop -> loops.add(new StreamLoop(loop, config, replies, openStreams)));
+    CallDispatcher dispatcher = new CallDispatcher(engineLoop, clock, engine, fleet, new AttemptTracker(config.attemptTracking()), counts,
+        recordsFile, quotaKeeper);
+    ResponseFactory responseFactory = new ResponseFactory(config);
+    ProcessorStream.Shared shared = new ProcessorStream.Shared(config, new RequestParser(config, settings), responseFactory, engineLoop,
+        dispatcher, clock, counts, recorder);
+    ioGroup.forEach(loop -> loops.add(new StreamLoop(loop, config, responseFactory, openStreams)));
     ProcessorConfig.Limits limits = config.limits();
     NettyServerBuilder builder = NettyServerBuilder.forAddress(config.listen()).bossEventLoopGroup(acceptors)
         .workerEventLoopGroup(ioGroup).channelType(NioServerSocketChannel.class).directExecutor()
@@ -200,10 +202,10 @@
         .maxConnectionAgeGrace(config.drainMillis(), TimeUnit.MILLISECONDS)
         .permitKeepAliveTime(1, TimeUnit.SECONDS).permitKeepAliveWithoutCalls(true)
         .addService(ServerServiceDefinition.builder(ExternalProcessor.SERVICE)
-            .addMethod(ExternalProcessor.PROCESS_ENCODED, (call, headers) -> open(shared, call, headers)).build())
+            .addMethod(ExternalProcessor.PROCESS_ENCODED, (call, headers) -> openStream(shared, call, headers)).build())
         .addService(health.getHealthService());
     if (config.reusePort()) {
-      // A successor may listen before its predecessor has gone.
+      // A successor may listen while its predecessor still does.
       builder.withOption(NioChannelOption.of(StandardSocketOptions.SO_REUSEPORT), true);
     }
     if (config.reflection()) {
@@ -223,59 +225,59 @@
     return builder.build();
   }
 
-  private ServerCall.Listener<ProcessingRequest> open(ProcessorStream.Shared shared,
+  private ServerCall.Listener<ProcessingRequest> openStream(ProcessorStream.Shared shared,
       ServerCall<ProcessingRequest, EncodedResponse> call, Metadata headers) {
-    StreamLoop loop = ownLoop();
-    if (!loop.mayEnter()) {
+    StreamLoop loop = currentLoop();
+    if (!loop.tryOpen()) {
       call.close(Status.RESOURCE_EXHAUSTED.withDescription("too many streams"), new Metadata());
       return new ServerCall.Listener<ProcessingRequest>() { };
     }
     ProcessorStream stream = new ProcessorStream(shared, call, loop);
-    loop.entered(stream);
+    loop.register(stream);
     return stream;
   }
 
-  /** The loop of the connection that is being served: with a direct executor, the present thread's. */
-  private StreamLoop ownLoop() {
+  /** The loop of the current connection: with a direct executor, that of the current thread. */
+  private StreamLoop currentLoop() {
     for (StreamLoop loop : loops) {
       if (loop.isCurrent()) {
         return loop;
       }
     }
-    throw new IllegalStateException("a call came on no loop of the processor's");
+    throw new IllegalStateException("not on an I/O thread of the processor");
   }
 
-  /** Where it listens. */
+  /** The address that it listens on. */
   public InetSocketAddress address() {
     return (InetSocketAddress) server.getListenSockets().get(0);
   }
 
-  /** What it has done since its start. */
+  /** Counters since its start. */
   public Counts counts() {
     return counts;
   }
 
-  /** Streams that are open. */
+  /** The number of open streams. */
   public int openStreams() {
     return openStreams.get();
   }
 
-  /** Calls in hand: without a verdict, or with an attempt whose end is not known. */
+  /** The number of pending calls: undecided, or with an attempt that has not ended. */
   public int pendingCalls() {
     return onEngine(engine::pendingRequests);
   }
 
-  /** Attempts of which no end is known. */
+  /** The number of attempts that have not ended. */
   public int inFlightAttempts() {
     return onEngine(engine::inFlightAttempts);
   }
 
-  /** Whether a call that came now could be sent somewhere; asked on the engine's loop. */
+  /** Whether an upstream could be selected for a new call now. Must be called on the engine's loop. */
   boolean canServe() {
     return engine.canServe();
   }
 
-  /** Runs on the engine's loop, in its turn. */
+  /** Runs a task on the engine's loop and waits for its result. */
   <T> T onEngine(Callable<T> task) {
     try {
       return engineLoop.submit(task).get();
@@ -288,46 +290,47 @@
   }
 
   /**
-   * Stops in order: health says so first; new connections are taken for a while yet, for a successor to come up; connections
-   * are told to go; what is open goes on for its time; what then still has no verdict gets one. Returns when all is over.
+   * Shuts down gracefully: the health service reports it first; new connections are still accepted for a while, until a successor is up;
+   * then clients are asked to reconnect, and open streams may continue for the drain time; calls that are undecided after it get a final
+   * reply. Returns when the processor has stopped.
    */
   public void stop() throws InterruptedException {
     LOG.info("stopping");
     health.enterTerminalState();
-    TimeUnit.MILLISECONDS.sleep(config.lameMillis());
+    TimeUnit.MILLISECONDS.sleep(config.lameDuckMillis());
     server.shutdown();
     server.awaitTermination(config.drainMillis(), TimeUnit.MILLISECONDS);
-    long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(LAST_WORD_MILLIS);
+    long flushDeadline = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(FINAL_FLUSH_MILLIS);
     loops.forEach(StreamLoop::stop);
-    while (openStreams.get() > 0 && System.nanoTime() < until) {
+    while (openStreams.get() > 0 && System.nanoTime() < flushDeadline) {
       TimeUnit.MILLISECONDS.sleep(STOP_CHECK_MILLIS);
     }
     close();
     LOG.info("stopped: " + counts);
   }
 
-  /** Ends at once, whatever is in hand. */
+  /** Stops at once, whatever is pending. */
   @Override
   public void close() {
     if (server != null) {
       server.shutdownNow();
       try {
-        server.awaitTermination(LAST_WORD_MILLIS, TimeUnit.MILLISECONDS);
+        server.awaitTermination(FINAL_FLUSH_MILLIS, TimeUnit.MILLISECONDS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
     }
-    if (rateLimits != null) {
-      rateLimits.close();
+    if (rateLimitServer != null) {
+      rateLimitServer.close();
     }
-    if (quotas != null && !engineLoop.isShuttingDown()) {
+    if (quotaKeeper != null && !engineLoop.isShuttingDown()) {
       onEngine(() -> {
-        quotas.close();
+        quotaKeeper.close();
         return null;
       });
     }
-    held.close();
-    records.close();
+    cachedList.close();
+    recordsFile.close();
     ioGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     acceptors.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     engineGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS);
--- a/processor/src/main/java/cloverpulley/processor/ProcessorStream.java
+++ b/processor/src/main/java/cloverpulley/processor/ProcessorStream.java
@@ -21,97 +21,97 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * One stream of a caller: one request through its phases, and one reply to each message that wants one, in order. Lives on
- * the loop of its connection; what the engine says comes by a post to that loop. One message at a time is asked for, so that
- * a stream holds no more than one, however much its caller sends.
+ * One ext_proc stream: takes one request through its phases and replies to each message that expects a reply, in order. Used on the event
+ * loop of its connection; decisions of the engine are posted to that loop. Requests one message at a time, so that a stream holds at most
+ * one message, however much its caller sends.
  */
-final class ProcessorStream extends ServerCall.Listener<ProcessingRequest> implements CallExchange.Caller {
+final class ProcessorStream extends ServerCall.Listener<ProcessingRequest> implements CallExchange.DecisionListener {
 
-  /** What all streams of a processor share. */
-  record Shared(ProcessorConfig config, RequestParser mapping, ResponseFactory replies, ScheduledExecutorService engineLoop, CallDispatcher calls,
-      Clock clock, Counts counts, Recorder recorder) {}
+  /** The objects that all streams of a processor share. */
+  record Shared(ProcessorConfig config, RequestParser requestParser, ResponseFactory responseFactory, ScheduledExecutorService engineLoop,
+      CallDispatcher dispatcher, Clock clock, Counts counts, Recorder recorder) {}
 
-  /** Where a call stands. */
-  private enum State { NEW, ASKED, SENT, RECHECKING, ENDED }
+  /** The state of a call. */
+  private enum State { NEW, AWAITING_DECISION, DESTINATION_SENT, REVALIDATING, ENDED }
 
-  /** The part of the message time-out in which the module has to have decided; then comes the engine's guard, then the loop's. */
-  private static final double DECIDE_PART = 0.7;
+  /** Ratio of the message time-out within which the module must decide; after it come the engine's guard and that of the stream's loop. */
+  private static final double DECISION_RATIO = 0.7;
 
   private final Shared shared;
   private final ServerCall<ProcessingRequest, EncodedResponse> call;
-  private final StreamLoop loop;
+  private final StreamLoop streamLoop;
   private State state = State.NEW;
   private ProtocolConfiguration protocol = ProtocolConfiguration.getDefaultInstance();
-  private RequestParser.Call request;
-  /** Set on the engine's loop and used there only. */
+  private RequestParser.ParsedRequest request;
+  /** Set and used on the engine's loop only. */
   private CallExchange exchange;
-  private HttpBody rechecked;
+  private HttpBody pendingBody;
   private boolean grpc;
-  private boolean observing;
-  /** The caller has been told a destination: from here on the attempt may run. */
-  private boolean told;
-  private boolean begun;
+  private boolean observabilityMode;
+  /** Whether the caller has received a destination: from then on the attempt may run. */
+  private boolean destinationDelivered;
+  private boolean headersSent;
   private boolean halfClosed;
-  /** The engine holds something for this stream, and has not been told that it is over. */
-  private boolean held;
+  /** Whether the engine holds this call and has not been notified of its end. */
+  private boolean engineHoldsCall;
   private boolean closed;
-  /** The caller reads too slowly: nothing more is asked for until what was written has gone. */
-  private boolean owesRequest;
-  private boolean verdictRecorded;
-  private Status outcome;
-  private Map<String, Double> load = Map.of();
-  /** Octets of the answer's body: as its head states them, then as they are seen where pieces of it come here. */
-  private long octets;
-  private boolean pieces;
-  /** When the guard is due, {@code System.nanoTime()}. */
-  private long guardAt;
-  private long heardAt = System.nanoTime();
+  /** Back-pressure: the caller reads too slowly, so the next message is requested once the written ones have been flushed. */
+  private boolean requestDeferred;
+  private boolean decisionRecorded;
+  private Status attemptStatus;
+  private Map<String, Double> loadReport = Map.of();
+  /** Size of the response body: its content length at first, then the bytes seen if the caller sends the body. */
+  private long responseBytes;
+  private boolean bodyChunkSeen;
+  /** When the guard timer is due, by {@code System.nanoTime()}. */
+  private long guardDueAt;
+  private long lastMessageAt = System.nanoTime();
   private long receivedAt;
 
-  ProcessorStream(Shared shared, ServerCall<ProcessingRequest, EncodedResponse> call, StreamLoop loop) {
+  ProcessorStream(Shared shared, ServerCall<ProcessingRequest, EncodedResponse> call, StreamLoop streamLoop) {
     this.shared = shared;
     this.call = call;
-    this.loop = loop;
+    this.streamLoop = streamLoop;
     call.request(1);
   }
 
-  // ---- What the caller sends -----------------------------------------------------------------------------
+  // ---- Messages from the caller --------------------------------------------------------------------------
 
   @Override
   public void onMessage(ProcessingRequest message) {
-    heardAt = System.nanoTime();
+    lastMessageAt = System.nanoTime();
     if (closed) {
       return;
     }
     if (state == State.NEW) {
-      observing = message.getObservabilityMode();
+      observabilityMode = message.getObservabilityMode();
       protocol = message.getProtocolConfig();
-      if (observing) {
-        shared.counts.observed.increment();
+      if (observabilityMode) {
+        shared.counts.observedStreams.increment();
       }
     }
-    if (observing) {
-      // Nobody waits for a reply, and what a caller only shows it sends where it likes: the module is not told.
+    if (observabilityMode) {
+      // The caller expects no reply and selects the upstream itself, so the module is not notified.
       state = State.ENDED;
-      askForMore();
+      requestNext();
     } else {
-      take(message);
+      handlePhase(message);
     }
   }
 
-  private void take(ProcessingRequest message) {
+  private void handlePhase(ProcessingRequest message) {
     RequestCase phase = message.getRequestCase();
     if (phase == RequestCase.REQUEST_HEADERS) {
       if (state == State.NEW) {
         requestHeaders(message.getRequestHeaders());
       } else {
-        broken(io.grpc.Status.INVALID_ARGUMENT, "request_headers came twice");
+        protocolError(io.grpc.Status.INVALID_ARGUMENT, "duplicate request_headers");
       }
     } else if (phase == RequestCase.REQUEST_NOT_SET) {
-      broken(io.grpc.Status.UNIMPLEMENTED, "a phase that is not known here");
+      protocolError(io.grpc.Status.UNIMPLEMENTED, "unknown phase");
     } else if (state == State.NEW) {
-      // Guards the rules: without the request's headers nothing is known of it, and nothing can be decided.
-      broken(io.grpc.Status.FAILED_PRECONDITION, "request_headers have to come first: the processing mode must send them");
+      // Without the request headers nothing is known of the request and no safe decision is possible.
+      protocolError(io.grpc.Status.FAILED_PRECONDITION, "request_headers must come first: the processing mode must send them");
     } else {
       switch (phase) {
         case REQUEST_BODY -> requestBody(message.getRequestBody());
@@ -119,16 +119,16 @@
         case RESPONSE_HEADERS -> responseHeaders(message);
         case RESPONSE_BODY -> {
           HttpBody body = message.getResponseBody();
-          octets = (pieces ? octets : 0) + body.getBody().size();
-          pieces = true;
+          responseBytes = (bodyChunkSeen ? responseBytes : 0) + body.getBody().size();
+          bodyChunkSeen = true;
           reply(ResponseFactory.body(body, false, protocol.getResponseBodyMode()));
           if (body.getEndOfStream()) {
-            answerEnded();
+            responseEnded();
           }
         }
         default -> {
           reply(ResponseFactory.RESPONSE_TRAILERS);
-          answerEnded();
+          responseEnded();
         }
       }
     }
@@ -137,217 +137,217 @@
   private void requestHeaders(HttpHeaders message) {
     shared.counts.calls.increment();
     Headers headers = new Headers(message.getHeaders());
-    String type = headers.get("content-type");
-    grpc = type != null && type.startsWith("application/grpc");
-    RequestParser.Read read = shared.mapping.read(headers);
-    if (read instanceof RequestParser.Bad bad) {
-      shared.counts.count(Reason.BAD_REQUEST);
-      answered(Reason.BAD_REQUEST.code(), Entry.FAILED);
-      finish(shared.replies.bad(bad.status(), bad.what(), Reason.BAD_REQUEST.code(), grpc));
+    String contentType = headers.get("content-type");
+    grpc = contentType != null && contentType.startsWith("application/grpc");
+    RequestParser.Result result = shared.requestParser.parse(headers);
+    if (result instanceof RequestParser.InvalidRequest invalid) {
+      shared.counts.countLocalReply(Reason.BAD_REQUEST);
+      recordDecision(Reason.BAD_REQUEST.code(), Entry.FAILED);
+      finish(shared.responseFactory.invalid(invalid.status(), invalid.message(), Reason.BAD_REQUEST.code(), grpc));
       return;
     }
-    request = (RequestParser.Call) read;
+    request = (RequestParser.ParsedRequest) result;
     receivedAt = shared.clock.now();
-    guarded(State.ASKED);
-    held = true;
-    long answerBy = receivedAt + (long) (shared.config.messageTimeoutNanos() * DECIDE_PART);
-    shared.engineLoop.execute(() -> exchange = shared.calls.take(request, receivedAt, answerBy, this));
+    awaitDecision(State.AWAITING_DECISION);
+    engineHoldsCall = true;
+    long answerBy = receivedAt + (long) (shared.config.messageTimeoutNanos() * DECISION_RATIO);
+    shared.engineLoop.execute(() -> exchange = shared.dispatcher.acceptCall(request, receivedAt, answerBy, this));
   }
 
-  /** A verdict is awaited, and there before the message time-out whatever the engine does. */
-  private void guarded(State awaiting) {
-    state = awaiting;
-    guardAt = loop.guard(this);
+  /** Waits for a decision; the guard timer ensures a reply before the message time-out even if the engine is stalled. */
+  private void awaitDecision(State nextState) {
+    state = nextState;
+    guardDueAt = streamLoop.startGuard(this);
   }
 
-  /** Whether it still awaits the verdict whose guard is due then. */
-  boolean awaits(long dueAt) {
-    return guardAt == dueAt && !closed && (state == State.ASKED || state == State.RECHECKING);
+  /** Whether it still awaits the decision whose guard timer is due at {@code dueAt}. */
+  boolean awaitsDecision(long dueAt) {
+    return guardDueAt == dueAt && !closed && (state == State.AWAITING_DECISION || state == State.REVALIDATING);
   }
 
-  /** The engine has no verdict in time: it may be stalled, and what it says later is not used. */
-  void overdue() {
-    shared.counts.guarded.increment();
-    answered(Reason.DEADLINE.code(), Entry.FAILED);
-    finish(shared.replies.end(LocalReply.failed(Reason.DEADLINE), grpc));
-    hangUp();
+  /** The engine has not decided in time and may be stalled: a later decision is ignored. */
+  void onGuardTimeout() {
+    shared.counts.guardTimeouts.increment();
+    recordDecision(Reason.DEADLINE.code(), Entry.FAILED);
+    finish(shared.responseFactory.localReply(LocalReply.failed(Reason.DEADLINE), grpc));
+    notifyCallerGone();
   }
 
   private void requestBody(HttpBody body) {
-    boolean held = protocol.getRequestBodyMode() == BodySendMode.BUFFERED
+    boolean buffered = protocol.getRequestBodyMode() == BodySendMode.BUFFERED
         || protocol.getRequestBodyMode() == BodySendMode.BUFFERED_PARTIAL;
-    if (held && state == State.SENT) {
-      // The caller has sent nothing on yet, however long the body took: the destination may have been drained since.
-      rechecked = body;
-      guarded(State.RECHECKING);
-      long answerBy = shared.clock.now() + (long) (shared.config.messageTimeoutNanos() * DECIDE_PART);
-      shared.engineLoop.execute(() -> recheck(answerBy));
+    if (buffered && state == State.DESTINATION_SENT) {
+      // The caller has forwarded nothing yet, and the body may have taken long: the upstream may be draining by now.
+      pendingBody = body;
+      awaitDecision(State.REVALIDATING);
+      long answerBy = shared.clock.now() + (long) (shared.config.messageTimeoutNanos() * DECISION_RATIO);
+      shared.engineLoop.execute(() -> revalidateUpstream(answerBy));
     } else {
       reply(ResponseFactory.body(body, true, protocol.getRequestBodyMode()));
     }
   }
 
-  private void recheck(long answerBy) {
-    if (!shared.calls.stillStands(exchange)) {
-      exchange = shared.calls.takeAgain(exchange, answerBy);
+  private void revalidateUpstream(long answerBy) {
+    if (!shared.dispatcher.isUpstreamReady(exchange)) {
+      exchange = shared.dispatcher.reselect(exchange, answerBy);
       return;
     }
-    loop.execute(() -> {
-      if (state == State.RECHECKING && !closed) {
-        state = State.SENT;
-        reply(ResponseFactory.body(rechecked, true, protocol.getRequestBodyMode()));
+    streamLoop.execute(() -> {
+      if (state == State.REVALIDATING && !closed) {
+        state = State.DESTINATION_SENT;
+        reply(ResponseFactory.body(pendingBody, true, protocol.getRequestBodyMode()));
         endIfHalfClosed();
       }
     });
   }
 
   private void responseHeaders(ProcessingRequest message) {
-    HttpHeaders head = message.getResponseHeaders();
-    Headers headers = new Headers(head.getHeaders());
+    HttpHeaders headersMessage = message.getResponseHeaders();
+    Headers headers = new Headers(headersMessage.getHeaders());
     Status status = ResponseClassifier.status(headers, message.getAttributesMap());
     reply(ResponseFactory.RESPONSE_HEADERS);
-    if (status != null && outcome == null) {
-      outcome = status;
-      load = ResponseClassifier.load(headers);
-      octets = head.getEndOfStream() ? 0 : ResponseClassifier.octets(headers);
-      if (head.getEndOfStream() || protocol.getResponseBodyMode() == BodySendMode.NONE) {
-        answerEnded();
+    if (status != null && attemptStatus == null) {
+      attemptStatus = status;
+      loadReport = ResponseClassifier.loadReport(headers);
+      responseBytes = headersMessage.getEndOfStream() ? 0 : ResponseClassifier.contentLength(headers);
+      if (headersMessage.getEndOfStream() || protocol.getResponseBodyMode() == BodySendMode.NONE) {
+        responseEnded();
       }
     }
   }
 
-  private void answerEnded() {
-    if (state == State.SENT) {
+  private void responseEnded() {
+    if (state == State.DESTINATION_SENT) {
       state = State.ENDED;
-      held = false;
-      Status ended = outcome == null ? Status.CANCELLED : outcome;
-      Map<String, Double> report = load;
-      long body = outcome == null ? -1 : octets;
-      shared.engineLoop.execute(() -> shared.calls.ended(exchange, ended, report, body));
+      engineHoldsCall = false;
+      Status finalStatus = attemptStatus == null ? Status.CANCELLED : attemptStatus;
+      Map<String, Double> finalLoadReport = loadReport;
+      long finalBytes = attemptStatus == null ? -1 : responseBytes;
+      shared.engineLoop.execute(() -> shared.dispatcher.finishAttempt(exchange, finalStatus, finalLoadReport, finalBytes));
     }
   }
 
-  /** The caller has said all: the request is over there. */
+  /** The caller sends no more messages: the request is finished there. */
   @Override
   public void onHalfClose() {
     halfClosed = true;
     endIfHalfClosed();
   }
 
-  /** What a caller that says nothing more is still owed is its verdict. */
+  /** Closes a half-closed stream, but not before an outstanding decision has been sent. */
   private void endIfHalfClosed() {
-    if (halfClosed && state != State.ASKED && state != State.RECHECKING) {
-      answerEnded();
+    if (halfClosed && state != State.AWAITING_DECISION && state != State.REVALIDATING) {
+      responseEnded();
       close(io.grpc.Status.OK);
     }
   }
 
-  /** The caller has hung up, or its connection broke. */
+  /** The caller has cancelled the stream, or its connection is lost. */
   @Override
   public void onCancel() {
-    over();
+    streamEnded();
   }
 
   @Override
   public void onComplete() {
-    over();
+    streamEnded();
   }
 
   @Override
   public void onReady() {
-    if (owesRequest && !closed) {
-      owesRequest = false;
+    if (requestDeferred && !closed) {
+      requestDeferred = false;
       call.request(1);
     }
   }
 
-  // ---- What the engine says ------------------------------------------------------------------------------
+  // ---- Decisions of the engine ---------------------------------------------------------------------------
 
   @Override
-  public void send(CallExchange x, SocketAddress address) {
-    loop.execute(() -> {
-      if (closed || state != State.ASKED && state != State.RECHECKING) {
-        shared.engineLoop.execute(() -> shared.calls.undelivered(x));
+  public void onUpstreamSelected(CallExchange x, SocketAddress address) {
+    streamLoop.execute(() -> {
+      if (closed || state != State.AWAITING_DECISION && state != State.REVALIDATING) {
+        shared.engineLoop.execute(() -> shared.dispatcher.onUndelivered(x));
         return;
       }
-      boolean inBody = state == State.RECHECKING;
-      state = State.SENT;
-      told = true;
-      answered("served", Entry.SERVED);
-      reply(loop.send(address, inBody, protocol));
+      boolean inBody = state == State.REVALIDATING;
+      state = State.DESTINATION_SENT;
+      destinationDelivered = true;
+      recordDecision("served", Entry.SERVED);
+      reply(streamLoop.destination(address, inBody, protocol));
       endIfHalfClosed();
     });
   }
 
   @Override
-  public void end(LocalReply verdict) {
-    loop.execute(() -> endedBy(shared.replies.end(verdict, grpc), verdict.reason().code(), verdict.rejected() ? Entry.REFUSED
+  public void onLocalReply(LocalReply reply) {
+    streamLoop.execute(() -> endCall(shared.responseFactory.localReply(reply, grpc), reply.reason().code(), reply.rejected() ? Entry.REFUSED
         : Entry.FAILED));
   }
 
   @Override
-  public void bad(int status, String what, String reason) {
-    loop.execute(() -> endedBy(shared.replies.bad(status, what, reason, grpc), reason, Entry.FAILED));
+  public void onInvalid(int status, String message, String reason) {
+    streamLoop.execute(() -> endCall(shared.responseFactory.invalid(status, message, reason, grpc), reason, Entry.FAILED));
   }
 
-  /** Guards rule 1: a call that has its verdict gets no second one, whatever the engine comes to say of it. */
-  private void endedBy(EncodedResponse last, String word, int kind) {
-    held = false;
-    if (state == State.ASKED || state == State.RECHECKING) {
-      answered(word, kind);
-      finish(last);
+  /** Ends the call unless it already has a decision: a call gets exactly one, whatever the engine reports later (rule 1). */
+  private void endCall(EncodedResponse finalReply, String outcomeCode, int result) {
+    engineHoldsCall = false;
+    if (state == State.AWAITING_DECISION || state == State.REVALIDATING) {
+      recordDecision(outcomeCode, result);
+      finish(finalReply);
     }
   }
 
   // ---- Replies -------------------------------------------------------------------------------------------
 
-  /** An answer in the upstream's place: the last word on the stream. */
-  private void finish(EncodedResponse last) {
+  /** Sends an immediate response, the last message of the stream. */
+  private void finish(EncodedResponse finalReply) {
     if (!closed) {
       state = State.ENDED;
-      write(last);
+      write(finalReply);
       close(io.grpc.Status.OK);
     }
   }
 
-  /** Records the verdict, the first one of a call: what is said of it after its destination is the attempt's. */
-  private void answered(String word, int kind) {
-    if (verdictRecorded || !shared.recorder.isOn()) {
+  /** Records the first decision on a call: anything after its destination concerns the attempt. */
+  private void recordDecision(String outcomeCode, int result) {
+    if (decisionRecorded || !shared.recorder.isOn()) {
       return;
     }
-    verdictRecorded = true;
-    shared.recorder.recordAnswer(0, request == null ? null : request.id(), request == null ? null : request.type().name(),
-        request == null ? null : request.tenant(), word, kind, request == null ? 0 : shared.clock.now() - receivedAt);
+    decisionRecorded = true;
+    shared.recorder.recordAnswer(0, request == null ? null : request.id(), request == null ? null : request.requestClass().name(),
+        request == null ? null : request.tenant(), outcomeCode, result, request == null ? 0 : shared.clock.now() - receivedAt);
   }
 
   private void reply(EncodedResponse reply) {
     if (!closed) {
       write(reply);
-      askForMore();
+      requestNext();
     }
   }
 
-  /** The stream's own headers leave with its first message: by themselves they would cost a packet of their own. */
+  /** Sends the stream's headers together with its first message: on their own they would take a packet. */
   private void write(EncodedResponse reply) {
-    if (!begun) {
-      begun = true;
+    if (!headersSent) {
+      headersSent = true;
       call.sendHeaders(new Metadata());
     }
     call.sendMessage(reply);
   }
 
-  private void askForMore() {
+  private void requestNext() {
     if (call.isReady()) {
       call.request(1);
     } else {
-      owesRequest = true;
+      requestDeferred = true;
     }
   }
 
-  private void broken(io.grpc.Status status, String what) {
-    shared.counts.broken.increment();
-    close(status.withDescription(what));
-    hangUp();
+  private void protocolError(io.grpc.Status status, String message) {
+    shared.counts.protocolErrors.increment();
+    close(status.withDescription(message));
+    notifyCallerGone();
   }
 
   private void close(io.grpc.Status status) {
@@ -357,55 +357,55 @@
     }
   }
 
-  // ---- Ends ----------------------------------------------------------------------------------------------
+  // ---- Termination ---------------------------------------------------------------------------------------
 
-  private void over() {
-    if (state == State.ASKED && !closed) {
-      answered("gone", Entry.GONE);
+  private void streamEnded() {
+    if (state == State.AWAITING_DECISION && !closed) {
+      recordDecision("gone", Entry.GONE);
     }
     closed = true;
-    loop.left(this);
-    hangUp();
+    streamLoop.unregister(this);
+    notifyCallerGone();
   }
 
-  /** Tells the engine that nobody is there any more; it knows what that means for the call. */
-  private void hangUp() {
-    if (!held) {
+  /** Notifies the engine that the caller is gone; what that means depends on the state of the call. */
+  private void notifyCallerGone() {
+    if (!engineHoldsCall) {
       return;
     }
-    held = false;
-    boolean maySend = told;
+    engineHoldsCall = false;
+    boolean delivered = destinationDelivered;
     shared.engineLoop.execute(() -> {
       if (exchange != null) {
-        shared.calls.gone(exchange, maySend);
+        shared.dispatcher.onCallerGone(exchange, delivered);
       }
     });
   }
 
-  /** Guards against streams that say nothing: a stream holds memory, and a caller may open very many. */
-  void checkSilence(long now) {
+  /** Closes the stream if it is idle: each stream holds memory, and a caller may open very many. */
+  void checkIdle(long now) {
     ProcessorConfig.Limits limits = shared.config.limits();
-    boolean fresh = state == State.NEW;
-    long most = TimeUnit.MILLISECONDS.toNanos(fresh ? limits.firstMessageMillis() : limits.streamIdleMillis());
-    if (closed || now - heardAt < most) {
+    boolean noMessageYet = state == State.NEW;
+    long maxIdleNanos = TimeUnit.MILLISECONDS.toNanos(noMessageYet ? limits.firstMessageMillis() : limits.streamIdleMillis());
+    if (closed || now - lastMessageAt < maxIdleNanos) {
       return;
     }
-    if (fresh) {
-      broken(io.grpc.Status.DEADLINE_EXCEEDED, "nothing came on this stream");
+    if (noMessageYet) {
+      protocolError(io.grpc.Status.DEADLINE_EXCEEDED, "no message received on this stream");
     } else {
-      close(io.grpc.Status.OK); // The caller goes on without us: its verdict has been given.
-      hangUp();
+      close(io.grpc.Status.OK); // The caller has its decision and proceeds without the processor.
+      notifyCallerGone();
     }
   }
 
-  /** The processor ends: a call that has its verdict is let go, one that has none gets it. */
+  /** Ends the stream at shutdown; an undecided call gets a final reply first. */
   void stop() {
-    if (!closed && (state == State.ASKED || state == State.RECHECKING)) {
-      answered(Reason.STOPPING.code(), Entry.FAILED);
-      finish(shared.replies.end(LocalReply.failed(Reason.STOPPING), grpc));
+    if (!closed && (state == State.AWAITING_DECISION || state == State.REVALIDATING)) {
+      recordDecision(Reason.STOPPING.code(), Entry.FAILED);
+      finish(shared.responseFactory.localReply(LocalReply.failed(Reason.STOPPING), grpc));
     } else {
       close(io.grpc.Status.OK);
     }
-    hangUp();
+    notifyCallerGone();
   }
 }
--- a/processor/src/main/java/cloverpulley/processor/RecordsFile.java
+++ b/processor/src/main/java/cloverpulley/processor/RecordsFile.java
@@ -17,82 +17,81 @@
 import java.util.logging.Logger;
 
 /**
- * The program's own records: one JSON object a line for each call, from when it has ended. A thread of its own writes; past a
- * bound of what waits, records are dropped and the next line says how many. A file that has reached its size is kept once,
- * under its name and {@code .1}.
+ * Writes one JSON line for each call that has ended. A dedicated thread writes them; when its queue is full, records are dropped and
+ * the next line states how many. A file that reaches its maximum size is renamed to {@code NAME.1}, replacing the previous one.
  */
 final class RecordsFile implements AutoCloseable {
 
-  /** Where no records are kept. */
+  /** Discards all records. */
   static final RecordsFile NONE = new RecordsFile();
 
   private static final Logger LOG = Logger.getLogger(RecordsFile.class.getName());
 
-  private static final int MOST_WAITING = 65_536;
+  private static final int MAX_QUEUED = 65_536;
   private static final long POLL_MILLIS = 100;
-  private static final long CLOSE_MILLIS = 2000;
-  private static final long CLOCK_MICROS = 1000;
+  private static final long CLOSE_TIMEOUT_MILLIS = 2000;
+  private static final long MICROS_PER_MILLI = 1000;
 
   /**
-   * One call.
+   * The record of one call.
    *
-   * @param atMicros Unix time at which it came, in microseconds
-   * @param keyHash of its key; 0 for none
-   * @param word the outcome of its attempt, or the reason why it had none
-   * @param upstream the module's number; 0 for none
+   * @param atMicros Unix time at which it arrived, in microseconds
+   * @param keyHash hash of its key; 0 for none
+   * @param outcome the outcome of its attempt, or the reason why it had none
+   * @param upstream the module's number for the upstream; 0 for none
    */
-  record Call(long atMicros, String className, String tenant, long keyHash, long hintMicros, String word, boolean sent,
+  record CallRecord(long atMicros, String className, String tenant, long keyHash, long hintMicros, String outcome, boolean sent,
       long upstream, long latencyMicros) {}
 
   private final Path file;
-  private final long mostBytes;
-  private final BlockingQueue<Call> waiting = new ArrayBlockingQueue<>(MOST_WAITING);
+  private final long maxBytes;
+  private final BlockingQueue<CallRecord> queue = new ArrayBlockingQueue<>(MAX_QUEUED);
   private final AtomicLong dropped = new AtomicLong();
   private final Thread writer;
   private volatile boolean closed;
 
   private RecordsFile() {
     file = null;
-    mostBytes = 0;
+    maxBytes = 0;
     writer = null;
   }
 
-  RecordsFile(Path file, long mostBytes) {
+  RecordsFile(Path file, long maxBytes) {
     this.file = file;
-    this.mostBytes = mostBytes;
+    this.maxBytes = maxBytes;
     writer = new Thread(this::write, "records");
     writer.setDaemon(true);
     writer.start();
   }
 
-  boolean isKept() {
+  boolean isEnabled() {
     return file != null;
   }
 
-  void add(Call call) {
-    if (file != null && !waiting.offer(call)) {
+  void add(CallRecord call) {
+    if (file != null && !queue.offer(call)) {
       dropped.incrementAndGet();
     }
   }
 
   private void write() {
     try {
-      while (!closed || !waiting.isEmpty()) {
+      while (!closed || !queue.isEmpty()) {
         try (Writer out = new BufferedWriter(
             Files.newBufferedWriter(file, StandardOpenOption.CREATE, StandardOpenOption.APPEND))) {
           long size = Files.size(file);
-          while (size < mostBytes && (!closed || !waiting.isEmpty())) {
-            Call call = waiting.poll(POLL_MILLIS, TimeUnit.MILLISECONDS);
+          while (size < maxBytes && (!closed || !queue.isEmpty())) {
+            CallRecord call = queue.poll(POLL_MILLIS, TimeUnit.MILLISECONDS);
             if (call == null) {
               out.flush();
               continue;
             }
-            String line = line(call, dropped.getAndSet(0));
+            String line = toJsonLine(call, dropped.getAndSet(0));
             size += line.length();
             out.write(line);
           }
         }
-        if (Files.size(file) >= mostBytes) {
+        if (Files.size(file) >= maxBytes) {
           Files.move(file, file.resolveSibling(file.getFileName() + ".1"), StandardCopyOption.REPLACE_EXISTING);
         }
       }
@@ -104,18 +103,18 @@
     }
   }
 
-  private static String line(Call c, long dropped) throws IOException {
+  private static String toJsonLine(CallRecord call, long dropped) throws IOException {
     StringWriter text = new StringWriter();
     try (JsonGenerator g = new JsonFactory().createGenerator(text)) {
       g.writeStartObject();
-      g.writeNumberField("at_us", c.atMicros());
-      g.writeStringField("class", c.className());
-      g.writeStringField("tenant", c.tenant() == null ? "" : c.tenant());
-      g.writeStringField("key", Long.toHexString(c.keyHash()));
-      g.writeNumberField("hint_us", c.hintMicros());
-      g.writeStringField(c.sent() ? "outcome" : "reason", c.word());
-      g.writeStringField("upstream", Long.toHexString(c.upstream()));
-      g.writeNumberField("latency_us", c.latencyMicros());
+      g.writeNumberField("at_us", call.atMicros());
+      g.writeStringField("class", call.className());
+      g.writeStringField("tenant", call.tenant() == null ? "" : call.tenant());
+      g.writeStringField("key", Long.toHexString(call.keyHash()));
+      g.writeNumberField("hint_us", call.hintMicros());
+      g.writeStringField(call.sent() ? "outcome" : "reason", call.outcome());
+      g.writeStringField("upstream", Long.toHexString(call.upstream()));
+      g.writeNumberField("latency_us", call.latencyMicros());
       if (dropped > 0) {
         g.writeNumberField("dropped_before", dropped);
       }
@@ -124,7 +123,7 @@
     return text.append('\n').toString();
   }
 
-  /** FNV-1a, never 0; 0 for none. Keys themselves are not kept. */
+  /** The FNV-1a hash of a key, never 0; 0 for no key. Keys themselves are not recorded. */
   static long hash(String key) {
     if (key == null) {
       return 0;
@@ -137,16 +136,16 @@
   }
 
   static long nowMicros() {
-    return System.currentTimeMillis() * CLOCK_MICROS;
+    return System.currentTimeMillis() * MICROS_PER_MILLI;
   }
 
-  /** Writes what waits. */
+  /** Writes the queued records. */
   @Override
   public void close() {
     closed = true;
     if (writer != null) {
       try {
-        writer.join(CLOSE_MILLIS);
+        writer.join(CLOSE_TIMEOUT_MILLIS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
--- a/processor/src/main/java/cloverpulley/processor/RequestParser.java
+++ b/processor/src/main/java/cloverpulley/processor/RequestParser.java
@@ -12,109 +12,109 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** Reads from a request's headers what the module is told of it, strictly: what can't be right is named, not guessed. */
+/** Parses the headers of a request into the properties that the module decides by. Invalid values are rejected, not replaced by defaults. */
 final class RequestParser {
 
-  /** The longest id, tenant or key that is kept as it came. */
-  private static final int MOST_NAME = 128;
-  /** The most digits of a number: more would be no time, no work and no count. */
-  private static final int MOST_DIGITS = 9;
-  /** gRPC over HTTP/2, "Timeout": at most eight digits and a unit. */
-  private static final int MOST_TIMEOUT_DIGITS = 8;
+  /** The longest id, tenant or key that is kept verbatim. */
+  private static final int MAX_NAME_LENGTH = 128;
+  /** The most digits of a number: a larger value makes no sense as a time, an amount of work or a count. */
+  private static final int MAX_DIGITS = 9;
+  /** "Timeout" in gRPC over HTTP/2: at most eight digits and a unit. */
+  private static final int MAX_TIMEOUT_DIGITS = 8;
   private static final String GRPC_TIMEOUT = "grpc-timeout";
   private static final String ENVOY_TIMEOUT = "x-envoy-expected-rq-timeout-ms";
 
-  /** What came of the reading. */
-  sealed interface Read permits Call, Bad {}
+  /** The result of parsing. */
+  sealed interface Result permits ParsedRequest, InvalidRequest {}
 
   /**
-   * A request.
+   * A valid request.
    *
-   * @param id null where the caller names none: then it has no repeats
-   * @param count which attempt it is, from 1; 0 where the caller doesn't count
-   * @param quotaPath the node of the quotas that it is charged to; null for that of the unknown
-   * @param waitNanos how long an answer is of use, counted from now
+   * @param id null if the caller gives none: retries of it are then not recognized
+   * @param attemptCount the number of the attempt, from 1; 0 if the caller does not count
+   * @param quotaPath the quota node that it is charged to; null for the node of unknown tenants
+   * @param waitNanos how long an answer is of use, from now on
    */
-  record Call(String id, int count, RequestClass type, String tenant, String key, long hintNanos, boolean retry, long waitNanos,
-      String quotaPath)
-      implements Read {}
+  record ParsedRequest(String id, int attemptCount, RequestClass requestClass, String tenant, String key, long hintNanos, boolean retry,
+      long waitNanos, String quotaPath) implements Result {}
 
-  /** What can't be read: the status to answer and what is wrong. */
-  record Bad(int status, String what) implements Read {}
+  /** An invalid request: the HTTP status to reply with and an error message. */
+  record InvalidRequest(int status, String message) implements Result {}
 
   private final ProcessorConfig config;
-  private final ProcessorConfig.Names names;
+  private final ProcessorConfig.HeaderNames names;
   private final Map<String, RequestClass> classes;
   private final Set<String> tenants;
 
   RequestParser(ProcessorConfig config, Settings settings) {
     this.config = config;
-    names = config.names();
+    names = config.headerNames();
     classes = settings.classes().stream().collect(Collectors.toMap(RequestClass::name, Function.identity()));
     tenants = settings.tenants().stream().map(Tenant::name).collect(Collectors.toSet());
   }
 
-  Read read(Headers h) {
-    if (h.count() > config.limits().headers() || h.bytes() > config.limits().headerBytes()) {
-      return new Bad(431, "too many or too large headers");
+  Result parse(Headers headers) {
+    if (headers.count() > config.limits().headers() || headers.sizeBytes() > config.limits().headerBytes()) {
+      return new InvalidRequest(431, "too many or too large headers");
     }
-    String id = id(h);
-    if (id != null && id.length() > MOST_NAME) {
-      return new Bad(400, "the request's id is too long");
+    String id = id(headers);
+    if (id != null && id.length() > MAX_NAME_LENGTH) {
+      return new InvalidRequest(400, "the request id is too long");
     }
-    String name = h.get(names.className());
-    RequestClass type = classes.get(name == null || !classes.containsKey(name) ? names.defaultClass() : name);
-    if (type == null) {
-      return new Bad(400, names.className() + " names no known class");
+    String name = headers.get(names.className());
+    RequestClass requestClass = classes.get(name == null || !classes.containsKey(name) ? names.defaultClass() : name);
+    if (requestClass == null) {
+      return new InvalidRequest(400, names.className() + " names no known class");
     }
-    String tenant = h.get(names.tenant());
-    if (tenant != null && (tenant.length() > MOST_NAME || !tenants.isEmpty() && !tenants.contains(tenant))) {
-      return new Bad(400, names.tenant() + " names no known tenant");
+    String tenant = headers.get(names.tenant());
+    if (tenant != null && (tenant.length() > MAX_NAME_LENGTH || !tenants.isEmpty() && !tenants.contains(tenant))) {
+      return new InvalidRequest(400, names.tenant() + " names no known tenant");
     }
-    // Guards a keyed class: without the key no upstream could drop a repeat.
-    String idempotency = h.get(names.idempotency());
-    if (type.effect() == Effect.KEYED && (idempotency == null || idempotency.isEmpty())) {
-      return new Bad(400, names.idempotency() + " is missing");
+    // Without the key no upstream could drop a duplicate of a keyed request.
+    String idempotencyKey = headers.get(names.idempotencyKey());
+    if (requestClass.effect() == Effect.KEYED && (idempotencyKey == null || idempotencyKey.isEmpty())) {
+      return new InvalidRequest(400, names.idempotencyKey() + " is missing");
     }
-    String counted = h.get(names.attemptCount());
-    long count = counted == null ? 0 : wholeNumber(counted);
-    if (count < 0 || counted != null && count == 0) {
-      return new Bad(400, names.attemptCount() + " is no count from 1");
+    String attemptCountText = headers.get(names.attemptCount());
+    long attemptCount = attemptCountText == null ? 0 : wholeNumber(attemptCountText);
+    if (attemptCount < 0 || attemptCountText != null && attemptCount == 0) {
+      return new InvalidRequest(400, names.attemptCount() + " must be a number of 1 or more");
     }
-    if (type.effect() != Effect.SAFE && (id == null || counted == null && config.countRequired())) {
-      // Guards the effect: a repeat could not be told from a first.
-      return new Bad(400, (id == null ? names.id().get(0) : names.attemptCount()) + " is missing");
+    if (requestClass.effect() != Effect.SAFE && (id == null || attemptCountText == null && config.attemptCountRequired())) {
+      // A retry could not be told from a first attempt, and the request might take effect twice.
+      return new InvalidRequest(400, (id == null ? names.id().get(0) : names.attemptCount()) + " is missing");
     }
-    long wait = type.deadlineNanos();
+    long waitNanos = requestClass.deadlineNanos();
     for (String header : new String[] {names.expires(), ENVOY_TIMEOUT, GRPC_TIMEOUT}) {
-      String text = h.get(header);
-      if (text != null) {
-        long nanos = header.equals(GRPC_TIMEOUT) ? grpcTimeout(text) : TimeUnit.MILLISECONDS.toNanos(wholeNumber(text));
+      String value = headers.get(header);
+      if (value != null) {
+        long nanos = header.equals(GRPC_TIMEOUT) ? grpcTimeout(value) : TimeUnit.MILLISECONDS.toNanos(wholeNumber(value));
         if (nanos < 0) {
-          return new Bad(400, header + " is no time");
+          return new InvalidRequest(400, header + " is not a valid time");
         }
-        // Envoy writes 0 for no time-out; from others it is a deadline that has passed.
-        wait = nanos == 0 && header.equals(ENVOY_TIMEOUT) ? wait : Math.min(wait, nanos);
+        // Envoy writes 0 for no time-out; in the other headers 0 is a deadline that has passed.
+        waitNanos = nanos == 0 && header.equals(ENVOY_TIMEOUT) ? waitNanos : Math.min(waitNanos, nanos);
       }
     }
-    String hint = h.get(names.hint());
+    String hint = headers.get(names.hint());
     long hintNanos = hint == null ? 0 : TimeUnit.MICROSECONDS.toNanos(Math.max(0, wholeNumber(hint)));
-    boolean retry = count > 1 || "1".equals(h.get(names.retry()));
-    return new Call(id, (int) count, type, tenant, key(h), hintNanos, retry, wait, quotaPath(tenant, h.get(names.quota())));
+    boolean retry = attemptCount > 1 || "1".equals(headers.get(names.retry()));
+    return new ParsedRequest(id, (int) attemptCount, requestClass, tenant, key(headers), hintNanos, retry, waitNanos,
+        quotaPath(tenant, headers.get(names.quota())));
   }
 
-  /** A tenant's node, or one below it that the caller names; nobody is charged for what another names. */
-  private static String quotaPath(String tenant, String below) {
+  /** The tenant's quota node or the node below it that the caller names, so that no caller can charge another tenant. */
+  private static String quotaPath(String tenant, String suffix) {
     if (tenant == null || tenant.isEmpty() || tenant.indexOf('/') >= 0) {
       return null;
     }
-    boolean isPath = below != null && below.length() <= MOST_NAME && below.matches("[^/\\p{Cntrl}]+(/[^/\\p{Cntrl}]+)*");
-    return isPath ? tenant + "/" + below : tenant;
+    boolean isPath = suffix != null && suffix.length() <= MAX_NAME_LENGTH && suffix.matches("[^/\\p{Cntrl}]+(/[^/\\p{Cntrl}]+)*");
+    return isPath ? tenant + "/" + suffix : tenant;
   }
 
-  private String id(Headers h) {
+  private String id(Headers headers) {
     for (String name : names.id()) {
-      String id = h.get(name);
+      String id = headers.get(name);
       if (id != null && !id.isEmpty()) {
         return id;
       }
@@ -122,46 +122,46 @@
     return null;
   }
 
-  private String key(Headers h) {
+  private String key(Headers headers) {
     String key = null;
     if (!names.key().equals("cookie")) {
-      key = h.get(names.key());
+      key = headers.get(names.key());
     } else {
-      for (String header : h.all("cookie")) {
+      for (String header : headers.values("cookie")) {
         try {
           for (Cookie cookie : ServerCookieDecoder.LAX.decode(header)) {
             key = key == null && cookie.name().equals(names.keyCookie()) ? cookie.value() : key;
           }
         } catch (IllegalArgumentException e) {
-          continue; // Guards the verdict: the decoder throws at a name of control characters alone.
+          continue; // The decoder throws if a name consists of control characters only.
         }
       }
     }
-    // Guards the memory: keys are kept, and a long one counts by its hash.
-    return key == null || key.isEmpty() ? null : key.length() <= MOST_NAME ? key : Integer.toHexString(key.hashCode());
+    // Bounds the memory: keys are kept, so a long one is replaced by its hash.
+    return key == null || key.isEmpty() ? null : key.length() <= MAX_NAME_LENGTH ? key : Integer.toHexString(key.hashCode());
   }
 
-  /** The number, or -1 for anything but digits. */
-  static long wholeNumber(String text) {
-    return wholeNumber(text, MOST_DIGITS);
+  /** The number; -1 for anything other than up to nine digits. */
+  static long wholeNumber(String value) {
+    return wholeNumber(value, MAX_DIGITS);
   }
 
-  /** A number of so many digits at most, 18 at the most; -1 for anything else. */
-  static long wholeNumber(String text, int digits) {
-    return digits(text, digits) ? Long.parseLong(text) : -1;
+  /** A number of up to {@code maxDigits} digits, which must not exceed 18; -1 for anything else. */
+  static long wholeNumber(String value, int maxDigits) {
+    return isDigits(value, maxDigits) ? Long.parseLong(value) : -1;
   }
 
-  private static boolean digits(String text, int most) {
-    return !text.isEmpty() && text.length() <= most && text.chars().allMatch(c -> c >= '0' && c <= '9');
+  private static boolean isDigits(String value, int maxDigits) {
+    return !value.isEmpty() && value.length() <= maxDigits && value.chars().allMatch(c -> c >= '0' && c <= '9');
   }
 
-  /** Nanoseconds of a gRPC time-out ("gRPC over HTTP2", Timeout), or -1 for what is none. */
-  static long grpcTimeout(String text) {
-    if (text.isEmpty() || !digits(text.substring(0, text.length() - 1), MOST_TIMEOUT_DIGITS)) {
+  /** The nanoseconds of a gRPC time-out ("Timeout" in gRPC over HTTP/2); -1 if it is invalid. */
+  static long grpcTimeout(String value) {
+    if (value.isEmpty() || !isDigits(value.substring(0, value.length() - 1), MAX_TIMEOUT_DIGITS)) {
       return -1;
     }
-    long number = Long.parseLong(text.substring(0, text.length() - 1));
-    TimeUnit unit = switch (text.charAt(text.length() - 1)) {
+    long amount = Long.parseLong(value.substring(0, value.length() - 1));
+    TimeUnit unit = switch (value.charAt(value.length() - 1)) {
       case 'H' -> TimeUnit.HOURS;
       case 'M' -> TimeUnit.MINUTES;
       case 'S' -> TimeUnit.SECONDS;
@@ -170,6 +170,6 @@
       case 'n' -> TimeUnit.NANOSECONDS;
       default -> null;
     };
-    return unit == null ? -1 : unit.toNanos(number);
+    return unit == null ? -1 : unit.toNanos(amount);
   }
 }
--- a/processor/src/main/java/cloverpulley/processor/ResponseFactory.java
+++ b/processor/src/main/java/cloverpulley/processor/ResponseFactory.java
@@ -28,14 +28,14 @@
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
 
-/** The protocol's messages for each thing that is to be said. */
+/** Builds the ext_proc messages that are sent to callers. */
 final class ResponseFactory {
 
-  /** Where records and callers find why. */
+  /** The response header that states the reason of a local reply. */
   static final String REASON = "x-ashdeck-reason";
   private static final int TOO_MANY_REQUESTS = 429;
   private static final int BAD_GATEWAY = 502;
-  /** gRPC's RESOURCE_EXHAUSTED, UNKNOWN, INVALID_ARGUMENT: a failure promises nothing, so it is not UNAVAILABLE. */
+  /** RESOURCE_EXHAUSTED, UNKNOWN and INVALID_ARGUMENT. A failure does not imply that a retry is safe, so it is not UNAVAILABLE. */
   private static final int GRPC_EXHAUSTED = 8;
   private static final int GRPC_UNKNOWN = 2;
   private static final int GRPC_INVALID = 3;
@@ -57,11 +57,11 @@
     this.config = config;
   }
 
-  /** The destination, as the reply to the request's headers or, where {@code inBody}, to its buffered body. */
-  EncodedResponse send(SocketAddress address, boolean inBody, ProtocolConfiguration protocol) {
-    ByteString value = ByteString.copyFromUtf8(text((InetSocketAddress) address));
-    HeaderMutation.Builder mutation = HeaderMutation.newBuilder().addSetHeaders(set(config.names().destination(), value));
-    config.names().strip().forEach(mutation::addRemoveHeaders);
+  /** The selected upstream, as the reply to the request headers or, if {@code inBody}, to the buffered request body. */
+  EncodedResponse destination(SocketAddress address, boolean inBody, ProtocolConfiguration protocol) {
+    ByteString value = ByteString.copyFromUtf8(hostPort((InetSocketAddress) address));
+    HeaderMutation.Builder mutation = HeaderMutation.newBuilder().addSetHeaders(headerOption(config.headerNames().destination(), value));
+    config.headerNames().strip().forEach(mutation::addRemoveHeaders);
     CommonResponse common =
         CommonResponse.newBuilder().setHeaderMutation(mutation).setClearRouteCache(true).build();
     ProcessingResponse.Builder reply = ProcessingResponse.newBuilder();
@@ -74,37 +74,37 @@
             .setRequestBodyMode(protocol.getRequestBodyMode()).setResponseBodyMode(protocol.getResponseBodyMode()));
       }
     }
-    Struct destination = Struct.newBuilder().putFields(config.names().destination(),
+    Struct destination = Struct.newBuilder().putFields(config.headerNames().destination(),
         Value.newBuilder().setStringValueBytes(value).build()).build();
-    return new EncodedResponse(reply.setDynamicMetadata(Struct.newBuilder().putFields(config.names().metadata(),
+    return new EncodedResponse(reply.setDynamicMetadata(Struct.newBuilder().putFields(config.headerNames().metadata(),
         Value.newBuilder().setStructValue(destination).build())).build());
   }
 
-  private static String text(InetSocketAddress address) {
+  private static String hostPort(InetSocketAddress address) {
     String host = address.getAddress().getHostAddress();
     return (host.indexOf(':') >= 0 ? "[" + host + "]" : host) + ":" + address.getPort();
   }
 
-  private static HeaderValueOption.Builder set(String name, ByteString value) {
+  private static HeaderValueOption.Builder headerOption(String name, ByteString value) {
     return HeaderValueOption.newBuilder().setAppendAction(HeaderAppendAction.OVERWRITE_IF_EXISTS_OR_ADD)
         .setHeader(HeaderValue.newBuilder().setKey(name).setRawValue(value));
   }
 
-  /** A refusal (429) or a failure (502: unlike 503 it does not tell the caller that trying again is harmless). */
-  EncodedResponse end(LocalReply verdict, boolean grpc) {
+  /** A rejection (429) or a failure (502, which unlike 503 does not imply that a retry is safe). */
+  EncodedResponse localReply(LocalReply reply, boolean grpc) {
     HeaderMutation.Builder headers =
-        HeaderMutation.newBuilder().addSetHeaders(set(REASON, ByteString.copyFromUtf8(verdict.reason().code())));
-    if (verdict.retryAfterNanos() > 0) {
-      String seconds = BigDecimal.valueOf((long) Math.ceil(verdict.retryAfterNanos() / 1e6), 3).toPlainString();
-      headers.addSetHeaders(set("retry-after", ByteString.copyFromUtf8(seconds)));
+        HeaderMutation.newBuilder().addSetHeaders(headerOption(REASON, ByteString.copyFromUtf8(reply.reason().code())));
+    if (reply.retryAfterNanos() > 0) {
+      String seconds = BigDecimal.valueOf((long) Math.ceil(reply.retryAfterNanos() / 1e6), 3).toPlainString();
+      headers.addSetHeaders(headerOption("retry-after", ByteString.copyFromUtf8(seconds)));
     }
-    return immediate(verdict.rejected() ? TOO_MANY_REQUESTS : BAD_GATEWAY, headers, verdict.reason().code(),
-        verdict.reason().code(), grpc, verdict.rejected() ? GRPC_EXHAUSTED : GRPC_UNKNOWN);
+    return immediate(reply.rejected() ? TOO_MANY_REQUESTS : BAD_GATEWAY, headers, reply.reason().code(),
+        reply.reason().code(), grpc, reply.rejected() ? GRPC_EXHAUSTED : GRPC_UNKNOWN);
   }
 
-  /** What can't be read is answered at once. */
-  EncodedResponse bad(int status, String what, String reason, boolean grpc) {
-    return immediate(status, HeaderMutation.newBuilder().addSetHeaders(set(REASON, ByteString.copyFromUtf8(reason))), what,
+  /** An immediate response to a call that can't be accepted. */
+  EncodedResponse invalid(int status, String message, String reason, boolean grpc) {
+    return immediate(status, HeaderMutation.newBuilder().addSetHeaders(headerOption(REASON, ByteString.copyFromUtf8(reason))), message,
         reason, grpc, GRPC_INVALID);
   }
 
@@ -119,18 +119,18 @@
   }
 
   /**
-   * A piece of a body, untouched. In full duplex mode the caller has let go of it and takes only what it is sent back; in all
-   * others it keeps it and waits for the word to go on.
+   * Passes a chunk of a body on unchanged. In full duplex mode the caller has handed the chunk over and forwards only what it receives
+   * back; in all other modes it keeps the chunk and waits for an empty reply.
    */
-  static EncodedResponse body(HttpBody piece, boolean request, BodySendMode mode) {
+  static EncodedResponse body(HttpBody chunk, boolean isRequest, BodySendMode mode) {
     if (mode != BodySendMode.FULL_DUPLEX_STREAMED) {
-      return request ? REQUEST_BODY : RESPONSE_BODY;
+      return isRequest ? REQUEST_BODY : RESPONSE_BODY;
     }
-    StreamedBodyResponse same = StreamedBodyResponse.newBuilder().setBody(piece.getBody())
-        .setEndOfStream(piece.getEndOfStream()).build();
+    StreamedBodyResponse echo = StreamedBodyResponse.newBuilder().setBody(chunk.getBody())
+        .setEndOfStream(chunk.getEndOfStream()).build();
     BodyResponse reply = BodyResponse.newBuilder().setResponse(CommonResponse.newBuilder()
-        .setBodyMutation(BodyMutation.newBuilder().setStreamedResponse(same))).build();
-    return new EncodedResponse(request ? ProcessingResponse.newBuilder().setRequestBody(reply).build()
+        .setBodyMutation(BodyMutation.newBuilder().setStreamedResponse(echo))).build();
+    return new EncodedResponse(isRequest ? ProcessingResponse.newBuilder().setRequestBody(reply).build()
         : ProcessingResponse.newBuilder().setResponseBody(reply).build());
   }
 }
--- a/processor/src/main/java/cloverpulley/processor/StreamLoop.java
+++ b/processor/src/main/java/cloverpulley/processor/StreamLoop.java
@@ -15,117 +15,117 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * One loop that reads and writes, and what its streams share: the times that they wait for and the replies that they send
- * often. A timer for each stream would cost more than its call; one tick looks at all that are due. All but
- * {@link #execute} and {@link #stop} is called on the loop.
+ * An I/O event loop and what its streams share: their guard and idle timers, and cached responses. A timer for each stream would cost
+ * more than its call, so one periodic tick handles all that are due. All methods other than {@link #execute} and {@link #stop} are
+ * called on the event loop.
  */
 final class StreamLoop implements Executor {
 
-  /** Parts of the message time-out: a tick's length, and what is waited for a verdict; together under the whole. */
-  private static final double TICK_PART = 0.05;
-  private static final double GUARD_PART = 0.85;
-  private static final long LEAST_TICK_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
-  /** Silence is looked for so often in the shorter of its times. */
-  private static final int IDLE_LOOKS = 4;
-  /** Replies kept: one for each upstream of a large fleet, in each way that callers want it. */
-  private static final int MOST_REPLIES = 4096;
+  /** Ratios of the message time-out: the interval of the tick, and the guard time for a decision. Their sum must be below 1. */
+  private static final double TICK_RATIO = 0.05;
+  private static final double GUARD_RATIO = 0.85;
+  private static final long MIN_TICK_NANOS = TimeUnit.MILLISECONDS.toNanos(1);
+  /** Number of idle checks within the shorter of the two idle times. */
+  private static final int IDLE_CHECKS = 4;
+  /** Enough for each upstream of a large fleet, in each processing mode that callers use. */
+  private static final int MAX_CACHED_RESPONSES = 4096;
 
-  private record Awaited(ProcessorStream stream, long dueAt) {}
+  private record PendingDecision(ProcessorStream stream, long dueAt) {}
 
-  private record Said(SocketAddress address, int requestBody, int responseBody, boolean inBody) {}
+  private record DestinationKey(SocketAddress address, int requestBody, int responseBody, boolean inBody) {}
 
-  private final EventExecutor loop;
-  private final AtomicInteger open;
-  private final int mostOpen;
-  private final ResponseFactory replies;
+  private final EventExecutor eventLoop;
+  private final AtomicInteger openStreams;
+  private final int maxOpenStreams;
+  private final ResponseFactory responseFactory;
   private final long guardNanos;
-  private final long idleLookNanos;
-  /** All wait equally long, so that the first is the first to be due. */
-  private final ArrayDeque<Awaited> awaited = new ArrayDeque<>();
+  private final long idleCheckNanos;
+  /** All have the same guard time, so the first is due first. */
+  private final ArrayDeque<PendingDecision> pendingDecisions = new ArrayDeque<>();
   private final Set<ProcessorStream> streams = new LinkedHashSet<>();
-  private final Map<Said, EncodedResponse> said = new LinkedHashMap<>(64, 0.75f, true) {
+  private final Map<DestinationKey, EncodedResponse> destinationCache = new LinkedHashMap<>(64, 0.75f, true) {
     private static final long serialVersionUID = 1L;
 
     @Override
-    protected boolean removeEldestEntry(Map.Entry<Said, EncodedResponse> eldest) {
-      return size() > MOST_REPLIES;
+    protected boolean removeEldestEntry(Map.Entry<DestinationKey, EncodedResponse> eldest) {
+      return size() > MAX_CACHED_RESPONSES;
     }
   };
-  private long lookAt;
-
-  /** {@code open} counts the streams of all loops. */
-  StreamLoop(EventExecutor loop, ProcessorConfig config, ResponseFactory replies, AtomicInteger open) {
-    this.loop = loop;
-    this.open = open;
-    this.replies = replies;
-    mostOpen = config.limits().streams();
-    guardNanos = (long) (config.messageTimeoutNanos() * GUARD_PART);
-    idleLookNanos = TimeUnit.MILLISECONDS.toNanos(
-        Math.min(config.limits().firstMessageMillis(), config.limits().streamIdleMillis())) / IDLE_LOOKS;
-    long tick = Math.max(LEAST_TICK_NANOS, (long) (config.messageTimeoutNanos() * TICK_PART));
-    loop.scheduleWithFixedDelay(this::tick, tick, tick, TimeUnit.NANOSECONDS);
+  private long lastIdleCheckAt;
+
+  /** {@code openStreams} counts the streams of all loops. */
+  StreamLoop(EventExecutor eventLoop, ProcessorConfig config, ResponseFactory responseFactory, AtomicInteger openStreams) {
+    this.eventLoop = eventLoop;
+    this.openStreams = openStreams;
+    this.responseFactory = responseFactory;
+    maxOpenStreams = config.limits().streams();
+    guardNanos = (long) (config.messageTimeoutNanos() * GUARD_RATIO);
+    idleCheckNanos = TimeUnit.MILLISECONDS.toNanos(
+        Math.min(config.limits().firstMessageMillis(), config.limits().streamIdleMillis())) / IDLE_CHECKS;
+    long tick = Math.max(MIN_TICK_NANOS, (long) (config.messageTimeoutNanos() * TICK_RATIO));
+    eventLoop.scheduleWithFixedDelay(this::tick, tick, tick, TimeUnit.NANOSECONDS);
   }
 
   boolean isCurrent() {
-    return loop.inEventLoop();
+    return eventLoop.inEventLoop();
   }
 
   @Override
   public void execute(Runnable task) {
-    loop.execute(task);
+    eventLoop.execute(task);
   }
 
-  /** Whether one more stream may open; it then counts until it has left. */
-  boolean mayEnter() {
-    if (open.incrementAndGet() > mostOpen) {
-      open.decrementAndGet();
+  /** Whether another stream may open; it then counts as open until it is unregistered. */
+  boolean tryOpen() {
+    if (openStreams.incrementAndGet() > maxOpenStreams) {
+      openStreams.decrementAndGet();
       return false;
     }
     return true;
   }
 
-  void entered(ProcessorStream stream) {
+  void register(ProcessorStream stream) {
     streams.add(stream);
   }
 
-  void left(ProcessorStream stream) {
+  void unregister(ProcessorStream stream) {
     if (streams.remove(stream)) {
-      open.decrementAndGet();
+      openStreams.decrementAndGet();
     }
   }
 
-  /** A stream awaits a verdict: unless it has one by then, it is told so. Returns the time, by which it knows the word. */
-  long guard(ProcessorStream stream) {
+  /** Starts the guard timer of a stream that awaits a decision. Returns the due time, by which the stream identifies the timer. */
+  long startGuard(ProcessorStream stream) {
     long dueAt = System.nanoTime() + guardNanos;
-    awaited.add(new Awaited(stream, dueAt));
+    pendingDecisions.add(new PendingDecision(stream, dueAt));
     return dueAt;
   }
 
   private void tick() {
     long now = System.nanoTime();
-    for (Awaited first = awaited.peek(); first != null && (first.dueAt <= now || !first.stream.awaits(first.dueAt));
-        first = awaited.peek()) {
-      awaited.poll();
-      if (first.stream.awaits(first.dueAt)) {
-        first.stream.overdue();
+    for (PendingDecision first = pendingDecisions.peek(); first != null && (first.dueAt <= now || !first.stream.awaitsDecision(first.dueAt));
+        first = pendingDecisions.peek()) {
+      pendingDecisions.poll();
+      if (first.stream.awaitsDecision(first.dueAt)) {
+        first.stream.onGuardTimeout();
       }
     }
-    if (now - lookAt >= idleLookNanos) {
-      lookAt = now;
+    if (now - lastIdleCheckAt >= idleCheckNanos) {
+      lastIdleCheckAt = now;
       for (ProcessorStream stream : List.copyOf(streams)) {
-        stream.checkSilence(now);
+        stream.checkIdle(now);
       }
     }
   }
 
-  /** {@link ResponseFactory#send}, made once for all that want the same. */
-  EncodedResponse send(SocketAddress address, boolean inBody, ProtocolConfiguration protocol) {
-    return said.computeIfAbsent(new Said(address, protocol.getRequestBodyModeValue(), protocol.getResponseBodyModeValue(),
-        inBody), s -> replies.send(address, inBody, protocol));
+  /** {@link ResponseFactory#destination} through a cache. */
+  EncodedResponse destination(SocketAddress address, boolean inBody, ProtocolConfiguration protocol) {
+    return destinationCache.computeIfAbsent(new DestinationKey(address, protocol.getRequestBodyModeValue(), protocol.getResponseBodyModeValue(),
+        inBody), key -> responseFactory.destination(address, inBody, protocol));
   }
 
-  /** Ends all streams, each with the word that it is owed. */
+  /** Ends all streams; those that await a decision receive a final reply. */
   void stop() {
-    loop.execute(() -> List.copyOf(streams).forEach(ProcessorStream::stop));
+    eventLoop.execute(() -> List.copyOf(streams).forEach(ProcessorStream::stop));
   }
 }
--- a/processor/src/main/java/cloverpulley/processor/Warmup.java
+++ b/processor/src/main/java/cloverpulley/processor/Warmup.java
@@ -30,52 +30,51 @@
 import java.util.stream.IntStream;
 
 /**
- * Calls a throwaway processor on loopback before the real one listens. Guards against first verdicts that come after the
- * callers' time-out: a process whose code is not loaded yet needs half a second for its first call. Bounded in calls and in
- * time; nothing of it is left.
+ * Sends calls to a temporary processor on loopback before the real one listens. A process whose classes are not loaded yet takes half a
+ * second for its first call, which would exceed the callers' time-out. Bounded in calls and in time; leaves no state behind.
  */
 public final class Warmup {
 
   private static final Logger LOG = Logger.getLogger(Warmup.class.getName());
 
-  private static final int AT_ONCE = 8;
+  private static final int CONCURRENCY = 8;
   private static final int UPSTREAMS = 4;
-  private static final long MOST_MILLIS = 5000;
+  private static final long MAX_MILLIS = 5000;
 
   private Warmup() {}
 
-  /** Makes so many calls; how many of them got a verdict. */
+  /** Makes {@code calls} calls and returns how many of them were decided. */
   public static int run(ProcessorConfig config, Settings settings, int calls) throws IOException {
     if (calls == 0) {
       return 0;
     }
     ServerList list = new ServerList(0, true, IntStream.range(0, UPSTREAMS).mapToObj(i -> new Server("warm-up-" + i,
         new InetSocketAddress(InetAddress.getLoopbackAddress(), 1 + i), settings.zone(), 0, State.READY, 1, 0)).toList());
-    AtomicInteger decided = new AtomicInteger();
-    try (ProcessorServer server = ProcessorServer.start(config.aside(), settings, new FleetSource(null, null, list), 1)) {
+    AtomicInteger decidedCalls = new AtomicInteger();
+    try (ProcessorServer server = ProcessorServer.start(config.forWarmup(), settings, new FleetSource(null, null, list), 1)) {
       ManagedChannel channel = NettyChannelBuilder.forAddress(server.address()).usePlaintext().directExecutor().build();
-      CountDownLatch over = new CountDownLatch(calls);
-      AtomicInteger made = new AtomicInteger();
-      for (int i = 0; i < Math.min(AT_ONCE, calls); i++) {
-        call(channel, config.names(), settings, made, calls, over, decided);
+      CountDownLatch finished = new CountDownLatch(calls);
+      AtomicInteger startedCalls = new AtomicInteger();
+      for (int i = 0; i < Math.min(CONCURRENCY, calls); i++) {
+        startCall(channel, config.headerNames(), settings, startedCalls, calls, finished, decidedCalls);
       }
-      if (!over.await(MOST_MILLIS, TimeUnit.MILLISECONDS)) {
-        LOG.info("warm-up cut short after " + decided + " calls");
+      if (!finished.await(MAX_MILLIS, TimeUnit.MILLISECONDS)) {
+        LOG.info("warm-up cut short after " + decidedCalls + " calls");
       }
       channel.shutdownNow();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
-    return decided.get();
+    return decidedCalls.get();
   }
 
-  private static void call(ManagedChannel channel, ProcessorConfig.Names names, Settings settings, AtomicInteger made, int most,
-      CountDownLatch over, AtomicInteger decided) {
-    int number = made.getAndIncrement();
-    if (number >= most) {
+  private static void startCall(ManagedChannel channel, ProcessorConfig.HeaderNames names, Settings settings, AtomicInteger startedCalls, int maxCalls,
+      CountDownLatch finished, AtomicInteger decidedCalls) {
+    int number = startedCalls.getAndIncrement();
+    if (number >= maxCalls) {
       return;
     }
-    RequestClass type = settings.classes().get(number % settings.classes().size());
+    RequestClass requestClass = settings.classes().get(number % settings.classes().size());
     String tenant = settings.tenants().isEmpty() ? "warm-up" : settings.tenants().get(0).name();
     ClientCall<ProcessingRequest, ProcessingResponse> call = channel.newCall(ExternalProcessor.PROCESS, CallOptions.DEFAULT);
     call.start(new ClientCall.Listener<>() {
@@ -85,7 +84,7 @@
           call.sendMessage(ProcessingRequest.newBuilder().setResponseHeaders(HttpHeaders.newBuilder().setEndOfStream(true)
               .setHeaders(HeaderMap.newBuilder().addHeaders(header(":status", "200")))).build());
         }
-        decided.addAndGet(reply.hasRequestHeaders() || reply.hasImmediateResponse() ? 1 : 0);
+        decidedCalls.addAndGet(reply.hasRequestHeaders() || reply.hasImmediateResponse() ? 1 : 0);
         call.request(1);
         if (reply.hasResponseHeaders()) {
           call.halfClose();
@@ -94,15 +93,15 @@
 
       @Override
       public void onClose(Status status, Metadata trailers) {
-        over.countDown();
-        call(channel, names, settings, made, most, over, decided);
+        finished.countDown();
+        startCall(channel, names, settings, startedCalls, maxCalls, finished, decidedCalls);
       }
     }, new Metadata());
     call.request(1);
     HeaderMap.Builder headers = HeaderMap.newBuilder().addHeaders(header(":method", "GET")).addHeaders(header(":path", "/"))
-        .addHeaders(header(names.id().get(0), "warm-up-" + number)).addHeaders(header(names.className(), type.name()))
+        .addHeaders(header(names.id().get(0), "warm-up-" + number)).addHeaders(header(names.className(), requestClass.name()))
         .addHeaders(header(names.tenant(), tenant)).addHeaders(header(names.attemptCount(), "1"))
-        .addHeaders(header(names.idempotency(), "k" + number)).addHeaders(header(names.hint(), "10000"));
+        .addHeaders(header(names.idempotencyKey(), "k" + number)).addHeaders(header(names.hint(), "10000"));
     call.sendMessage(ProcessingRequest.newBuilder()
         .setRequestHeaders(HttpHeaders.newBuilder().setHeaders(headers).setEndOfStream(true)).build());
   }
--- a/processor/src/test/java/cloverpulley/processor/ProtocolTest.java
+++ b/processor/src/test/java/cloverpulley/processor/ProtocolTest.java
@@ -224,7 +224,7 @@
     assertEquals(code, reply.getImmediateResponse().getStatus().getCode());
     assertTrue(reply.getImmediateResponse().getBody().toStringUtf8().startsWith(header), reply.toString());
     assertTrue(s.closed().isOk());
-    assertEquals(1, rig.server.counts().ended(Reason.BAD_REQUEST));
+    assertEquals(1, rig.server.counts().localReplies(Reason.BAD_REQUEST));
     assertEquals(0, rig.server.pendingCalls());
   }
 
@@ -260,7 +260,7 @@
     assertTrue(s.closed().isOk());
     assertEquals(0, s.left());
     assertEquals(0, rig.server.counts().calls());
-    assertEquals(1, rig.server.counts().observed());
+    assertEquals(1, rig.server.counts().observedStreams());
   }
 
   @Test
--- a/processor/src/test/java/cloverpulley/processor/RequestParserTest.java
+++ b/processor/src/test/java/cloverpulley/processor/RequestParserTest.java
@@ -9,8 +9,8 @@
 import cloverpulley.config.InvalidConfigException;
 import cloverpulley.extproc.ExtProc.HeaderMap;
 import cloverpulley.extproc.ExtProc.HeaderValue;
-import cloverpulley.processor.RequestParser.Bad;
-import cloverpulley.processor.RequestParser.Call;
+import cloverpulley.processor.RequestParser.InvalidRequest;
+import cloverpulley.processor.RequestParser.ParsedRequest;
 import cloverpulley.standins.StandInCaller;
 import com.google.protobuf.ByteString;
 import java.util.ArrayList;
@@ -29,9 +29,9 @@
 /** Headers to requests: what is right is read, what is not is named, and no bytes break it. */
 class RequestParserTest {
 
-  private static final RequestParser MAPPING = mapping();
+  private static final RequestParser PARSER = createParser();
 
-  private static RequestParser mapping() {
+  private static RequestParser createParser() {
     try {
       Rig.Told told = Rig.told("", Rig.servers("127.0.0.1:1"));
       return new RequestParser(told.processor(), told.settings());
@@ -40,54 +40,54 @@
     }
   }
 
-  private static RequestParser.Read read(String... headers) {
-    return MAPPING.read(new Headers(StandInCaller.headers(headers)));
+  private static RequestParser.Result parse(String... headers) {
+    return PARSER.parse(new Headers(StandInCaller.headers(headers)));
   }
 
   @Test
   void everythingThatTheModuleWantsIsRead() {
-    Call call = assertInstanceOf(Call.class, read("x-request-id", "id", "x-envoy-attempt-count", "2", "x-qos", "keyed",
+    ParsedRequest request = assertInstanceOf(ParsedRequest.class, parse("x-request-id", "id", "x-envoy-attempt-count", "2", "x-qos", "keyed",
         "x-customer", "steppe-auto", "cookie", "a=b; sid=7f3a; c=d", "x-size-hint", "1500", "x-expires-in-ms", "480",
         "idempotency-key", "k"));
-    assertEquals(new Call("id", 2, call.type(), "steppe-auto", "7f3a", 1_500_000, true, 480_000_000, "steppe-auto"), call);
-    assertEquals("keyed", call.type().name());
+    assertEquals(new ParsedRequest("id", 2, request.requestClass(), "steppe-auto", "7f3a", 1_500_000, true, 480_000_000, "steppe-auto"), request);
+    assertEquals("keyed", request.requestClass().name());
   }
 
   @Test
   void theFirstIdThatIsThereCounts() {
-    assertEquals("a", ((Call) read("x-trace-id", "b", "x-request-id", "a", "x-qos", "safe")).id());
-    assertEquals("b", ((Call) read("x-trace-id", "b", "x-request-id", "", "x-qos", "safe")).id());
-    assertNull(((Call) read("x-qos", "safe")).id());
+    assertEquals("a", ((ParsedRequest) parse("x-trace-id", "b", "x-request-id", "a", "x-qos", "safe")).id());
+    assertEquals("b", ((ParsedRequest) parse("x-trace-id", "b", "x-request-id", "", "x-qos", "safe")).id());
+    assertNull(((ParsedRequest) parse("x-qos", "safe")).id());
   }
 
   /** Guards rule 2: without an id a repeat could not be told from a first. */
   @Test
   void whatMayNotRunTwiceNeedsItsIdAndKeyedItsKey() {
-    assertTrue(((Bad) read("x-qos", "unsafe")).what().contains("x-request-id"));
-    assertTrue(((Bad) read("x-qos", "keyed", "x-request-id", "a")).what().contains("idempotency-key"));
-    assertTrue(((Bad) read("x-qos", "keyed", "x-request-id", "a", "idempotency-key", "")).what().contains("idempotency-key"));
-    assertEquals(400, ((Bad) read("x-qos", "safe", "x-request-id", "a".repeat(129))).status());
+    assertTrue(((InvalidRequest) parse("x-qos", "unsafe")).message().contains("x-request-id"));
+    assertTrue(((InvalidRequest) parse("x-qos", "keyed", "x-request-id", "a")).message().contains("idempotency-key"));
+    assertTrue(((InvalidRequest) parse("x-qos", "keyed", "x-request-id", "a", "idempotency-key", "")).message().contains("idempotency-key"));
+    assertEquals(400, ((InvalidRequest) parse("x-qos", "safe", "x-request-id", "a".repeat(129))).status());
   }
 
   @Test
   void cookiesThatCantBeReadNameNoKey() {
-    assertNull(((Call) read("x-qos", "safe", "cookie", "\u0001=a")).key());
-    assertEquals("b", ((Call) read("x-qos", "safe", "cookie", "\u0001=a", "cookie", "sid=b")).key());
+    assertNull(((ParsedRequest) parse("x-qos", "safe", "cookie", "\u0001=a")).key());
+    assertEquals("b", ((ParsedRequest) parse("x-qos", "safe", "cookie", "\u0001=a", "cookie", "sid=b")).key());
   }
 
   @Property(seed = "20261201")
   boolean anyHeadersAreReadOrNamed(@ForAll("headers") HeaderMap headers) {
-    RequestParser.Read read = MAPPING.read(new Headers(headers));
-    if (read instanceof Call call) {
-      assertTrue(call.waitNanos() >= 0 && call.waitNanos() <= call.type().deadlineNanos());
-      assertTrue(call.hintNanos() >= 0 && call.count() >= 0);
-      assertTrue(call.id() == null || call.id().length() <= 128);
-      assertTrue(call.key() == null || call.key().length() <= 128);
-      assertTrue(call.tenant() == null || call.tenant().length() <= 128);
+    RequestParser.Result result = PARSER.parse(new Headers(headers));
+    if (result instanceof ParsedRequest request) {
+      assertTrue(request.waitNanos() >= 0 && request.waitNanos() <= request.requestClass().deadlineNanos());
+      assertTrue(request.hintNanos() >= 0 && request.attemptCount() >= 0);
+      assertTrue(request.id() == null || request.id().length() <= 128);
+      assertTrue(request.key() == null || request.key().length() <= 128);
+      assertTrue(request.tenant() == null || request.tenant().length() <= 128);
     } else {
-      Bad bad = (Bad) read;
-      assertTrue(bad.status() == 400 || bad.status() == 431);
-      assertNotNull(bad.what());
+      InvalidRequest invalid = (InvalidRequest) result;
+      assertTrue(invalid.status() == 400 || invalid.status() == 431);
+      assertNotNull(invalid.message());
     }
     return true;
   }
@@ -117,11 +117,11 @@
     java.util.Collections.shuffle(all, new java.util.Random(seed));
     String[] flat = all.stream().flatMap(h -> java.util.stream.Stream.of(seed % 2 == 0 ? h[0].toUpperCase(Locale.ROOT) : h[0],
         h[1])).toArray(String[]::new);
-    Call call = (Call) read(flat);
-    assertEquals(TimeUnit.MICROSECONDS.toNanos(hint), call.hintNanos());
-    assertEquals(TimeUnit.MILLISECONDS.toNanos(expires), call.waitNanos());
-    assertEquals("i", call.id());
-    assertEquals("t", call.tenant());
+    ParsedRequest request = (ParsedRequest) parse(flat);
+    assertEquals(TimeUnit.MICROSECONDS.toNanos(hint), request.hintNanos());
+    assertEquals(TimeUnit.MILLISECONDS.toNanos(expires), request.waitNanos());
+    assertEquals("i", request.id());
+    assertEquals("t", request.tenant());
   }
 
   @Property(seed = "20261201")
--- a/processor/src/test/java/cloverpulley/processor/RobustnessTest.java
+++ b/processor/src/test/java/cloverpulley/processor/RobustnessTest.java
@@ -197,7 +197,7 @@
     assertEquals("deadline", sets(queued.next(), "x-ashdeck-reason"), "nor does one that waits behind it");
     over.countDown();
     rig.awaitNoPendingCalls();
-    assertEquals(2, rig.server.counts().guarded());
+    assertEquals(2, rig.server.counts().guardTimeouts());
     assertEquals(0, s.left() + queued.left(), "one verdict each");
     Outcome outcome = (Outcome) events.stream().filter(Outcome.class::isInstance).findFirst().orElseThrow();
     assertEquals(Balancer.Status.NOT_SENT, outcome.status(), "what the engine said too late was not sent");
@@ -227,7 +227,7 @@
     rig.start("", Rig.servers(ADDRESS).replace("cell = 0", "phase = \"draining\""));
     StandInCaller caller = rig.caller();
     assertEquals("no_upstream", sets(caller.open().send(get("a")).next(), "x-ashdeck-reason"));
-    assertEquals(0, rig.server.counts().guarded());
+    assertEquals(0, rig.server.counts().guardTimeouts());
   }
 
   @Test
@@ -365,7 +365,7 @@
     assertEquals(Status.Code.INVALID_ARGUMENT, caller.open().send(get("a")).send(get("a")).closed().getCode());
     assertEquals(Status.Code.UNIMPLEMENTED, caller.open().send(ProcessingRequest.newBuilder()).closed().getCode());
     rig.awaitNoPendingCalls();
-    assertEquals(4, rig.server.counts().broken());
+    assertEquals(4, rig.server.counts().protocolErrors());
     assertEquals(told(Request.class), told(Outcome.class) + told(ClientGone.class));
     stillServes();
   }
--- a/processor/src/test/java/cloverpulley/processor/RulesTest.java
+++ b/processor/src/test/java/cloverpulley/processor/RulesTest.java
@@ -179,7 +179,7 @@
       assertEquals("unknown_earlier", got.headers().firstValue("x-ashdeck-reason").orElse(""));
       assertEquals(1, began(a, b).get(type + "-1"));
     }
-    assertEquals(2, other.counts().ended(Reason.UNKNOWN_EARLIER));
+    assertEquals(2, other.counts().localReplies(Reason.UNKNOWN_EARLIER));
   }
 
   @Test
@@ -191,7 +191,7 @@
     for (int i = 0; i < 15; i++) {
       assertEquals(200, ask(proxy, "safe", "s" + i, "").get(Rig.LIMIT_S, TimeUnit.SECONDS).statusCode());
     }
-    assertTrue(rig.server.counts().joined() > 0);
+    assertTrue(rig.server.counts().retries() > 0);
   }
 
   // ---- Rule 3 --------------------------------------------------------------------------------------------
