--- a/config/src/main/java/cloverpulley/config/InvalidConfigException.java
+++ b/config/src/main/java/cloverpulley/config/InvalidConfigException.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.stream.Collectors;
 
-/** A file of the operators can't be used; the message has one line for each thing that is wrong. */
+/** A configuration file is invalid; the message has one line for each problem. */
 public final class InvalidConfigException extends Exception {
 
   private static final long serialVersionUID = 1L;
--- a/config/src/main/java/cloverpulley/config/Problems.java
+++ b/config/src/main/java/cloverpulley/config/Problems.java
@@ -4,39 +4,39 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** All that is wrong with a file, in the order of its lines. */
+/** The problems found in a configuration file. */
 public final class Problems {
 
-  /** More than this is not a file with errors but another file. */
-  private static final int MOST = 100;
+  /** Bounds the list: a file with more problems is probably not a configuration file at all. */
+  private static final int MAX_PROBLEMS = 100;
 
   /**
-   * One of them.
+   * One problem.
    *
-   * @param key the full key, as the file would write it; empty where it is the file as a whole
-   * @param line from 1; 0 where no line is at fault, as with a key that is missing
+   * @param key the full key, as written in the file; empty for the file as a whole
+   * @param line the line, from 1; 0 if no line is to blame, as for a missing key
    */
-  public record Problem(String key, int line, String what) {
+  public record Problem(String key, int line, String message) {
     @Override
     public String toString() {
-      return (line > 0 ? "line " + line + ": " : "") + (key.isEmpty() ? "" : key + ": ") + what;
+      return (line > 0 ? "line " + line + ": " : "") + (key.isEmpty() ? "" : key + ": ") + message;
     }
   }
 
-  private final List<Problem> all = new ArrayList<>();
+  private final List<Problem> problems = new ArrayList<>();
 
-  public void add(String key, int line, String what) {
-    if (all.size() < MOST) {
-      all.add(new Problem(key, line, what));
+  public void add(String key, int line, String message) {
+    if (problems.size() < MAX_PROBLEMS) {
+      problems.add(new Problem(key, line, message));
     }
   }
 
   public boolean isEmpty() {
-    return all.isEmpty();
+    return problems.isEmpty();
   }
 
-  /** Those found so far; what no line is at fault for comes first. */
-  public List<Problem> all() {
-    return all.stream().sorted(Comparator.comparingInt(Problem::line)).toList();
+  /** The problems found so far, sorted by line; those without a line come first. */
+  public List<Problem> sorted() {
+    return problems.stream().sorted(Comparator.comparingInt(Problem::line)).toList();
   }
 }
--- a/config/src/main/java/cloverpulley/config/Section.java
+++ b/config/src/main/java/cloverpulley/config/Section.java
@@ -16,20 +16,20 @@
 import org.tomlj.TomlTable;
 
 /**
- * A table of an operators' file, read key by key. A key that is missing, of the wrong type or out of range is noted and read
- * as its default, so that one reading finds all that is wrong. {@link #close} notes the keys that nobody asked for.
+ * A table of a configuration file, read key by key. If a key is missing, of the wrong type or out of range, the problem is reported and
+ * the default is returned, so that one pass finds all problems. {@link #reportUnknownKeys} reports the keys that were not read.
  */
 public final class Section {
 
-  private static final Pattern FIGURES = Pattern.compile("(?:\\d{1,3}\\.){3}\\d{1,3}|\\[[0-9a-fA-F:.]+]");
-  private static final int MOST_PORT = 65535;
+  private static final Pattern IP_LITERAL = Pattern.compile("(?:\\d{1,3}\\.){3}\\d{1,3}|\\[[0-9a-fA-F:.]+]");
+  private static final int MAX_PORT = 65535;
 
   private final TomlTable table;
   private final String path;
   private final int line;
   private final Problems problems;
-  private final Set<String> asked = new HashSet<>();
-  private final List<Section> opened = new ArrayList<>();
+  private final Set<String> readKeys = new HashSet<>();
+  private final List<Section> children = new ArrayList<>();
 
   Section(TomlTable table, String path, int line, Problems problems) {
     this.table = table;
@@ -38,32 +38,32 @@
     this.problems = problems;
   }
 
-  /** Whether the key is there, whatever its value. */
+  /** Whether the key is present, whatever its value. */
   public boolean has(String key) {
     return table.contains(List.of(key));
   }
 
-  private Object get(String key) {
-    asked.add(key);
+  private Object read(String key) {
+    readKeys.add(key);
     return table.get(List.of(key));
   }
 
-  private String full(String key) {
+  private String qualified(String key) {
     return path.isEmpty() ? key : path + "." + key;
   }
 
-  /** The line of a key's value; the table's own where it is missing. */
+  /** The line of a key's value; the line of the table if the key is missing. */
   public int line(String key) {
     TomlPosition position = table.inputPositionOf(List.of(key));
     return position == null ? line : position.line();
   }
 
-  /** Notes something wrong with a key that its type and range don't show. */
-  public void reportError(String key, String what) {
-    problems.add(full(key), line(key), what);
+  /** Reports a problem with a key other than its type and range. */
+  public void reportError(String key, String message) {
+    problems.add(qualified(key), line(key), message);
   }
 
-  private void unexpected(String key, String expected, Object value) {
+  private void reportUnexpected(String key, String expected, Object value) {
     reportError(key, "expected " + expected + ", got " + describe(value));
   }
 
@@ -76,158 +76,158 @@
     return value instanceof TomlTable ? "a table" : value instanceof TomlArray ? "an array" : value.toString();
   }
 
-  /** A text that has to be there and not empty. */
+  /** A required string, which must not be blank. */
   public String string(String key) {
-    Object value = get(key);
+    Object value = read(key);
     if (value instanceof String text && !text.isBlank()) {
       return text;
     }
-    unexpected(key, "a text", value);
+    reportUnexpected(key, "a string", value);
     return "";
   }
 
-  /** A text, which may be empty. */
-  public String string(String key, String absent) {
-    Object value = get(key);
+  /** An optional string, which may be empty. */
+  public String string(String key, String defaultValue) {
+    Object value = read(key);
     if (value != null && !(value instanceof String)) {
-      unexpected(key, "a text", value);
+      reportUnexpected(key, "a string", value);
     }
-    return value instanceof String text ? text : absent;
+    return value instanceof String text ? text : defaultValue;
   }
 
-  /** A whole number within bounds, both included. */
-  public long integer(String key, long least, long most, long absent) {
-    Object value = get(key);
+  /** An optional integer between {@code min} and {@code max}, inclusive. */
+  public long integer(String key, long min, long max, long defaultValue) {
+    Object value = read(key);
     if (value == null) {
-      return absent;
-    } else if (value instanceof Long number && number >= least && number <= most) {
+      return defaultValue;
+    } else if (value instanceof Long number && number >= min && number <= max) {
       return number;
     }
-    unexpected(key, "a whole number from " + least + " to " + most, value);
-    return absent;
+    reportUnexpected(key, "a whole number from " + min + " to " + max, value);
+    return defaultValue;
   }
 
-  /** A whole number within bounds that has to be there. */
-  public long integer(String key, long least, long most) {
+  /** A required integer between {@code min} and {@code max}, inclusive. */
+  public long integer(String key, long min, long max) {
     if (!has(key)) {
-      unexpected(key, "a whole number from " + least + " to " + most, get(key));
-      return least;
+      reportUnexpected(key, "a whole number from " + min + " to " + max, read(key));
+      return min;
     }
-    return integer(key, least, most, least);
+    return integer(key, min, max, min);
   }
 
-  /** A number, whole or not, within bounds, both included. */
-  public double number(String key, double least, double most, double absent) {
-    Object value = get(key);
+  /** An optional number between {@code min} and {@code max}, inclusive. */
+  public double number(String key, double min, double max, double defaultValue) {
+    Object value = read(key);
     if (value == null) {
-      return absent;
-    } else if ((value instanceof Long || value instanceof Double) && ((Number) value).doubleValue() >= least
-        && ((Number) value).doubleValue() <= most) {
+      return defaultValue;
+    } else if ((value instanceof Long || value instanceof Double) && ((Number) value).doubleValue() >= min
+        && ((Number) value).doubleValue() <= max) {
       return ((Number) value).doubleValue();
     }
-    unexpected(key, "a number from " + plain(least) + " to " + plain(most), value);
-    return absent;
+    reportUnexpected(key, "a number from " + format(min) + " to " + format(max), value);
+    return defaultValue;
   }
 
-  private static String plain(double number) {
+  private static String format(double number) {
     return BigDecimal.valueOf(number).stripTrailingZeros().toPlainString();
   }
 
-  public boolean bool(String key, boolean absent) {
-    Object value = get(key);
+  public boolean bool(String key, boolean defaultValue) {
+    Object value = read(key);
     if (value == null || value instanceof Boolean) {
-      return value == null ? absent : (Boolean) value;
+      return value == null ? defaultValue : (Boolean) value;
     }
-    unexpected(key, "true or false", value);
-    return absent;
+    reportUnexpected(key, "true or false", value);
+    return defaultValue;
   }
 
-  /** One of the words; with {@code absent} null it has to be there, and null stands for what was wrong. */
-  public <T> T oneOf(String key, Map<String, T> words, T absent) {
-    Object value = get(key);
-    if (value == null && absent != null) {
-      return absent;
+  /** The value that a string stands for. The key is required if {@code defaultValue} is null; null is then returned if it is invalid. */
+  public <T> T oneOf(String key, Map<String, T> values, T defaultValue) {
+    Object value = read(key);
+    if (value == null && defaultValue != null) {
+      return defaultValue;
     }
-    T found = value instanceof String text ? words.get(text) : null;
+    T found = value instanceof String text ? values.get(text) : null;
     if (found == null) {
-      unexpected(key, "one of " + String.join(", ", new TreeSet<>(words.keySet())), value);
-      return absent;
+      reportUnexpected(key, "one of " + String.join(", ", new TreeSet<>(values.keySet())), value);
+      return defaultValue;
     }
     return found;
   }
 
-  /** Texts, none of them empty. */
-  public List<String> strings(String key, List<String> absent) {
-    Object value = get(key);
+  /** An optional array of strings, none of them blank. */
+  public List<String> strings(String key, List<String> defaultValue) {
+    Object value = read(key);
     if (value == null) {
-      return absent;
+      return defaultValue;
     }
-    List<String> texts = new ArrayList<>();
+    List<String> strings = new ArrayList<>();
     if (value instanceof TomlArray array) {
       for (Object entry : array.toList()) {
         if (!(entry instanceof String text) || text.isBlank()) {
-          unexpected(key, "an array of texts", entry);
-          return absent;
+          reportUnexpected(key, "an array of strings", entry);
+          return defaultValue;
         }
-        texts.add(text);
+        strings.add(text);
       }
-      return List.copyOf(texts);
+      return List.copyOf(strings);
     }
-    unexpected(key, "an array of texts", value);
-    return absent;
+    reportUnexpected(key, "an array of strings", value);
+    return defaultValue;
   }
 
-  /** Whole numbers within bounds, both included. */
-  public List<Integer> integers(String key, int least, int most, List<Integer> absent) {
-    Object value = get(key);
+  /** An optional array of integers between {@code min} and {@code max}, inclusive. */
+  public List<Integer> integers(String key, int min, int max, List<Integer> defaultValue) {
+    Object value = read(key);
     if (value == null) {
-      return absent;
+      return defaultValue;
     }
     List<Integer> numbers = new ArrayList<>();
     if (value instanceof TomlArray array) {
       for (Object entry : array.toList()) {
-        if (!(entry instanceof Long number) || number < least || number > most) {
-          unexpected(key, "whole numbers from " + least + " to " + most, entry);
-          return absent;
+        if (!(entry instanceof Long number) || number < min || number > max) {
+          reportUnexpected(key, "whole numbers from " + min + " to " + max, entry);
+          return defaultValue;
         }
         numbers.add((int) (long) number);
       }
       return List.copyOf(numbers);
     }
-    unexpected(key, "an array of whole numbers", value);
-    return absent;
+    reportUnexpected(key, "an array of whole numbers", value);
+    return defaultValue;
   }
 
-  /** An address in figures with a port, such as 10.0.0.4:8000 or [::1]:8000: names are never looked up here. */
-  public InetSocketAddress address(String key, String absent) {
-    Object value = has(key) || absent == null ? get(key) : absent;
-    asked.add(key);
+  /** An IP address and a port, such as 10.0.0.4:8000 or [::1]:8000. Host names are not accepted, so that nothing is resolved here. */
+  public InetSocketAddress address(String key, String defaultValue) {
+    Object value = has(key) || defaultValue == null ? read(key) : defaultValue;
+    readKeys.add(key);
     InetSocketAddress address = value instanceof String text ? address(text) : null;
     if (address == null) {
-      unexpected(key, "an address in figures and a port, such as 10.0.0.4:8000 or [::1]:8000", value);
+      reportUnexpected(key, "an IP address and a port, such as 10.0.0.4:8000 or [::1]:8000", value);
       return new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
     }
     return address;
   }
 
-  /** The address that a text names; null for any other text. */
+  /** Parses an IP address and a port; null if the text is invalid. */
   public static InetSocketAddress address(String text) {
     int colon = text.lastIndexOf(':');
-    if (colon < 0 || !FIGURES.matcher(text.substring(0, colon)).matches()
+    if (colon < 0 || !IP_LITERAL.matcher(text.substring(0, colon)).matches()
         || !text.substring(colon + 1).matches("\\d{1,5}")) {
       return null;
     }
     try {
       int port = Integer.parseInt(text.substring(colon + 1));
-      // Guards against a look-up: what matches is figures, and a figure too large is refused, not looked up.
-      return port > MOST_PORT || overLarge(text.substring(0, colon)) ? null
+      // Never resolves a host name: the text is an IP literal, and getByName would resolve one with an octet above 255.
+      return port > MAX_PORT || hasOctetAbove255(text.substring(0, colon)) ? null
           : new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)), port);
     } catch (UnknownHostException e) {
       return null;
     }
   }
 
-  private static boolean overLarge(String host) {
+  private static boolean hasOctetAbove255(String host) {
     if (!host.startsWith("[")) {
       for (String part : host.split("\\.")) {
         if (Integer.parseInt(part) > 255) {
@@ -238,42 +238,42 @@
     return false;
   }
 
-  /** A table within this one; an empty one where it is missing. */
+  /** A nested table; an empty one if it is missing. */
   public Section table(String key) {
-    Object value = get(key);
+    Object value = read(key);
     if (value != null && !(value instanceof TomlTable)) {
-      unexpected(key, "a table", value);
+      reportUnexpected(key, "a table", value);
     }
     TomlTable found = value instanceof TomlTable t ? t : org.tomlj.Toml.parse("");
-    Section section = new Section(found, full(key), line(key), problems);
-    opened.add(section);
+    Section section = new Section(found, qualified(key), line(key), problems);
+    children.add(section);
     return section;
   }
 
-  /** An array of tables; empty where it is missing. */
+  /** An array of tables; empty if it is missing. */
   public List<Section> tables(String key) {
-    Object value = get(key);
+    Object value = read(key);
     List<Section> sections = new ArrayList<>();
     if (value instanceof TomlArray array && (array.toList().stream().allMatch(TomlTable.class::isInstance))) {
       for (int i = 0; i < array.size(); i++) {
         TomlPosition position = array.inputPositionOf(i);
-        sections.add(new Section(array.getTable(i), full(key) + "[" + i + "]", position == null ? line(key) : position.line(),
+        sections.add(new Section(array.getTable(i), qualified(key) + "[" + i + "]", position == null ? line(key) : position.line(),
             problems));
       }
     } else if (value != null) {
-      unexpected(key, "an array of tables, each begun by [[" + full(key) + "]]", value);
+      reportUnexpected(key, "an array of tables, each started with [[" + qualified(key) + "]]", value);
     }
-    opened.addAll(sections);
+    children.addAll(sections);
     return sections;
   }
 
-  /** Notes the keys here, and in all tables read from here, that nobody asked for. */
-  void close() {
+  /** Reports the keys that were not read, here and in all tables read from here. */
+  void reportUnknownKeys() {
     for (String key : table.keySet()) {
-      if (!asked.contains(key)) {
-        reportError(key, "unknown key" + (asked.isEmpty() ? "" : ", known here are " + String.join(", ", new TreeSet<>(asked))));
+      if (!readKeys.contains(key)) {
+        reportError(key, "unknown key" + (readKeys.isEmpty() ? "" : "; known keys: " + String.join(", ", new TreeSet<>(readKeys))));
       }
     }
-    opened.forEach(Section::close);
+    children.forEach(Section::reportUnknownKeys);
   }
 }
--- a/config/src/test/java/cloverpulley/config/ConfigFileTest.java
+++ b/config/src/test/java/cloverpulley/config/ConfigFileTest.java
@@ -16,19 +16,19 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** A file is read whole, and all that is wrong with it is said at once: key, line, what was expected. */
+/** All problems of a configuration file are reported at once, each with its key, its line and what was expected. */
 class ConfigFileTest {
 
   @TempDir
   Path folder;
 
-  private static List<String> wrong(String text, Function<Section, Object> reader) {
+  private static List<String> errors(String text, Function<Section, Object> reader) {
     InvalidConfigException e = assertThrows(InvalidConfigException.class, () -> ConfigFile.parse("f", text, reader));
     return e.getMessage().lines().toList();
   }
 
   @Test
-  void allErrorsAtOnceEachWithItsLine() {
+  void reportsAllErrorsAtOnceWithTheirLines() {
     String text = """
         [a]
         port = 70000
@@ -44,13 +44,13 @@
         """;
     assertEquals(List.of(
         "f: line 2: a.port: expected a whole number from 1 to 65535, got 70000",
-        "f: line 3: a.name: expected a text, got \"\"",
-        "f: line 4: a.odd: unknown key, known here are flag, kind, missing, name, port",
+        "f: line 3: a.name: expected a string, got \"\"",
+        "f: line 4: a.odd: unknown key; known keys: flag, kind, missing, name, port",
         "f: line 5: a.flag: expected true or false, got \"yes\"",
         "f: line 6: a.kind: expected one of first, second, got \"third\"",
         "f: line 8: b[0].share: expected a number from 0 to 1, got 2",
         "f: line 10: b[1].share: expected a number from 0 to 1, got \"x\"",
-        "f: line 11: c: unknown key, known here are a, b"), wrong(text, file -> {
+        "f: line 11: c: unknown key; known keys: a, b"), errors(text, file -> {
           Section a = file.table("a");
           a.integer("port", 1, 65535, 1);
           a.string("name");
@@ -63,9 +63,9 @@
   }
 
   @Test
-  void whatIsMissingNamesItsTable() {
-    assertEquals(List.of("f: line 2: t.address: expected an address in figures and a port, such as 10.0.0.4:8000 or "
-        + "[::1]:8000, got nothing", "f: line 2: t.name: expected a text, got nothing"), wrong("\n[t]\n", file -> {
+  void reportsMissingKeysAtTheirTable() {
+    assertEquals(List.of("f: line 2: t.address: expected an IP address and a port, such as 10.0.0.4:8000 or "
+        + "[::1]:8000, got nothing", "f: line 2: t.name: expected a string, got nothing"), errors("\n[t]\n", file -> {
           Section t = file.table("t");
           t.address("address", null);
           return t.string("name");
@@ -73,8 +73,8 @@
   }
 
   @Test
-  void whatIsNotTomlIsSaidByLine() {
-    List<String> lines = wrong("a = 1\nb = \nc = [1,\n", file -> file.integer("a", 0, 1, 0));
+  void reportsInvalidTomlByLine() {
+    List<String> lines = errors("a = 1\nb = \nc = [1,\n", file -> file.integer("a", 0, 1, 0));
     assertTrue(lines.get(0).startsWith("f: line 2: not TOML: "), lines.toString());
   }
 
@@ -82,8 +82,8 @@
   @CsvSource({"127.0.0.1:80, true", "[::1]:80, true", "10.0.0.4:0, true", "localhost:80, false", "127.0.0.1, false",
     "127.0.0.1:65536, false", "256.0.0.1:80, false", "1.2.3:80, false", "::1:80, false", "[::x]:80, false", ":80, false",
     "127.0.0.1:-1, false", "127.0.0.1:999999, false", "[1.2.3.4.5]:80, false"})
-  void addressesAreInFiguresAndNeverLookedUp(String text, boolean right) {
-    if (right) {
+  void acceptsIpAddressesOnly(String text, boolean valid) {
+    if (valid) {
       assertEquals(Integer.parseInt(text.substring(text.lastIndexOf(':') + 1)), Section.address(text).getPort());
     } else {
       assertNull(Section.address(text));
@@ -92,12 +92,12 @@
 
   @ParameterizedTest
   @ValueSource(strings = {"k = [1, \"a\"]", "k = 1", "k = [\"\"]", "k = [[\"a\"]]", "[k]\na = 1"})
-  void listsOfTextsAreJustThat(String text) {
-    assertEquals(1, wrong(text, file -> file.strings("k", List.of())).stream().filter(l -> l.contains("array of texts")).count());
+  void rejectsArraysThatAreNotOfStrings(String text) {
+    assertEquals(1, errors(text, file -> file.strings("k", List.of())).stream().filter(l -> l.contains("array of strings")).count());
   }
 
   @Test
-  void filesThatCantBeReadAreOneLine() throws Exception {
+  void reportsAnUnreadableFileInOneLine() throws Exception {
     assertThrows(InvalidConfigException.class, () -> ConfigFile.read(folder.resolve("none"), f -> null));
     Path bytes = Files.write(folder.resolve("bytes"), new byte[] {(byte) 0xff, (byte) 0xfe});
     assertEquals(1, assertThrows(InvalidConfigException.class, () -> ConfigFile.read(bytes, f -> null)).getMessage().lines().count());
@@ -106,7 +106,7 @@
   }
 
   @Test
-  void classesAndTenantsAreCheckedTogether() {
+  void checksClassesAndTenantsTogether() {
     String text = """
         [[class]]
         name = "a"
@@ -127,14 +127,14 @@
         number = 1
         """;
     assertEquals(List.of(
-        "f: line 1: class[0].dedup_window_ms: expected how long a repeat is dropped, for a keyed class",
+        "f: line 1: class[0].dedup_window_ms: expected how long duplicates are dropped, for a keyed class",
         "f: line 5: class[0].deadline_ms: expected no less than aim_ms, got 400",
         "f: line 7: class[1].name: two classes are called \"a\"",
         "f: line 8: class[1].effect: expected one of keyed, safe, unsafe, got \"sometimes\"",
         "f: line 9: class[1].aim_ms: expected a whole number from 1 to 600000, got 0",
         "f: line 14: tenant[1].name: two tenants are called \"t\"",
         "f: line 15: tenant[1].share: the shares add up to more than 1",
-        "f: line 17: service.number: expected one below service.processes, got 1"), wrong(text, ServiceSection::read));
-    assertTrue(wrong("", ServiceSection::read).get(0).contains("class: expected at least one [[class]]"));
+        "f: line 17: service.number: expected one below service.processes, got 1"), errors(text, ServiceSection::read));
+    assertTrue(errors("", ServiceSection::read).get(0).contains("class: expected at least one [[class]]"));
   }
 }
--- a/fleet/src/main/java/cloverpulley/fleet/HeldList.java
+++ b/fleet/src/main/java/cloverpulley/fleet/HeldList.java
@@ -22,25 +22,25 @@
 import java.util.zip.CRC32C;
 
 /**
- * The list last held, kept in a file in discovery's form: a successor starts with it. Written by a thread of its own, whole
- * or not at all, the latest list only.
+ * Caches the latest server list in a file, in the format of the discovery service; a successor starts with it. A dedicated thread writes
+ * the file atomically, and only the latest list.
  */
 public final class HeldList implements AutoCloseable {
 
   private static final Logger LOG = Logger.getLogger(HeldList.class.getName());
 
-  /** Guards against a file that was cut off or changed where it still can be read. */
-  private static final String SUM = "\ncrc32c ";
+  /** The checksum detects a file that is truncated or altered but can still be parsed. */
+  private static final String CHECKSUM_PREFIX = "\ncrc32c ";
 
-  /** How long after a failure it is tried again. */
-  private static final long AGAIN_MILLIS = 500;
+  /** How long after a failure the write is retried. */
+  private static final long RETRY_MILLIS = 500;
 
   private final Path file;
-  private final AtomicReference<ServerList> next = new AtomicReference<>();
-  /** Used by the writer alone. */
+  private final AtomicReference<ServerList> pending = new AtomicReference<>();
+  /** Used by the writer thread only. */
   private boolean failing;
   private final ScheduledThreadPoolExecutor writer = new ScheduledThreadPoolExecutor(1, task -> {
-    Thread thread = new Thread(task, "held list");
+    Thread thread = new Thread(task, "cached list");
     thread.setDaemon(true);
     return thread;
   });
@@ -50,100 +50,100 @@
     writer.setExecuteExistingDelayedTasksAfterShutdownPolicy(false);
   }
 
-  /** The list in the file; none where there is none, or it can't be read: that is said and no reason not to start. */
+  /** Reads the list; empty if there is no file or it is invalid. An invalid file is logged and does not prevent a start. */
   public static ServerList read(Path file) {
     if (file == null || !Files.exists(file)) {
       return ServerList.EMPTY;
     }
     try {
-      return ListDecoder.list(Fields.parse(new JsonFactory(), "list", checked(Files.readString(file))));
+      return ListDecoder.list(Fields.parse(new JsonFactory(), "list", verifyChecksum(Files.readString(file))));
     } catch (IOException | WireException e) {
-      LOG.warning("the list held in " + file + " can't be read, starting without: " + e.getMessage());
+      LOG.warning("cached list " + file + " can't be read, starting without it: " + e.getMessage());
       return ServerList.EMPTY;
     }
   }
 
-  /** The list without its checksum, which is on a line of its own; files from before there was one have none. */
-  private static String checked(String text) throws IOException {
-    int at = text.lastIndexOf(SUM);
-    if (at < 0) {
-      return text;
+  /** Verifies and removes the checksum, which is on a line of its own; files of older versions have none. */
+  private static String verifyChecksum(String content) throws IOException {
+    int checksumAt = content.lastIndexOf(CHECKSUM_PREFIX);
+    if (checksumAt < 0) {
+      return content;
     }
-    String list = text.substring(0, at);
-    if (!text.substring(at).equals(sum(list))) {
-      throw new IOException("its checksum does not fit what it holds");
+    String list = content.substring(0, checksumAt);
+    if (!content.substring(checksumAt).equals(checksumLine(list))) {
+      throw new IOException("checksum mismatch");
     }
     return list;
   }
 
-  private static String sum(String list) {
+  private static String checksumLine(String list) {
     CRC32C crc = new CRC32C();
     crc.update(list.getBytes(StandardCharsets.UTF_8));
-    return SUM + Long.toHexString(crc.getValue()) + "\n";
+    return CHECKSUM_PREFIX + Long.toHexString(crc.getValue()) + "\n";
   }
 
   public void write(ServerList list) {
-    if (file != null && next.getAndSet(list) == null) {
+    if (file != null && pending.getAndSet(list) == null) {
       writer.execute(this::writeLatest);
     }
   }
 
   private void writeLatest() {
-    ServerList list = next.getAndSet(null);
+    ServerList list = pending.getAndSet(null);
     if (list == null) {
       return;
     }
     try {
       Files.createDirectories(file.toAbsolutePath().getParent());
-      Path part = file.resolveSibling(file.getFileName() + ".part");
-      String text = text(list);
-      Files.writeString(part, text + sum(text));
-      Files.move(part, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
+      Path temporary = file.resolveSibling(file.getFileName() + ".part");
+      String content = toJson(list);
+      Files.writeString(temporary, content + checksumLine(content));
+      Files.move(temporary, file, StandardCopyOption.ATOMIC_MOVE, StandardCopyOption.REPLACE_EXISTING);
       failing = false;
     } catch (IOException | RuntimeException e) {
       if (!failing) {
-        LOG.warning("the list held can't be written to " + file + ", it is tried again: " + e);
+        LOG.warning("cached list can't be written to " + file + ", retrying: " + e);
       }
       failing = true;
-      if (next.compareAndSet(null, list)) {
-        writer.schedule(this::writeLatest, AGAIN_MILLIS, TimeUnit.MILLISECONDS);
+      if (pending.compareAndSet(null, list)) {
+        writer.schedule(this::writeLatest, RETRY_MILLIS, TimeUnit.MILLISECONDS);
       }
     }
   }
 
-  public static String text(ServerList list) throws IOException {
-    StringWriter text = new StringWriter();
-    try (JsonGenerator g = new JsonFactory().createGenerator(text)) {
-      g.writeStartObject();
-      g.writeNumberField("revision", list.revision());
-      g.writeBooleanField("complete", true);
-      g.writeArrayFieldStart("members");
-      for (Server s : list.members()) {
-        InetSocketAddress address = (InetSocketAddress) s.address();
+  public static String toJson(ServerList list) throws IOException {
+    StringWriter out = new StringWriter();
+    try (JsonGenerator json = new JsonFactory().createGenerator(out)) {
+      json.writeStartObject();
+      json.writeNumberField("revision", list.revision());
+      json.writeBooleanField("complete", true);
+      json.writeArrayFieldStart("members");
+      for (Server server : list.members()) {
+        InetSocketAddress address = (InetSocketAddress) server.address();
         String host = address.getAddress().getHostAddress();
-        g.writeStartObject();
-        g.writeStringField("id", s.id());
-        g.writeStringField("host_port", (host.contains(":") ? "[" + host + "]" : host) + ":" + address.getPort());
-        g.writeStringField("locality", s.zone());
-        g.writeNumberField("cell", s.cell());
-        g.writeStringField("phase", s.state() == State.READY ? "ready" : "draining");
-        g.writeNumberField("size", s.size());
-        g.writeNumberField("up_since_ms", s.upSinceMillis());
-        g.writeEndObject();
+        json.writeStartObject();
+        json.writeStringField("id", server.id());
+        json.writeStringField("host_port", (host.contains(":") ? "[" + host + "]" : host) + ":" + address.getPort());
+        json.writeStringField("locality", server.zone());
+        json.writeNumberField("cell", server.cell());
+        json.writeStringField("phase", server.state() == State.READY ? "ready" : "draining");
+        json.writeNumberField("size", server.size());
+        json.writeNumberField("up_since_ms", server.upSinceMillis());
+        json.writeEndObject();
       }
-      g.writeEndArray();
-      g.writeEndObject();
+      json.writeEndArray();
+      json.writeEndObject();
     }
-    return text.toString();
+    return out.toString();
   }
 
-  /** Waits until the latest list is written; a second time nothing. */
+  /** Waits until the latest list is written; idempotent. */
   @Override
   public void close() {
     if (writer.isShutdown()) {
       return;
     }
-    writer.execute(this::writeLatest); // What waits for its next try has it now.
+    writer.execute(this::writeLatest); // Retries a failed write at once.
     writer.shutdown();
     try {
       writer.awaitTermination(1, TimeUnit.SECONDS);
--- a/fleet/src/main/java/cloverpulley/fleet/ListProvider.java
+++ b/fleet/src/main/java/cloverpulley/fleet/ListProvider.java
@@ -9,26 +9,26 @@
 import java.util.function.LongSupplier;
 
 /**
- * A further kind of source of a fleet, which a module brings along (found by {@link java.util.ServiceLoader}): its table within
- * {@code [fleet]} turns it on. Fronts need not know which there are.
+ * A source of server lists that another module provides, found by {@link java.util.ServiceLoader} and enabled by its table within
+ * {@code [fleet]}, so that frontends need not know the sources.
  */
 public interface ListProvider {
 
-  /** The table's name. */
+  /** The key of its table in {@code [fleet]}. */
   String key();
 
   /** Reads the table. */
-  SourceFactory read(Section s);
+  SourceFactory read(Section section);
 
-  /** Begins to look for servers. */
+  /** Opens the source. */
   interface SourceFactory {
     /**
-     * Opens the source, on {@code loop}, where all of it runs.
+     * Opens the source. It is called on {@code loop} and runs there.
      *
-     * @param held the list last held
-     * @param revision the version of the list that the front holds
-     * @param news told of lists and their changes
+     * @param cached the list that was cached last
+     * @param revision the revision of the list that the frontend uses
+     * @param listener receives lists and changes to them
      */
-    Engine.ListSource open(EventLoop loop, ServerList held, LongSupplier revision, BiConsumer<ListKind, ServerList> news);
+    Engine.ListSource open(EventLoop loop, ServerList cached, LongSupplier revision, BiConsumer<ListKind, ServerList> listener);
   }
 }
--- a/fleet/src/main/java/cloverpulley/fleet/StaticListSource.java
+++ b/fleet/src/main/java/cloverpulley/fleet/StaticListSource.java
@@ -7,25 +7,25 @@
 import java.util.List;
 import java.util.function.BiConsumer;
 
-/** A list written in the operators' file: it changes when the file is read again, and is never asked for in vain. */
+/** The list in the configuration file. It changes when the file is reloaded, and fetching it always succeeds. */
 public final class StaticListSource implements Engine.ListSource {
 
   private final Fleet fleet;
-  private final BiConsumer<ListKind, ServerList> news;
+  private final BiConsumer<ListKind, ServerList> listener;
 
-  /** {@code news} is told of the list as it is held whenever it is asked for. */
-  public StaticListSource(Fleet fleet, BiConsumer<ListKind, ServerList> news) {
+  /** {@code listener} receives the current list whenever it is fetched. */
+  public StaticListSource(Fleet fleet, BiConsumer<ListKind, ServerList> listener) {
     this.fleet = fleet;
-    this.news = news;
+    this.listener = listener;
   }
 
   @Override
   public void watch(boolean on) {
-    news.accept(ListKind.DELTA, new ServerList(0, false, List.of()));
+    listener.accept(ListKind.DELTA, new ServerList(0, false, List.of()));
   }
 
   @Override
   public void fetch() {
-    news.accept(ListKind.FULL, fleet.list());
+    listener.accept(ListKind.FULL, fleet.list());
   }
 }
--- a/fleet/src/test/java/cloverpulley/fleet/HeldListTest.java
+++ b/fleet/src/test/java/cloverpulley/fleet/HeldListTest.java
@@ -21,18 +21,18 @@
   }
 
   @Test
-  void aListThatCouldNotBeWrittenIsWrittenOnceTheFolderWorksAgain(@TempDir Path folder) throws Exception {
-    Path parent = Files.createFile(folder.resolve("parent"));
+  void retriesAWriteUntilItsDirectoryIsUsable(@TempDir Path directory) throws Exception {
+    Path parent = Files.createFile(directory.resolve("parent"));
     Path file = parent.resolve("list");
-    try (HeldList held = new HeldList(file)) {
-      held.write(list(41));
-      held.write(list(42));
+    try (HeldList cachedList = new HeldList(file)) {
+      cachedList.write(list(41));
+      cachedList.write(list(42));
       Files.delete(parent);
       while (!Files.exists(file)) {
         Thread.onSpinWait();
       }
       assertEquals(42, HeldList.read(file).revision());
-      held.close(); // Owners may close it twice.
+      cachedList.close(); // A second close must be harmless.
     }
   }
 }
