--- a/extproc/src/main/java/cloverpulley/extproc/EncodedResponse.java
+++ b/extproc/src/main/java/cloverpulley/extproc/EncodedResponse.java
@@ -8,16 +8,16 @@
 import java.io.InputStream;
 import java.io.UncheckedIOException;
 
-/** A reply in the bytes that go on the wire: one that is sent often is encoded once. */
+/** A response in its wire encoding, so that one that is sent often is encoded only once. */
 public final class EncodedResponse {
 
   private final byte[] bytes;
 
-  public EncodedResponse(ProcessingResponse reply) {
-    bytes = reply.toByteArray();
+  public EncodedResponse(ProcessingResponse response) {
+    bytes = response.toByteArray();
   }
 
-  /** The message that it is. */
+  /** Decodes the message. */
   public ProcessingResponse message() {
     try {
       return ProcessingResponse.parseFrom(bytes);
@@ -26,17 +26,17 @@
     }
   }
 
-  /** Bytes whose number gRPC may ask for, so that it needs no buffer of its own to count them. */
-  private static final class Bytes extends ByteArrayInputStream implements KnownLength {
-    Bytes(byte[] bytes) {
+  /** A stream of known length, so that gRPC does not buffer the message to find its size. */
+  private static final class KnownLengthInputStream extends ByteArrayInputStream implements KnownLength {
+    KnownLengthInputStream(byte[] bytes) {
       super(bytes);
     }
   }
 
   static final Marshaller<EncodedResponse> MARSHALLER = new Marshaller<>() {
     @Override
-    public InputStream stream(EncodedResponse reply) {
-      return new Bytes(reply.bytes);
+    public InputStream stream(EncodedResponse response) {
+      return new KnownLengthInputStream(response.bytes);
     }
 
     @Override
--- a/extproc/src/main/java/cloverpulley/extproc/ExternalProcessor.java
+++ b/extproc/src/main/java/cloverpulley/extproc/ExternalProcessor.java
@@ -6,7 +6,7 @@
 import io.grpc.MethodDescriptor.MethodType;
 import io.grpc.protobuf.ProtoUtils;
 
-/** The service {@code envoy.service.ext_proc.v3.ExternalProcessor} and its one method. */
+/** The service {@code envoy.service.ext_proc.v3.ExternalProcessor} and its only method. */
 public final class ExternalProcessor {
 
   public static final String SERVICE = "envoy.service.ext_proc.v3.ExternalProcessor";
@@ -21,7 +21,7 @@
           .setResponseMarshaller(ProtoUtils.marshaller(ProcessingResponse.getDefaultInstance()))
           .build();
 
-  /** The same method for a server that encodes its replies itself. */
+  /** The same method for a server that encodes its responses itself. */
   public static final MethodDescriptor<ProcessingRequest, EncodedResponse> PROCESS_ENCODED =
       PROCESS.toBuilder(PROCESS.getRequestMarshaller(), EncodedResponse.MARSHALLER).build();
 
--- a/extproc/src/test/java/cloverpulley/extproc/PublishedTest.java
+++ b/extproc/src/test/java/cloverpulley/extproc/PublishedTest.java
@@ -19,10 +19,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
 
-/** Each message here against the published one, as Envoy's own artifact has it. */
+/** Compares each message with the published one in Envoy's own artifact. */
 class PublishedTest {
 
-  private static Descriptor published(String name) {
+  private static Descriptor findPublished(String name) {
     for (var file : List.of(ExternalProcessorProto.getDescriptor(), ProcessingModeProto.getDescriptor(),
         BaseProto.getDescriptor(), HttpStatusProto.getDescriptor())) {
       if (file.findMessageTypeByName(name) != null) {
@@ -33,43 +33,43 @@
   }
 
   @TestFactory
-  List<DynamicTest> namesNumbersAndTypesAreThePublishedOnes() {
+  List<DynamicTest> messagesMatchThePublishedDescriptors() {
     List<DynamicTest> tests = new ArrayList<>();
     for (Descriptor ours : ExtProc.getDescriptor().getMessageTypes()) {
-      tests.add(DynamicTest.dynamicTest(ours.getName(), () -> compare(ours, published(ours.getName()))));
+      tests.add(DynamicTest.dynamicTest(ours.getName(), () -> compare(ours, findPublished(ours.getName()))));
     }
     assertTrue(tests.size() > 15);
     return tests;
   }
 
-  private static void compare(Descriptor ours, Descriptor theirs) {
-    assertNotNull(theirs, ours.getName() + " is published");
+  private static void compare(Descriptor ours, Descriptor published) {
+    assertNotNull(published, ours.getName() + " is published");
     for (FieldDescriptor field : ours.getFields()) {
-      FieldDescriptor other = theirs.findFieldByNumber(field.getNumber());
-      assertNotNull(other, field.getFullName());
-      assertEquals(other.getName(), field.getName());
-      assertEquals(other.isRepeated(), field.isRepeated(), field.getFullName());
-      assertEquals(other.isMapField(), field.isMapField(), field.getFullName());
-      // An enum's number is a varint like an int32's; text may be read as bytes and the reverse.
-      boolean code = field.getFullName().endsWith("HttpStatus.code") && other.getJavaType() == JavaType.ENUM;
-      assertTrue(code || other.getJavaType() == field.getJavaType(), field.getFullName() + ": " + other.getType());
+      FieldDescriptor publishedField = published.findFieldByNumber(field.getNumber());
+      assertNotNull(publishedField, field.getFullName());
+      assertEquals(publishedField.getName(), field.getName());
+      assertEquals(publishedField.isRepeated(), field.isRepeated(), field.getFullName());
+      assertEquals(publishedField.isMapField(), field.isMapField(), field.getFullName());
+      // An enum is encoded as a varint like an int32, and string and bytes have the same encoding.
+      boolean isStatusCode = field.getFullName().endsWith("HttpStatus.code") && publishedField.getJavaType() == JavaType.ENUM;
+      assertTrue(isStatusCode || publishedField.getJavaType() == field.getJavaType(), field.getFullName() + ": " + publishedField.getType());
       if (field.getJavaType() == JavaType.MESSAGE && !field.isMapField()) {
-        assertEquals(other.getMessageType().getName(), field.getMessageType().getName());
+        assertEquals(publishedField.getMessageType().getName(), field.getMessageType().getName());
       }
       if (field.getContainingOneof() != null) {
-        assertEquals(other.getContainingOneof().getName(), field.getContainingOneof().getName());
+        assertEquals(publishedField.getContainingOneof().getName(), field.getContainingOneof().getName());
       }
     }
-    for (EnumDescriptor words : ours.getEnumTypes()) {
-      EnumDescriptor others = theirs.findEnumTypeByName(words.getName());
-      for (EnumValueDescriptor word : words.getValues()) {
-        assertEquals(others.findValueByNumber(word.getNumber()).getName(), word.getName());
+    for (EnumDescriptor ourEnum : ours.getEnumTypes()) {
+      EnumDescriptor publishedEnum = published.findEnumTypeByName(ourEnum.getName());
+      for (EnumValueDescriptor value : ourEnum.getValues()) {
+        assertEquals(publishedEnum.findValueByNumber(value.getNumber()).getName(), value.getName());
       }
     }
   }
 
   @Test
-  void theServiceIsThePublishedOne() {
+  void serviceMatchesThePublishedOne() {
     var service = ExternalProcessorProto.getDescriptor().findServiceByName("ExternalProcessor");
     assertEquals(service.getFullName() + "/" + service.getMethods().get(0).getName(),
         ExternalProcessor.PROCESS.getFullMethodName());
--- a/processor/src/test/java/cloverpulley/processor/Leaks.java
+++ b/processor/src/test/java/cloverpulley/processor/Leaks.java
@@ -7,22 +7,22 @@
 import java.util.logging.LogRecord;
 import java.util.logging.Logger;
 
-/** Hears what Netty's leak detector says; the tests run with it at paranoid. */
+/** Collects the reports of Netty's leak detector; the tests run with it at level paranoid. */
 final class Leaks {
 
   private static final String DETECTOR = "io.netty.util.ResourceLeakDetector";
-  /** Allocations after a collection, so that the detector looks: it does so on its way. */
-  private static final int LOOKS = 200;
+  /** Number of allocations after a garbage collection: the detector reports leaks when a buffer is allocated. */
+  private static final int ALLOCATIONS = 200;
 
-  private static final List<String> FOUND = new CopyOnWriteArrayList<>();
-  /** Held, or the logger with its handler may be collected. */
+  private static final List<String> REPORTS = new CopyOnWriteArrayList<>();
+  /** A strong reference: otherwise the logger and its handler might be garbage collected. */
   private static final Logger LOGGER = Logger.getLogger(DETECTOR);
 
   static {
     LOGGER.addHandler(new Handler() {
       @Override
-      public void publish(LogRecord line) {
-        FOUND.add(line.getMessage());
+      public void publish(LogRecord logRecord) {
+        REPORTS.add(logRecord.getMessage());
       }
 
       @Override
@@ -35,14 +35,14 @@
 
   private Leaks() {}
 
-  /** Buffers that were dropped without being released since the class was first used. */
-  static List<String> found() {
+  /** The reports of buffers that were not released, since the class was first used. */
+  static List<String> reports() {
     for (int i = 0; i < 3; i++) {
       System.gc();
-      for (int look = 0; look < LOOKS; look++) {
+      for (int allocation = 0; allocation < ALLOCATIONS; allocation++) {
         PooledByteBufAllocator.DEFAULT.buffer(16).release();
       }
     }
-    return FOUND;
+    return REPORTS;
   }
 }
--- a/processor/src/test/java/cloverpulley/processor/RequestParserTest.java
+++ b/processor/src/test/java/cloverpulley/processor/RequestParserTest.java
@@ -26,15 +26,15 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** Headers to requests: what is right is read, what is not is named, and no bytes break it. */
+/** Parsing of request headers: valid values are read, invalid ones are rejected with their name, and no input makes it throw. */
 class RequestParserTest {
 
   private static final RequestParser PARSER = createParser();
 
   private static RequestParser createParser() {
     try {
-      Rig.Told told = Rig.told("", Rig.servers("127.0.0.1:1"));
-      return new RequestParser(told.processor(), told.settings());
+      Rig.ParsedConfig parsedConfig = Rig.parsedConfig("", Rig.servers("127.0.0.1:1"));
+      return new RequestParser(parsedConfig.processor(), parsedConfig.settings());
     } catch (InvalidConfigException e) {
       throw new IllegalStateException(e);
     }
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void everythingThatTheModuleWantsIsRead() {
+  void parsesAllHeaders() {
     ParsedRequest request = assertInstanceOf(ParsedRequest.class, parse("x-request-id", "id", "x-envoy-attempt-count", "2", "x-qos", "keyed",
         "x-customer", "steppe-auto", "cookie", "a=b; sid=7f3a; c=d", "x-size-hint", "1500", "x-expires-in-ms", "480",
         "idempotency-key", "k"));
@@ -54,15 +54,15 @@
   }
 
   @Test
-  void theFirstIdThatIsThereCounts() {
+  void usesTheFirstIdThatIsPresent() {
     assertEquals("a", ((ParsedRequest) parse("x-trace-id", "b", "x-request-id", "a", "x-qos", "safe")).id());
     assertEquals("b", ((ParsedRequest) parse("x-trace-id", "b", "x-request-id", "", "x-qos", "safe")).id());
     assertNull(((ParsedRequest) parse("x-qos", "safe")).id());
   }
 
-  /** Guards rule 2: without an id a repeat could not be told from a first. */
+  /** Rule 2: without an id a retry could not be told from a first attempt. */
   @Test
-  void whatMayNotRunTwiceNeedsItsIdAndKeyedItsKey() {
+  void rejectsUnsafeRequestsWithoutIdAndKeyedOnesWithoutKey() {
     assertTrue(((InvalidRequest) parse("x-qos", "unsafe")).message().contains("x-request-id"));
     assertTrue(((InvalidRequest) parse("x-qos", "keyed", "x-request-id", "a")).message().contains("idempotency-key"));
     assertTrue(((InvalidRequest) parse("x-qos", "keyed", "x-request-id", "a", "idempotency-key", "")).message().contains("idempotency-key"));
@@ -70,13 +70,13 @@
   }
 
   @Test
-  void cookiesThatCantBeReadNameNoKey() {
+  void ignoresInvalidCookies() {
     assertNull(((ParsedRequest) parse("x-qos", "safe", "cookie", "\u0001=a")).key());
     assertEquals("b", ((ParsedRequest) parse("x-qos", "safe", "cookie", "\u0001=a", "cookie", "sid=b")).key());
   }
 
   @Property(seed = "20261201")
-  boolean anyHeadersAreReadOrNamed(@ForAll("headers") HeaderMap headers) {
+  boolean acceptsOrRejectsAnyHeaders(@ForAll("headers") HeaderMap headers) {
     RequestParser.Result result = PARSER.parse(new Headers(headers));
     if (result instanceof ParsedRequest request) {
       assertTrue(request.waitNanos() >= 0 && request.waitNanos() <= request.requestClass().deadlineNanos());
@@ -92,7 +92,7 @@
     return true;
   }
 
-  /** Names that mean something among names that don't, with values that are right, nearly right, and bytes. */
+  /** Known and unknown names, with values that are valid, almost valid, or arbitrary bytes. */
   @Provide
   Arbitrary<HeaderMap> headers() {
     Arbitrary<String> names = Arbitraries.of("x-request-id", "X-Request-Id", "x-trace-id", "x-qos", "x-customer", "cookie",
@@ -108,16 +108,16 @@
         .map(list -> HeaderMap.newBuilder().addAllHeaders(list).build());
   }
 
-  /** The order of the headers, and letters of their names, mean nothing. */
+  /** The order of the headers and the case of their names do not matter. */
   @Property(seed = "20261201")
-  void orderAndCaseMeanNothing(@ForAll @IntRange(max = 1000) int seed, @ForAll @IntRange(min = 1, max = 500_000) int hint,
+  void orderAndCaseDoNotMatter(@ForAll @IntRange(max = 1000) int seed, @ForAll @IntRange(min = 1, max = 500_000) int hint,
       @ForAll @IntRange(min = 1, max = 40_000) int expires) {
-    List<String[]> all = new ArrayList<>(List.of(new String[] {"x-request-id", "i"}, new String[] {"x-qos", "safe"},
+    List<String[]> headers = new ArrayList<>(List.of(new String[] {"x-request-id", "i"}, new String[] {"x-qos", "safe"},
         new String[] {"x-size-hint", "" + hint}, new String[] {"x-expires-in-ms", "" + expires}, new String[] {"x-customer", "t"}));
-    java.util.Collections.shuffle(all, new java.util.Random(seed));
-    String[] flat = all.stream().flatMap(h -> java.util.stream.Stream.of(seed % 2 == 0 ? h[0].toUpperCase(Locale.ROOT) : h[0],
+    java.util.Collections.shuffle(headers, new java.util.Random(seed));
+    String[] flattened = headers.stream().flatMap(h -> java.util.stream.Stream.of(seed % 2 == 0 ? h[0].toUpperCase(Locale.ROOT) : h[0],
         h[1])).toArray(String[]::new);
-    ParsedRequest request = (ParsedRequest) parse(flat);
+    ParsedRequest request = (ParsedRequest) parse(flattened);
     assertEquals(TimeUnit.MICROSECONDS.toNanos(hint), request.hintNanos());
     assertEquals(TimeUnit.MILLISECONDS.toNanos(expires), request.waitNanos());
     assertEquals("i", request.id());
@@ -125,7 +125,7 @@
   }
 
   @Property(seed = "20261201")
-  void aGrpcTimeoutIsReadInEveryUnit(@ForAll @IntRange(max = 99_999_999) int number) {
+  void parsesGrpcTimeoutsInEveryUnit(@ForAll @IntRange(max = 99_999_999) int number) {
     assertEquals(TimeUnit.HOURS.toNanos(number), RequestParser.grpcTimeout(number + "H"));
     assertEquals(TimeUnit.MINUTES.toNanos(number), RequestParser.grpcTimeout(number + "M"));
     assertEquals(TimeUnit.SECONDS.toNanos(number), RequestParser.grpcTimeout(number + "S"));
@@ -135,7 +135,7 @@
   }
 
   @Property(seed = "20261201")
-  boolean whatIsNoGrpcTimeoutIsNone(@ForAll String text) {
+  boolean rejectsInvalidGrpcTimeouts(@ForAll String text) {
     return text.matches("[0-9]{1,8}[HMSmun]") || RequestParser.grpcTimeout(text) == -1;
   }
 }
--- a/processor/src/test/java/cloverpulley/processor/Rig.java
+++ b/processor/src/test/java/cloverpulley/processor/Rig.java
@@ -17,11 +17,11 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-/** A processor on an ephemeral port, made from an operators' file, and what stands in for those it meets. */
+/** A processor on an ephemeral port, configured by a configuration file, and stand-ins for its callers and upstreams. */
 final class Rig implements AutoCloseable {
 
-  /** A generous limit for what has to happen: no test passes by its running out. */
-  static final int LIMIT_S = 60;
+  /** A generous time limit for expected events; no test passes because it expires. */
+  static final int TIMEOUT_S = 60;
 
   static final String CLASSES = """
       [[class]]
@@ -49,20 +49,20 @@
       zone = "a"
       """;
 
-  /** What a file says, read. */
-  record Told(Settings settings, ProcessorConfig processor, FleetSource fleet) {
+  /** The parsed configuration file. */
+  record ParsedConfig(Settings settings, ProcessorConfig processor, FleetSource fleet) {
 
-    static Told read(Section file) {
+    static ParsedConfig read(Section file) {
       Settings settings = ServiceSection.read(file);
-      return new Told(settings, ProcessorConfig.read(file.table("processor"), 1), FleetSource.read(file.table("fleet")));
+      return new ParsedConfig(settings, ProcessorConfig.read(file.table("processor"), 1), FleetSource.read(file.table("fleet")));
     }
   }
 
   final EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-  private final List<AutoCloseable> closing = new ArrayList<>();
+  private final List<AutoCloseable> resources = new ArrayList<>();
   ProcessorServer server;
 
-  /** The lines of a list of servers at these addresses; each is a dedup group with the next one, in pairs. */
+  /** A static list of servers at these addresses; each pair of neighbours is one dedup group (cell). */
   static String servers(String... addresses) {
     StringBuilder text = new StringBuilder();
     for (int i = 0; i < addresses.length; i++) {
@@ -72,65 +72,65 @@
     return text.toString();
   }
 
-  static Told told(String processor, String fleet) throws InvalidConfigException {
+  static ParsedConfig parsedConfig(String processor, String fleet) throws InvalidConfigException {
     return ConfigFile.parse("test", CLASSES + "[processor]\nlisten = \"127.0.0.1:0\"\n" + processor + "\n" + fleet,
-        Told::read);
+        ParsedConfig::read);
   }
 
-  /** Starts a processor; {@code processor} are further lines of its section, tables last. */
+  /** Starts a processor; {@code processor} are additional lines of its section, tables last. */
   ProcessorServer start(String processor, String fleet) throws InvalidConfigException, IOException {
-    Told told = told(processor, fleet);
-    server = keep(ProcessorServer.start(told.processor, told.settings, told.fleet, 7));
+    ParsedConfig parsedConfig = parsedConfig(processor, fleet);
+    server = closeLater(ProcessorServer.start(parsedConfig.processor, parsedConfig.settings, parsedConfig.fleet, 7));
     return server;
   }
 
-  /** Starts one on the port of another, which may still listen there. */
-  ProcessorServer start(String processor, String fleet, java.net.InetSocketAddress same) throws InvalidConfigException, IOException {
-    Told told = ConfigFile.parse("test", CLASSES + "[processor]\nlisten = \"127.0.0.1:" + same.getPort() + "\"\n"
-        + processor + "\n" + fleet, Told::read);
-    server = keep(ProcessorServer.start(told.processor, told.settings, told.fleet, 8));
+  /** Starts a processor on the port of another, which may still be listening. */
+  ProcessorServer start(String processor, String fleet, java.net.InetSocketAddress address) throws InvalidConfigException, IOException {
+    ParsedConfig parsedConfig = ConfigFile.parse("test", CLASSES + "[processor]\nlisten = \"127.0.0.1:" + address.getPort() + "\"\n"
+        + processor + "\n" + fleet, ParsedConfig::read);
+    server = closeLater(ProcessorServer.start(parsedConfig.processor, parsedConfig.settings, parsedConfig.fleet, 8));
     return server;
   }
 
-  ProcessorServer start(String processor, String fleet, Balancer module) throws InvalidConfigException, IOException {
-    Told told = told(processor, fleet);
-    server = keep(ProcessorServer.start(told.processor, told.settings, told.fleet, n -> module));
+  ProcessorServer start(String processor, String fleet, Balancer balancer) throws InvalidConfigException, IOException {
+    ParsedConfig parsedConfig = parsedConfig(processor, fleet);
+    server = closeLater(ProcessorServer.start(parsedConfig.processor, parsedConfig.settings, parsedConfig.fleet, n -> balancer));
     return server;
   }
 
   StandInCaller caller() {
-    return keep(new StandInCaller(server.address()));
+    return closeLater(new StandInCaller(server.address()));
   }
 
-  <T extends AutoCloseable> T keep(T closeable) {
-    closing.add(0, closeable);
+  <T extends AutoCloseable> T closeLater(T closeable) {
+    resources.add(0, closeable);
     return closeable;
   }
 
-  /** Waits for something that has to come about. */
-  static void await(String what, BooleanSupplier condition) throws InterruptedException {
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(LIMIT_S);
+  /** Waits until a condition holds. */
+  static void await(String description, BooleanSupplier condition) throws InterruptedException {
+    long deadline = System.nanoTime() + TimeUnit.SECONDS.toNanos(TIMEOUT_S);
     while (!condition.getAsBoolean()) {
-      if (System.nanoTime() > until) {
-        throw new AssertionError("never: " + what);
+      if (System.nanoTime() > deadline) {
+        throw new AssertionError("timed out: " + description);
       }
       TimeUnit.MILLISECONDS.sleep(2);
     }
   }
 
-  /** Nothing is left of any call, and no stream. */
+  /** Waits until no call is pending, no attempt is in flight and no stream is open. */
   void awaitNoPendingCalls() throws InterruptedException {
     awaitNoPendingCallsExcept(0);
   }
 
-  /** Nothing is left of any call; so many streams are still open. */
+  /** Waits until no call is pending, no attempt is in flight and {@code streams} streams are open. */
   void awaitNoPendingCallsExcept(int streams) throws InterruptedException {
-    await("nothing in hand", () -> server.pendingCalls() == 0 && server.inFlightAttempts() == 0 && server.openStreams() == streams);
+    await("no call pending", () -> server.pendingCalls() == 0 && server.inFlightAttempts() == 0 && server.openStreams() == streams);
   }
 
   @Override
   public void close() throws Exception {
-    for (AutoCloseable c : closing) {
+    for (AutoCloseable c : resources) {
       c.close();
     }
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
--- a/processor/src/test/java/cloverpulley/processor/TlsTest.java
+++ b/processor/src/test/java/cloverpulley/processor/TlsTest.java
@@ -21,12 +21,12 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** TLS and mutual TLS from files. */
-@Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
+/** TLS and mutual TLS with certificates from files. */
+@Timeout(value = 2 * Rig.TIMEOUT_S, unit = TimeUnit.SECONDS)
 class TlsTest {
 
   @TempDir
-  Path folder;
+  Path directory;
 
   private final Rig rig = new Rig();
   private X509Bundle ca;
@@ -38,9 +38,9 @@
     ca = new CertificateBuilder().subject("CN=ca").setIsCertificateAuthority(true).buildSelfSigned();
     server = new CertificateBuilder().subject("CN=localhost").addSanDnsName("localhost").buildIssuedBy(ca);
     client = new CertificateBuilder().subject("CN=caller").buildIssuedBy(ca);
-    Files.writeString(folder.resolve("server.pem"), server.getCertificatePathPEM());
-    Files.writeString(folder.resolve("server.key"), server.getPrivateKeyPEM());
-    Files.writeString(folder.resolve("ca.pem"), ca.getCertificatePathPEM());
+    Files.writeString(directory.resolve("server.pem"), server.getCertificatePathPEM());
+    Files.writeString(directory.resolve("server.key"), server.getPrivateKeyPEM());
+    Files.writeString(directory.resolve("ca.pem"), ca.getCertificatePathPEM());
   }
 
   @AfterEach
@@ -49,47 +49,47 @@
   }
 
   private String tls(boolean mutual) {
-    return "[processor.tls]\ncertificate = \"" + folder.resolve("server.pem") + "\"\nkey = \"" + folder.resolve("server.key")
-        + "\"\n" + (mutual ? "client_ca = \"" + folder.resolve("ca.pem") + "\"\n" : "");
+    return "[processor.tls]\ncertificate = \"" + directory.resolve("server.pem") + "\"\nkey = \"" + directory.resolve("server.key")
+        + "\"\n" + (mutual ? "client_ca = \"" + directory.resolve("ca.pem") + "\"\n" : "");
   }
 
-  private StandInCaller caller(X509Bundle own) throws Exception {
+  private StandInCaller caller(X509Bundle certificate) throws Exception {
     SslContextBuilder context = GrpcSslContexts.forClient().trustManager(ca.getCertificate());
-    if (own != null) {
-      context.keyManager(own.getKeyPair().getPrivate(), own.getCertificatePath());
+    if (certificate != null) {
+      context.keyManager(certificate.getKeyPair().getPrivate(), certificate.getCertificatePath());
     }
-    return rig.keep(new StandInCaller(NettyChannelBuilder.forAddress(rig.server.address()).overrideAuthority("localhost")
+    return rig.closeLater(new StandInCaller(NettyChannelBuilder.forAddress(rig.server.address()).overrideAuthority("localhost")
         .sslContext(context.build())));
   }
 
-  private static void isServed(StandInCaller caller) throws Exception {
+  private static void assertServed(StandInCaller caller) throws Exception {
     assertTrue(caller.open().send(StandInCaller.request("x-qos", "safe")).next().hasRequestHeaders());
   }
 
-  private static void isTurnedAway(StandInCaller caller) throws Exception {
+  private static void assertRejected(StandInCaller caller) throws Exception {
     assertEquals(Status.Code.UNAVAILABLE, caller.open().send(StandInCaller.request("x-qos", "safe")).closed().getCode());
   }
 
   @Test
-  void aCallerOverTlsIsServedAndOneInPlaintextIsNot() throws Exception {
+  void servesTlsAndRejectsPlaintext() throws Exception {
     rig.start("", Rig.servers("127.0.0.1:1") + tls(false));
-    isServed(caller(null));
-    isTurnedAway(rig.keep(new StandInCaller(rig.server.address())));
+    assertServed(caller(null));
+    assertRejected(rig.closeLater(new StandInCaller(rig.server.address())));
   }
 
   @Test
-  void mutualTlsWantsACertificateOfItsOwnAuthority() throws Exception {
+  void mutualTlsRequiresACertificateOfTheConfiguredAuthority() throws Exception {
     rig.start("", Rig.servers("127.0.0.1:1") + tls(true));
-    isServed(caller(client));
-    isTurnedAway(caller(null));
-    isTurnedAway(caller(new CertificateBuilder().subject("CN=stranger").setIsCertificateAuthority(true).buildSelfSigned()));
+    assertServed(caller(client));
+    assertRejected(caller(null));
+    assertRejected(caller(new CertificateBuilder().subject("CN=stranger").setIsCertificateAuthority(true).buildSelfSigned()));
   }
 
   @Test
-  void plaintextIsForLoopbackAndFilesHaveToBeThere() {
+  void plaintextRequiresLoopbackAndTlsFilesMustExist() {
     String text = Rig.CLASSES + "[processor]\nlisten = \"10.0.0.1:9002\"\n" + Rig.servers("127.0.0.1:1");
     InvalidConfigException e = assertThrows(InvalidConfigException.class,
-        () -> cloverpulley.config.ConfigFile.parse("f", text, Rig.Told::read));
+        () -> cloverpulley.config.ConfigFile.parse("f", text, Rig.ParsedConfig::read));
     assertTrue(e.getMessage().contains("processor.listen: expected [processor.tls]"), e.getMessage());
     InvalidConfigException missing = assertThrows(InvalidConfigException.class,
         () -> rig.start("", Rig.servers("127.0.0.1:1") + tls(false).replace("server.key", "none.key")));
