--- a/config/src/test/java/cloverpulley/config/ConfigFileTest.java
+++ b/config/src/test/java/cloverpulley/config/ConfigFileTest.java
@@ -20,7 +20,7 @@
 class ConfigFileTest {
 
   @TempDir
-  Path folder;
+  Path directory;
 
   private static List<String> errors(String text, Function<Section, Object> reader) {
     InvalidConfigException e = assertThrows(InvalidConfigException.class, () -> ConfigFile.parse("f", text, reader));
@@ -98,10 +98,10 @@
 
   @Test
   void reportsAnUnreadableFileInOneLine() throws Exception {
-    assertThrows(InvalidConfigException.class, () -> ConfigFile.read(folder.resolve("none"), f -> null));
-    Path bytes = Files.write(folder.resolve("bytes"), new byte[] {(byte) 0xff, (byte) 0xfe});
+    assertThrows(InvalidConfigException.class, () -> ConfigFile.read(directory.resolve("none"), f -> null));
+    Path bytes = Files.write(directory.resolve("bytes"), new byte[] {(byte) 0xff, (byte) 0xfe});
     assertEquals(1, assertThrows(InvalidConfigException.class, () -> ConfigFile.read(bytes, f -> null)).getMessage().lines().count());
-    Path large = Files.writeString(folder.resolve("large"), "#".repeat((1 << 20) + 1));
+    Path large = Files.writeString(directory.resolve("large"), "#".repeat((1 << 20) + 1));
     assertTrue(assertThrows(InvalidConfigException.class, () -> ConfigFile.read(large, f -> null)).getMessage().contains("longer"));
   }
 
--- a/processor/src/test/java/cloverpulley/processor/ProtocolTest.java
+++ b/processor/src/test/java/cloverpulley/processor/ProtocolTest.java
@@ -43,8 +43,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** Each message of the published protocol gets the kind of reply that it wants, and the module hears what happened. */
-@Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
+/** Each message of the ext_proc protocol gets the matching reply, and the module is notified of what happened. */
+@Timeout(value = 2 * Rig.TIMEOUT_S, unit = TimeUnit.SECONDS)
 class ProtocolTest {
 
   private static final String DESTINATION = "x-gateway-destination-endpoint";
@@ -58,14 +58,14 @@
     rig.close();
   }
 
-  /** The real decisions, with all that they are told kept. */
+  /** Starts a processor with the real module and records the events that it receives. */
   private StandInCaller start(String processor, String fleet) throws Exception {
-    Balancer logic = new Logic(Rig.told(processor, fleet).settings(), 7);
-    Balancer listening = (long now, Event event, Consumer<Action> out) -> {
+    Balancer logic = new Logic(Rig.parsedConfig(processor, fleet).settings(), 7);
+    Balancer recordingBalancer = (long now, Event event, Consumer<Action> out) -> {
       events.add(event);
       logic.handle(now, event, out);
     };
-    rig.start(processor, fleet, listening);
+    rig.start(processor, fleet, recordingBalancer);
     return rig.caller();
   }
 
@@ -73,45 +73,45 @@
     return start("", Rig.servers(ADDRESS));
   }
 
-  private <T extends Event> T told(Class<T> kind) throws InterruptedException {
+  private <T extends Event> T nextEvent(Class<T> type) throws InterruptedException {
     while (true) {
-      Event event = events.poll(Rig.LIMIT_S, TimeUnit.SECONDS);
+      Event event = events.poll(Rig.TIMEOUT_S, TimeUnit.SECONDS);
       if (event == null) {
-        throw new AssertionError("no " + kind.getSimpleName() + " came");
+        throw new AssertionError("no " + type.getSimpleName() + " received");
       }
-      if (kind.isInstance(event)) {
-        return kind.cast(event);
+      if (type.isInstance(event)) {
+        return type.cast(event);
       }
     }
   }
 
-  private static ProcessingRequest.Builder get(String... more) {
-    String[] all = new String[more.length + 4];
-    System.arraycopy(new String[] {"x-request-id", "id-1", "x-qos", "safe"}, 0, all, 0, 4);
-    System.arraycopy(more, 0, all, 4, more.length);
-    return request(all);
+  private static ProcessingRequest.Builder safeRequest(String... extraHeaders) {
+    String[] headers = new String[extraHeaders.length + 4];
+    System.arraycopy(new String[] {"x-request-id", "id-1", "x-qos", "safe"}, 0, headers, 0, 4);
+    System.arraycopy(extraHeaders, 0, headers, 4, extraHeaders.length);
+    return request(headers);
   }
 
-  private static ProcessingRequest.Builder modes(ProcessingRequest.Builder message, BodySendMode request, BodySendMode answer) {
+  private static ProcessingRequest.Builder modes(ProcessingRequest.Builder message, BodySendMode request, BodySendMode responseMode) {
     return message.setProtocolConfig(
-        ProtocolConfiguration.newBuilder().setRequestBodyMode(request).setResponseBodyMode(answer));
+        ProtocolConfiguration.newBuilder().setRequestBodyMode(request).setResponseBodyMode(responseMode));
   }
 
   @Test
-  void aRequestGetsItsDestinationInHeaderAndMetadata() throws Exception {
-    Stream s = start().open().send(get(DESTINATION, "10.9.9.9:1", "x-envoy-original-dst-host", "10.9.9.9:2"));
+  void sendsTheDestinationInHeaderAndMetadata() throws Exception {
+    Stream s = start().open().send(safeRequest(DESTINATION, "10.9.9.9:1", "x-envoy-original-dst-host", "10.9.9.9:2"));
     ProcessingResponse reply = s.next();
-    assertEquals(ADDRESS, sets(reply, DESTINATION), "what the client sent is overwritten");
+    assertEquals(ADDRESS, sets(reply, DESTINATION), "overwritten if sent by the client");
     assertEquals(java.util.List.of("x-envoy-original-dst-host"),
-        reply.getRequestHeaders().getResponse().getHeaderMutation().getRemoveHeadersList(), "or removed");
+        reply.getRequestHeaders().getResponse().getHeaderMutation().getRemoveHeadersList(), "removed if sent by the client");
     assertTrue(reply.getRequestHeaders().getResponse().getClearRouteCache());
     assertEquals(ADDRESS, reply.getDynamicMetadata().getFieldsOrThrow("envoy.lb").getStructValue()
         .getFieldsOrThrow(DESTINATION).getStringValue());
     assertEquals(HeaderSendMode.SEND, reply.getModeOverride().getResponseHeaderMode());
-    Request told = told(Request.class);
-    assertEquals("safe", told.className());
+    Request received = nextEvent(Request.class);
+    assertEquals("safe", received.className());
     s.send(response(200)).next();
-    Outcome outcome = told(Outcome.class);
+    Outcome outcome = nextEvent(Outcome.class);
     assertEquals(Status.SERVED, outcome.status());
     assertTrue(outcome.finished());
     s.halfClose();
@@ -123,11 +123,11 @@
   @CsvSource(delimiter = '|', value = {
     "200 | '' | SERVED", "204 | '' | SERVED", "404 | '' | SERVED", "500 | '' | ERROR", "503 | '' | ERROR",
     "503 | x-never-ran | FULL", "504 | x-never-ran | FULL", "500 | x-never-ran | ERROR", "999 | '' | RESET"})
-  void anAnswersHeadIsWordedAsTheOutcome(int code, String header, Status status) throws Exception {
-    Stream s = start().open().send(get());
+  void derivesTheOutcomeFromTheResponseHeaders(int code, String header, Status status) throws Exception {
+    Stream s = start().open().send(safeRequest());
     s.next();
     assertTrue(s.send(header.isEmpty() ? response(code) : response(code, header, "1")).next().hasResponseHeaders());
-    assertEquals(status, told(Outcome.class).status());
+    assertEquals(status, nextEvent(Outcome.class).status());
   }
 
   @ParameterizedTest
@@ -136,79 +136,79 @@
     "upstream_reset_before_response_started{connection_timeout} | CONNECT_FAILED",
     "upstream_reset_before_response_started{connection_termination} | RESET",
     "upstream_response_timeout | TIMEOUT", "via_upstream | ERROR"})
-  void whatTheProxySaysOfItsOwnAnswerIsBelieved(String details, Status status) throws Exception {
-    Stream s = start().open().send(get());
+  void derivesTheOutcomeFromResponseCodeDetails(String details, Status status) throws Exception {
+    Stream s = start().open().send(safeRequest());
     s.next();
     s.send(response(503).putAttributes("envoy.filters.http.ext_proc", Struct.newBuilder()
         .putFields("response.code_details", Value.newBuilder().setStringValue(details).build()).build()));
     s.next();
-    assertEquals(status, told(Outcome.class).status());
+    assertEquals(status, nextEvent(Outcome.class).status());
   }
 
   @Test
-  void aLoadReportReachesTheModuleAndInformationalAnswersDoNot() throws Exception {
-    Stream s = start().open().send(get());
+  void passesLoadReportsOnAndIgnoresInformationalResponses() throws Exception {
+    Stream s = start().open().send(safeRequest());
     s.next();
     s.send(response(103));
     assertTrue(s.next().hasResponseHeaders());
     s.send(response(200, "endpoint-load-metrics", "TEXT inflight=7, util=0.5, odd=x"));
     s.next();
-    Outcome outcome = told(Outcome.class);
+    Outcome outcome = nextEvent(Outcome.class);
     assertEquals(java.util.Map.of("inflight", 7.0, "util", 0.5), outcome.load());
   }
 
   @ParameterizedTest
   @EnumSource(value = BodySendMode.class, names = "UNRECOGNIZED", mode = EnumSource.Mode.EXCLUDE)
-  void bodiesAreLetPassInEveryMode(BodySendMode mode) throws Exception {
-    Stream s = start().open().send(modes(get(), mode, mode));
+  void passesBodiesOnInEveryMode(BodySendMode mode) throws Exception {
+    Stream s = start().open().send(modes(safeRequest(), mode, mode));
     assertTrue(s.next().hasRequestHeaders());
     for (int i = 0; i < 3; i++) {
-      HttpBody piece = body("piece " + i, i == 2);
-      ProcessingResponse up = s.send(ProcessingRequest.newBuilder().setRequestBody(piece)).next();
-      assertTrue(up.hasRequestBody(), up.toString());
+      HttpBody chunk = body("piece " + i, i == 2);
+      ProcessingResponse reply = s.send(ProcessingRequest.newBuilder().setRequestBody(chunk)).next();
+      assertTrue(reply.hasRequestBody(), reply.toString());
       boolean duplex = mode == BodySendMode.FULL_DUPLEX_STREAMED;
-      var mutation = up.getRequestBody().getResponse().getBodyMutation();
+      var mutation = reply.getRequestBody().getResponse().getBodyMutation();
       assertEquals(duplex, mutation.hasStreamedResponse());
       if (duplex) {
-        assertEquals(piece.getBody(), mutation.getStreamedResponse().getBody());
-        assertEquals(piece.getEndOfStream(), mutation.getStreamedResponse().getEndOfStream());
+        assertEquals(chunk.getBody(), mutation.getStreamedResponse().getBody());
+        assertEquals(chunk.getEndOfStream(), mutation.getStreamedResponse().getEndOfStream());
       }
     }
     assertTrue(s.send(ProcessingRequest.newBuilder().setRequestTrailers(HttpTrailers.getDefaultInstance())).next()
         .hasRequestTrailers());
-    ProcessingRequest.Builder head = response(200);
-    head.getResponseHeadersBuilder().setEndOfStream(false);
-    assertTrue(s.send(head).next().hasResponseHeaders());
+    ProcessingRequest.Builder responseHeaders = response(200);
+    responseHeaders.getResponseHeadersBuilder().setEndOfStream(false);
+    assertTrue(s.send(responseHeaders).next().hasResponseHeaders());
     assertTrue(s.send(ProcessingRequest.newBuilder().setResponseBody(body("a", false))).next().hasResponseBody());
     assertTrue(s.send(ProcessingRequest.newBuilder().setResponseBody(body("b", true))).next().hasResponseBody());
-    assertEquals(Status.SERVED, told(Outcome.class).status());
+    assertEquals(Status.SERVED, nextEvent(Outcome.class).status());
     assertTrue(s.send(ProcessingRequest.newBuilder().setResponseTrailers(HttpTrailers.getDefaultInstance())).next()
         .hasResponseTrailers());
   }
 
-  /** An attempt is under way until its answer's last byte, where the caller shows the body. */
+  /** If the caller sends the response body, the attempt is in flight until its end. */
   @Test
-  void theAnswersBodyBelongsToTheAttempt() throws Exception {
-    Stream s = start().open().send(modes(get(), BodySendMode.NONE, BodySendMode.STREAMED));
+  void anAttemptLastsUntilTheEndOfItsResponseBody() throws Exception {
+    Stream s = start().open().send(modes(safeRequest(), BodySendMode.NONE, BodySendMode.STREAMED));
     s.next();
-    ProcessingRequest.Builder head = response(200);
-    head.getResponseHeadersBuilder().setEndOfStream(false);
-    s.send(head).next();
+    ProcessingRequest.Builder responseHeaders = response(200);
+    responseHeaders.getResponseHeadersBuilder().setEndOfStream(false);
+    s.send(responseHeaders).next();
     assertEquals(1, rig.server.inFlightAttempts());
     s.send(ProcessingRequest.newBuilder().setResponseTrailers(HttpTrailers.getDefaultInstance())).next();
-    assertEquals(Status.SERVED, told(Outcome.class).status());
+    assertEquals(Status.SERVED, nextEvent(Outcome.class).status());
     Rig.await("none in flight", () -> rig.server.inFlightAttempts() == 0);
   }
 
   @Test
-  void whatCantBeServedIsRefusedAtOnceWithAWordAndATime() throws Exception {
+  void rejectsAtOnceWithReasonAndRetryAfter() throws Exception {
     StandInCaller caller = start("", Rig.servers(ADDRESS).replace("cell = 0", "cell = 0\nphase = \"draining\""));
-    ProcessingResponse reply = caller.open().send(get()).next();
+    ProcessingResponse reply = caller.open().send(safeRequest()).next();
     assertEquals(429, reply.getImmediateResponse().getStatus().getCode());
     assertEquals("no_upstream", sets(reply, "x-ashdeck-reason"));
     assertTrue(Double.parseDouble(sets(reply, "retry-after")) > 0);
     assertFalse(reply.getImmediateResponse().hasGrpcStatus());
-    reply = caller.open().send(get("content-type", "application/grpc+proto")).next();
+    reply = caller.open().send(safeRequest("content-type", "application/grpc+proto")).next();
     assertEquals(8, reply.getImmediateResponse().getGrpcStatus().getStatus());
   }
 
@@ -217,9 +217,9 @@
     "x-qos | odd | 400", "x-envoy-attempt-count | 0 | 400", "x-envoy-attempt-count | -1 | 400",
     "x-expires-in-ms | soon | 400", "grpc-timeout | 5 | 400", "grpc-timeout | 123456789S | 400",
     "x-envoy-expected-rq-timeout-ms | 1e3 | 400"})
-  void badInputIsAnsweredAndReachesNoModule(String header, String value, int code) throws Exception {
+  void answersInvalidRequestsWithoutTheModule(String header, String value, int code) throws Exception {
     Stream s = start().open();
-    s.send(header.equals("x-qos") ? request("x-request-id", "i", header, value) : get(header, value));
+    s.send(header.equals("x-qos") ? request("x-request-id", "i", header, value) : safeRequest(header, value));
     ProcessingResponse reply = s.next();
     assertEquals(code, reply.getImmediateResponse().getStatus().getCode());
     assertTrue(reply.getImmediateResponse().getBody().toStringUtf8().startsWith(header), reply.toString());
@@ -229,33 +229,33 @@
   }
 
   @Test
-  void anUnknownClassMayGetAConfiguredOne() throws Exception {
+  void unknownClassesGetTheDefaultClass() throws Exception {
     StandInCaller caller = start("headers.default_class = \"brief\"", Rig.servers(ADDRESS));
     caller.open().send(request("x-qos", "odd")).next();
-    assertEquals("brief", told(Request.class).className());
+    assertEquals("brief", nextEvent(Request.class).className());
     caller.open().send(request("accept", "*/*")).next();
-    assertEquals("brief", told(Request.class).className());
+    assertEquals("brief", nextEvent(Request.class).className());
   }
 
-  /** The earliest of all deadlines that a request carries is the one that counts. */
+  /** Of all deadlines that a request carries, the earliest applies. */
   @ParameterizedTest
   @CsvSource(delimiter = '|', value = {
     "x-expires-in-ms | 7000 | 7000", "grpc-timeout | 9S | 9000", "grpc-timeout | 9000000u | 9000",
     "x-envoy-expected-rq-timeout-ms | 8000 | 8000", "x-envoy-expected-rq-timeout-ms | 0 | 40000",
     "grpc-timeout | 99999999H | 40000"})
-  void deadlinesAreRead(String header, String value, long millis) throws Exception {
+  void usesTheEarliestDeadline(String header, String value, long millis) throws Exception {
     StandInCaller caller = start();
     long before = System.nanoTime();
-    caller.open().send(get(header, value)).next();
-    Request told = told(Request.class);
-    long answerBy = told.answerByNanos() - TimeUnit.MILLISECONDS.toNanos(140);
-    assertEquals(millis, TimeUnit.NANOSECONDS.toMillis(told.deadlineNanos() - answerBy), "counted from its coming");
+    caller.open().send(safeRequest(header, value)).next();
+    Request received = nextEvent(Request.class);
+    long answerBy = received.answerByNanos() - TimeUnit.MILLISECONDS.toNanos(140);
+    assertEquals(millis, TimeUnit.NANOSECONDS.toMillis(received.deadlineNanos() - answerBy), "counted from its arrival");
     assertTrue(System.nanoTime() >= before);
   }
 
   @Test
-  void anObserverGetsNoReplyAndReachesNoModule() throws Exception {
-    Stream s = start().open().send(get().setObservabilityMode(true)).send(response(200).setObservabilityMode(true));
+  void ignoresStreamsInObservabilityMode() throws Exception {
+    Stream s = start().open().send(safeRequest().setObservabilityMode(true)).send(response(200).setObservabilityMode(true));
     s.halfClose();
     assertTrue(s.closed().isOk());
     assertEquals(0, s.left());
@@ -264,41 +264,41 @@
   }
 
   @Test
-  void aHalfClosedStreamStillGetsItsVerdict() throws Exception {
-    Stream s = start().open().send(get()).halfClose();
+  void aHalfClosedStreamStillGetsItsDecision() throws Exception {
+    Stream s = start().open().send(safeRequest()).halfClose();
     assertEquals(ADDRESS, sets(s.next(), DESTINATION));
     assertTrue(s.closed().isOk());
-    assertEquals(Status.CANCELLED, told(Outcome.class).status(), "it may have run");
+    assertEquals(Status.CANCELLED, nextEvent(Outcome.class).status(), "it may have run");
   }
 
-  /** A buffered body may take long: the destination is looked at again before the caller sends anything on. */
+  /** Buffering a body may take long: the upstream is checked again before the caller forwards anything. */
   @Test
-  void aDestinationDrainedUnderTheBodyIsChangedBeforeAnythingIsSent() throws Exception {
+  void reselectsAnUpstreamThatDrainsWhileTheBodyIsBuffered() throws Exception {
     String two = Rig.servers(ADDRESS, "127.0.0.1:7002");
-    Stream s = start("", two).open().send(modes(get(), BodySendMode.BUFFERED, BodySendMode.NONE));
+    Stream s = start("", two).open().send(modes(safeRequest(), BodySendMode.BUFFERED, BodySendMode.NONE));
     String first = sets(s.next(), DESTINATION);
     String other = first.equals(ADDRESS) ? "127.0.0.1:7002" : ADDRESS;
-    rig.server.updateServerList(Rig.told("", two.replace("address = \"" + first, "phase = \"draining\"\naddress = \"" + first))
+    rig.server.updateServerList(Rig.parsedConfig("", two.replace("address = \"" + first, "phase = \"draining\"\naddress = \"" + first))
         .fleet().list());
     ProcessingResponse reply = s.send(ProcessingRequest.newBuilder().setRequestBody(body("late", true))).next();
     assertEquals(other, sets(reply, DESTINATION), reply.toString());
     assertTrue(reply.getRequestBody().getResponse().getClearRouteCache());
-    assertEquals(Status.NOT_SENT, told(Outcome.class).status());
+    assertEquals(Status.NOT_SENT, nextEvent(Outcome.class).status());
     s.send(response(200)).next();
-    assertEquals(Status.SERVED, told(Outcome.class).status());
+    assertEquals(Status.SERVED, nextEvent(Outcome.class).status());
     rig.awaitNoPendingCallsExcept(1);
   }
 
   @Test
-  void aBodyUnderAGoodDestinationIsLetPass() throws Exception {
-    Stream s = start().open().send(modes(get(), BodySendMode.BUFFERED, BodySendMode.NONE));
+  void passesTheBufferedBodyOnIfTheUpstreamIsStillReady() throws Exception {
+    Stream s = start().open().send(modes(safeRequest(), BodySendMode.BUFFERED, BodySendMode.NONE));
     s.next();
     ProcessingResponse reply = s.send(ProcessingRequest.newBuilder().setRequestBody(body("x", true))).next();
     assertTrue(reply.hasRequestBody() && !reply.getRequestBody().getResponse().hasHeaderMutation(), reply.toString());
   }
 
   @Test
-  void healthSaysWhetherItServes() throws Exception {
+  void reportsHealth() throws Exception {
     StandInCaller caller = start();
     var health = HealthGrpc.newBlockingStub(caller.channel());
     assertEquals(ServingStatus.SERVING, health.check(HealthCheckRequest.getDefaultInstance()).getStatus());
@@ -307,21 +307,21 @@
   }
 
   @Test
-  void theCallerThatHangsUpIsToldOnce() throws Exception {
+  void reportsACancelledStreamOnce() throws Exception {
     StandInCaller caller = start("", Rig.servers(ADDRESS).replace("cell = 0", "cell = 0\nsize = 2"));
-    Stream s = caller.open().send(get());
+    Stream s = caller.open().send(safeRequest());
     s.next();
     s.cancel();
-    assertEquals(Status.CANCELLED, told(Outcome.class).status());
+    assertEquals(Status.CANCELLED, nextEvent(Outcome.class).status());
     rig.awaitNoPendingCalls();
     assertTrue(events.stream().noneMatch(e -> e instanceof Outcome || e instanceof ClientGone), events.toString());
   }
 
   @Test
-  void bytesThatAreNoTextAreNoNameOfAnything() throws Exception {
-    ProcessingRequest.Builder odd = get();
-    odd.getRequestHeadersBuilder().getHeadersBuilder().addHeadersBuilder().setKey("x-customer")
+  void acceptsHeaderValuesThatAreNotUtf8() throws Exception {
+    ProcessingRequest.Builder message = safeRequest();
+    message.getRequestHeadersBuilder().getHeadersBuilder().addHeadersBuilder().setKey("x-customer")
         .setRawValue(ByteString.copyFrom(new byte[] {(byte) 0xff, (byte) 0xfe, 0}));
-    assertEquals(ADDRESS, sets(start().open().send(odd).next(), DESTINATION), "tenants are free where none is listed");
+    assertEquals(ADDRESS, sets(start().open().send(message).next(), DESTINATION), "any tenant is accepted if none is configured");
   }
 }
--- a/processor/src/test/java/cloverpulley/processor/QuotaTest.java
+++ b/processor/src/test/java/cloverpulley/processor/QuotaTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Quotas before the module's line, over sockets: who is refused and how, what is given back, what a restart knows. */
+/** Quotas over sockets: which calls are rejected and how, what is released, and what a restart restores. */
 @Timeout(120)
 class QuotaTest {
 
@@ -57,7 +57,7 @@
       """;
 
   @TempDir
-  Path folder;
+  Path directory;
 
   private final Rig rig = new Rig();
   private int ids;
@@ -67,20 +67,22 @@
     rig.close();
   }
 
-  private record Told(Rig.Told told, QuotaConfig quota) {
-    static Told read(Section file) {
-      return new Told(new Rig.Told(ServiceSection.read(file), ProcessorConfig.read(file.table("processor"), 1),
+  private record Configs(Rig.ParsedConfig base, QuotaConfig quota) {
+    static Configs read(Section file) {
+      return new Configs(new Rig.ParsedConfig(ServiceSection.read(file), ProcessorConfig.read(file.table("processor"), 1),
           FleetSource.read(file.table("fleet"))), QuotaConfig.read(file.table("quota")));
     }
   }
 
   private StandInCaller start() throws Exception {
-    return start(QUOTA.replace("FILE", folder.resolve("q").toString()));
+    return start(QUOTA.replace("FILE", directory.resolve("q").toString()));
   }
 
   private StandInCaller start(String quota) throws Exception {
-    Told t = ConfigFile.parse("test", Rig.CLASSES + quota + "[processor]\nlisten = \"127.0.0.1:0\"\nlame_ms = 0\n" + Rig.servers("127.0.0.1:7001", "127.0.0.1:7002"), Told::read);
-    rig.server = rig.keep(ProcessorServer.start(t.told.processor(), t.told.settings(), t.told.fleet(), 7, Recorder.NONE, t.quota));
+    Configs configs = ConfigFile.parse("test", Rig.CLASSES + quota + "[processor]\nlisten = \"127.0.0.1:0\"\nlame_ms = 0\n"
+        + Rig.servers("127.0.0.1:7001", "127.0.0.1:7002"), Configs::read);
+    rig.server = rig.closeLater(ProcessorServer.start(configs.base.processor(), configs.base.settings(), configs.base.fleet(), 7,
+        Recorder.NONE, configs.quota));
     return rig.caller();
   }
 
@@ -88,134 +90,135 @@
     return HeaderValue.newBuilder().setKey(name).setRawValue(ByteString.copyFromUtf8(value)).build();
   }
 
-  private ProcessingRequest request(String tenant, String below, int attempt, String id) {
+  private ProcessingRequest request(String tenant, String subpath, int attempt, String id) {
     HeaderMap.Builder h = HeaderMap.newBuilder().addHeaders(header(":method", "GET")).addHeaders(header(":path", "/"))
         .addHeaders(header("x-request-id", id)).addHeaders(header("x-qos", "safe"))
         .addHeaders(header("x-envoy-attempt-count", "" + attempt)).addHeaders(header("x-customer", tenant));
-    if (below != null) {
-      h.addHeaders(header("x-quota-path", below));
+    if (subpath != null) {
+      h.addHeaders(header("x-quota-path", subpath));
     }
     return ProcessingRequest.newBuilder().setRequestHeaders(HttpHeaders.newBuilder().setHeaders(h).setEndOfStream(true)).build();
   }
 
-  private static boolean sent(ProcessingResponse r) {
+  private static boolean isForwarded(ProcessingResponse r) {
     return r.hasRequestHeaders();
   }
 
-  private static String set(ProcessingResponse r, String name) {
+  private static String responseHeader(ProcessingResponse r, String name) {
     return r.getImmediateResponse().getHeaders().getSetHeadersList().stream().filter(o -> o.getHeader().getKey().equals(name))
         .map(o -> o.getHeader().getRawValue().toStringUtf8()).findFirst().orElse(null);
   }
 
-  private Stream ask(StandInCaller caller, String tenant, String below, List<ProcessingResponse> into) throws Exception {
-    Stream s = caller.open().send(request(tenant, below, 1, "id" + ids++));
-    into.add(s.next());
+  private Stream sendRequest(StandInCaller caller, String tenant, String subpath, List<ProcessingResponse> responses) throws Exception {
+    Stream s = caller.open().send(request(tenant, subpath, 1, "id" + ids++));
+    responses.add(s.next());
     return s;
   }
 
-  private static ProcessingRequest answer() {
+  private static ProcessingRequest responseHeaders() {
     return ProcessingRequest.newBuilder().setResponseHeaders(HttpHeaders.newBuilder().setEndOfStream(true)
         .setHeaders(HeaderMap.newBuilder().addHeaders(header(":status", "200")))).build();
   }
 
   @Test
-  void inFlightIsBoundedAndGivenBackWhateverTheEnd() throws Exception {
+  void concurrencyIsBoundedAndReleasedHoweverACallEnds() throws Exception {
     StandInCaller caller = start();
-    List<ProcessingResponse> got = new ArrayList<>();
+    List<ProcessingResponse> responses = new ArrayList<>();
     List<Stream> open = new ArrayList<>();
     for (int i = 0; i < 8; i++) {
-      open.add(ask(caller, "steppe", null, got));
+      open.add(sendRequest(caller, "steppe", null, responses));
     }
-    assertEquals(6, got.stream().filter(QuotaTest::sent).count(), "its ceiling");
-    ProcessingResponse refused = got.get(7);
-    assertEquals(429, refused.getImmediateResponse().getStatus().getCode());
-    assertEquals("quota", set(refused, "x-ashdeck-reason"));
-    got.clear();
-    ask(caller, "agro", null, got);
-    assertTrue(sent(got.get(0)), "another's ceiling is its own");
-    // One by its answer, one by a hang-up, one by a reset: each gives its place back once.
-    open.get(0).send(answer()).next();
+    assertEquals(6, responses.stream().filter(QuotaTest::isForwarded).count(), "its ceiling");
+    ProcessingResponse rejected = responses.get(7);
+    assertEquals(429, rejected.getImmediateResponse().getStatus().getCode());
+    assertEquals("quota", responseHeader(rejected, "x-ashdeck-reason"));
+    responses.clear();
+    sendRequest(caller, "agro", null, responses);
+    assertTrue(isForwarded(responses.get(0)), "another tenant has its own ceiling");
+    // One ends by a response, one by cancellation, one without a response: each releases its concurrency once.
+    open.get(0).send(responseHeaders()).next();
     open.get(0).halfClose();
     open.get(1).cancel();
     open.get(2).halfClose();
-    Rig.await("three have ended", () -> rig.server.inFlightAttempts() == 4);
-    got.clear();
+    Rig.await("three calls ended", () -> rig.server.inFlightAttempts() == 4);
+    responses.clear();
     for (int i = 0; i < 5; i++) {
-      ask(caller, "steppe", null, got);
+      sendRequest(caller, "steppe", null, responses);
     }
-    assertEquals(3, got.stream().filter(QuotaTest::sent).count());
+    assertEquals(3, responses.stream().filter(QuotaTest::isForwarded).count());
   }
 
-  /** A repeat of what was sent is no new request: it is neither charged nor refused. */
+  /** A retry of a forwarded request is not a new request: it is neither charged nor rejected. */
   @Test
-  void aRepeatIsNotRefused() throws Exception {
+  void retriesAreNotRejected() throws Exception {
     StandInCaller caller = start();
-    List<ProcessingResponse> got = new ArrayList<>();
+    List<ProcessingResponse> responses = new ArrayList<>();
     List<Stream> open = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
-      open.add(ask(caller, "steppe", null, got));
+      open.add(sendRequest(caller, "steppe", null, responses));
     }
     open.get(0).cancel();
-    Rig.await("it has ended", () -> rig.server.inFlightAttempts() == 5);
-    ask(caller, "steppe", null, got); // Takes the place that is free.
-    Stream again = caller.open().send(request("steppe", null, 2, "id0"));
-    assertTrue(sent(again.next()), "its first may have run: it is not for the quota to say that nothing has");
+    Rig.await("the call ended", () -> rig.server.inFlightAttempts() == 5);
+    sendRequest(caller, "steppe", null, responses); // Takes the released concurrency.
+    Stream retry = caller.open().send(request("steppe", null, 2, "id0"));
+    assertTrue(isForwarded(retry.next()), "its first attempt may have run, and a rejection would state that none has");
   }
 
   @Test
-  void aGroupHasItsPartOfItsPartnersAndNobodyElses() throws Exception {
+  void aGroupGetsItsShareOfItsTenantOnly() throws Exception {
     StandInCaller caller = start();
-    List<ProcessingResponse> got = new ArrayList<>();
+    List<ProcessingResponse> responses = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
-      Stream s = ask(caller, "steppe", "group-1", got);
-      if (sent(got.get(i))) {
-        s.send(answer()).next();
+      Stream s = sendRequest(caller, "steppe", "group-1", responses);
+      if (isForwarded(responses.get(i))) {
+        s.send(responseHeaders()).next();
         s.halfClose();
-        Rig.await("it has ended", () -> rig.server.inFlightAttempts() == 0);
+        Rig.await("the call ended", () -> rig.server.inFlightAttempts() == 0);
       }
     }
-    long given = got.stream().filter(QuotaTest::sent).count();
-    assertTrue(given >= 20 && given <= 50, "its half of its partner's, and what was idle: " + given);
-    assertTrue(got.stream().filter(r -> !sent(r)).allMatch(r -> set(r, "retry-after") != null), "each is told when to return");
-    got.clear();
+    long forwarded = responses.stream().filter(QuotaTest::isForwarded).count();
+    assertTrue(forwarded >= 20 && forwarded <= 50, "half of its tenant's quota, and what was idle: " + forwarded);
+    assertTrue(responses.stream().filter(r -> !isForwarded(r)).allMatch(r -> responseHeader(r, "retry-after") != null),
+        "each rejection has a retry-after header");
+    responses.clear();
     for (int i = 0; i < 60; i++) {
-      Stream s = ask(caller, "agro", null, got);
-      if (sent(got.get(i))) {
-        s.send(answer()).next();
+      Stream s = sendRequest(caller, "agro", null, responses);
+      if (isForwarded(responses.get(i))) {
+        s.send(responseHeaders()).next();
         s.halfClose();
-        Rig.await("it has ended", () -> rig.server.inFlightAttempts() == 0);
+        Rig.await("the call ended", () -> rig.server.inFlightAttempts() == 0);
       }
     }
-    assertEquals(60, got.stream().filter(QuotaTest::sent).count(), "a guarantee is not touched by what was lent");
+    assertEquals(60, responses.stream().filter(QuotaTest::isForwarded).count(), "lending does not reduce a guarantee");
   }
 
   @Test
-  void aRestartGivesNoSecondHelping() throws Exception {
+  void aRestartKeepsTheUsage() throws Exception {
     StandInCaller caller = start();
-    List<ProcessingResponse> got = new ArrayList<>();
+    List<ProcessingResponse> responses = new ArrayList<>();
     for (int i = 0; i < 55; i++) {
-      Stream s = ask(caller, "steppe", null, got);
-      if (sent(got.get(i))) {
-        s.send(answer()).next();
+      Stream s = sendRequest(caller, "steppe", null, responses);
+      if (isForwarded(responses.get(i))) {
+        s.send(responseHeaders()).next();
         s.halfClose();
-        Rig.await("it has ended", () -> rig.server.inFlightAttempts() == 0);
+        Rig.await("the call ended", () -> rig.server.inFlightAttempts() == 0);
       }
     }
-    long before = got.stream().filter(QuotaTest::sent).count();
+    long before = responses.stream().filter(QuotaTest::isForwarded).count();
     assertTrue(before >= 40, "" + before);
     rig.server.stop();
-    StandInCaller next = start();
-    got.clear();
+    StandInCaller successor = start();
+    responses.clear();
     for (int i = 0; i < 5; i++) {
-      ask(next, "steppe", null, got);
+      sendRequest(successor, "steppe", null, responses);
       TimeUnit.MILLISECONDS.sleep(1);
     }
-    assertTrue(got.stream().filter(QuotaTest::sent).count() <= 50 - before + 1, before + " before, " + got.stream().filter(QuotaTest::sent)
-        .count() + " after");
+    assertTrue(responses.stream().filter(QuotaTest::isForwarded).count() <= 50 - before + 1, before + " before, "
+        + responses.stream().filter(QuotaTest::isForwarded).count() + " after");
   }
 
-  /** The same partners, with octets out alone. */
-  private static final String OCTETS = QUOTA.substring(0, QUOTA.indexOf("[[quota.lane]]")) + """
+  /** The same tenants, with a quota of response bytes only. */
+  private static final String BYTES_OUT_QUOTA = QUOTA.substring(0, QUOTA.indexOf("[[quota.lane]]")) + """
       [[quota.lane]]
       dimension = "bytes_out"
       window_ms = 600000
@@ -230,63 +233,63 @@
       ceiling = [50000]
       """;
 
-  private static ProcessingRequest answer(String length, boolean over) {
-    return ProcessingRequest.newBuilder().setResponseHeaders(HttpHeaders.newBuilder().setEndOfStream(over)
+  private static ProcessingRequest responseHeaders(String length, boolean endOfStream) {
+    return ProcessingRequest.newBuilder().setResponseHeaders(HttpHeaders.newBuilder().setEndOfStream(endOfStream)
         .setHeaders(HeaderMap.newBuilder().addHeaders(header(":status", "200")).addHeaders(header("content-length", length)))).build();
   }
 
-  /** Asks until refused or so often; each one sent is answered with a head that states the length. */
-  private int answeredWith(StandInCaller caller, String tenant, String length, boolean over, int most) throws Exception {
-    for (int i = 0; i < most; i++) {
-      List<ProcessingResponse> got = new ArrayList<>();
-      Stream s = ask(caller, tenant, null, got);
-      if (!sent(got.get(0))) {
-        assertEquals("quota", set(got.get(0), "x-ashdeck-reason"));
+  /** Sends up to {@code maxRequests} requests until one is rejected; the others get a response with the content length. Returns their number. */
+  private int requestsUntilRejected(StandInCaller caller, String tenant, String length, boolean endOfStream, int maxRequests) throws Exception {
+    for (int i = 0; i < maxRequests; i++) {
+      List<ProcessingResponse> responses = new ArrayList<>();
+      Stream s = sendRequest(caller, tenant, null, responses);
+      if (!isForwarded(responses.get(0))) {
+        assertEquals("quota", responseHeader(responses.get(0), "x-ashdeck-reason"));
         return i;
       }
-      s.send(answer(length, over)).next();
+      s.send(responseHeaders(length, endOfStream)).next();
       s.halfClose();
-      Rig.await("it has ended", () -> rig.server.inFlightAttempts() == 0);
+      Rig.await("the call ended", () -> rig.server.inFlightAttempts() == 0);
     }
-    return most;
+    return maxRequests;
   }
 
-  /** Octets out are known with the answer alone: the first is free, the next are charged as expected and set right. */
+  /** Response bytes are known only from the response: the first call is free, later ones are charged an estimate that is corrected. */
   @Test
-  void octetsOutAreChargedOnceTheAnswerIsKnown() throws Exception {
-    StandInCaller caller = start(OCTETS);
-    assertEquals(5, answeredWith(caller, "steppe", "10000", false, 40), "five answers of 10,000 are its 50,000");
-    assertEquals(40, answeredWith(caller, "agro", "100", false, 40), "another partner has its own, and is charged what it took");
+  void responseBytesAreChargedOnceTheResponseIsKnown() throws Exception {
+    StandInCaller caller = start(BYTES_OUT_QUOTA);
+    assertEquals(5, requestsUntilRejected(caller, "steppe", "10000", false, 40), "five responses of 10,000 bytes use up its 50,000");
+    assertEquals(40, requestsUntilRejected(caller, "agro", "100", false, 40), "another tenant has its own quota and is charged what it used");
   }
 
-  /** The head of an answer without a body states what the body would have had. */
+  /** A response without a body may still have a content length. */
   @Test
-  void whatHasNoBodyCostsNoOctets() throws Exception {
-    StandInCaller caller = start(OCTETS);
-    assertEquals(40, answeredWith(caller, "steppe", "10000", true, 40));
+  void responsesWithoutABodyCostNoBytes() throws Exception {
+    StandInCaller caller = start(BYTES_OUT_QUOTA);
+    assertEquals(40, requestsUntilRejected(caller, "steppe", "10000", true, 40));
   }
 
-  /** What was expected of answers that never came is given back. */
+  /** The estimate for a response that never arrived is refunded. */
   @Test
-  void anAnswerThatNeverCameCostsNoOctets() throws Exception {
-    StandInCaller caller = start(OCTETS);
-    assertEquals(1, answeredWith(caller, "steppe", "10000", false, 1));
+  void missingResponsesCostNoBytes() throws Exception {
+    StandInCaller caller = start(BYTES_OUT_QUOTA);
+    assertEquals(1, requestsUntilRejected(caller, "steppe", "10000", false, 1));
     for (int i = 0; i < 20; i++) {
-      List<ProcessingResponse> got = new ArrayList<>();
-      Stream s = ask(caller, "steppe", null, got);
-      assertTrue(sent(got.get(0)), "hang-up " + i + " was charged");
+      List<ProcessingResponse> responses = new ArrayList<>();
+      Stream s = sendRequest(caller, "steppe", null, responses);
+      assertTrue(isForwarded(responses.get(0)), "cancelled call " + i + " was charged");
       s.cancel();
-      Rig.await("it has ended", () -> rig.server.inFlightAttempts() == 0);
+      Rig.await("the call ended", () -> rig.server.inFlightAttempts() == 0);
     }
-    assertEquals(4, answeredWith(caller, "steppe", "10000", false, 40));
+    assertEquals(4, requestsUntilRejected(caller, "steppe", "10000", false, 40));
   }
 
-  /** A length that is no number, or beyond all there is, spoils nothing: it is charged as some times all there is at most. */
+  /** An invalid or excessive content length does no harm: the charge is capped at a small multiple of the whole quota. */
   @Test
-  void lengthsThatLieAreBounded() throws Exception {
-    StandInCaller caller = start(OCTETS);
-    assertEquals(3, answeredWith(caller, "agro", "many", false, 3));
-    assertEquals(1, answeredWith(caller, "steppe", "999999999999999999", false, 3), "a lie about its own answers harms itself");
-    assertEquals(3, answeredWith(caller, "agro", "100", false, 3));
+  void falseContentLengthsAreBounded() throws Exception {
+    StandInCaller caller = start(BYTES_OUT_QUOTA);
+    assertEquals(3, requestsUntilRejected(caller, "agro", "many", false, 3));
+    assertEquals(1, requestsUntilRejected(caller, "steppe", "999999999999999999", false, 3), "a false length costs its own tenant only");
+    assertEquals(3, requestsUntilRejected(caller, "agro", "100", false, 3));
   }
 }
--- a/processor/src/test/java/cloverpulley/processor/RobustnessTest.java
+++ b/processor/src/test/java/cloverpulley/processor/RobustnessTest.java
@@ -47,8 +47,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Callers that break off, stall, flood and send garbage: nothing is left of them, and the others are served. */
-@Timeout(value = 2 * Rig.LIMIT_S, unit = TimeUnit.SECONDS)
+/** Callers that cancel, stall, flood or send garbage leave nothing behind, and other callers are still served. */
+@Timeout(value = 2 * Rig.TIMEOUT_S, unit = TimeUnit.SECONDS)
 class RobustnessTest {
 
   private static final String DESTINATION = "x-gateway-destination-endpoint";
@@ -56,25 +56,25 @@
 
   private final Rig rig = new Rig();
   private final ConcurrentLinkedQueue<Event> events = new ConcurrentLinkedQueue<>();
-  private final CountDownLatch held = new CountDownLatch(1);
+  private final CountDownLatch requestReceived = new CountDownLatch(1);
 
   @AfterEach
   void close() throws Exception {
     rig.close();
-    assertEquals(List.of(), Leaks.found());
+    assertEquals(List.of(), Leaks.reports());
   }
 
-  private static ProcessingRequest.Builder get(String id) {
+  private static ProcessingRequest.Builder safeRequest(String id) {
     return request("x-request-id", id, "x-qos", "safe", ":path", "/", ":method", "GET");
   }
 
-  /** A module that holds every request whose id says so and leaves the others to the real one. */
-  private StandInCaller start(String processor, boolean holdAll) throws Exception {
-    Balancer logic = new Logic(Rig.told(processor, Rig.servers(ADDRESS)).settings(), 7);
+  /** Starts a processor with the real module, or one that never decides if {@code ignoreRequests}. */
+  private StandInCaller start(String processor, boolean ignoreRequests) throws Exception {
+    Balancer logic = new Logic(Rig.parsedConfig(processor, Rig.servers(ADDRESS)).settings(), 7);
     rig.start(processor, Rig.servers(ADDRESS), (long now, Event event, Consumer<Action> out) -> {
       events.add(event);
-      if (event instanceof Request && holdAll) {
-        held.countDown();
+      if (event instanceof Request && ignoreRequests) {
+        requestReceived.countDown();
         return;
       }
       logic.handle(now, event, out);
@@ -86,59 +86,59 @@
     return start("", false);
   }
 
-  private long told(Class<? extends Event> kind) {
-    return events.stream().filter(kind::isInstance).count();
+  private long eventCount(Class<? extends Event> type) {
+    return events.stream().filter(type::isInstance).count();
   }
 
-  private void stillServes() throws Exception {
-    Stream s = rig.caller().open().send(get("after"));
+  private void assertStillServing() throws Exception {
+    Stream s = rig.caller().open().send(safeRequest("after"));
     assertEquals(ADDRESS, sets(s.next(), DESTINATION));
     s.send(response(200)).next();
     s.halfClose();
     assertTrue(s.closed().isOk());
   }
 
-  // ---- Callers that hang up ------------------------------------------------------------------------------
+  // ---- Callers that cancel -------------------------------------------------------------------------------
 
   @Test
-  void whileTheVerdictIsAwaited() throws Exception {
-    Stream s = start("", true).open().send(get("a"));
-    held.await();
+  void cancelWhileUndecided() throws Exception {
+    Stream s = start("", true).open().send(safeRequest("a"));
+    requestReceived.await();
     s.cancel();
     rig.awaitNoPendingCalls();
-    assertEquals(1, told(ClientGone.class));
-    assertEquals(0, told(Outcome.class));
+    assertEquals(1, eventCount(ClientGone.class));
+    assertEquals(0, eventCount(Outcome.class));
   }
 
   @Test
-  void afterTheVerdictAndBeforeTheAnswer() throws Exception {
-    Stream s = start().open().send(get("a"));
+  void cancelBetweenDecisionAndResponse() throws Exception {
+    Stream s = start().open().send(safeRequest("a"));
     s.next();
     s.cancel();
     rig.awaitNoPendingCalls();
-    assertEquals(1, told(Outcome.class));
-    assertEquals(0, told(ClientGone.class));
+    assertEquals(1, eventCount(Outcome.class));
+    assertEquals(0, eventCount(ClientGone.class));
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void inTheMiddleOfABody(boolean buffered) throws Exception {
-    Stream s = start().open().send(get("a").setProtocolConfig(ProtocolConfiguration.newBuilder()
+  void cancelInTheMiddleOfABody(boolean buffered) throws Exception {
+    Stream s = start().open().send(safeRequest("a").setProtocolConfig(ProtocolConfiguration.newBuilder()
         .setRequestBodyMode(buffered ? BodySendMode.BUFFERED : BodySendMode.STREAMED)));
     s.next();
     s.send(ProcessingRequest.newBuilder().setRequestBody(body("half", false)));
     s.next();
     s.cancel();
     rig.awaitNoPendingCalls();
-    assertEquals(1, told(Outcome.class));
+    assertEquals(1, eventCount(Outcome.class));
   }
 
   @Test
-  void oneStreamOfMany() throws Exception {
+  void cancelOneStreamOfMany() throws Exception {
     StandInCaller caller = start();
     List<Stream> streams = new ArrayList<>();
     for (int i = 0; i < 50; i++) {
-      streams.add(caller.open().send(get("a" + i)));
+      streams.add(caller.open().send(safeRequest("a" + i)));
     }
     streams.get(17).cancel();
     for (int i = 0; i < streams.size(); i++) {
@@ -150,58 +150,58 @@
       }
     }
     rig.awaitNoPendingCalls();
-    assertEquals(told(Request.class), told(Outcome.class) + told(ClientGone.class), "each is told to have ended once");
+    assertEquals(eventCount(Request.class), eventCount(Outcome.class) + eventCount(ClientGone.class), "the end of each is reported once");
   }
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void theWholeConnectionWith500CallsOpen(boolean holdAll) throws Exception {
-    StandInCaller caller = start("message_timeout_ms = 60000", holdAll);
+  void closeAConnectionWith500OpenCalls(boolean ignoreRequests) throws Exception {
+    StandInCaller caller = start("message_timeout_ms = 60000", ignoreRequests);
     List<Stream> streams = new ArrayList<>();
     for (int i = 0; i < 500; i++) {
-      streams.add(caller.open().send(get("a" + i)));
+      streams.add(caller.open().send(safeRequest("a" + i)));
     }
-    Rig.await("500 calls in hand", () -> rig.server.pendingCalls() == 500);
+    Rig.await("500 pending calls", () -> rig.server.pendingCalls() == 500);
     caller.close();
     rig.awaitNoPendingCalls();
-    assertEquals(500, told(ClientGone.class) + told(Outcome.class), "each told once");
+    assertEquals(500, eventCount(ClientGone.class) + eventCount(Outcome.class), "each reported once");
     for (Stream s : streams) {
       assertTrue(!s.closed().isOk());
     }
   }
 
-  // ---- Decisions that don't come -------------------------------------------------------------------------
+  // ---- Missing decisions ---------------------------------------------------------------------------------
 
   @Test
-  void aStalledEngineGivesNoVerdictAndTheGuardDoes() throws Exception {
-    CountDownLatch stalled = new CountDownLatch(1);
-    CountDownLatch over = new CountDownLatch(1);
-    Balancer logic = new Logic(Rig.told("", Rig.servers(ADDRESS)).settings(), 7);
+  void theGuardTimerAnswersWhenTheEngineStalls() throws Exception {
+    CountDownLatch stallStarted = new CountDownLatch(1);
+    CountDownLatch release = new CountDownLatch(1);
+    Balancer logic = new Logic(Rig.parsedConfig("", Rig.servers(ADDRESS)).settings(), 7);
     AtomicBoolean first = new AtomicBoolean(true);
     rig.start("", Rig.servers(ADDRESS), (long now, Event event, Consumer<Action> out) -> {
       events.add(event);
       if (event instanceof Request && first.getAndSet(false)) {
-        stalled.countDown();
-        awaitQuietly(over);
+        stallStarted.countDown();
+        awaitQuietly(release);
       }
       logic.handle(now, event, out);
     });
     StandInCaller caller = rig.caller();
-    Stream s = caller.open().send(get("a"));
-    stalled.await();
+    Stream s = caller.open().send(safeRequest("a"));
+    stallStarted.await();
     ProcessingResponse reply = s.next();
-    assertEquals(502, reply.getImmediateResponse().getStatus().getCode(), "without a promise: nothing is known");
+    assertEquals(502, reply.getImmediateResponse().getStatus().getCode(), "not 503, because a retry may not be safe");
     assertEquals("deadline", sets(reply, "x-ashdeck-reason"));
     assertTrue(s.closed().isOk());
-    Stream queued = caller.open().send(get("b"));
-    assertEquals("deadline", sets(queued.next(), "x-ashdeck-reason"), "nor does one that waits behind it");
-    over.countDown();
+    Stream queued = caller.open().send(safeRequest("b"));
+    assertEquals("deadline", sets(queued.next(), "x-ashdeck-reason"), "a call queued behind it gets none either");
+    release.countDown();
     rig.awaitNoPendingCalls();
     assertEquals(2, rig.server.counts().guardTimeouts());
-    assertEquals(0, s.left() + queued.left(), "one verdict each");
+    assertEquals(0, s.left() + queued.left(), "one decision each");
     Outcome outcome = (Outcome) events.stream().filter(Outcome.class::isInstance).findFirst().orElseThrow();
-    assertEquals(Balancer.Status.NOT_SENT, outcome.status(), "what the engine said too late was not sent");
-    stillServes();
+    assertEquals(Balancer.Status.NOT_SENT, outcome.status(), "a late decision is reported as not sent");
+    assertStillServing();
   }
 
   private static void awaitQuietly(CountDownLatch latch) {
@@ -213,55 +213,55 @@
   }
 
   @Test
-  void aModuleThatNeverAnswersIsPassedByTheEnginesGuard() throws Exception {
-    Stream s = start("", true).open().send(get("a"));
+  void theEngineAnswersWhenTheModuleNeverDecides() throws Exception {
+    Stream s = start("", true).open().send(safeRequest("a"));
     ProcessingResponse reply = s.next();
     assertEquals("deadline", sets(reply, "x-ashdeck-reason"));
     rig.awaitNoPendingCalls();
-    assertEquals(1, told(ClientGone.class));
+    assertEquals(1, eventCount(ClientGone.class));
   }
 
-  /** No upstream: the real module holds a request for a part of its aim, and gives it up within the time-out. */
+  /** Without a ready upstream the real module queues a request for a part of its target latency, then abandons it within the time-out. */
   @Test
-  void aHeldRequestIsGivenUpInTime() throws Exception {
+  void aQueuedRequestIsAbandonedInTime() throws Exception {
     rig.start("", Rig.servers(ADDRESS).replace("cell = 0", "phase = \"draining\""));
     StandInCaller caller = rig.caller();
-    assertEquals("no_upstream", sets(caller.open().send(get("a")).next(), "x-ashdeck-reason"));
+    assertEquals("no_upstream", sets(caller.open().send(safeRequest("a")).next(), "x-ashdeck-reason"));
     assertEquals(0, rig.server.counts().guardTimeouts());
   }
 
   @Test
-  void aModuleThatThrowsIsReplacedAndItsCallsAreAnswered() throws Exception {
-    AtomicBoolean thrown = new AtomicBoolean();
-    Rig.Told told = Rig.told("", Rig.servers(ADDRESS));
-    rig.server = rig.keep(ProcessorServer.start(told.processor(), told.settings(), told.fleet(), n -> {
-      Balancer logic = new Logic(told.settings(), n);
+  void replacesAModuleThatThrowsAndAnswersItsCalls() throws Exception {
+    AtomicBoolean hasThrown = new AtomicBoolean();
+    Rig.ParsedConfig config = Rig.parsedConfig("", Rig.servers(ADDRESS));
+    rig.server = rig.closeLater(ProcessorServer.start(config.processor(), config.settings(), config.fleet(), n -> {
+      Balancer logic = new Logic(config.settings(), n);
       return (now, event, out) -> {
-        if (event instanceof Request r && r.id().equals("r1") && !thrown.getAndSet(true)) {
-          throw new IllegalStateException("on purpose: this line belongs to a test");
+        if (event instanceof Request r && r.id().equals("r1") && !hasThrown.getAndSet(true)) {
+          throw new IllegalStateException("thrown on purpose by a test");
         }
         logic.handle(now, event, out);
       };
     }));
     StandInCaller caller = rig.caller();
-    Stream before = caller.open().send(get("a"));
-    assertEquals(ADDRESS, sets(before.next(), DESTINATION));
-    ProcessingResponse reply = caller.open().send(get("b")).next();
+    Stream earlier = caller.open().send(safeRequest("a"));
+    assertEquals(ADDRESS, sets(earlier.next(), DESTINATION));
+    ProcessingResponse reply = caller.open().send(safeRequest("b")).next();
     assertEquals(502, reply.getImmediateResponse().getStatus().getCode());
-    before.send(response(200)).next();
-    before.halfClose();
-    stillServes();
+    earlier.send(response(200)).next();
+    earlier.halfClose();
+    assertStillServing();
     rig.awaitNoPendingCalls();
   }
 
-  // ---- Floods and silence --------------------------------------------------------------------------------
+  // ---- Floods and idle streams ---------------------------------------------------------------------------
 
   @Test
   void twoThousandCallsOpenAtOnce() throws Exception {
     StandInCaller caller = start();
     List<Stream> streams = new ArrayList<>();
     for (int i = 0; i < 2000; i++) {
-      streams.add(caller.open().send(get("a" + i)));
+      streams.add(caller.open().send(safeRequest("a" + i)));
     }
     int sent = 0;
     Set<Integer> codes = new HashSet<>();
@@ -274,7 +274,7 @@
       }
     }
     assertTrue(sent > 0 && (codes.isEmpty() || codes.equals(Set.of(429))), sent + " sent, else " + codes);
-    assertEquals(sent, rig.server.inFlightAttempts(), "what is open is what was sent");
+    assertEquals(sent, rig.server.inFlightAttempts(), "each forwarded call has one attempt in flight");
     for (Stream s : streams) {
       s.halfClose();
     }
@@ -285,62 +285,62 @@
   }
 
   @Test
-  void aCallerThatNeverReadsHoldsNoMoreThanAWindow() throws Exception {
+  void aCallerThatNeverReadsIsBoundedByItsFlowControlWindow() throws Exception {
     StandInCaller caller = start();
-    Stream deaf = caller.openDeaf();
-    // Echoed bodies are what fills the window of a caller that does not read.
-    deaf.send(get("a").setProtocolConfig(
+    Stream nonReading = caller.openDeaf();
+    // Echoed bodies fill the flow-control window of a caller that does not read.
+    nonReading.send(safeRequest("a").setProtocolConfig(
         ProtocolConfiguration.newBuilder().setRequestBodyMode(BodySendMode.FULL_DUPLEX_STREAMED)));
-    String piece = "x".repeat(16 << 10);
+    String chunk = "x".repeat(16 << 10);
     for (int i = 0; i < 200; i++) {
-      deaf.send(ProcessingRequest.newBuilder().setRequestBody(body(piece, false)));
+      nonReading.send(ProcessingRequest.newBuilder().setRequestBody(body(chunk, false)));
     }
-    stillServes();
+    assertStillServing();
     assertEquals(1, rig.server.openStreams());
-    deaf.cancel();
+    nonReading.cancel();
     rig.awaitNoPendingCalls();
   }
 
   @Test
-  void aStreamThatSaysNothingIsEnded() throws Exception {
+  void closesAStreamWithoutAFirstMessage() throws Exception {
     StandInCaller caller = start("limits.first_message_ms = 50", false);
     Stream s = caller.open();
     assertEquals(Status.Code.DEADLINE_EXCEEDED, s.closed().getCode());
-    stillServes();
+    assertStillServing();
     rig.awaitNoPendingCalls();
   }
 
   @Test
-  void aStreamThatFallsSilentAfterItsVerdictIsLetGo() throws Exception {
+  void closesAnIdleStreamAfterItsDecision() throws Exception {
     StandInCaller caller = start("limits.stream_idle_ms = 50", false);
-    Stream s = caller.open().send(get("a"));
+    Stream s = caller.open().send(safeRequest("a"));
     s.next();
-    assertTrue(s.closed().isOk(), "its caller goes on without us");
+    assertTrue(s.closed().isOk(), "its caller proceeds without the processor");
     rig.awaitNoPendingCalls();
-    assertEquals(1, told(Outcome.class));
+    assertEquals(1, eventCount(Outcome.class));
   }
 
   @Test
-  void tooManyStreamsAreTurnedAway() throws Exception {
+  void rejectsStreamsAboveTheLimit() throws Exception {
     StandInCaller caller = start("limits.streams = 3", false);
     List<Stream> open = new ArrayList<>();
     for (int i = 0; i < 3; i++) {
-      open.add(caller.open().send(get("a" + i)));
+      open.add(caller.open().send(safeRequest("a" + i)));
       open.get(i).next();
     }
-    assertEquals(Status.Code.RESOURCE_EXHAUSTED, caller.open().send(get("b")).closed().getCode());
+    assertEquals(Status.Code.RESOURCE_EXHAUSTED, caller.open().send(safeRequest("b")).closed().getCode());
     open.get(0).halfClose();
     assertTrue(open.get(0).closed().isOk());
-    Rig.await("room again", () -> rig.server.openStreams() == 2);
-    assertNotNull(caller.open().send(get("c")).next());
+    Rig.await("capacity for another stream", () -> rig.server.openStreams() == 2);
+    assertNotNull(caller.open().send(safeRequest("c")).next());
   }
 
-  // ---- What can't be read --------------------------------------------------------------------------------
+  // ---- Invalid input -------------------------------------------------------------------------------------
 
   @ParameterizedTest
   @CsvSource({"100000, 1, 431", "10, 10000, 431", "100, 3, 0"})
-  void headersAreBounded(int bytes, int names, int code) throws Exception {
-    ProcessingRequest.Builder message = get("a");
+  void rejectsTooLargeHeaders(int bytes, int names, int code) throws Exception {
+    ProcessingRequest.Builder message = safeRequest("a");
     for (int i = 0; i < names; i++) {
       message.getRequestHeadersBuilder().getHeadersBuilder().addHeadersBuilder().setKey("x-" + i).setValue("v".repeat(bytes));
     }
@@ -349,45 +349,45 @@
   }
 
   @Test
-  void aMessageOfAMegabyteIsNotRead() throws Exception {
+  void rejectsAMessageOfAMegabyte() throws Exception {
     Stream s = start().open().send(request("x-request-id", "a", "x-qos", "safe", "x-large", "v".repeat(1 << 20)));
-    assertTrue(!s.closed().isOk(), "the stream ends, and the proxy does as its failure mode says");
+    assertTrue(!s.closed().isOk(), "the stream fails, and the proxy applies its failure mode");
     rig.awaitNoPendingCalls();
-    stillServes();
+    assertStillServing();
   }
 
   @Test
-  void phasesOutOfTheirOrderEndTheStream() throws Exception {
+  void closesStreamsWithPhasesOutOfOrder() throws Exception {
     StandInCaller caller = start();
     assertEquals(Status.Code.FAILED_PRECONDITION, caller.open()
         .send(ProcessingRequest.newBuilder().setRequestBody(body("first", true))).closed().getCode());
     assertEquals(Status.Code.FAILED_PRECONDITION, caller.open().send(response(200)).closed().getCode());
-    assertEquals(Status.Code.INVALID_ARGUMENT, caller.open().send(get("a")).send(get("a")).closed().getCode());
+    assertEquals(Status.Code.INVALID_ARGUMENT, caller.open().send(safeRequest("a")).send(safeRequest("a")).closed().getCode());
     assertEquals(Status.Code.UNIMPLEMENTED, caller.open().send(ProcessingRequest.newBuilder()).closed().getCode());
     rig.awaitNoPendingCalls();
     assertEquals(4, rig.server.counts().protocolErrors());
-    assertEquals(told(Request.class), told(Outcome.class) + told(ClientGone.class));
-    stillServes();
+    assertEquals(eventCount(Request.class), eventCount(Outcome.class) + eventCount(ClientGone.class));
+    assertStillServing();
   }
 
-  /** Bytes instead of a message; text that is not UTF-8 where the protocol says text. */
+  /** Arbitrary bytes, a truncated message, and a string field that is not UTF-8. */
   @ParameterizedTest
   @ValueSource(ints = {0, 1, 2})
-  void bytesThatAreNoMessageEndTheirStreamAlone(int kind) throws Exception {
+  void anInvalidMessageClosesOnlyItsOwnStream(int variant) throws Exception {
     StandInCaller caller = start();
-    byte[] text = ProcessingRequest.newBuilder().setRequestHeaders(HttpHeaders.newBuilder()
+    byte[] encoded = ProcessingRequest.newBuilder().setRequestHeaders(HttpHeaders.newBuilder()
         .setHeaders(StandInCaller.headers("x-qos", "safe"))).build().toByteArray();
     byte[] notUtf8 = {0x12, 0x09, 0x0a, 0x07, 0x0a, 0x05, 0x0a, 0x03, 'a', (byte) 0xff, 'b'};
-    byte[] bytes = switch (kind) {
+    byte[] bytes = switch (variant) {
       case 0 -> new byte[] {(byte) 0xff, (byte) 0xff, (byte) 0xff, 1, 2, 3};
-      case 1 -> java.util.Arrays.copyOf(text, text.length - 3);
+      case 1 -> java.util.Arrays.copyOf(encoded, encoded.length - 3);
       default -> notUtf8;
     };
-    MethodDescriptor<byte[], byte[]> raw = MethodDescriptor.<byte[], byte[]>newBuilder()
+    MethodDescriptor<byte[], byte[]> rawMethod = MethodDescriptor.<byte[], byte[]>newBuilder()
         .setType(MethodDescriptor.MethodType.BIDI_STREAMING)
-        .setFullMethodName(ExternalProcessor.PROCESS.getFullMethodName()).setRequestMarshaller(new Raw())
-        .setResponseMarshaller(new Raw()).build();
-    ClientCall<byte[], byte[]> call = caller.channel().newCall(raw, CallOptions.DEFAULT);
+        .setFullMethodName(ExternalProcessor.PROCESS.getFullMethodName()).setRequestMarshaller(new ByteArrayMarshaller())
+        .setResponseMarshaller(new ByteArrayMarshaller()).build();
+    ClientCall<byte[], byte[]> call = caller.channel().newCall(rawMethod, CallOptions.DEFAULT);
     CompletableFuture<Status> closed = new CompletableFuture<>();
     call.start(new ClientCall.Listener<>() {
       @Override
@@ -397,12 +397,12 @@
     }, new Metadata());
     call.request(1);
     call.sendMessage(bytes);
-    assertTrue(!closed.get(Rig.LIMIT_S, TimeUnit.SECONDS).isOk());
+    assertTrue(!closed.get(Rig.TIMEOUT_S, TimeUnit.SECONDS).isOk());
     rig.awaitNoPendingCalls();
-    stillServes();
+    assertStillServing();
   }
 
-  private static final class Raw implements MethodDescriptor.Marshaller<byte[]> {
+  private static final class ByteArrayMarshaller implements MethodDescriptor.Marshaller<byte[]> {
     @Override
     public InputStream stream(byte[] value) {
       return new ByteArrayInputStream(value);
