--- a/processor/src/test/java/cloverpulley/processor/RulesTest.java
+++ b/processor/src/test/java/cloverpulley/processor/RulesTest.java
@@ -272,8 +272,8 @@
       warmRequests += w.seen().stream().filter(s -> s.atNanos() >= coldStartedAt && s.atNanos() < coldStartedAt + 2 * second).count();
     }
     double ratio = (double) coldRequests / (warmRequests / 3.0);
-    // Two seconds after its start its capacity is at least 0.32 + 0.68 x 2/8.5 = 0.48 of the load of a warm upstream. It is overloaded at
-    // three times its capacity, and its load must stay below its capacity.
+    // Two seconds after its start it can certainly serve 0.32 + 0.68 x 2/8.5 = 0.48 of the load of a warmed-up upstream. Three times that
+    // would overload it; its load has to stay within what it can serve.
     assertTrue(coldRequests > 0 && ratio < 0.6, coldRequests + " to the starting one, " + warmRequests + " to three warm ones");
   }
 }
