--- a/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
@@ -7,7 +7,7 @@
 import cloverpulley.agree.AgreeConfig;
 import cloverpulley.agree.Follower;
 import cloverpulley.agree.Voter;
-import cloverpulley.config.BadFileException;
+import cloverpulley.config.InvalidConfigException;
 import cloverpulley.discovery.Discovery;
 import cloverpulley.engine.Attempt;
 import cloverpulley.engine.CompositeEngineListener;
@@ -18,7 +18,7 @@
 import cloverpulley.engine.ServerList;
 import cloverpulley.fleet.FleetSource;
 import cloverpulley.fleet.HeldList;
-import cloverpulley.fleet.WrittenList;
+import cloverpulley.fleet.StaticListSource;
 import cloverpulley.outs.MemberKind;
 import cloverpulley.outs.MembershipReconciler;
 import cloverpulley.records.Recorder;
@@ -121,7 +121,7 @@
   }
 
   @Override
-  public Integer call() throws BadFileException, IOException, InterruptedException {
+  public Integer call() throws InvalidConfigException, IOException, InterruptedException {
     Operators operators = Operators.read(config);
     Logs.configure(operators.log());
     if (operators.balance() == null) {
@@ -140,7 +140,7 @@
     EmbeddedBalancer.ListSourceFactory lists = (loop, f, news) -> open(fleet, held, loop, f, news);
     // The ledger is heard before clients are: one that starts must not send to what is out.
     EmbeddedBalancer balance = EmbeddedBalancer.start(new EmbeddedBalancer.Options(agree == null ? "balance" : agree.name(), b.listen(),
-        b.management(), b.folder(), b.sockets(), (long) b.memoryMb() << 20, fleet.first(), operators.settings(),
+        b.management(), b.folder(), b.sockets(), (long) b.memoryMb() << 20, fleet.initialList(), operators.settings(),
         TimeUnit.MILLISECONDS.toNanos(b.idleMillis()), new SecureRandom().nextLong(), lists, witness, wired -> {
           if (agree == null) {
             return;
@@ -213,10 +213,10 @@
         held.write(fleet.list());
       }
     };
-    if (source.isWritten()) {
-      return new WrittenList(fleet, news);
-    } else if (source.opener() != null) {
-      return source.opener().open(loop, source.first(), fleet::revision, kept);
+    if (source.isStatic()) {
+      return new StaticListSource(fleet, news);
+    } else if (source.sourceFactory() != null) {
+      return source.sourceFactory().open(loop, source.initialList(), fleet::revision, kept);
     }
     Bootstrap bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DISCOVERY_CONNECT_MILLIS);
@@ -226,11 +226,11 @@
   private void reload(EmbeddedBalancer balance) {
     try {
       FleetSource read = Operators.read(config).fleet();
-      if (read.isWritten()) {
+      if (read.isStatic()) {
         balance.updateServerList(read.list()).get(BACK_MILLIS, TimeUnit.MILLISECONDS);
         LOG.info("list of servers read again: {}", read.list().members().size());
       }
-    } catch (BadFileException | ExecutionException | TimeoutException e) {
+    } catch (InvalidConfigException | ExecutionException | TimeoutException e) {
       LOG.warn("not taken, all stays as it was: {}", e.getMessage());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
--- a/dist/src/main/java/cloverpulley/cli/CheckCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/CheckCommand.java
@@ -1,6 +1,6 @@
 package cloverpulley.cli;
 
-import cloverpulley.config.BadFileException;
+import cloverpulley.config.InvalidConfigException;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -14,10 +14,10 @@
   private Path file;
 
   @Override
-  public Integer call() throws BadFileException {
+  public Integer call() throws InvalidConfigException {
     Operators read = Operators.read(file);
-    String servers = read.fleet() == null ? "DNS alone" : read.fleet().isWritten()
-        ? read.fleet().list().members().size() + " servers" : read.fleet().opener() == null ? "servers from discovery"
+    String servers = read.fleet() == null ? "DNS alone" : read.fleet().isStatic()
+        ? read.fleet().list().members().size() + " servers" : read.fleet().sourceFactory() == null ? "servers from discovery"
         : "servers found by a source of its own";
     System.out.println(file + ": ok, " + read.settings().classes().size() + " classes, "
         + read.settings().tenants().size() + " tenants, " + servers);
--- a/dnssd/src/main/java/cloverpulley/dnssd/DnsSdConfig.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/DnsSdConfig.java
@@ -64,73 +64,73 @@
     for (Section resolver : tables) {
       InetSocketAddress address = resolver.address("address", null);
       if (!addresses.add(address)) {
-        resolver.wrong("address", "two resolvers have the address " + address.getHostString() + ":" + address.getPort());
+        resolver.reportError("address", "two resolvers have the address " + address.getHostString() + ":" + address.getPort());
       }
-      PushMode push = resolver.word("push", PUSH_MODES, PushMode.OFF);
+      PushMode push = resolver.oneOf("push", PUSH_MODES, PushMode.OFF);
       if (push == PushMode.TCP && !address.getAddress().isLoopbackAddress()) {
-        resolver.wrong("push", "expected \"tls\" beyond loopback (RFC 8765, 3)");
+        resolver.reportError("push", "expected \"tls\" beyond loopback (RFC 8765, 3)");
       }
-      String name = resolver.text("push_name", "");
+      String name = resolver.string("push_name", "");
       if (push == PushMode.TLS && name.isEmpty()) {
-        resolver.wrong("push_name", "expected the name in the resolver's certificate");
+        resolver.reportError("push_name", "expected the name in the resolver's certificate");
       }
       InetSocketAddress pushAddress = resolver.has("push_address") ? resolver.address("push_address", null) : address;
       resolvers.add(new ResolverConfig(address, push, pushAddress, name));
       weights.add(resolver.number("weight", 0, 1, tables.size() == 1 ? 1 : 1.0 / tables.size()));
     }
     if (resolvers.isEmpty()) {
-      s.wrong("resolver", "expected at least one [[" + "fleet.dnssd.resolver]], got nothing");
+      s.reportError("resolver", "expected at least one [[" + "fleet.dnssd.resolver]], got nothing");
       weights.add(1.0);
     }
     int resolverCount = weights.size();
     Section trust = s.table("trust");
     Rules defaultRules = Rules.of(resolverCount);
-    int witnesses = (int) trust.whole("witnesses", 1, resolverCount, defaultRules.witnesses());
-    int emptyWitnesses = (int) trust.whole("empty_witnesses", 1, resolverCount, Math.max(witnesses, defaultRules.emptyWitnesses()));
+    int witnesses = (int) trust.integer("witnesses", 1, resolverCount, defaultRules.witnesses());
+    int emptyWitnesses = (int) trust.integer("empty_witnesses", 1, resolverCount, Math.max(witnesses, defaultRules.emptyWitnesses()));
     if (emptyWitnesses < witnesses) {
-      trust.wrong("empty_witnesses", "expected no less than witnesses, got " + emptyWitnesses);
+      trust.reportError("empty_witnesses", "expected no less than witnesses, got " + emptyWitnesses);
       emptyWitnesses = witnesses;
     }
     Rules rules = new Rules(weights, trust.number("floor_share", 0, 1, defaultRules.floorShare()), witnesses, emptyWitnesses,
         millis(trust, "confirm_ms", 0, defaultRules.confirmMillis()), millis(trust, "settle_ms", 0, defaultRules.settleMillis()),
         millis(trust, "longest_ttl_ms", 1000, defaultRules.longestTtlMillis()),
-        trust.whole("stale_ms", 0, 30 * MILLIS_PER_DAY, defaultRules.staleMillis()),
+        trust.integer("stale_ms", 0, 30 * MILLIS_PER_DAY, defaultRules.staleMillis()),
         millis(trust, "clock_skew_ms", 0, defaultRules.clockSkewMillis()), millis(trust, "first_wait_ms", 0, defaultRules.firstWaitMillis()),
-        millis(trust, "lone_wait_ms", 0, defaultRules.loneWaitMillis()), (int) trust.whole("reserve_below", 1, 100_000, defaultRules.reserveBelow()),
-        (int) trust.whole("instances", 1, 1_000_000, defaultRules.maxInstances()));
+        millis(trust, "lone_wait_ms", 0, defaultRules.loneWaitMillis()), (int) trust.integer("reserve_below", 1, 100_000, defaultRules.reserveBelow()),
+        (int) trust.integer("instances", 1, 1_000_000, defaultRules.maxInstances()));
     Section textTable = s.table("text");
     TextKeys defaultKeys = TextKeys.DEFAULT;
-    TextKeys keys = new TextKeys(textTable.text("locality", defaultKeys.locality()), textTable.text("flavor", defaultKeys.flavor()),
-        textTable.text("cell", defaultKeys.cell()),
-        textTable.text("size", defaultKeys.size()), textTable.text("phase", defaultKeys.phase()), textTable.text("started", defaultKeys.started()));
-    String recordsPath = s.text("records_file", "");
+    TextKeys keys = new TextKeys(textTable.string("locality", defaultKeys.locality()), textTable.string("flavor", defaultKeys.flavor()),
+        textTable.string("cell", defaultKeys.cell()),
+        textTable.string("size", defaultKeys.size()), textTable.string("phase", defaultKeys.phase()), textTable.string("started", defaultKeys.started()));
+    String recordsPath = s.string("records_file", "");
     long pollMillis = millis(s, "poll_ms", 10, 1000);
     return new DnsSdConfig(browses, resolvers, rules, keys, pollMillis, millis(s, "least_ttl_ms", 10, 1000),
         millis(s, "back_off_ms", 10, 500), millis(s, "most_back_off_ms", 10, 30_000), millis(s, "ask_ms", 10, 2000),
-        (int) s.whole("in_flight", 1, 4096, 128), millis(s, "contact_ms", 0, 0), s.has("notify") ? s.address("notify", null) : null,
-        recordsPath.isEmpty() ? null : Path.of(recordsPath), s.whole("records_most_mb", 1, 100_000, 64) << 20,
+        (int) s.integer("in_flight", 1, 4096, 128), millis(s, "contact_ms", 0, 0), s.has("notify") ? s.address("notify", null) : null,
+        recordsPath.isEmpty() ? null : Path.of(recordsPath), s.integer("records_most_mb", 1, 100_000, 64) << 20,
         new ClientConfig(4, 5000, 4096, 20, 1232, 1, 128, TimeUnit.MILLISECONDS.toNanos(1000), TimeUnit.SECONDS.toNanos(5),
-        TimeUnit.SECONDS.toNanos(10), TimeUnit.SECONDS.toNanos(5), s.flag("mix_case", true), TimeUnit.MINUTES.toNanos(15)));
+        TimeUnit.SECONDS.toNanos(10), TimeUnit.SECONDS.toNanos(5), s.bool("mix_case", true), TimeUnit.MINUTES.toNanos(15)));
   }
 
   private static long millis(Section s, String key, long minimum, long defaultValue) {
-    return s.whole(key, minimum, MILLIS_PER_DAY, defaultValue);
+    return s.integer(key, minimum, MILLIS_PER_DAY, defaultValue);
   }
 
   private static List<Browse> browses(Section s) {
-    String service = s.text("service", "_quote._tcp");
+    String service = s.string("service", "_quote._tcp");
     if (!service.matches("_[A-Za-z0-9-]{1,15}\\._(tcp|udp)")) {
-      s.wrong("service", "expected a service and its transport, such as _quote._tcp, got \"" + service + '"');
+      s.reportError("service", "expected a service and its transport, such as _quote._tcp, got \"" + service + '"');
       service = "_quote._tcp";
     }
-    String subtype = s.text("subtype", "");
+    String subtype = s.string("subtype", "");
     if (!subtype.isEmpty() && !subtype.matches("_?[A-Za-z0-9-]{1,62}")) {
-      s.wrong("subtype", "expected one label, got \"" + subtype + '"');
+      s.reportError("subtype", "expected one label, got \"" + subtype + '"');
       subtype = "";
     }
-    List<String> domains = s.texts("domains", List.of());
+    List<String> domains = s.strings("domains", List.of());
     if (domains.isEmpty()) {
-      s.wrong("domains", "expected at least one domain to browse, got nothing");
+      s.reportError("domains", "expected at least one domain to browse, got nothing");
     }
     List<Browse> browses = new ArrayList<>();
     for (String domain : domains) {
@@ -138,11 +138,11 @@
         String zone = canonicalName(Name.fromString(domain, Name.root));
         String name = canonicalName(Name.fromString((subtype.isEmpty() ? "" : subtype + "._sub.") + service + '.' + domain, Name.root));
         if (browses.stream().anyMatch(b -> b.name.equals(name))) {
-          s.wrong("domains", "\"" + domain + "\" is listed twice");
+          s.reportError("domains", "\"" + domain + "\" is listed twice");
         }
         browses.add(new Browse(name, zone));
       } catch (TextParseException e) {
-        s.wrong("domains", "expected domain names, got \"" + domain + "\": " + e.getMessage());
+        s.reportError("domains", "expected domain names, got \"" + domain + "\": " + e.getMessage());
       }
     }
     return List.copyOf(browses);
--- a/model/src/main/java/cloverpulley/model/ModelPlan.java
+++ b/model/src/main/java/cloverpulley/model/ModelPlan.java
@@ -39,37 +39,37 @@
       policies.put(p.name().toLowerCase(Locale.ROOT), p);
     }
     List<Policy> selected = new ArrayList<>();
-    for (String name : s.texts("policies", List.of("module", "random", "two_choices", "least_outstanding"))) {
+    for (String name : s.strings("policies", List.of("module", "random", "two_choices", "least_outstanding"))) {
       if (policies.containsKey(name)) {
         selected.add(policies.get(name));
       } else {
-        s.wrong("policies", "expected some of " + policies.keySet().stream().sorted().toList() + ", got \"" + name + "\"");
+        s.reportError("policies", "expected some of " + policies.keySet().stream().sorted().toList() + ", got \"" + name + "\"");
       }
     }
     Map<String, FaultKind> kinds = Map.of("kill", FaultKind.KILL, "drain", FaultKind.DRAIN, "slow", FaultKind.SLOW, "replace", FaultKind.REPLACE);
     List<Fault> faults = new ArrayList<>();
     for (Section f : s.tables("fault")) {
-      faults.add(new Fault(f.word("kind", kinds, FaultKind.KILL), f.number("at_s", 0, 86_400, 0), f.number("part", 0, 1, 0.25),
+      faults.add(new Fault(f.oneOf("kind", kinds, FaultKind.KILL), f.number("at_s", 0, 86_400, 0), f.number("part", 0, 1, 0.25),
           f.number("factor", 0.01, 100, 3)));
     }
     double seconds = s.number("seconds", 0.1, 86_400, 60);
     double rate = s.number("rate", 0.1, 10_000_000, 1000);
     if (rate * seconds > MAX_REQUESTS) {
-      s.wrong("rate", "expected no more than " + (long) MAX_REQUESTS + " requests in all, got " + (long) (rate * seconds));
+      s.reportError("rate", "expected no more than " + (long) MAX_REQUESTS + " requests in all, got " + (long) (rate * seconds));
       rate = 1;
     }
-    int balancers = (int) s.whole("balancers", 1, 10_000, 1);
-    int servers = (int) s.whole("servers", 1, 100_000, 10);
+    int balancers = (int) s.integer("balancers", 1, 10_000, 1);
+    int servers = (int) s.integer("servers", 1, 100_000, 10);
     // About 20 KB for each server known to a balancer, most of it for points on the hash ring.
     double gigabytes = (double) balancers * servers * 20_000 / (1 << 30);
     double available = Runtime.getRuntime().maxMemory() / (double) (1 << 30);
     if (gigabytes > available) {
-      s.wrong("balancers", String.format(Locale.ROOT, "would need about %.1f GB with %d servers, but only %.1f GB are available", gigabytes, servers,
+      s.reportError("balancers", String.format(Locale.ROOT, "would need about %.1f GB with %d servers, but only %.1f GB are available", gigabytes, servers,
           available));
     }
-    return new ModelPlan(settings, s.whole("seed", Long.MIN_VALUE, Long.MAX_VALUE, 1), seconds, rate, balancers, servers,
-        (int) s.whole("workers", 1, 10_000, 4), s.number("work_ms", 0.001, 100_000, 10), s.flag("steady", false),
-        (int) s.whole("queue", 0, 1_000_000, 100), s.number("network_ms", 0, 10_000, 0.5), s.number("list_ms", 0, 600_000, 100),
-        (int) s.whole("keys", 0, 10_000_000, 1000), List.copyOf(faults), selected.isEmpty() ? List.of(Policy.MODULE) : List.copyOf(selected));
+    return new ModelPlan(settings, s.integer("seed", Long.MIN_VALUE, Long.MAX_VALUE, 1), seconds, rate, balancers, servers,
+        (int) s.integer("workers", 1, 10_000, 4), s.number("work_ms", 0.001, 100_000, 10), s.bool("steady", false),
+        (int) s.integer("queue", 0, 1_000_000, 100), s.number("network_ms", 0, 10_000, 0.5), s.number("list_ms", 0, 600_000, 100),
+        (int) s.integer("keys", 0, 10_000_000, 1000), List.copyOf(faults), selected.isEmpty() ? List.of(Policy.MODULE) : List.copyOf(selected));
   }
 }
