--- a/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
@@ -122,7 +122,7 @@
 
   @Override
   public Integer call() throws BadFileException, IOException, InterruptedException {
-    Operators operators = Operators.read(config);
+    OperatorsConfig operators = OperatorsConfig.read(config);
     Logs.configure(operators.log());
     if (operators.balance() == null) {
       throw new IOException(config + ": balance: expected [balance], got nothing");
@@ -225,7 +225,7 @@
 
   private void reload(Balance balance) {
     try {
-      FleetSource read = Operators.read(config).fleet();
+      FleetSource read = OperatorsConfig.read(config).fleet();
       if (read.isWritten()) {
         balance.listed(read.list()).get(BACK_MILLIS, TimeUnit.MILLISECONDS);
         LOG.info("list of servers read again: {}", read.list().members().size());
--- a/dist/src/main/java/cloverpulley/cli/CheckCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/CheckCommand.java
@@ -15,7 +15,7 @@
 
   @Override
   public Integer call() throws BadFileException {
-    Operators read = Operators.read(file);
+    OperatorsConfig read = OperatorsConfig.read(file);
     String servers = read.fleet() == null ? "DNS alone" : read.fleet().isWritten()
         ? read.fleet().list().members().size() + " servers" : read.fleet().opener() == null ? "servers from discovery"
         : "servers found by a source of its own";
--- a/dist/src/main/java/cloverpulley/cli/ChildFront.java
+++ b/dist/src/main/java/cloverpulley/cli/CommandProcess.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** A front in a process of its own, so that it can be stopped and killed as in service. */
-final class ChildFront implements AutoCloseable {
+final class CommandProcess implements AutoCloseable {
 
   private static final String LISTENING = " listening on ";
   private static final long STOP_LIMIT_S = 30;
@@ -18,7 +18,7 @@
   private final InetSocketAddress address;
 
   /** Starts {@code ashdeck COMMAND} and returns once it serves; its log goes to {@code log}. */
-  ChildFront(String command, Path config, Path log) throws IOException {
+  CommandProcess(String command, Path config, Path log) throws IOException {
     process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
         "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"), Main.class.getName(), command, "--config",
         config.toString()).redirectError(ProcessBuilder.Redirect.appendTo(log.toFile())).start();
--- a/dist/src/main/java/cloverpulley/cli/Demo.java
+++ b/dist/src/main/java/cloverpulley/cli/Demo.java
@@ -93,7 +93,7 @@
   private final AtomicInteger wrong = new AtomicInteger();
   private long drainedAt;
   private volatile int restartStatus = -1;
-  private volatile ChildFront restarted;
+  private volatile CommandProcess restarted;
   private StandInProxy.Tally tally;
 
   Demo(int seconds, int rate) {
@@ -114,7 +114,7 @@
           .replace("RECORDS", folder.resolve("records").toString());
       Path config = Files.writeString(folder.resolve("operators.toml"), text.replace("PORT", "0"));
       out.println("ashdeck demo: " + SERVERS + " servers, " + rate + " requests a second for " + seconds + " s, seed " + SEED);
-      try (ChildFront first = new ChildFront("process", config, log)) {
+      try (CommandProcess first = new CommandProcess("process", config, log)) {
         warm(first);
         try (StandInProxy proxy = new StandInProxy(first.address(), StandInProxy.Config.of(4))) {
           play(out, discovery, first, proxy, Files.writeString(folder.resolve("successor.toml"),
@@ -126,12 +126,12 @@
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
     boolean kept = report(out, log);
-    DemoRecords.tell(out, folder);
+    DemoReport.tell(out, folder);
     return kept;
   }
 
   /** Through a proxy that is thrown away: what the stand-ins need for their own start is not to be taken for the processor's. */
-  private void warm(ChildFront processor) throws InterruptedException {
+  private void warm(CommandProcess processor) throws InterruptedException {
     HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     CountDownLatch open = new CountDownLatch(WARM_UP);
     try (StandInProxy proxy = new StandInProxy(processor.address(), StandInProxy.Config.of(1))) {
@@ -153,7 +153,7 @@
     discovery.set(id, made.address(), cell, "ready", started);
   }
 
-  private void play(PrintStream out, StandInDiscovery discovery, ChildFront first, StandInProxy proxy, Path successor,
+  private void play(PrintStream out, StandInDiscovery discovery, CommandProcess first, StandInProxy proxy, Path successor,
       Path log, SplittableRandom random) throws IOException, InterruptedException {
     tally = proxy.tally();
     HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
@@ -192,7 +192,7 @@
             restart = new Thread(() -> {
               // The successor listens on the same port before its predecessor has gone.
               try {
-                ChildFront next = new ChildFront("process", successor, log);
+                CommandProcess next = new CommandProcess("process", successor, log);
                 first.terminate();
                 restartStatus = first.await();
                 restarted = next;
--- a/dist/src/main/java/cloverpulley/cli/DemoRecords.java
+++ b/dist/src/main/java/cloverpulley/cli/DemoReport.java
@@ -12,11 +12,11 @@
 import java.util.List;
 
 /** The demo's incident, as the fronts' own records tell it. */
-final class DemoRecords {
+final class DemoReport {
 
   private static final long SPAN_MICROS = 1_000_000L;
 
-  private DemoRecords() {}
+  private DemoReport() {}
 
   /** Makes the report, and says in a line what it counts. */
   static void tell(PrintStream out, Path folder) throws IOException {
--- a/dist/src/main/java/cloverpulley/cli/DnsCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/DnsCommand.java
@@ -28,7 +28,7 @@
 
   @Override
   public Integer call() throws BadFileException, IOException, InterruptedException {
-    Operators operators = Operators.read(config);
+    OperatorsConfig operators = OperatorsConfig.read(config);
     Logs.configure(operators.log());
     if (operators.dns() == null) {
       throw new IOException(config + ": dns: expected a table [dns], got nothing");
@@ -54,7 +54,7 @@
 
   private void reload(DnsServer server) {
     try {
-      Operators read = Operators.read(config);
+      OperatorsConfig read = OperatorsConfig.read(config);
       if (read.quota() != null) {
         server.updateQuotas(read.quota().plan());
       }
--- a/dist/src/main/java/cloverpulley/cli/DnsDemo.java
+++ b/dist/src/main/java/cloverpulley/cli/DnsDemo.java
@@ -107,7 +107,7 @@
       Path config = Files.writeString(folder.resolve("operators.toml"), text.replace("PORT", "0"));
       out.println("ashdeck demo, DNS: " + SERVERS + " servers, " + rate + " questions and changes a second for " + seconds
           + " s over UDP and TCP, seed " + SEED);
-      try (ChildFront first = new ChildFront("dns", config, log)) {
+      try (CommandProcess first = new CommandProcess("dns", config, log)) {
         Path successor = Files.writeString(folder.resolve("successor.toml"), text.replace("PORT", "" + first.address().getPort()));
         play(out, discovery, first, successor, log);
       }
@@ -116,7 +116,7 @@
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
     boolean kept = report(out, log);
-    DemoRecords.tell(out, folder);
+    DemoReport.tell(out, folder);
     return kept;
   }
 
@@ -130,14 +130,14 @@
     }
   }
 
-  private void play(PrintStream out, StandInDiscovery discovery, ChildFront first, Path successor, Path log)
+  private void play(PrintStream out, StandInDiscovery discovery, CommandProcess first, Path successor, Path log)
       throws IOException, InterruptedException {
     SplittableRandom random = new SplittableRandom(SEED);
     SimpleResolver udp = resolver(first.address(), false);
     SimpleResolver tcp = resolver(first.address(), true);
     int count = seconds * rate;
     CountDownLatch open = new CountDownLatch(count);
-    List<ChildFront> next = new ArrayList<>();
+    List<CommandProcess> next = new ArrayList<>();
     Thread restart = null;
     int done = 0;
     long start = System.nanoTime();
@@ -164,7 +164,7 @@
           discovery.set("d1", servers.get("d1").hostPort(), 1, "gone", 0);
           restart = new Thread(() -> {
             try {
-              next.add(new ChildFront("dns", successor, log));
+              next.add(new CommandProcess("dns", successor, log));
               first.terminate();
               restartStatus = first.await();
             } catch (IOException e) {
@@ -183,8 +183,8 @@
     if (restart != null) {
       restart.join();
     }
-    next.forEach(ChildFront::terminate);
-    for (ChildFront child : next) {
+    next.forEach(CommandProcess::terminate);
+    for (CommandProcess child : next) {
       child.await();
     }
   }
--- a/dist/src/main/java/cloverpulley/cli/DnsSdCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/DnsSdCommand.java
@@ -33,7 +33,7 @@
 
     @Override
     public Integer call() throws BadFileException, IOException, InterruptedException {
-      Operators operators = Operators.read(config);
+      OperatorsConfig operators = OperatorsConfig.read(config);
       if (operators.dnssd() == null) {
         throw new IOException(config + ": fleet.dnssd: expected a table [fleet.dnssd], got nothing");
       }
--- a/dist/src/main/java/cloverpulley/cli/Logs.java
+++ b/dist/src/main/java/cloverpulley/cli/Logs.java
@@ -43,7 +43,7 @@
     boolean json = config.format() == LogConfig.Format.JSON || config.format() == LogConfig.Format.AUTO && System.console() == null;
     out.setEncoder(json ? json(context) : text(context));
     out.start();
-    RepeatsAppender repeats = new RepeatsAppender(out, config.repeats(), config.windowMillis());
+    RepeatLimitingAppender repeats = new RepeatLimitingAppender(out, config.repeats(), config.windowMillis());
     repeats.setContext(context);
     repeats.start();
     ch.qos.logback.classic.Logger root = context.getLogger(Logger.ROOT_LOGGER_NAME);
--- a/dist/src/main/java/cloverpulley/cli/Operators.java
+++ b/dist/src/main/java/cloverpulley/cli/OperatorsConfig.java
@@ -29,26 +29,26 @@
  * @param log how the program speaks of itself
  * @param publish null where the program does not register itself
  */
-record Operators(Settings settings, FleetSource fleet, ProcessorConfig processor, DnsConfig dns, DnsSdConfig dnssd,
+record OperatorsConfig(Settings settings, FleetSource fleet, ProcessorConfig processor, DnsConfig dns, DnsSdConfig dnssd,
     PublishConfig publish, RecordsConfig records, LogConfig log,
     QuotaConfig quota, BalanceConfig balance, AgreeConfig agree) {
 
-  static Operators read(Path path) throws BadFileException {
-    return OperatorsFile.read(path, Operators::read);
+  static OperatorsConfig read(Path path) throws BadFileException {
+    return OperatorsFile.read(path, OperatorsConfig::read);
   }
 
-  static Operators read(Section file) {
+  static OperatorsConfig read(Section file) {
     // A file that speaks of nothing but DNS needs no fleet of quote servers and no classes of quotes.
     if (file.has("dns") && !file.has("class") && !file.has("fleet") && !file.has("processor")) {
       DnsConfig dns = DnsConfig.read(file.table("dns"), null);
-      return new Operators(dns.settings(), null, null, dns, null, publish(file), records(file), LogConfig.read(file.table("log")),
+      return new OperatorsConfig(dns.settings(), null, null, dns, null, publish(file), records(file), LogConfig.read(file.table("log")),
           quota(file), null, null);
     }
     Settings settings = ServiceSection.read(file);
     long longest = settings.classes().stream().mapToLong(RequestClass::deadlineNanos).max().orElse(0)
         + settings.classes().stream().mapToLong(RequestClass::dedupWindowNanos).max().orElse(0);
     Section fleet = file.table("fleet");
-    return new Operators(settings, FleetSource.read(fleet),
+    return new OperatorsConfig(settings, FleetSource.read(fleet),
         ProcessorConfig.read(file.table("processor"), longest),
         file.has("dns") ? DnsConfig.read(file.table("dns"), settings) : null,
         fleet.has("dnssd") ? DnsSdConfig.read(fleet.table("dnssd")) : null, publish(file), records(file), LogConfig.read(file.table("log")),
--- a/dist/src/main/java/cloverpulley/cli/OutsCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/OutsCommand.java
@@ -50,7 +50,7 @@
     private String by;
 
     AgreeConfig agree() throws BadFileException, IOException {
-      AgreeConfig agree = Operators.read(config).agree();
+      AgreeConfig agree = OperatorsConfig.read(config).agree();
       if (agree == null) {
         throw new IOException(config + ": agree: expected [agree], got nothing");
       }
@@ -329,7 +329,7 @@
   }
 
   /** Groups of the file's own servers that can never grant. */
-  static List<String> neverGrant(Operators read) {
+  static List<String> neverGrant(OperatorsConfig read) {
     Map<String, Integer> sizes = new TreeMap<>();
     if (read.fleet().isWritten()) {
       read.fleet().list().members().forEach(s -> read.agree().groupsOf(s.id(), s.zone(), s.cell()).forEach(g -> sizes.merge(g, 1, Integer::sum)));
--- a/dist/src/main/java/cloverpulley/cli/ProcessCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/ProcessCommand.java
@@ -33,7 +33,7 @@
 
   @Override
   public Integer call() throws BadFileException, IOException, InterruptedException {
-    Operators operators = Operators.read(config);
+    OperatorsConfig operators = OperatorsConfig.read(config);
     Logs.configure(operators.log());
     if (operators.processor() == null) {
       throw new IOException(config + ": processor: expected [[class]] and [fleet] for it, got [dns] alone");
@@ -76,7 +76,7 @@
 
   private void reload(ProcessorServer server) {
     try {
-      Operators read = Operators.read(config);
+      OperatorsConfig read = OperatorsConfig.read(config);
       if (read.quota() != null) {
         server.quotas(read.quota().plan());
       }
--- a/dist/src/main/java/cloverpulley/cli/QuotaCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/QuotaCommand.java
@@ -39,7 +39,7 @@
   }
 
   private static QuotaConfig read(Path file) throws cloverpulley.config.BadFileException, IOException {
-    QuotaConfig quota = Operators.read(file).quota();
+    QuotaConfig quota = OperatorsConfig.read(file).quota();
     if (quota == null) {
       throw new IOException(file + ": quota: expected a table [quota], got nothing");
     }
--- a/dist/src/main/java/cloverpulley/cli/RepeatsAppender.java
+++ b/dist/src/main/java/cloverpulley/cli/RepeatLimitingAppender.java
@@ -13,7 +13,7 @@
  * next message of any kind) or the log ends. Messages that differ in figures alone are repeats. Guards the log, and the loop that waits
  * for it, against what somebody outside can cause a thousand times a second.
  */
-final class RepeatsAppender extends AppenderBase<ILoggingEvent> {
+final class RepeatLimitingAppender extends AppenderBase<ILoggingEvent> {
 
   /** Kinds of messages in a window; more are passed on without counting. */
   private static final int MOST_KINDS = 1000;
@@ -35,7 +35,7 @@
   private final long windowMillis;
   private final Map<String, Seen> kinds = new LinkedHashMap<>();
 
-  RepeatsAppender(Appender<ILoggingEvent> to, int most, long windowMillis) {
+  RepeatLimitingAppender(Appender<ILoggingEvent> to, int most, long windowMillis) {
     this.to = to;
     this.most = most;
     this.windowMillis = windowMillis;
--- a/dist/src/test/java/cloverpulley/cli/LogsTest.java
+++ b/dist/src/test/java/cloverpulley/cli/LogsTest.java
@@ -86,7 +86,7 @@
   void repeatsAreCountedToTheLast() {
     ListAppender<ILoggingEvent> to = new ListAppender<>();
     to.start();
-    RepeatsAppender r = new RepeatsAppender(to, 3, 1000);
+    RepeatLimitingAppender r = new RepeatLimitingAppender(to, 3, 1000);
     r.start();
     for (int i = 0; i < 1000; i++) {
       r.doAppend(event(i, "connection " + i + " fails"));
