--- a/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
@@ -48,28 +48,28 @@
 import picocli.CommandLine.Option;
 
 @Command(name = "balance", mixinStandardHelpOptions = true,
-    description = "Runs the HTTP balancer from the operators' file: [balance], [fleet], and [agree] where a fleet agrees on who is out.",
-    footer = {"", "Prints 'balance listening on HOST:PORT' once it serves. SIGTERM stops it in order, SIGHUP reads the list of servers again",
-      "where the file holds one."})
+    description = "Runs the HTTP balancer with [balance] and [fleet] of the operators' file, and [agree] if the fleet shares a disruption ledger.",
+    footer = {"", "Prints 'balance listening on HOST:PORT' once it serves. SIGTERM shuts it down gracefully, SIGHUP reloads the server list",
+      "if the file contains one."})
 final class BalanceCommand implements Callable<Integer> {
 
   private static final Logger LOG = LoggerFactory.getLogger(BalanceCommand.class);
 
   private static final int DISCOVERY_CONNECT_MILLIS = 2000;
-  private static final int BACK_MILLIS = 500;
+  private static final int RELOAD_TIMEOUT_MILLIS = 500;
 
   @Option(names = "--config", paramLabel = "FILE", required = true, description = "the operators' file")
   private Path config;
 
-  /** What the ledger's follower and the leader's roll hear of the engine; on its loop. */
-  private static final class Ears implements EngineListener {
+  /** Reports attempts and requests to the ledger's follower, and the listed servers to the voter. Called on the engine's event loop. */
+  private static final class AgreementListener implements EngineListener {
     private final AgreeConfig agree;
-    private final Map<Long, String> names = new ConcurrentHashMap<>();
-    private final Map<String, MembershipReconciler.Registration> listed = new HashMap<>();
+    private final Map<Long, String> serverIds = new ConcurrentHashMap<>();
+    private final Map<String, MembershipReconciler.Registration> registrations = new HashMap<>();
     private volatile Follower follower;
     private final Voter voter;
 
-    Ears(AgreeConfig agree, Voter voter) {
+    AgreementListener(AgreeConfig agree, Voter voter) {
       this.agree = agree;
       this.voter = voter;
     }
@@ -82,7 +82,7 @@
 
     @Override
     public void attemptEnded(Attempt attempt, Status status, long latencyNanos) {
-      String name = names.get(attempt.upstream());
+      String name = serverIds.get(attempt.upstream());
       if (name == null || follower == null || status == Status.CANCELLED || status == Status.NOT_SENT) {
         return;
       }
@@ -93,26 +93,26 @@
     @Override
     public void requestEnded(Exchange x, Completion end, Reason reason) {
       if (follower != null && end != Completion.GONE) {
-        follower.recordRequest(end == Completion.REJECTED && reason != Reason.QUOTA); // A share of one's own used up says nothing of the fleet.
+        follower.recordRequest(end == Completion.REJECTED && reason != Reason.QUOTA); // An exhausted quota says nothing about the fleet's health.
       }
     }
 
     @Override
     public void serverListUpdated(ListKind kind, ServerList list, List<NumberedServer> servers) {
       if (kind == ListKind.FULL || kind == ListKind.CACHED) {
-        listed.clear();
+        registrations.clear();
       }
       for (NumberedServer n : servers) {
         ServerList.Server s = n.server();
-        names.put(n.upstream(), s.id());
+        serverIds.put(n.upstream(), s.id());
         if (s.state() == cloverpulley.Balancer.State.GONE) {
-          listed.remove(s.id());
+          registrations.remove(s.id());
         } else {
-          listed.put(s.id(), new MembershipReconciler.Registration(MemberKind.UPSTREAM, agree.groupsOf(s.id(), s.zone(), s.cell())));
+          registrations.put(s.id(), new MembershipReconciler.Registration(MemberKind.UPSTREAM, agree.groupsOf(s.id(), s.zone(), s.cell())));
         }
       }
       if (voter != null) {
-        voter.setUpstreams(listed);
+        voter.setUpstreams(registrations);
       }
     }
 
@@ -125,47 +125,47 @@
     OperatorsConfig operators = OperatorsConfig.read(config);
     Logs.configure(operators.log());
     if (operators.balance() == null) {
-      throw new IOException(config + ": balance: expected [balance], got nothing");
+      throw new IOException(config + ": balance: expected a table [balance], got nothing");
     }
     CountDownLatch term = Signals.term();
     AgreeConfig agree = operators.agree();
-    Voter voter = agree == null || !agree.isVoter() ? null : vote(agree);
+    Voter voter = agree == null || !agree.isVoter() ? null : startVoter(agree);
     AgreeApi api = voter == null ? null : new AgreeApi(voter, agree.apiListen());
-    Ears ears = agree == null ? null : new Ears(agree, voter);
+    AgreementListener agreementListener = agree == null ? null : new AgreementListener(agree, voter);
     Recorder recorder = Recorder.open(operators.records(), "balance", operators.settings());
-    HeldList held = new HeldList(operators.fleet().stateFile());
-    EngineListener witness = ears == null ? recorder : new CompositeEngineListener(recorder, ears);
+    HeldList cachedList = new HeldList(operators.fleet().stateFile());
+    EngineListener listener = agreementListener == null ? recorder : new CompositeEngineListener(recorder, agreementListener);
     BalanceConfig b = operators.balance();
     FleetSource fleet = operators.fleet();
-    Balance.Lists lists = (loop, f, news) -> open(fleet, held, loop, f, news);
-    // The ledger is heard before clients are: one that starts must not send to what is out.
+    Balance.Lists lists = (loop, f, onUpdate) -> openListSource(fleet, cachedList, loop, f, onUpdate);
+    // The ledger is synced before clients are accepted: a starting instance must not send to upstreams that are out.
     Balance balance = Balance.start(new Balance.Given(agree == null ? "balance" : agree.name(), b.listen(), b.management(), b.folder(), b.sockets(),
         (long) b.memoryMb() << 20, fleet.first(), operators.settings(), TimeUnit.MILLISECONDS.toNanos(b.idleMillis()),
-        new SecureRandom().nextLong(), lists, witness, wired -> {
+        new SecureRandom().nextLong(), lists, listener, acts -> {
           if (agree == null) {
             return;
           }
-          Follower f = new Follower(agree, upstreams(wired), TimeUnit.NANOSECONDS.toMillis(operators.settings().contract().slowStartNanos()),
+          Follower f = new Follower(agree, upstreams(acts), TimeUnit.NANOSECONDS.toMillis(operators.settings().contract().slowStartNanos()),
               b.agreeMillis());
-          ears.follower = f;
+          agreementListener.follower = f;
           try {
             f.firstSync().get(b.agreeMillis(), TimeUnit.MILLISECONDS);
           } catch (TimeoutException e) {
-            LOG.warn("the ledger was not heard within {} ms: serving all that the list has", b.agreeMillis());
+            LOG.warn("no ledger received within {} ms: serving with all listed servers", b.agreeMillis());
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           } catch (ExecutionException e) {
-            LOG.warn("the ledger: {}", e.getCause().toString());
+            LOG.warn("ledger sync failed: {}", e.getCause().toString());
           }
         }));
-    Follower follower = ears == null ? null : ears.follower;
+    Follower follower = agreementListener == null ? null : agreementListener.follower;
     Signals.onHup(() -> reload(balance));
-    System.out.println("balance listening on " + text(balance.address()));
+    System.out.println("balance listening on " + hostPort(balance.address()));
     if (balance.managementAddress() != null) {
-      System.out.println("door listening on " + text(balance.managementAddress()));
+      System.out.println("door listening on " + hostPort(balance.managementAddress()));
     }
     if (api != null) {
-      System.out.println("agree listening on " + text(api.address()));
+      System.out.println("agree listening on " + hostPort(api.address()));
     }
     System.out.flush();
     term.await();
@@ -177,13 +177,13 @@
       api.close();
       voter.close();
     }
-    held.close();
+    cachedList.close();
     recorder.close();
     return 0;
   }
 
-  /** A voter that can't be one serves all the same: what it holds for the fleet is missing, what it does for its clients is not. */
-  private static Voter vote(AgreeConfig agree) {
+  /** Starts the voter; null if it can't start. The balancer serves its clients nevertheless, and the fleet lacks this vote. */
+  private static Voter startVoter(AgreeConfig agree) {
     try {
       return Voter.start(agree);
     } catch (IOException e) {
@@ -206,38 +206,39 @@
     };
   }
 
-  private static Engine.ListSource open(FleetSource source, HeldList held, EventLoop loop, Fleet fleet, BiConsumer<ListKind, ServerList> news) {
-    BiConsumer<ListKind, ServerList> kept = (kind, list) -> {
-      news.accept(kind, list);
+  private static Engine.ListSource openListSource(FleetSource source, HeldList cachedList, EventLoop loop, Fleet fleet,
+      BiConsumer<ListKind, ServerList> onUpdate) {
+    BiConsumer<ListKind, ServerList> cachingCallback = (kind, list) -> {
+      onUpdate.accept(kind, list);
       if (kind != ListKind.FAILED) {
-        held.write(fleet.list());
+        cachedList.write(fleet.list());
       }
     };
     if (source.isWritten()) {
-      return new WrittenList(fleet, news);
+      return new WrittenList(fleet, onUpdate);
     } else if (source.opener() != null) {
-      return source.opener().open(loop, source.first(), fleet::revision, kept);
+      return source.opener().open(loop, source.first(), fleet::revision, cachingCallback);
     }
     Bootstrap bootstrap = new Bootstrap().group(loop).channel(NioSocketChannel.class).option(ChannelOption.TCP_NODELAY, true)
         .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, DISCOVERY_CONNECT_MILLIS);
-    return new Discovery(bootstrap, source.discovery(), fleet::revision, kept);
+    return new Discovery(bootstrap, source.discovery(), fleet::revision, cachingCallback);
   }
 
   private void reload(Balance balance) {
     try {
       FleetSource read = OperatorsConfig.read(config).fleet();
       if (read.isWritten()) {
-        balance.listed(read.list()).get(BACK_MILLIS, TimeUnit.MILLISECONDS);
-        LOG.info("list of servers read again: {}", read.list().members().size());
+        balance.listed(read.list()).get(RELOAD_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+        LOG.info("server list reloaded: {}", read.list().members().size());
       }
     } catch (BadFileException | ExecutionException | TimeoutException e) {
-      LOG.warn("not taken, all stays as it was: {}", e.getMessage());
+      LOG.warn("reload rejected, the previous configuration stays in effect: {}", e.getMessage());
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private static String text(InetSocketAddress a) {
+  private static String hostPort(InetSocketAddress a) {
     return a.getAddress().getHostAddress() + ":" + a.getPort();
   }
 }
--- a/dist/src/main/java/cloverpulley/cli/BalanceConfig.java
+++ b/dist/src/main/java/cloverpulley/cli/BalanceConfig.java
@@ -5,13 +5,13 @@
 import java.nio.file.Path;
 
 /**
- * {@code [balance]} of the operators' file.
+ * The section {@code [balance]} of the operators' file.
  *
- * @param management the door; null for none
- * @param folder what a successor beside this process sees too; null for none
- * @param sockets descriptors it may hold
- * @param idleMillis after this an upstream may close a connection that stands idle
- * @param agreeMillis how long a start waits for the ledger to be heard; then it serves without, and says so
+ * @param management address of the management server; null for none
+ * @param folder folder shared with a successor process; null for none
+ * @param sockets maximum number of open socket descriptors
+ * @param idleMillis idle time after which an upstream may close a connection
+ * @param agreeMillis how long startup waits for the first sync of the ledger; afterwards it logs a warning and serves without it
  */
 record BalanceConfig(InetSocketAddress listen, InetSocketAddress management, Path folder, int sockets, int memoryMb, long idleMillis,
     long agreeMillis) {
--- a/dist/src/main/java/cloverpulley/cli/CheckCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/CheckCommand.java
@@ -7,7 +7,7 @@
 import picocli.CommandLine.Parameters;
 
 @Command(name = "check", mixinStandardHelpOptions = true,
-    description = "Reads an operators' file and says all that is wrong with it: key, line and what was expected.")
+    description = "Validates an operators' file and prints every error with its key, its line and what was expected.")
 final class CheckCommand implements Callable<Integer> {
 
   @Parameters(paramLabel = "FILE", description = "the operators' file, such as deploy/operators.toml")
@@ -15,14 +15,14 @@
 
   @Override
   public Integer call() throws BadFileException {
-    OperatorsConfig read = OperatorsConfig.read(file);
-    String servers = read.fleet() == null ? "DNS alone" : read.fleet().isWritten()
-        ? read.fleet().list().members().size() + " servers" : read.fleet().opener() == null ? "servers from discovery"
-        : "servers found by a source of its own";
-    System.out.println(file + ": ok, " + read.settings().classes().size() + " classes, "
-        + read.settings().tenants().size() + " tenants, " + servers);
-    if (read.agree() != null) {
-      OutsCommand.neverGrant(read).forEach(g -> System.out.println(file + ": agree.group " + g + ": its limit lets nobody out, ever"));
+    OperatorsConfig operators = OperatorsConfig.read(file);
+    String servers = operators.fleet() == null ? "DNS only" : operators.fleet().isWritten()
+        ? operators.fleet().list().members().size() + " servers" : operators.fleet().opener() == null ? "servers from discovery"
+        : "servers from a list provider";
+    System.out.println(file + ": ok, " + operators.settings().classes().size() + " classes, "
+        + operators.settings().tenants().size() + " tenants, " + servers);
+    if (operators.agree() != null) {
+      OutsCommand.neverGrant(operators).forEach(g -> System.out.println(file + ": agree.group " + g + ": its limit never allows any member to be out"));
     }
     return 0;
   }
--- a/dist/src/main/java/cloverpulley/cli/CommandProcess.java
+++ b/dist/src/main/java/cloverpulley/cli/CommandProcess.java
@@ -8,7 +8,7 @@
 import java.nio.file.Path;
 import java.util.concurrent.TimeUnit;
 
-/** A front in a process of its own, so that it can be stopped and killed as in service. */
+/** An {@code ashdeck} command in a child process, so that it can be stopped and killed as in production. */
 final class CommandProcess implements AutoCloseable {
 
   private static final String LISTENING = " listening on ";
@@ -17,7 +17,7 @@
   private final Process process;
   private final InetSocketAddress address;
 
-  /** Starts {@code ashdeck COMMAND} and returns once it serves; its log goes to {@code log}. */
+  /** Starts {@code ashdeck COMMAND} and returns once it listens; its standard error is appended to {@code log}. */
   CommandProcess(String command, Path config, Path log) throws IOException {
     process = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
         "-XX:TieredStopAtLevel=1", "-cp", System.getProperty("java.class.path"), Main.class.getName(), command, "--config",
@@ -35,17 +35,17 @@
     return address;
   }
 
-  /** SIGTERM. */
+  /** Sends SIGTERM. */
   void terminate() {
     process.destroy();
   }
 
-  /** SIGKILL. */
+  /** Sends SIGKILL. */
   void kill() {
     process.destroyForcibly();
   }
 
-  /** Its exit status, once it has ended. */
+  /** Waits for the process to exit and returns its status; kills it and returns -1 after the time limit. */
   int await() throws InterruptedException {
     if (!process.waitFor(STOP_LIMIT_S, TimeUnit.SECONDS)) {
       process.destroyForcibly();
--- a/dist/src/main/java/cloverpulley/cli/Demo.java
+++ b/dist/src/main/java/cloverpulley/cli/Demo.java
@@ -126,7 +126,7 @@
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
     boolean kept = report(out, log);
-    DemoReport.tell(out, folder);
+    DemoReport.write(out, folder);
     return kept;
   }
 
--- a/dist/src/main/java/cloverpulley/cli/DemoReport.java
+++ b/dist/src/main/java/cloverpulley/cli/DemoReport.java
@@ -11,22 +11,22 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** The demo's incident, as the fronts' own records tell it. */
+/** The incident report of the demo, made from the records of its servers. */
 final class DemoReport {
 
-  private static final long SPAN_MICROS = 1_000_000L;
+  private static final long INTERVAL_MICROS = 1_000_000L;
 
   private DemoReport() {}
 
-  /** Makes the report, and says in a line what it counts. */
-  static void tell(PrintStream out, Path folder) throws IOException {
-    IncidentAnalysis s = new IncidentAnalysis(new Archive(List.of(folder.resolve("records"))),
-        new IncidentAnalysis.Options(Long.MIN_VALUE, Long.MAX_VALUE, SPAN_MICROS, null, Audit.Limits.DEFAULT), n -> { });
+  /** Writes the report and prints a summary line. */
+  static void write(PrintStream out, Path folder) throws IOException {
+    IncidentAnalysis analysis = new IncidentAnalysis(new Archive(List.of(folder.resolve("records"))),
+        new IncidentAnalysis.Options(Long.MIN_VALUE, Long.MAX_VALUE, INTERVAL_MICROS, null, Audit.Limits.DEFAULT), n -> { });
     Path file = folder.resolve("incident.html");
-    Files.writeString(file, new HtmlReport(s).html());
-    List<Audit.Finding> findings = s.audit.findings();
-    out.printf("by the fronts' records: %d answered, %d of them served, %d with an end that is not known; rules broken: %d%n",
-        s.timeline.count(null, null, null, null), s.timeline.count(null, null, null, Entry.SERVED), s.timeline.unresolvedRequests(),
+    Files.writeString(file, new HtmlReport(analysis).html());
+    List<Audit.Finding> findings = analysis.audit.findings();
+    out.printf("from the records: %d answered, %d of them served, %d unresolved; rules broken: %d%n",
+        analysis.timeline.count(null, null, null, null), analysis.timeline.count(null, null, null, Entry.SERVED), analysis.timeline.unresolvedRequests(),
         findings.stream().filter(Audit.Finding::certain).count());
     findings.stream().limit(5).forEach(f -> out.println("  " + f.check() + ": " + f.description()));
     out.println("report: " + file);
--- a/dist/src/main/java/cloverpulley/cli/DnsCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/DnsCommand.java
@@ -16,9 +16,9 @@
 import picocli.CommandLine.Option;
 
 @Command(name = "dns", mixinStandardHelpOptions = true,
-    description = "Answers and forwards DNS over UDP and TCP, as [dns] of the operators' file says.",
-    footer = {"", "Prints 'dns listening on HOST:PORT' once it serves. SIGTERM stops it in order, SIGHUP reads the lists of servers",
-      "again where the file holds them."})
+    description = "Answers and forwards DNS queries over UDP and TCP as configured in [dns] of the operators' file.",
+    footer = {"", "Prints 'dns listening on HOST:PORT' once it serves. SIGTERM shuts it down gracefully, SIGHUP reloads the server lists",
+      "if the file contains them."})
 final class DnsCommand implements Callable<Integer> {
 
   private static final Logger LOG = Logger.getLogger(DnsCommand.class.getName());
@@ -44,7 +44,7 @@
         System.currentTimeMillis(), operators.fleet() == null ? List.of() : operators.fleet().list().members());
     term.await();
     if (publisher != null) {
-      publisher.withdraw(); // First of all: who looks for us should not find us any more.
+      publisher.withdraw(); // First, so that clients stop discovering this instance.
       publisher.close();
     }
     server.stop();
@@ -62,10 +62,10 @@
         boolean servers = read.dns().fleet() != null && read.dns().fleet().isWritten();
         boolean shown = read.fleet() != null && read.fleet().isWritten();
         server.updateEndpoints(servers ? read.dns().fleet().list() : null, shown ? read.fleet().list() : null);
-        LOG.info("lists of servers read again");
+        LOG.info("server lists reloaded");
       }
     } catch (BadFileException | IllegalStateException e) {
-      LOG.warning("not taken, all stays as it was: " + e.getMessage());
+      LOG.warning("reload rejected, the previous configuration stays in effect: " + e.getMessage());
     }
   }
 }
--- a/dist/src/main/java/cloverpulley/cli/DnsDemo.java
+++ b/dist/src/main/java/cloverpulley/cli/DnsDemo.java
@@ -116,7 +116,7 @@
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
     boolean kept = report(out, log);
-    DemoReport.tell(out, folder);
+    DemoReport.write(out, folder);
     return kept;
   }
 
--- a/dist/src/main/java/cloverpulley/cli/DnsSdCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/DnsSdCommand.java
@@ -10,7 +10,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-@Command(name = "dnssd", mixinStandardHelpOptions = true, description = "Shows what the resolvers of [fleet.dnssd] say, and what is believed of it and why.",
+@Command(name = "dnssd", mixinStandardHelpOptions = true, description = "Shows what the resolvers of [fleet.dnssd] report, which members are accepted, and why.",
     subcommands = {DnsSdCommand.Browse.class, DnsSdCommand.Watch.class, DnsSdCommand.Explain.class})
 final class DnsSdCommand implements Runnable {
 
@@ -22,13 +22,13 @@
     throw new CommandLine.ParameterException(spec.commandLine(), "expected browse, watch or explain");
   }
 
-  /** What all of them read. */
+  /** The common base: connects to the resolvers of the operators' file and shows a view of them. */
   abstract static class View implements Callable<Integer> {
 
     @Option(names = "--config", paramLabel = "FILE", required = true, description = "the operators' file")
     private Path config;
 
-    @Option(names = "--wait", paramLabel = "MS", defaultValue = "5000", description = "how long a first list may take (${DEFAULT-VALUE})")
+    @Option(names = "--wait", paramLabel = "MS", defaultValue = "5000", description = "how long to wait for the first list (default: ${DEFAULT-VALUE})")
     private long waitMillis;
 
     @Override
@@ -38,10 +38,10 @@
         throw new IOException(config + ": fleet.dnssd: expected a table [fleet.dnssd], got nothing");
       }
       try (DnsSdView view = new DnsSdView(operators.dnssd())) {
-        boolean found = view.awaitFirstList(waitMillis);
+        boolean received = view.awaitFirstList(waitMillis);
         int status = show(view);
-        if (!found) {
-          throw new IOException("no list in " + waitMillis + " ms");
+        if (!received) {
+          throw new IOException("no list received within " + waitMillis + " ms");
         }
         return status;
       }
@@ -50,7 +50,7 @@
     abstract int show(DnsSdView view) throws InterruptedException;
   }
 
-  @Command(name = "browse", mixinStandardHelpOptions = true, description = "The servers as they are believed, and how many each resolver names.")
+  @Command(name = "browse", mixinStandardHelpOptions = true, description = "Lists the accepted servers and how many each resolver reports.")
   static final class Browse extends View {
     @Override
     int show(DnsSdView view) {
@@ -59,10 +59,10 @@
     }
   }
 
-  @Command(name = "watch", mixinStandardHelpOptions = true, description = "Every change of what is believed, as it comes, with its reason.")
+  @Command(name = "watch", mixinStandardHelpOptions = true, description = "Prints every change of the accepted servers as it happens, with its reason.")
   static final class Watch extends View {
 
-    @Option(names = "--seconds", paramLabel = "S", defaultValue = "0", description = "how long; 0: until it is ended")
+    @Option(names = "--seconds", paramLabel = "S", defaultValue = "0", description = "how long to watch; 0: until interrupted")
     private long seconds;
 
     @Override
@@ -72,10 +72,10 @@
     }
   }
 
-  @Command(name = "explain", mixinStandardHelpOptions = true, description = "What each resolver says of one instance, what is believed and why.")
+  @Command(name = "explain", mixinStandardHelpOptions = true, description = "Shows what each resolver reports about one instance, what is accepted and why.")
   static final class Explain extends View {
 
-    @Parameters(paramLabel = "NAME", description = "the instance, whole or its first label")
+    @Parameters(paramLabel = "NAME", description = "the instance, its full name or its first label")
     private String name;
 
     @Override
--- a/dist/src/main/java/cloverpulley/cli/LogConfig.java
+++ b/dist/src/main/java/cloverpulley/cli/LogConfig.java
@@ -4,27 +4,27 @@
 import java.util.Map;
 
 /**
- * How the program logs: {@code [log]} of the operators' file.
+ * Logging settings: the section {@code [log]} of the operators' file.
  *
- * @param repeats of messages that differ in figures alone, so many are written in a window; the others are counted
+ * @param repeats how many messages that differ only in numbers are written per window; the others are counted
  */
 record LogConfig(Level level, Format format, int repeats, long windowMillis) {
 
-  /** From the most to the least that is said. */
+  /** Log levels, from the most to the least verbose. */
   enum Level { DEBUG, INFO, WARN, ERROR }
 
-  /** Lines for people, JSON objects, or by whether standard error is a terminal. */
+  /** Text lines, JSON objects, or text on a terminal and JSON otherwise. */
   enum Format { AUTO, TEXT, JSON }
 
-  /** Before any file has been read. */
-  static final LogConfig USUAL = new LogConfig(Level.INFO, Format.AUTO, 10, 10_000);
+  /** In effect until a file has been read. */
+  static final LogConfig DEFAULT = new LogConfig(Level.INFO, Format.AUTO, 10, 10_000);
 
   private static final Map<String, Level> LEVELS =
       Map.of("debug", Level.DEBUG, "info", Level.INFO, "warn", Level.WARN, "error", Level.ERROR);
   private static final Map<String, Format> FORMATS = Map.of("auto", Format.AUTO, "text", Format.TEXT, "json", Format.JSON);
 
   static LogConfig read(Section s) {
-    return new LogConfig(s.word("level", LEVELS, USUAL.level), s.word("format", FORMATS, USUAL.format),
-        (int) s.whole("repeats", 1, 1_000_000, USUAL.repeats), s.whole("window_ms", 100, 3_600_000, USUAL.windowMillis));
+    return new LogConfig(s.word("level", LEVELS, DEFAULT.level), s.word("format", FORMATS, DEFAULT.format),
+        (int) s.whole("repeats", 1, 1_000_000, DEFAULT.repeats), s.whole("window_ms", 100, 3_600_000, DEFAULT.windowMillis));
   }
 }
--- a/dist/src/main/java/cloverpulley/cli/Logs.java
+++ b/dist/src/main/java/cloverpulley/cli/Logs.java
@@ -19,21 +19,20 @@
 import org.slf4j.bridge.SLF4JBridgeHandler;
 
 /**
- * The log of everything but the platform's program: SLF4J and Logback, to which what the parts say through {@code java.util.logging} is
- * led. On standard error, for that is where it was; as lines for people or an object a line with the event's name, and every
- * {@code key=value} of the message as a field of its own.
+ * Logging of all commands: SLF4J and Logback, with {@code java.util.logging} bridged to them. Logs go to standard error, as text lines or as
+ * one JSON object per line with the event's name and each {@code key=value} pair of the message as a field of its own.
  */
 final class Logs {
 
   private static final String PATTERN = "%d{yyyy-MM-dd'T'HH:mm:ss.SSS} %level %plain%n";
   private static final Pattern FIELD = Pattern.compile("(?<![\\w.])([a-z][a-z0-9_]{0,40})=([^\\s,;]{1,200})");
-  private static final Pattern FIGURE = Pattern.compile("-?\\d{1,15}");
-  private static final int MOST_FIELDS = 64;
-  private static final int MOST_EVENT = 60;
+  private static final Pattern INTEGER = Pattern.compile("-?\\d{1,15}");
+  private static final int MAX_FIELDS = 64;
+  private static final int MAX_EVENT_LENGTH = 60;
 
   private Logs() {}
 
-  /** Takes the log over; called again it changes how. */
+  /** Configures logging; may be called again to reconfigure it. */
   static void configure(LogConfig config) {
     LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
     context.reset();
@@ -51,7 +50,7 @@
     root.addAppender(repeats);
     SLF4JBridgeHandler.removeHandlersForRootLogger();
     SLF4JBridgeHandler.install();
-    // What is not wanted is not even made: the bridge costs a record each.
+    // Filters at the source, because the bridge converts every record that java.util.logging lets through.
     java.util.logging.Logger.getLogger("").setLevel(switch (config.level()) {
       case DEBUG -> java.util.logging.Level.FINE;
       case INFO -> java.util.logging.Level.INFO;
@@ -63,7 +62,7 @@
   private static Encoder<ILoggingEvent> text(LoggerContext context) {
     PatternLayoutEncoder encoder = new PatternLayoutEncoder();
     encoder.setContext(context);
-    // Whatever a message repeats of what came from outside, it can't move a terminal.
+    // Replaces control and bidirectional characters, so that untrusted input in a message can't manipulate a terminal.
     encoder.setPattern(PATTERN.replace("%plain", "%replace(%msg){'[\\p{Cc}\\u202A-\\u202E\\u2066-\\u2069]','?'}"));
     encoder.start();
     return encoder;
@@ -83,11 +82,11 @@
         g.writeObjectFieldStart("fields");
         Matcher m = FIELD.matcher(e.getFormattedMessage());
         java.util.Set<String> seen = new java.util.HashSet<>();
-        while (m.find() && seen.size() < MOST_FIELDS) {
+        while (m.find() && seen.size() < MAX_FIELDS) {
           if (!seen.add(m.group(1))) {
-            continue; // A name twice would make an object that many readers refuse.
+            continue; // Many parsers reject JSON objects with duplicate keys.
           }
-          if (FIGURE.matcher(m.group(2)).matches()) {
+          if (INTEGER.matcher(m.group(2)).matches()) {
             g.writeNumberField(m.group(1), Long.parseLong(m.group(2)));
           } else {
             g.writeStringField(m.group(1), m.group(2));
@@ -100,9 +99,9 @@
     return encoder;
   }
 
-  /** A name for what happened: who says it, and the words of the message up to its first figure or mark. */
+  /** Returns the event's name: the logger's simple name and the message's words up to the first digit or punctuation mark. */
   static String event(String logger, String message) {
-    String by = logger == null ? "" : logger.substring(logger.lastIndexOf('.') + 1).toLowerCase(Locale.ROOT);
+    String source = logger == null ? "" : logger.substring(logger.lastIndexOf('.') + 1).toLowerCase(Locale.ROOT);
     StringBuilder words = new StringBuilder();
     for (char c : Sanitizer.printable(message).toCharArray()) {
       if (Character.isLetter(c)) {
@@ -114,25 +113,25 @@
       } else {
         break;
       }
-      if (words.length() >= MOST_EVENT) {
+      if (words.length() >= MAX_EVENT_LENGTH) {
         break;
       }
     }
     while (words.length() > 0 && words.charAt(words.length() - 1) == '_') {
       words.setLength(words.length() - 1);
     }
-    return words.length() == 0 ? by : by + "." + words;
+    return words.length() == 0 ? source : source + "." + words;
   }
 
-  /** Nothing is said under these names, by those who log through Logback themselves (Netty does). */
-  static void quiet(String... names) {
+  /** Turns off loggers by name, for libraries that log directly through SLF4J, such as Netty. */
+  static void disable(String... names) {
     LoggerContext context = (LoggerContext) LoggerFactory.getILoggerFactory();
     for (String name : names) {
       context.getLogger(name).setLevel(Level.OFF);
     }
   }
 
-  /** Ends it: counts of what was held back are written. */
+  /** Stops logging and writes the counts of suppressed repeats. */
   static void stop() {
     if (LoggerFactory.getILoggerFactory() instanceof LoggerContext context) {
       context.stop();
--- a/dist/src/main/java/cloverpulley/cli/Main.java
+++ b/dist/src/main/java/cloverpulley/cli/Main.java
@@ -4,30 +4,30 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.ExitCode;
 
-/** The {@code ashdeck} command: 0 at a proper end, 1 for bad input or configuration, 2 for a wrong command line. */
+/** The {@code ashdeck} command. Exit status: 0 on success, 1 for bad input or configuration, 2 for an invalid command line. */
 @Command(name = "ashdeck", mixinStandardHelpOptions = true, version = "ashdeck 0.1.0",
-    description = "Routes requests to fleets of servers, and says so to proxies that ask.",
+    description = "Balances requests across fleets of servers, as a balancer, a DNS forwarder or an external processor of proxies.",
     subcommands = {BalanceCommand.class, OutsCommand.class, ProcessCommand.class, DnsCommand.class, DnsSdCommand.class, CheckCommand.class, DemoCommand.class, LoadCommand.class,
       IncidentCommand.class, QuotaCommand.class, ModelCommand.class},
-    footer = {"", "Exit status: 0 at a proper end, 1 for bad input or configuration, 2 for a wrong command line.",
-      "The balancer of the platform is a program of its own, see deploy/balancer.toml."})
+    footer = {"", "Exit status: 0 on success, 1 for bad input or configuration, 2 for an invalid command line.",
+      "The platform's balancer is a separate program, see deploy/balancer.toml."})
 public final class Main implements Runnable {
 
   private Main() {}
 
-  /** Runs a command and ends the process with its status. */
+  /** Runs a command and exits with its status. */
   public static void main(String[] args) {
-    Logs.configure(LogConfig.USUAL);
+    Logs.configure(LogConfig.DEFAULT);
     int status = run(args);
     Logs.stop();
     System.exit(status);
   }
 
-  /** Runs a command; its exit status. */
+  /** Runs a command and returns its exit status. */
   static int run(String... args) {
     return new CommandLine(new Main()).setCaseInsensitiveEnumValuesAllowed(true)
         .setExecutionExceptionHandler((e, commandLine, parsed) -> {
-          // One line for each thing that is wrong: a stack says nothing to who wrote the file.
+          // One line per error: a stack trace is no help to the author of a configuration file.
           commandLine.getErr().println(e.getMessage() == null ? e.toString() : e.getMessage());
           return ExitCode.SOFTWARE;
         }).execute(args);
--- a/dist/src/main/java/cloverpulley/cli/OperatorsConfig.java
+++ b/dist/src/main/java/cloverpulley/cli/OperatorsConfig.java
@@ -17,17 +17,17 @@
 import java.nio.file.Path;
 
 /**
- * The operators' file, whole: every command reads all of it, so that what is wrong shows whichever is started.
+ * The parsed operators' file. Every command reads all of it, so that errors are reported whichever command is started.
  *
- * @param fleet null, as the processor, where the file speaks of DNS alone
- * @param dns null where the file does not speak of it
- * @param dnssd what the fleet is found by, for the tools; null where it is not by DNS-SD
- * @param records where what happens is written down
- * @param quota who may have how much; null where the file does not speak of it
- * @param balance the HTTP balancer; null where the file does not speak of it
- * @param agree the fleet that agrees on who is out; null where it does not
- * @param log how the program speaks of itself
- * @param publish null where the program does not register itself
+ * @param fleet where servers come from; null, as is the processor, if the file configures only DNS
+ * @param dns the DNS front end; null if not configured
+ * @param dnssd DNS-SD discovery of the fleet, for the tools; null if the fleet does not use it
+ * @param records where event records are written
+ * @param quota the quotas; null if not configured
+ * @param balance the HTTP balancer; null if not configured
+ * @param agree the fleet's shared disruption ledger; null if not configured
+ * @param log logging
+ * @param publish self-registration in DNS-SD; null if not configured
  */
 record OperatorsConfig(Settings settings, FleetSource fleet, ProcessorConfig processor, DnsConfig dns, DnsSdConfig dnssd,
     PublishConfig publish, RecordsConfig records, LogConfig log,
@@ -38,18 +38,18 @@
   }
 
   static OperatorsConfig read(Section file) {
-    // A file that speaks of nothing but DNS needs no fleet of quote servers and no classes of quotes.
+    // A file that configures only DNS needs no fleet of quote servers and no request classes.
     if (file.has("dns") && !file.has("class") && !file.has("fleet") && !file.has("processor")) {
       DnsConfig dns = DnsConfig.read(file.table("dns"), null);
       return new OperatorsConfig(dns.settings(), null, null, dns, null, publish(file), records(file), LogConfig.read(file.table("log")),
           quota(file), null, null);
     }
     Settings settings = ServiceSection.read(file);
-    long longest = settings.classes().stream().mapToLong(RequestClass::deadlineNanos).max().orElse(0)
+    long retentionNanos = settings.classes().stream().mapToLong(RequestClass::deadlineNanos).max().orElse(0)
         + settings.classes().stream().mapToLong(RequestClass::dedupWindowNanos).max().orElse(0);
     Section fleet = file.table("fleet");
     return new OperatorsConfig(settings, FleetSource.read(fleet),
-        ProcessorConfig.read(file.table("processor"), longest),
+        ProcessorConfig.read(file.table("processor"), retentionNanos),
         file.has("dns") ? DnsConfig.read(file.table("dns"), settings) : null,
         fleet.has("dnssd") ? DnsSdConfig.read(fleet.table("dnssd")) : null, publish(file), records(file), LogConfig.read(file.table("log")),
         quota(file), file.has("balance") ? BalanceConfig.read(file.table("balance")) : null,
--- a/dist/src/main/java/cloverpulley/cli/ProcessCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/ProcessCommand.java
@@ -17,15 +17,15 @@
 import picocli.CommandLine.Option;
 
 @Command(name = "process", mixinStandardHelpOptions = true,
-    description = "Runs the external processor: proxies call it for each attempt of a request (ext_proc over gRPC).",
-    footer = {"", "Prints 'process listening on HOST:PORT' once it serves. SIGTERM stops it in order, SIGHUP reads the list of",
-      "servers again where the file holds one."})
+    description = "Runs the external processor that proxies call for each attempt of a request (ext_proc over gRPC).",
+    footer = {"", "Prints 'process listening on HOST:PORT' once it serves. SIGTERM shuts it down gracefully, SIGHUP reloads the",
+      "server list if the file contains one."})
 final class ProcessCommand implements Callable<Integer> {
 
   private static final Logger LOG = Logger.getLogger(ProcessCommand.class.getName());
 
-  /** Held, or the levels set on them may be forgotten. */
-  private static final List<Logger> QUIET =
+  /** Strong references: java.util.logging holds loggers weakly, and their levels would be lost with them. */
+  private static final List<Logger> SILENCED_LOGGERS =
       List.of(Logger.getLogger("io.grpc.internal"), Logger.getLogger("io.grpc.netty"), Logger.getLogger("io.netty"));
 
   @Option(names = "--config", paramLabel = "FILE", required = true, description = "the operators' file")
@@ -36,11 +36,11 @@
     OperatorsConfig operators = OperatorsConfig.read(config);
     Logs.configure(operators.log());
     if (operators.processor() == null) {
-      throw new IOException(config + ": processor: expected [[class]] and [fleet] for it, got [dns] alone");
+      throw new IOException(config + ": processor: expected [[class]] and [fleet] for it, got [dns] only");
     }
-    // Guards the log: what a caller sends that can't be read would write a stack into it each time.
-    QUIET.forEach(logger -> logger.setLevel(Level.OFF));
-    Logs.quiet(QUIET.stream().map(Logger::getName).toArray(String[]::new));
+    // Each malformed message from a caller would otherwise log a stack trace.
+    SILENCED_LOGGERS.forEach(logger -> logger.setLevel(Level.OFF));
+    Logs.disable(SILENCED_LOGGERS.stream().map(Logger::getName).toArray(String[]::new));
     ProcessorServer server;
     Warmup.run(operators.processor(), operators.settings(), operators.processor().warmUpCalls());
     Recorder recorder = Recorder.open(operators.records(), "process", operators.settings());
@@ -48,7 +48,7 @@
       server = ProcessorServer.start(operators.processor(), operators.settings(), operators.fleet(),
           new SecureRandom().nextLong(), recorder, operators.quota());
     } catch (IOException e) {
-      throw new IOException("can't listen at " + operators.processor().listen() + ": " + cause(e), e);
+      throw new IOException("can't listen at " + operators.processor().listen() + ": " + rootCauseMessage(e), e);
     }
     CountDownLatch term = Signals.term();
     Signals.onHup(() -> reload(server));
@@ -58,7 +58,7 @@
         System.currentTimeMillis(), operators.fleet() == null ? List.of() : operators.fleet().list().members());
     term.await();
     if (publisher != null) {
-      publisher.withdraw(); // First of all: who looks for us should not find us any more.
+      publisher.withdraw(); // First, so that clients stop discovering this instance.
       publisher.close();
     }
     server.stop();
@@ -66,7 +66,7 @@
     return 0;
   }
 
-  private static String cause(Throwable e) {
+  private static String rootCauseMessage(Throwable e) {
     Throwable last = e;
     while (last.getCause() != null) {
       last = last.getCause();
@@ -82,10 +82,10 @@
       }
       if (read.fleet() != null && read.fleet().isWritten()) {
         server.listed(read.fleet().list());
-        LOG.info(() -> "list of servers read again: " + read.fleet().list().members().size());
+        LOG.info(() -> "server list reloaded: " + read.fleet().list().members().size());
       }
     } catch (BadFileException | IllegalStateException e) {
-      LOG.warning("not taken, all stays as it was: " + e.getMessage());
+      LOG.warning("reload rejected, the previous configuration stays in effect: " + e.getMessage());
     }
   }
 }
--- a/dist/src/main/java/cloverpulley/cli/RepeatLimitingAppender.java
+++ b/dist/src/main/java/cloverpulley/cli/RepeatLimitingAppender.java
@@ -9,79 +9,79 @@
 import java.util.Map;
 
 /**
- * Passes on a message's first few repeats in a window and counts the others; the count, exact, follows when the window is over (with the
- * next message of any kind) or the log ends. Messages that differ in figures alone are repeats. Guards the log, and the loop that waits
- * for it, against what somebody outside can cause a thousand times a second.
+ * Forwards the first few repeats of a message in a window and counts the others. The exact count is logged when the window has ended (with
+ * the next message of any kind) or logging stops. Messages that differ only in numbers are repeats. Protects the log, and the event loop
+ * that waits for it, from messages that an outsider can trigger a thousand times per second.
  */
 final class RepeatLimitingAppender extends AppenderBase<ILoggingEvent> {
 
-  /** Kinds of messages in a window; more are passed on without counting. */
-  private static final int MOST_KINDS = 1000;
-  private static final int MOST_KEY = 200;
+  /** Maximum number of distinct messages that are tracked; others are forwarded uncounted. */
+  private static final int MAX_WINDOWS = 1000;
+  private static final int MAX_KEY_LENGTH = 200;
 
-  private static final class Seen {
+  private static final class Window {
     private final ILoggingEvent first;
-    private final long since;
+    private final long startMillis;
     private long count;
 
-    Seen(ILoggingEvent first) {
+    Window(ILoggingEvent first) {
       this.first = first;
-      since = first.getTimeStamp();
+      startMillis = first.getTimeStamp();
     }
   }
 
-  private final Appender<ILoggingEvent> to;
-  private final int most;
+  private final Appender<ILoggingEvent> delegate;
+  private final int maxRepeats;
   private final long windowMillis;
-  private final Map<String, Seen> kinds = new LinkedHashMap<>();
+  private final Map<String, Window> windows = new LinkedHashMap<>();
 
-  RepeatLimitingAppender(Appender<ILoggingEvent> to, int most, long windowMillis) {
-    this.to = to;
-    this.most = most;
+  RepeatLimitingAppender(Appender<ILoggingEvent> delegate, int maxRepeats, long windowMillis) {
+    this.delegate = delegate;
+    this.maxRepeats = maxRepeats;
     this.windowMillis = windowMillis;
   }
 
   @Override
   protected void append(ILoggingEvent e) {
-    tell(e.getTimeStamp() - windowMillis);
+    closeWindows(e.getTimeStamp() - windowMillis);
     String message = e.getFormattedMessage();
     String key = e.getLevel() + e.getLoggerName() + ' '
-        + (message.length() <= MOST_KEY ? message : message.substring(0, MOST_KEY)).replaceAll("\\d+", "#");
-    Seen seen = kinds.get(key);
-    if (seen == null && kinds.size() < MOST_KINDS) {
-      seen = new Seen(e);
-      kinds.put(key, seen);
+        + (message.length() <= MAX_KEY_LENGTH ? message : message.substring(0, MAX_KEY_LENGTH)).replaceAll("\\d+", "#");
+    Window window = windows.get(key);
+    if (window == null && windows.size() < MAX_WINDOWS) {
+      window = new Window(e);
+      windows.put(key, window);
     }
-    if (seen == null || ++seen.count <= most) {
-      to.doAppend(e);
+    if (window == null || ++window.count <= maxRepeats) {
+      delegate.doAppend(e);
     }
   }
 
-  /** The windows that began at or before a time are over. */
-  private void tell(long beganBefore) {
-    Iterator<Seen> all = kinds.values().iterator();
-    while (all.hasNext()) {
-      Seen s = all.next();
-      if (s.since > beganBefore) {
-        return; // In the order of their beginnings.
+  /** Closes the windows that started at or before a time, and logs their counts. */
+  private void closeWindows(long lastStartMillis) {
+    Iterator<Window> iterator = windows.values().iterator();
+    while (iterator.hasNext()) {
+      Window window = iterator.next();
+      if (window.startMillis > lastStartMillis) {
+        return; // Windows are in the order of their start times.
       }
-      all.remove();
-      if (s.count > most) {
-        LoggingEvent told = new LoggingEvent();
-        told.setLoggerName(s.first.getLoggerName());
-        told.setLevel(s.first.getLevel());
-        told.setThreadName(s.first.getThreadName());
-        told.setTimeStamp(s.since + windowMillis);
-        told.setMessage("repeated=" + (s.count - most) + " more like: " + s.first.getFormattedMessage());
-        to.doAppend(told);
+      iterator.remove();
+      if (window.count > maxRepeats) {
+        LoggingEvent summary = new LoggingEvent();
+        summary.setLoggerName(window.first.getLoggerName());
+        summary.setLevel(window.first.getLevel());
+        summary.setThreadName(window.first.getThreadName());
+        summary.setTimeStamp(window.startMillis + windowMillis);
+        summary.setMessage("repeated=" + (window.count - maxRepeats) + " similar to: " + window.first.getFormattedMessage());
+        delegate.doAppend(summary);
       }
     }
   }
 
   @Override
   public void stop() {
-    tell(Long.MAX_VALUE);
+    closeWindows(Long.MAX_VALUE);
     super.stop();
-    to.stop();
+    delegate.stop();
   }
 }
--- a/dist/src/main/java/cloverpulley/cli/Signals.java
+++ b/dist/src/main/java/cloverpulley/cli/Signals.java
@@ -4,7 +4,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** What the process is told from outside. */
+/** Signal handlers of the process. */
 final class Signals {
 
   private static final Logger LOG = LoggerFactory.getLogger(Signals.class);
@@ -12,17 +12,17 @@
   private Signals() {}
 
   /**
-   * Opens at SIGTERM or SIGINT. A handler, not a shutdown hook: hooks run beside the one that ends logging, and the status would
-   * tell of the signal.
+   * Returns a latch that opens on SIGTERM or SIGINT. A signal handler instead of a shutdown hook: hooks run concurrently with the one that
+   * stops logging, and the exit status would be that of the signal.
    */
   static CountDownLatch term() {
     CountDownLatch term = new CountDownLatch(1);
     cloverpulley.engine.Signals.handle("TERM", term::countDown, LOG::warn);
-    cloverpulley.engine.Signals.handle("INT", term::countDown, LOG::debug); // A shell ignores it for what runs in the background.
+    cloverpulley.engine.Signals.handle("INT", term::countDown, LOG::debug); // Shells ignore SIGINT for background processes.
     return term;
   }
 
-  /** Run at each SIGHUP. */
+  /** Runs a task on each SIGHUP. */
   static void onHup(Runnable task) {
     cloverpulley.engine.Signals.handle("HUP", task, LOG::warn);
   }
--- a/dist/src/test/java/cloverpulley/cli/CommandIT.java
+++ b/dist/src/test/java/cloverpulley/cli/CommandIT.java
@@ -209,7 +209,7 @@
       }
       Files.writeString(file, "nonsense");
       signal(process, "-HUP");
-      while (!lastErr().contains("not taken")) {
+      while (!lastErr().contains("reload rejected")) {
         TimeUnit.MILLISECONDS.sleep(5);
       }
       assertEquals("127.0.0.1:7002", destination(caller));
--- a/dist/src/test/java/cloverpulley/cli/LogsTest.java
+++ b/dist/src/test/java/cloverpulley/cli/LogsTest.java
@@ -30,7 +30,7 @@
   @AfterEach
   void restore() {
     System.setErr(before);
-    Logs.configure(LogConfig.USUAL);
+    Logs.configure(LogConfig.DEFAULT);
   }
 
   private static String logged(LogConfig.Format format, LogConfig.Level level, Runnable what) {
@@ -92,11 +92,11 @@
       r.doAppend(event(i, "connection " + i + " fails"));
     }
     r.doAppend(event(999, "something else"));
-    r.doAppend(event(1000, "connection 5 fails")); // Its window is over: the count comes, and a new one begins.
+    r.doAppend(event(1000, "connection 5 fails")); // The window has ended: its count is logged and a new window starts.
     r.stop();
     List<String> said = to.list.stream().map(ILoggingEvent::getFormattedMessage).toList();
     assertEquals(List.of("connection 0 fails", "connection 1 fails", "connection 2 fails", "something else",
-        "repeated=997 more like: connection 0 fails", "connection 5 fails"), said);
+        "repeated=997 similar to: connection 0 fails", "connection 5 fails"), said);
   }
 
   private static ILoggingEvent event(long at, String message) {
