--- a/dist/src/main/java/cloverpulley/cli/CheckCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/CheckCommand.java
@@ -22,7 +22,8 @@
     System.out.println(file + ": ok, " + operators.settings().classes().size() + " classes, "
         + operators.settings().tenants().size() + " tenants, " + servers);
     if (operators.agree() != null) {
-      OutsCommand.neverGrant(operators).forEach(g -> System.out.println(file + ": agree.group " + g + ": its limit never allows any member to be out"));
+      OutsCommand.neverGrant(operators).forEach(g -> System.out.println(file + ": agree.group " + g
+          + ": its limit never allows any member to be out"));
     }
     return 0;
   }
--- a/dist/src/main/java/cloverpulley/cli/DemoReport.java
+++ b/dist/src/main/java/cloverpulley/cli/DemoReport.java
@@ -26,7 +26,8 @@
     Files.writeString(file, new HtmlReport(analysis).html());
     List<Audit.Finding> findings = analysis.audit.findings();
     out.printf("from the records: %d answered, %d of them served, %d unresolved; rules broken: %d%n",
-        analysis.timeline.count(null, null, null, null), analysis.timeline.count(null, null, null, Entry.SERVED), analysis.timeline.unresolvedRequests(),
+        analysis.timeline.count(null, null, null, null), analysis.timeline.count(null, null, null, Entry.SERVED),
+        analysis.timeline.unresolvedRequests(),
         findings.stream().filter(Audit.Finding::certain).count());
     findings.stream().limit(5).forEach(f -> out.println("  " + f.check() + ": " + f.description()));
     out.println("report: " + file);
--- a/dist/src/main/java/cloverpulley/cli/DnsSdCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/DnsSdCommand.java
@@ -10,7 +10,8 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-@Command(name = "dnssd", mixinStandardHelpOptions = true, description = "Shows what the resolvers of [fleet.dnssd] report, which members are accepted, and why.",
+@Command(name = "dnssd", mixinStandardHelpOptions = true,
+    description = "Shows what the resolvers of [fleet.dnssd] report, which members are accepted, and why.",
     subcommands = {DnsSdCommand.Browse.class, DnsSdCommand.Watch.class, DnsSdCommand.Explain.class})
 final class DnsSdCommand implements Runnable {
 
@@ -28,7 +29,8 @@
     @Option(names = "--config", paramLabel = "FILE", required = true, description = "the operators' file")
     private Path config;
 
-    @Option(names = "--wait", paramLabel = "MS", defaultValue = "5000", description = "how long to wait for the first list (default: ${DEFAULT-VALUE})")
+    @Option(names = "--wait", paramLabel = "MS", defaultValue = "5000",
+        description = "how long to wait for the first list (default: ${DEFAULT-VALUE})")
     private long waitMillis;
 
     @Override
@@ -59,7 +61,8 @@
     }
   }
 
-  @Command(name = "watch", mixinStandardHelpOptions = true, description = "Prints every change of the accepted servers as it happens, with its reason.")
+  @Command(name = "watch", mixinStandardHelpOptions = true,
+      description = "Prints every change of the accepted servers as it happens, with its reason.")
   static final class Watch extends View {
 
     @Option(names = "--seconds", paramLabel = "S", defaultValue = "0", description = "how long to watch; 0: until interrupted")
@@ -72,7 +75,8 @@
     }
   }
 
-  @Command(name = "explain", mixinStandardHelpOptions = true, description = "Shows what each resolver reports about one instance, what is accepted and why.")
+  @Command(name = "explain", mixinStandardHelpOptions = true,
+      description = "Shows what each resolver reports about one instance, what is accepted and why.")
   static final class Explain extends View {
 
     @Parameters(paramLabel = "NAME", description = "the instance, its full name or its first label")
--- a/dist/src/main/java/cloverpulley/cli/Main.java
+++ b/dist/src/main/java/cloverpulley/cli/Main.java
@@ -7,8 +7,8 @@
 /** The {@code ashdeck} command. Exit status: 0 on success, 1 for bad input or configuration, 2 for an invalid command line. */
 @Command(name = "ashdeck", mixinStandardHelpOptions = true, version = "ashdeck 0.1.0",
     description = "Balances requests across fleets of servers, as a balancer, a DNS forwarder or an external processor of proxies.",
-    subcommands = {BalanceCommand.class, OutsCommand.class, ProcessCommand.class, DnsCommand.class, DnsSdCommand.class, CheckCommand.class, DemoCommand.class, LoadCommand.class,
-      IncidentCommand.class, QuotaCommand.class, ModelCommand.class},
+    subcommands = {BalanceCommand.class, OutsCommand.class, ProcessCommand.class, DnsCommand.class, DnsSdCommand.class,
+      CheckCommand.class, DemoCommand.class, LoadCommand.class, IncidentCommand.class, QuotaCommand.class, ModelCommand.class},
     footer = {"", "Exit status: 0 on success, 1 for bad input or configuration, 2 for an invalid command line.",
       "The platform's balancer is a separate program, see deploy/balancer.toml."})
 public final class Main implements Runnable {
