--- a/dist/src/main/java/cloverpulley/cli/Demo.java
+++ b/dist/src/main/java/cloverpulley/cli/Demo.java
@@ -281,8 +281,8 @@
     List<Seen> newServerRequests = servers.get("s6").seen();
     long firstSecondRequests = newServerRequests.isEmpty() ? 0
         : newServerRequests.stream().filter(s -> s.atNanos() < newServerRequests.get(0).atNanos() + TimeUnit.SECONDS.toNanos(1)).count();
-    // The load is spread evenly over the warmed-up servers; a starting one certainly handles 0.32 of a warmed-up one's load and is
-    // overloaded at three times that.
+    // With one of the six servers drained, the others share the load evenly; a starting one certainly handles 0.32 of a warmed-up one's
+    // load and is overloaded at three times that.
     double overloadThreshold = 3 * 0.32 * rate / (SERVERS - 1);
     boolean passed = printRule(out, "1  one final answer each, in time", unanswered.get() + late.get() + tally.doubleVerdicts.get()
         + mismatched.get() == 0, unanswered + " unanswered, " + late + " late, " + tally.doubleVerdicts + " double, " + mismatched
--- a/dist/src/main/java/cloverpulley/cli/IncidentCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/IncidentCommand.java
@@ -30,14 +30,14 @@
 import picocli.CommandLine.Spec;
 
 @Command(name = "incident", mixinStandardHelpOptions = true,
-    description = "Says what happened, out of the records that [records] of the operators' file has written.",
-    subcommands = {IncidentCommand.ReportTo.class, IncidentCommand.Ask.class, IncidentCommand.Explain.class,
-      IncidentCommand.Before.class, IncidentCommand.Verify.class, IncidentCommand.Live.class},
-    footer = {"", "Times are ISO 8601 (2026-12-01T10:00:00Z) or Unix seconds, on the clock of the reference."})
+    description = "Analyzes incidents from the event records that [records] of the operators' file configures.",
+    subcommands = {IncidentCommand.WriteReport.class, IncidentCommand.RunQuery.class, IncidentCommand.Explain.class,
+      IncidentCommand.FindCauses.class, IncidentCommand.Verify.class, IncidentCommand.ShowConsole.class},
+    footer = {"", "Times are ISO 8601 (2026-12-01T10:00:00Z) or Unix seconds, on the reference instance's clock."})
 final class IncidentCommand implements Callable<Integer> {
 
-  private static final int BROKEN = 1;
-  private static final int MOST_MINUTES = 1440;
+  private static final int EXIT_VIOLATION = 1;
+  private static final int MAX_MINUTES = 1440;
 
   @Spec
   private CommandSpec spec;
@@ -47,59 +47,60 @@
     throw new CommandLine.ParameterException(spec.commandLine(), "expected a subcommand");
   }
 
-  /** Which records, of when, on whose clock. */
-  static final class Source {
-    @Parameters(index = "0..*", arity = "1..*", paramLabel = "DIR", description = "folders of records, or segments")
-    private List<Path> places;
+  /** The records to read, their time range and the reference clock. */
+  static final class RecordSelection {
+    @Parameters(index = "0..*", arity = "1..*", paramLabel = "DIR", description = "record folders or segment files")
+    private List<Path> paths;
 
-    @Option(names = "--from", paramLabel = "TIME", converter = Time.class, description = "leaves out what was before")
+    @Option(names = "--from", paramLabel = "TIME", converter = TimeConverter.class, description = "excludes records before this time")
     private Long from;
 
-    @Option(names = "--to", paramLabel = "TIME", converter = Time.class, description = "leaves out what was after")
+    @Option(names = "--to", paramLabel = "TIME", converter = TimeConverter.class, description = "excludes records after this time")
     private Long to;
 
-    @Option(names = "--reference", paramLabel = "INSTANCE", description = "whose clock counts (default: a caller's, or the first one's)")
+    @Option(names = "--reference", paramLabel = "INSTANCE",
+        description = "the instance whose clock is the reference (default: a caller, or the first)")
     private String reference;
 
-    Archive open() throws IOException {
-      for (Path p : places) {
+    Archive openArchive() throws IOException {
+      for (Path p : paths) {
         if (!Files.exists(p)) {
-          throw new IOException(p + ": no such folder or file");
+          throw new IOException(p + ": no such file or folder");
         }
       }
-      Archive archive = new Archive(places);
+      Archive archive = new Archive(paths);
       if (archive.segments().isEmpty()) {
-        throw new IOException("no records in " + places);
+        throw new IOException("no records in " + paths);
       }
       archive.segments().stream().filter(s -> s.problem() != null)
-          .forEach(s -> System.err.println(s.file() + ": not read, " + s.problem()));
+          .forEach(s -> System.err.println(s.file() + ": skipped, " + s.problem()));
       return archive;
     }
 
-    IncidentAnalysis study(double spanSeconds) throws IOException {
-      Archive archive = open();
+    IncidentAnalysis analyze(double intervalSeconds) throws IOException {
+      Archive archive = openArchive();
       IncidentAnalysis.Options options = new IncidentAnalysis.Options(from == null ? Long.MIN_VALUE : from, to == null ? Long.MAX_VALUE : to,
-          (long) (spanSeconds * 1e6), reference, Audit.Limits.DEFAULT);
+          (long) (intervalSeconds * 1e6), reference, Audit.Limits.DEFAULT);
       try (Progress progress = new Progress(archive.bytes())) {
         return new IncidentAnalysis(archive, options, progress);
       }
     }
   }
 
-  /** A bar on a terminal, for readings that take long; nothing elsewhere. */
+  /** A progress bar for large archives; shown only on a terminal. */
   private static final class Progress implements LongConsumer, AutoCloseable {
-    private static final long LEAST_OCTETS = 32 << 20;
+    private static final long MIN_BYTES = 32 << 20;
     private final ProgressBar bar;
 
-    Progress(long octets) {
-      bar = System.console() == null || octets < LEAST_OCTETS ? null : new ProgressBarBuilder().setTaskName("reading")
-          .setInitialMax(octets >> 20).setUnit(" MB", 1).setStyle(ProgressBarStyle.ASCII).build();
+    Progress(long bytes) {
+      bar = System.console() == null || bytes < MIN_BYTES ? null : new ProgressBarBuilder().setTaskName("reading")
+          .setInitialMax(bytes >> 20).setUnit(" MB", 1).setStyle(ProgressBarStyle.ASCII).build();
     }
 
     @Override
-    public void accept(long octets) {
+    public void accept(long bytes) {
       if (bar != null) {
-        bar.stepTo(octets >> 20);
+        bar.stepTo(bytes >> 20);
       }
     }
 
@@ -111,8 +112,8 @@
     }
   }
 
-  /** Microseconds of Unix time. */
-  static final class Time implements CommandLine.ITypeConverter<Long> {
+  /** Converts a time to microseconds since the Unix epoch. */
+  static final class TimeConverter implements CommandLine.ITypeConverter<Long> {
     @Override
     public Long convert(String text) {
       try {
@@ -123,59 +124,59 @@
     }
   }
 
-  @Command(name = "report", mixinStandardHelpOptions = true, description = "Writes one page of HTML with the course, the rules, the fleet "
-      + "and what is not known.")
-  static final class ReportTo implements Callable<Integer> {
+  @Command(name = "report", mixinStandardHelpOptions = true, description = "Writes an HTML page with the timeline, the rules, the fleet "
+      + "and the gaps in the records.")
+  static final class WriteReport implements Callable<Integer> {
     @Mixin
-    private Source source;
+    private RecordSelection selection;
 
-    @Option(names = {"-o", "--output"}, paramLabel = "FILE", required = true, description = "where the page goes")
+    @Option(names = {"-o", "--output"}, paramLabel = "FILE", required = true, description = "the HTML file to write")
     private Path file;
 
-    @Option(names = "--span", paramLabel = "SECONDS", defaultValue = "10", description = "counts in spans of so long (default: 10)")
-    private double span;
+    @Option(names = "--span", paramLabel = "SECONDS", defaultValue = "10", description = "length of a counting interval (default: 10)")
+    private double interval;
 
     @Override
     public Integer call() throws IOException {
-      if (!(span >= 0.1 && span <= 86_400)) {
-        throw new IllegalArgumentException("--span has to be 0.1 to 86400");
+      if (!(interval >= 0.1 && interval <= 86_400)) {
+        throw new IllegalArgumentException("--span must be 0.1 to 86400");
       }
-      IncidentAnalysis study = source.study(span);
-      Files.writeString(file, new HtmlReport(study).html());
-      System.out.println(file + ": " + study.read.records() + " records, " + study.timeline.count(null, null, null, null)
-          + " requests answered, " + study.timeline.unresolvedRequests() + " of which the end is not known, " + study.audit.findings().size()
-          + " findings");
+      IncidentAnalysis analysis = selection.analyze(interval);
+      Files.writeString(file, new HtmlReport(analysis).html());
+      System.out.println(file + ": " + analysis.read.records() + " records, " + analysis.timeline.count(null, null, null, null)
+          + " requests answered, " + analysis.timeline.unresolvedRequests() + " with unknown outcome, "
+          + analysis.audit.findings().size() + " findings");
       return 0;
     }
   }
 
-  @Command(name = "query", mixinStandardHelpOptions = true, description = "Lists the records that fit a question.",
+  @Command(name = "query", mixinStandardHelpOptions = true, description = "Lists the records that match a query.",
       footer = {"", "Example: kind=answered and tenant=agro-tehnika and (answer=refused or latency_ms>400)",
         "Fields: kind word class tenant server upstream instance request answer (= != ~), attempt latency_ms value number at"})
-  static final class Ask implements Callable<Integer> {
+  static final class RunQuery implements Callable<Integer> {
     @Parameters(index = "0", paramLabel = "EXPR")
-    private String question;
+    private String expression;
 
     @Parameters(index = "1..*", arity = "1..*", paramLabel = "DIR")
-    private List<Path> places;
+    private List<Path> paths;
 
-    @Option(names = "--json", description = "a JSON object a line")
+    @Option(names = "--json", description = "one JSON object per line")
     private boolean json;
 
-    @Option(names = "--most", paramLabel = "N", defaultValue = "1000", description = "so many at the most (default: 1000)")
-    private long most;
+    @Option(names = "--most", paramLabel = "N", defaultValue = "1000", description = "maximum number of records (default: 1000)")
+    private long limit;
 
-    @Option(names = "--count", description = "only how many there are")
+    @Option(names = "--count", description = "prints only the number of matches")
     private boolean count;
 
     @Override
     public Integer call() throws IOException {
-      Query q = Query.of(question);
-      Source source = new Source();
-      source.places = places;
-      long[] shown = {0};
-      Archive.Read read = source.open().read(q, e -> {
-        if (!count && shown[0]++ < most) {
+      Query q = Query.of(expression);
+      RecordSelection selection = new RecordSelection();
+      selection.paths = paths;
+      long[] matched = {0};
+      Archive.Read read = selection.openArchive().read(q, e -> {
+        if (!count && matched[0]++ < limit) {
           try {
             System.out.println(json ? EntryFormatter.json(e) : EntryFormatter.text(e));
           } catch (IOException x) {
@@ -185,53 +186,54 @@
       }, n -> { });
       if (count) {
         System.out.println(read.matching());
-      } else if (read.matching() > most) {
-        System.err.println(read.matching() - most + " more");
+      } else if (read.matching() > limit) {
+        System.err.println(read.matching() - limit + " more");
       }
       if (read.corruptBlocks() > 0 || read.truncatedBytes() > 0) {
-        System.err.println(read.corruptBlocks() + " spoilt blocks, " + read.truncatedBytes() + " octets cut off at ends");
+        System.err.println(read.corruptBlocks() + " corrupt blocks, " + read.truncatedBytes() + " bytes truncated");
       }
       return 0;
     }
   }
 
-  @Command(name = "why", mixinStandardHelpOptions = true, description = "Tells the decisions of one request, and what was known at each.")
+  @Command(name = "why", mixinStandardHelpOptions = true, description = "Explains the decisions about one request and what was known at each.")
   static final class Explain implements Callable<Integer> {
-    @Parameters(index = "0", paramLabel = "REQUEST", description = "its caller's id, or INSTANCE/START#NUMBER as 'query' shows it")
+    @Parameters(index = "0", paramLabel = "REQUEST", description = "the caller's request id, or INSTANCE/START#NUMBER as shown by 'query'")
     private String request;
 
     @Parameters(index = "1..*", arity = "1..*", paramLabel = "DIR")
-    private List<Path> places;
+    private List<Path> paths;
 
     @Override
     public Integer call() throws IOException {
-      Source source = new Source();
-      source.places = places;
-      if (!new RequestExplainer(source.open(), request).explain(System.out::println)) {
-        throw new IOException("no record of it");
+      RecordSelection selection = new RecordSelection();
+      selection.paths = paths;
+      if (!new RequestExplainer(selection.openArchive(), request).explain(System.out::println)) {
+        throw new IOException("no record of this request");
       }
       return 0;
     }
   }
 
-  @Command(name = "causes", mixinStandardHelpOptions = true, description = "Finds rises of bad answers, and what came before each.")
-  static final class Before implements Callable<Integer> {
+  @Command(name = "causes", mixinStandardHelpOptions = true,
+      description = "Finds rises in the ratio of failed answers and the changes that preceded each.")
+  static final class FindCauses implements Callable<Integer> {
     @Mixin
-    private Source source;
+    private RecordSelection selection;
 
     @Override
     public Integer call() throws IOException {
-      IncidentAnalysis s = source.study(1);
-      List<ChangePointAnalysis.CandidateCause> causes = s.changePoints.candidateCauses();
-      List<ChangePointAnalysis.Rise> rises = s.changePoints.rises();
+      IncidentAnalysis analysis = selection.analyze(1);
+      List<ChangePointAnalysis.CandidateCause> causes = analysis.changePoints.candidateCauses();
+      List<ChangePointAnalysis.Rise> rises = analysis.changePoints.rises();
       if (rises.isEmpty()) {
-        System.out.println("no rise of bad answers");
+        System.out.println("no rise in the ratio of failed answers");
       }
       for (ChangePointAnalysis.Rise r : rises) {
-        System.out.printf(Locale.ROOT, "%s  %.2f%% to %.2f%% of %d answers, by chance %.2g%n", instant(r.at()), 100 * r.ratioBefore(),
+        System.out.printf(Locale.ROOT, "%s  from %.2f%% to %.2f%% of %d answers, p-value %.2g%n", instant(r.at()), 100 * r.ratioBefore(),
             100 * r.ratioAfter(), r.answers(), r.pValue());
         causes.stream().filter(c -> c.rise().equals(r)).limit(8).forEach(c -> System.out.printf(Locale.ROOT,
-            "    %.1f s before it came: %s (told to %s; one as near by chance: %.2g)%n", (r.at() - c.at()) / 1e6,
+            "    %.1f s earlier: %s (recorded by %s; p-value %.2g)%n", (r.at() - c.at()) / 1e6,
             Sanitizer.printable(c.description()), Sanitizer.printable(c.instance()), c.pValue()));
       }
       return 0;
@@ -242,47 +244,49 @@
     }
   }
 
-  @Command(name = "verify", mixinStandardHelpOptions = true, description = "Checks the four rules and the sums, from the records alone.",
-      footer = {"", "Exit status: 1 where something is broken for certain."})
+  @Command(name = "verify", mixinStandardHelpOptions = true, description = "Checks the four rules and the sums from the records.",
+      footer = {"", "Exit status: 1 if a rule was certainly broken."})
   static final class Verify implements Callable<Integer> {
     @Mixin
-    private Source source;
+    private RecordSelection selection;
 
     @Override
     public Integer call() throws IOException {
-      IncidentAnalysis s = source.study(10);
-      List<Audit.Finding> findings = s.audit.findings();
-      s.audit.checkCounts().forEach((check, n) -> System.out.printf("%-22s checked %9d, broken %d, unsettled %d%n",
+      IncidentAnalysis analysis = selection.analyze(10);
+      List<Audit.Finding> findings = analysis.audit.findings();
+      analysis.audit.checkCounts().forEach((check, n) -> System.out.printf("%-22s checked %9d, broken %d, unsettled %d%n",
           check.name().toLowerCase(Locale.ROOT), n, findings.stream().filter(f -> f.check() == check && f.certain()).count(),
           findings.stream().filter(f -> f.check() == check && !f.certain()).count()));
       findings.stream().limit(50).forEach(f -> System.out.println(Sanitizer.printable((f.certain() ? "BROKEN " : "unsettled ")
           + f.check().name().toLowerCase(Locale.ROOT) + " " + f.origin().instance() + " " + (f.request() == null ? "" : f.request() + " ")
           + f.description())));
-      s.timeline.gaps(s.clocks).forEach(g -> System.out.println(Sanitizer.printable("not known: " + g.instance() + ", " + g.reason())));
-      if (s.read.corruptBlocks() > 0 || s.read.truncatedBytes() > 0) {
-        System.out.println("not known: " + s.read.corruptBlocks() + " spoilt blocks, " + s.read.truncatedBytes() + " octets cut off at ends");
+      analysis.timeline.gaps(analysis.clocks)
+          .forEach(g -> System.out.println(Sanitizer.printable("not known: " + g.instance() + ", " + g.reason())));
+      if (analysis.read.corruptBlocks() > 0 || analysis.read.truncatedBytes() > 0) {
+        System.out.println("not known: " + analysis.read.corruptBlocks() + " corrupt blocks, " + analysis.read.truncatedBytes()
+            + " bytes truncated");
       }
-      return findings.stream().anyMatch(Audit.Finding::certain) ? BROKEN : 0;
+      return findings.stream().anyMatch(Audit.Finding::certain) ? EXIT_VIOLATION : 0;
     }
   }
 
-  @Command(name = "console", mixinStandardHelpOptions = true, description = "Shows the last minutes in the terminal, live; q leaves.")
-  static final class Live implements Callable<Integer> {
+  @Command(name = "console", mixinStandardHelpOptions = true, description = "Shows the last minutes live in the terminal; q quits.")
+  static final class ShowConsole implements Callable<Integer> {
     @Parameters(index = "0..*", arity = "1..*", paramLabel = "DIR")
-    private List<Path> places;
+    private List<Path> paths;
 
-    @Option(names = "--minutes", paramLabel = "N", defaultValue = "2", description = "how far back it looks (default: 2)")
+    @Option(names = "--minutes", paramLabel = "N", defaultValue = "2", description = "minutes to show (default: 2)")
     private int minutes;
 
-    @Option(names = "--redraws", paramLabel = "N", defaultValue = "0", description = "ends after so many; 0 for never (default)")
+    @Option(names = "--redraws", paramLabel = "N", defaultValue = "0", description = "exits after this many redraws; 0 for never (default)")
     private int redraws;
 
     @Override
     public Integer call() throws IOException {
-      if (minutes < 1 || minutes > MOST_MINUTES) {
-        throw new IllegalArgumentException("--minutes has to be 1 to " + MOST_MINUTES);
+      if (minutes < 1 || minutes > MAX_MINUTES) {
+        throw new IllegalArgumentException("--minutes must be 1 to " + MAX_MINUTES);
       }
-      new Console(places, minutes * 60_000_000L).run(redraws);
+      new Console(paths, minutes * 60_000_000L).run(redraws);
       return 0;
     }
   }
--- a/dist/src/main/java/cloverpulley/cli/LoadCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/LoadCommand.java
@@ -29,10 +29,10 @@
 import picocli.CommandLine.Spec;
 
 @Command(name = "load", mixinStandardHelpOptions = true,
-    description = "Puts a planned load on a server and measures honestly: open loop, latencies from each request's intended start.",
-    subcommands = {LoadCommand.Run.class, LoadCommand.Show.class, LoadCommand.Replay.class, LoadCommand.Record.class,
+    description = "Generates a planned load in an open loop and measures latencies from each request's intended start.",
+    subcommands = {LoadCommand.RunPlan.class, LoadCommand.CheckPlan.class, LoadCommand.Replay.class, LoadCommand.Record.class,
       LoadCommand.Compare.class},
-    footer = {"", "Exit status of run and replay: 3 where the generator itself fell behind."})
+    footer = {"", "Exit status of run and replay: 3 if the generator itself fell behind."})
 final class LoadCommand implements Callable<Integer> {
 
   private static final int FELL_BEHIND = 3;
@@ -45,15 +45,15 @@
     throw new CommandLine.ParameterException(spec.commandLine(), "expected a subcommand");
   }
 
-  /** Where results go. */
+  /** Output options of a run. */
   static final class Output {
     @Option(names = "--json", paramLabel = "FILE", description = "writes the results as JSON")
     private Path json;
 
-    @Option(names = "--html", paramLabel = "FILE", description = "writes them as one page with plots")
+    @Option(names = "--html", paramLabel = "FILE", description = "writes the results as an HTML page with plots")
     private Path html;
 
-    @Option(names = "--quiet", description = "no line each second")
+    @Option(names = "--quiet", description = "prints no progress")
     private boolean quiet;
 
     int finish(Results results, String title) throws IOException {
@@ -68,23 +68,23 @@
       return results.fellBehind() ? FELL_BEHIND : 0;
     }
 
-    /** A line each second; on a terminal the line is drawn over, with a bar of the time that has passed. */
-    Consumer<Results> live(double seconds) {
+    /** Prints a line each second; on a terminal the line is overwritten and has a progress bar of the elapsed time. */
+    Consumer<Results> progressListener(double seconds) {
       if (quiet) {
         return r -> { };
       }
       boolean terminal = System.console() != null;
-      int[] second = {0};
+      int[] secondCount = {0};
       return r -> {
-        int now = ++second[0];
-        Results.SecondStats last = r.seconds.isEmpty() ? new Results.SecondStats() : r.seconds.get(Math.max(0, r.seconds.size() - 2));
-        String text = String.format(Locale.ROOT, "%4d s  asked %d, served %d, p99 of the second before %.1f ms, late p99 %.2f ms", now,
-            r.all.requests, r.all.outcomes[Driver.Outcome.SERVED.ordinal()], last.corrected.getTotalCount() == 0 ? 0
-                : last.corrected.getValueAtPercentile(99) / 1e3, r.lateness.getTotalCount() == 0 ? 0
+        int elapsedSeconds = ++secondCount[0];
+        Results.SecondStats lastSecond = r.seconds.isEmpty() ? new Results.SecondStats() : r.seconds.get(Math.max(0, r.seconds.size() - 2));
+        String text = String.format(Locale.ROOT, "%4d s  asked %d, served %d, p99 of the last second %.1f ms, lateness p99 %.2f ms",
+            elapsedSeconds, r.all.requests, r.all.outcomes[Driver.Outcome.SERVED.ordinal()], lastSecond.corrected.getTotalCount() == 0 ? 0
+                : lastSecond.corrected.getValueAtPercentile(99) / 1e3, r.lateness.getTotalCount() == 0 ? 0
                     : r.lateness.getValueAtPercentile(99) / 1e3);
         if (terminal) {
-          int done = (int) Math.min(20, 20 * now / seconds);
-          System.err.print("\r[" + "#".repeat(done) + ".".repeat(20 - done) + "] " + text + (now >= seconds ? "\n" : ""));
+          int done = (int) Math.min(20, 20 * elapsedSeconds / seconds);
+          System.err.print("\r[" + "#".repeat(done) + ".".repeat(20 - done) + "] " + text + (elapsedSeconds >= seconds ? "\n" : ""));
         } else {
           System.err.println(text);
         }
@@ -92,8 +92,8 @@
     }
   }
 
-  @Command(name = "run", mixinStandardHelpOptions = true, description = "Plays a plan.")
-  static final class Run implements Callable<Integer> {
+  @Command(name = "run", mixinStandardHelpOptions = true, description = "Runs a plan.")
+  static final class RunPlan implements Callable<Integer> {
     @Parameters(paramLabel = "PLAN", description = "the plan file, such as deploy/load-example.toml")
     private Path file;
 
@@ -101,10 +101,10 @@
     private Output output = new Output();
 
     @Option(names = "--records", paramLabel = "DIR",
-        description = "writes a record of each try: 'ashdeck incident' brings the clocks together by them")
+        description = "records each attempt; 'ashdeck incident' aligns the instances' clocks by these records")
     private Path records;
 
-    @Option(names = "--instance", paramLabel = "NAME", defaultValue = "caller", description = "the name under which it records")
+    @Option(names = "--instance", paramLabel = "NAME", defaultValue = "caller", description = "the instance name in the records")
     private String instance;
 
     @Override
@@ -112,39 +112,39 @@
       Plan plan = OperatorsFile.read(file, Plan::read);
       LoadRun.warmUp(plan);
       try (Recorder recorder = records == null ? Recorder.NONE : Recorder.forCaller(records, instance)) {
-        return output.finish(LoadRun.run(plan, output.live(plan.seconds()), recording(plan, recorder)), file.toString());
+        return output.finish(LoadRun.run(plan, output.progressListener(plan.seconds()), attemptRecorder(plan, recorder)), file.toString());
       }
     }
 
-    static Runner.AttemptListener recording(Plan plan, Recorder recorder) {
-      return (planned, id, outcome, took) -> recorder.recordCall(id, plan.classes().get(planned.classIndex()).name(),
+    static Runner.AttemptListener attemptRecorder(Plan plan, Recorder recorder) {
+      return (planned, id, outcome, latencyNanos) -> recorder.recordCall(id, plan.classes().get(planned.classIndex()).name(),
           plan.tenants().get(planned.tenantIndex()).name(), switch (outcome) {
             case SERVED -> Entry.SERVED;
             case REFUSED -> Entry.REFUSED;
-            case NO_CONNECTION, NO_ROOM -> Entry.GONE; // Nobody has taken it.
+            case NO_CONNECTION, NO_ROOM -> Entry.GONE; // No server accepted it.
             default -> Entry.FAILED;
-          }, took);
+          }, latencyNanos);
     }
   }
 
-  @Command(name = "plan", mixinStandardHelpOptions = true, description = "Checks a plan; with --show draws the rate that it plans.")
-  static final class Show implements Callable<Integer> {
+  @Command(name = "plan", mixinStandardHelpOptions = true, description = "Validates a plan; with --show, draws its rate over time.")
+  static final class CheckPlan implements Callable<Integer> {
     @Parameters(paramLabel = "PLAN")
     private Path file;
 
-    @Option(names = "--show", description = "draws the planned rate as text")
-    private boolean show;
+    @Option(names = "--show", description = "draws the planned rate as a text chart")
+    private boolean chart;
 
     @Override
     public Integer call() throws Exception {
       Plan plan = OperatorsFile.read(file, Plan::read);
-      System.out.print(show ? PlanFormatter.chart(plan) : file + ": ok, " + PlanFormatter.summary(plan) + "\n");
+      System.out.print(chart ? PlanFormatter.chart(plan) : file + ": ok, " + PlanFormatter.summary(plan) + "\n");
       return 0;
     }
   }
 
   @Command(name = "replay", mixinStandardHelpOptions = true,
-      description = "Plays a trace with its own spacing; the plan says where to, and what its classes are worth.")
+      description = "Replays a trace with its original timing; the plan gives the target and the worth of the classes.")
   static final class Replay implements Callable<Integer> {
     @Parameters(index = "0", paramLabel = "TRACE")
     private Path trace;
@@ -153,7 +153,7 @@
     private Path file;
 
     @Option(names = "--speed", paramLabel = "N", defaultValue = "1",
-        description = "2 plays twice as fast, 0.5 stretches to twice the time (default: ${DEFAULT-VALUE})")
+        description = "2 replays twice as fast, 0.5 half as fast (default: ${DEFAULT-VALUE})")
     private double speed;
 
     @CommandLine.ArgGroup(exclusive = false)
@@ -163,16 +163,16 @@
     public Integer call() throws Exception {
       Plan plan = OperatorsFile.read(file, Plan::read);
       LoadRun.warmUp(plan);
-      LoadRun.ReplayResult replayed = LoadRun.replay(plan, trace, speed, output.live(plan.seconds()));
+      LoadRun.ReplayResult replayed = LoadRun.replay(plan, trace, speed, output.progressListener(plan.seconds()));
       if (replayed.damage() != null) {
-        System.out.println("the trace is damaged: " + replayed.damage());
+        System.out.println("the trace is corrupt: " + replayed.damage());
       }
       return output.finish(replayed.results(), trace.toString());
     }
   }
 
   @Command(name = "record", mixinStandardHelpOptions = true,
-      description = "Writes a trace from a front's own records (processor.records_file), as they stand or while they are written.")
+      description = "Writes a trace from the records of a server (processor.records_file), existing ones or as they are written.")
   static final class Record implements Callable<Integer> {
     @Parameters(index = "0", paramLabel = "RECORDS", description = "the processor's records_file, or the folder of [records]")
     private Path records;
@@ -181,7 +181,7 @@
     private Path out;
 
     @Option(names = "--seconds", paramLabel = "N", defaultValue = "0",
-        description = "follows the file for so long from now; 0 takes what is in it (default: ${DEFAULT-VALUE})")
+        description = "how long to follow the file from now on; 0 converts its present content (default: ${DEFAULT-VALUE})")
     private double seconds;
 
     @Override
@@ -192,30 +192,30 @@
       if (Files.isDirectory(records)) {
         return fromArchive();
       }
-      try (var to = new BufferedOutputStream(Files.newOutputStream(out))) {
+      try (var stream = new BufferedOutputStream(Files.newOutputStream(out))) {
         RecordsReader.Summary summary =
-            seconds > 0 ? RecordsReader.follow(records, to, seconds) : RecordsReader.convert(records, to);
-        System.out.println(out + ": " + summary.requests() + " requests, " + summary.unreadable() + " lines that can't be read, "
-            + summary.dropped() + " dropped by the front");
+            seconds > 0 ? RecordsReader.follow(records, stream, seconds) : RecordsReader.convert(records, stream);
+        System.out.println(out + ": " + summary.requests() + " requests, " + summary.unreadable() + " unreadable lines, "
+            + summary.dropped() + " dropped by the server");
       }
       return 0;
     }
 
     private int fromArchive() throws IOException {
       if (seconds > 0) {
-        throw new IllegalArgumentException("--seconds goes with a file of lines: of a folder all that it holds is taken");
+        throw new IllegalArgumentException("--seconds needs a records file: a folder is converted as a whole");
       }
-      try (var to = new BufferedOutputStream(Files.newOutputStream(out))) {
-        ArchiveTrace.Summary summary = ArchiveTrace.convert(new Archive(java.util.List.of(records)), to);
+      try (var stream = new BufferedOutputStream(Files.newOutputStream(out))) {
+        ArchiveTrace.Summary summary = ArchiveTrace.convert(new Archive(java.util.List.of(records)), stream);
         System.out.println(out + ": " + summary.requests() + " requests, " + summary.unmatched() + " without a key or hint, " + summary.dropped()
-            + " dropped by the front, " + summary.corruptBlocks() + " spoilt blocks");
+            + " dropped by the server, " + summary.corruptBlocks() + " corrupt blocks");
       }
       return 0;
     }
   }
 
   @Command(name = "compare", mixinStandardHelpOptions = true,
-      description = "Two runs side by side, from their --json files, with the noise that chance alone makes.")
+      description = "Compares two runs from their --json files, with the differences expected by chance.")
   static final class Compare implements Callable<Integer> {
     @Parameters(index = "0", paramLabel = "A")
     private Path a;
--- a/dist/src/main/java/cloverpulley/cli/ModelCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/ModelCommand.java
@@ -17,12 +17,13 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-@Command(name = "model", mixinStandardHelpOptions = true, description = "Plays whole installations on a virtual clock around the real module.",
+@Command(name = "model", mixinStandardHelpOptions = true,
+    description = "Simulates whole installations around the real decision module on a virtual clock.",
     subcommands = {ModelCommand.Run.class, ModelCommand.Compare.class},
-    footer = {"", "Exit status: 1 where a rule was broken by the module."})
+    footer = {"", "Exit status: 1 if the module broke a rule."})
 final class ModelCommand implements Callable<Integer> {
 
-  private static final int BROKEN = 1;
+  private static final int EXIT_VIOLATION = 1;
 
   @Spec
   private CommandSpec spec;
@@ -32,7 +33,7 @@
     throw new CommandLine.ParameterException(spec.commandLine(), "expected a subcommand");
   }
 
-  @Command(name = "run", mixinStandardHelpOptions = true, description = "Plays a plan once with each of its policies.")
+  @Command(name = "run", mixinStandardHelpOptions = true, description = "Runs a plan once with each of its policies.")
   static final class Run implements Callable<Integer> {
     @Parameters(paramLabel = "PLAN", description = "a plan file, such as deploy/model-example.toml")
     private Path file;
@@ -43,23 +44,24 @@
       int status = 0;
       System.out.printf("%-18s %9s %7s %8s %8s %8s %8s %9s  %s%n", "policy", "asked", "G", "served", "refused", "p50 ms", "p99 ms",
           "requests/s", "rules");
-      for (Policy p : plan.policies()) {
-        long start = System.nanoTime();
-        SimulationResult r = new Simulation(plan, p, plan.seed()).run();
-        double took = (System.nanoTime() - start) / 1e9;
-        System.out.printf(Locale.ROOT, "%-18s %9d %7.4f %7.2f%% %7.2f%% %8.1f %8.1f %9.0f  %s%n", p.name().toLowerCase(Locale.ROOT), r.requests,
-            r.g(), 100.0 * r.served / Math.max(1, r.requests), 100.0 * r.rejected / Math.max(1, r.requests),
-            r.latency.getValueAtPercentile(50) / 1e3, r.latency.getValueAtPercentile(99) / 1e3, r.requests / took, r.invariantsHold() ? "kept"
-                : "BROKEN: without " + r.unanswered + ", second " + r.duplicateAnswers + ", unsafe twice " + r.unsafeReexecutions + ", after drain "
-                    + r.sentAfterDrain);
-        status = p == Policy.MODULE && !(r.invariantsHold() && r.allRequestsAccountedFor()) ? BROKEN : status;
+      for (Policy policy : plan.policies()) {
+        long startNanos = System.nanoTime();
+        SimulationResult result = new Simulation(plan, policy, plan.seed()).run();
+        double elapsedSeconds = (System.nanoTime() - startNanos) / 1e9;
+        System.out.printf(Locale.ROOT, "%-18s %9d %7.4f %7.2f%% %7.2f%% %8.1f %8.1f %9.0f  %s%n", policy.name().toLowerCase(Locale.ROOT),
+            result.requests, result.g(), 100.0 * result.served / Math.max(1, result.requests), 100.0 * result.rejected / Math.max(1, result.requests),
+            result.latency.getValueAtPercentile(50) / 1e3, result.latency.getValueAtPercentile(99) / 1e3,
+            result.requests / elapsedSeconds, result.invariantsHold() ? "kept"
+                : "BROKEN: without " + result.unanswered + ", second " + result.duplicateAnswers + ", unsafe twice "
+                    + result.unsafeReexecutions + ", after drain " + result.sentAfterDrain);
+        status = policy == Policy.MODULE && !(result.invariantsHold() && result.allRequestsAccountedFor()) ? EXIT_VIOLATION : status;
       }
       return status;
     }
   }
 
-  @Command(name = "compare", mixinStandardHelpOptions = true, description = "Plays two policies with common random numbers, until the "
-      + "difference of their G is known well enough.")
+  @Command(name = "compare", mixinStandardHelpOptions = true, description = "Compares two policies with common random numbers until the "
+      + "confidence interval of the difference of their G is narrow enough.")
   static final class Compare implements Callable<Integer> {
     @Parameters(index = "0", paramLabel = "PLAN")
     private Path file;
@@ -70,26 +72,27 @@
     @Parameters(index = "2", paramLabel = "B")
     private Policy b;
 
-    @Option(names = "--seeds", defaultValue = "40", description = "pairs at the most, 3 to 10000 (default: 40)")
+    @Option(names = "--seeds", defaultValue = "40", description = "maximum number of pairs, 3 to 10000 (default: 40)")
     private int seeds;
 
-    @Option(names = "--within", defaultValue = "0.005", description = "half width of the 95%% interval that is enough (default: 0.005)")
+    @Option(names = "--within", defaultValue = "0.005", description = "target half-width of the 95%% confidence interval (default: 0.005)")
     private double within;
 
     @Override
     public Integer call() throws Exception {
       if (seeds < 3 || seeds > 10_000 || !(within > 0)) {
-        throw new IllegalArgumentException("--seeds has to be 3 to 10000 and --within above 0");
+        throw new IllegalArgumentException("--seeds must be 3 to 10000 and --within above 0");
       }
       ModelPlan plan = OperatorsFile.read(file, ModelPlan::read);
-      PolicyComparison.Difference d = PolicyComparison.compare(plan, a, b, seeds, within, Runtime.getRuntime().availableProcessors());
-      System.out.printf(Locale.ROOT, "G %s less %s: %.4f, 95%% interval %.4f to %.4f, %d pairs%n", a.name().toLowerCase(Locale.ROOT),
-          b.name().toLowerCase(Locale.ROOT), d.mean(), d.mean() - d.halfWidth(), d.mean() + d.halfWidth(), d.pairs());
-      List<Long> broken = d.violatingSeeds();
-      if (!broken.isEmpty()) {
-        System.out.println("rules broken by the module with seeds " + broken);
+      PolicyComparison.Difference difference = PolicyComparison.compare(plan, a, b, seeds, within, Runtime.getRuntime().availableProcessors());
+      System.out.printf(Locale.ROOT, "G %s minus %s: %.4f, 95%% interval %.4f to %.4f, %d pairs%n", a.name().toLowerCase(Locale.ROOT),
+          b.name().toLowerCase(Locale.ROOT), difference.mean(), difference.mean() - difference.halfWidth(),
+          difference.mean() + difference.halfWidth(), difference.pairs());
+      List<Long> violatingSeeds = difference.violatingSeeds();
+      if (!violatingSeeds.isEmpty()) {
+        System.out.println("the module broke rules with the seeds " + violatingSeeds);
       }
-      return broken.isEmpty() ? 0 : BROKEN;
+      return violatingSeeds.isEmpty() ? 0 : EXIT_VIOLATION;
     }
   }
 }
--- a/dist/src/main/java/cloverpulley/cli/OutsCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/OutsCommand.java
@@ -26,33 +26,33 @@
 import picocli.CommandLine.Parameters;
 
 @picocli.CommandLine.Command(name = "outs", mixinStandardHelpOptions = true,
-    description = "Asks the ledger that the fleet agrees on: who is out, and who may be.",
-    footer = {"", "Exit status: 0 yes; 1 no, with the reason in one line; 2 for a wrong command line."},
-    subcommands = {OutsCommand.Init.class, OutsCommand.AskFor.class, OutsCommand.LeftNow.class, OutsCommand.ReturnNow.class, OutsCommand.StrikeOut.class, OutsCommand.ReplaceVoter.class,
-      OutsCommand.Show.class, OutsCommand.Why.class, OutsCommand.HaltAll.class, OutsCommand.ResumeAll.class, OutsCommand.BackAll.class,
-      OutsCommand.History.class})
+    description = "Queries and changes the fleet's disruption ledger: which members are out, and which may be.",
+    footer = {"", "Exit status: 0 on success; 1 if rejected, with the reason in one line; 2 for an invalid command line."},
+    subcommands = {OutsCommand.Init.class, OutsCommand.RequestPermit.class, OutsCommand.MarkOut.class, OutsCommand.MarkReturned.class,
+      OutsCommand.RemoveMember.class, OutsCommand.ReplaceVoter.class, OutsCommand.Show.class, OutsCommand.Why.class,
+      OutsCommand.AddHalt.class, OutsCommand.LiftHalt.class, OutsCommand.ReturnAll.class, OutsCommand.History.class})
 final class OutsCommand implements Runnable {
 
-  private static final long TRY_MILLIS = 5000;
-  private static final long LOOK_MILLIS = 50;
+  private static final long COMMAND_TIMEOUT_MILLIS = 5000;
+  private static final long POLL_MILLIS = 50;
 
   @Override
   public void run() {
     picocli.CommandLine.usage(this, System.out);
   }
 
-  /** What all of them need. */
-  static final class Common {
+  /** Options of all subcommands. */
+  static final class LedgerOptions {
     @Option(names = "--config", paramLabel = "FILE", required = true, description = "the operators' file, with [agree]")
     private Path config;
 
-    @Option(names = "--by", paramLabel = "WHO", description = "who asks (default: ${DEFAULT-VALUE})", defaultValue = "${sys:user.name}")
+    @Option(names = "--by", paramLabel = "WHO", description = "the requester (default: ${DEFAULT-VALUE})", defaultValue = "${sys:user.name}")
     private String by;
 
     AgreeConfig agree() throws BadFileException, IOException {
       AgreeConfig agree = OperatorsConfig.read(config).agree();
       if (agree == null) {
-        throw new IOException(config + ": agree: expected [agree], got nothing");
+        throw new IOException(config + ": agree: expected a table [agree], got nothing");
       }
       return agree;
     }
@@ -62,9 +62,9 @@
     }
   }
 
-  /** One line, and the status that goes with it. */
-  static int say(String what, Reply r) {
-    String line = what + ": " + r.word().text() + (r.binding().isEmpty() ? "" : " " + r.binding())
+  /** Prints a reply in one line and returns the exit status. */
+  static int printReply(String subject, Reply r) {
+    String line = subject + ": " + r.word().text() + (r.binding().isEmpty() ? "" : " " + r.binding())
         + (r.holders().isEmpty() ? "" : ", held by " + String.join(" ", r.holders())) + (r.epoch() > 0 ? ", epoch " + r.epoch() : "")
         + ", index " + r.index();
     System.out.println(line);
@@ -72,140 +72,142 @@
   }
 
   @picocli.CommandLine.Command(name = "init", mixinStandardHelpOptions = true,
-      description = "Makes the file of a voter that has never been one. Never for a voter that lost its file: it could vote twice.")
+      description = "Creates the journal of a new voter. Never use it for a voter that lost its journal: it could vote twice.")
   static final class Init implements Callable<Integer> {
     @Mixin
-    private Common common;
+    private LedgerOptions options;
 
-    @Option(names = "--join", description = "it takes another's place: the others have their files already")
-    private boolean joins;
+    @Option(names = "--join", description = "for a voter that replaces another in an existing set of voters")
+    private boolean join;
 
     @Override
     public Integer call() throws BadFileException, IOException {
-      System.out.println("made " + common.agree().init(joins));
+      System.out.println("created " + options.agree().init(join));
       return 0;
     }
   }
 
-  @picocli.CommandLine.Command(name = "ask", mixinStandardHelpOptions = true, description = "Asks that a balancer or upstream may be out.")
-  static final class AskFor implements Callable<Integer> {
+  @picocli.CommandLine.Command(name = "ask", mixinStandardHelpOptions = true, description = "Requests a permit for a balancer or upstream to be out.")
+  static final class RequestPermit implements Callable<Integer> {
     @Mixin
-    private Common common;
+    private LedgerOptions options;
 
     @Parameters(paramLabel = "ID", description = "its name")
     private String id;
 
-    @Option(names = "--why", paramLabel = "TEXT", required = true, description = "why, for who looks later")
+    @Option(names = "--why", paramLabel = "TEXT", required = true, description = "the reason, for the history")
     private String why;
 
-    @Option(names = "--wait", paramLabel = "SECONDS", description = "how long to wait for its turn (default: 0, now or not)")
+    @Option(names = "--wait", paramLabel = "SECONDS", description = "how long to wait in the queue (default: 0, no waiting)")
     private long waitSeconds;
 
-    @Option(names = "--acted", description = "wait until all instances have acted on it (5 s at most), and name those that have not")
+    @Option(names = "--acted", description = "waits until all instances have acted on it (5 s at most), and names those that have not")
     private boolean acted;
 
-    @Option(names = "--force", description = "whatever limits and halts say; recorded as forced")
+    @Option(names = "--force", description = "overrides limits and halts; recorded as forced")
     private boolean force;
 
-    @Option(names = "--ask", paramLabel = "NAME", description = "the ask's own name: the same one again is the same ask")
+    @Option(names = "--ask", paramLabel = "NAME", description = "a unique name of the request: repeating it with the same name is idempotent")
     private String name;
 
     @Override
     public Integer call() throws BadFileException, IOException, InterruptedException {
-      AgreeClient client = common.client();
-      String ask = name == null ? UUID.randomUUID().toString() : name;
-      Command.Ask command = new Command.Ask(ask, id, common.by, why, TimeUnit.SECONDS.toMillis(waitSeconds), force);
-      long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(waitSeconds);
-      Reply r = client.command(command, TRY_MILLIS);
-      while (r.word() == ResultCode.WAITING && System.nanoTime() < until) {
-        TimeUnit.MILLISECONDS.sleep(LOOK_MILLIS * 4);
-        r = client.command(command, TRY_MILLIS); // The same ask: it is told where it stands.
+      AgreeClient client = options.client();
+      String requestId = name == null ? UUID.randomUUID().toString() : name;
+      Command.Ask command = new Command.Ask(requestId, id, options.by, why, TimeUnit.SECONDS.toMillis(waitSeconds), force);
+      long deadlineNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(waitSeconds);
+      Reply r = client.command(command, COMMAND_TIMEOUT_MILLIS);
+      while (r.word() == ResultCode.WAITING && System.nanoTime() < deadlineNanos) {
+        TimeUnit.MILLISECONDS.sleep(POLL_MILLIS * 4);
+        r = client.command(command, COMMAND_TIMEOUT_MILLIS); // The same request name: returns its present state.
       }
-      int status = say(id, r);
-      return status == 0 && acted ? acted(client, r.epoch()) : status;
+      int exitStatus = printReply(id, r);
+      return exitStatus == 0 && acted ? acted(client, r.epoch()) : exitStatus;
     }
 
     private int acted(AgreeClient client, long epoch) throws IOException, InterruptedException {
-      long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(TRY_MILLIS);
-      List<String> missing = client.laggingInstances(epoch);
-      while (!missing.isEmpty() && System.nanoTime() < until) {
-        TimeUnit.MILLISECONDS.sleep(LOOK_MILLIS);
-        missing = client.laggingInstances(epoch);
+      long deadlineNanos = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(COMMAND_TIMEOUT_MILLIS);
+      List<String> lagging = client.laggingInstances(epoch);
+      while (!lagging.isEmpty() && System.nanoTime() < deadlineNanos) {
+        TimeUnit.MILLISECONDS.sleep(POLL_MILLIS);
+        lagging = client.laggingInstances(epoch);
       }
-      System.out.println(missing.isEmpty() ? id + ": acted on by all" : id + ": not acted on by " + String.join(" ", missing));
-      return missing.isEmpty() ? 0 : 1;
+      System.out.println(lagging.isEmpty() ? id + ": acted on by all" : id + ": not acted on by " + String.join(" ", lagging));
+      return lagging.isEmpty() ? 0 : 1;
     }
   }
 
-  /** A command with a member's name and nothing else. */
-  abstract static class OnMember implements Callable<Integer> {
+  /** A command whose only parameter is a member's name. */
+  abstract static class MemberCommand implements Callable<Integer> {
     @Mixin
-    Common common;
+    LedgerOptions options;
 
     @Parameters(paramLabel = "ID", description = "its name")
     String id;
   }
 
-  @picocli.CommandLine.Command(name = "left", mixinStandardHelpOptions = true, description = "Says that one with a permit is out now.")
-  static final class LeftNow extends OnMember {
+  @picocli.CommandLine.Command(name = "left", mixinStandardHelpOptions = true, description = "Reports that a member with a permit is out now.")
+  static final class MarkOut extends MemberCommand {
     @Override
     public Integer call() throws BadFileException, IOException {
-      AgreeClient client = common.client();
+      AgreeClient client = options.client();
       LedgerState.Permit out = client.fullState().outs().get(id);
-      return say(id, client.command(new Command.Left(id, out == null ? 0 : out.epoch()), TRY_MILLIS));
+      return printReply(id, client.command(new Command.Left(id, out == null ? 0 : out.epoch()), COMMAND_TIMEOUT_MILLIS));
     }
   }
 
   @picocli.CommandLine.Command(name = "return", mixinStandardHelpOptions = true,
-      description = "Says that one is back: modules send to it again, as to a cold one; it counts as out until it is seen warm.")
-  static final class ReturnNow extends OnMember {
+      description = "Reports that a member is back. Instances send to it again in slow start; it counts as out until it is observed to be warm.")
+  static final class MarkReturned extends MemberCommand {
     @Override
     public Integer call() throws BadFileException, IOException {
-      AgreeClient client = common.client();
+      AgreeClient client = options.client();
       LedgerState.Permit out = client.fullState().outs().get(id);
-      return say(id, client.command(new Command.Return(id, common.by, out == null ? 0 : out.epoch()), TRY_MILLIS));
+      return printReply(id, client.command(new Command.Return(id, options.by, out == null ? 0 : out.epoch()), COMMAND_TIMEOUT_MILLIS));
     }
   }
 
   @picocli.CommandLine.Command(name = "strike", mixinStandardHelpOptions = true,
-      description = "Says that a member is no more and won't come back: a balancer that is gone for good would hold its place for ever.")
-  static final class StrikeOut extends OnMember {
+      description = "Removes a member that won't come back: otherwise a decommissioned balancer would count as out forever.")
+  static final class RemoveMember extends MemberCommand {
     @Override
     public Integer call() throws BadFileException, IOException {
-      return say(id, common.client().command(new Command.Strike(id), TRY_MILLIS));
+      return printReply(id, options.client().command(new Command.Strike(id), COMMAND_TIMEOUT_MILLIS));
     }
   }
 
   @picocli.CommandLine.Command(name = "replace", mixinStandardHelpOptions = true,
-      description = "Puts a new voter in the place of one that is lost. Both names are as the voters' files have them; asked again it goes on.")
+      description = "Replaces a lost voter by a new one. Both names are those in the voters' files. If interrupted, repeat it to resume.")
   static final class ReplaceVoter implements Callable<Integer> {
     @Mixin
-    private Common common;
+    private LedgerOptions options;
 
-    @Parameters(index = "0", paramLabel = "OLD", description = "the voter that goes")
+    @Parameters(index = "0", paramLabel = "OLD", description = "the voter to remove")
     private String from;
 
-    @Parameters(index = "1", paramLabel = "NEW", description = "the voter that comes")
+    @Parameters(index = "1", paramLabel = "NEW", description = "the voter to add")
     private String to;
 
     @Override
     public Integer call() throws BadFileException, IOException {
-      VoterReplacement.Next end = common.client().replace(from, to, TRY_MILLIS,
+      VoterReplacement.Next last = options.client().replace(from, to, COMMAND_TIMEOUT_MILLIS,
           n -> System.out.println(n.voter() + ": " + n.step().name().toLowerCase(java.util.Locale.ROOT)));
-      boolean done = end.step() == VoterReplacement.Step.DONE;
-      System.out.println(done ? to + ": votes in the place of " + from + "; `outs strike " + from + "` once that is gone for good" : from + ": no, " + end.why());
+      boolean done = last.step() == VoterReplacement.Step.DONE;
+      System.out.println(done ? to + ": replaces " + from + " as a voter; run `outs strike " + from + "` once it is decommissioned"
+          : from + ": not replaced, " + last.why());
       return done ? 0 : 1;
     }
   }
 
-  @picocli.CommandLine.Command(name = "show", mixinStandardHelpOptions = true, description = "Who is out, what is halted, and how full each group is.")
+  @picocli.CommandLine.Command(name = "show", mixinStandardHelpOptions = true,
+      description = "Shows which members are out, the halts, and the disruption budget of each group.")
   static final class Show implements Callable<Integer> {
     @Mixin
-    private Common common;
+    private LedgerOptions options;
 
     @Override
     public Integer call() throws BadFileException, IOException {
-      AgreeClient client = common.client();
+      AgreeClient client = options.client();
       LedgerState s = client.fullState();
       System.out.println("index " + s.index() + ", leader " + (client.leader().isEmpty() ? "nobody" : client.leader()) + ", "
           + s.members().size() + " members");
@@ -236,11 +238,12 @@
     }
   }
 
-  @picocli.CommandLine.Command(name = "why", mixinStandardHelpOptions = true, description = "Why one is out, or could not be now. Changes nothing.")
-  static final class Why extends OnMember {
+  @picocli.CommandLine.Command(name = "why", mixinStandardHelpOptions = true,
+      description = "Shows why a member is out or, if it is not, whether a permit would be granted now. Read-only.")
+  static final class Why extends MemberCommand {
     @Override
     public Integer call() throws BadFileException, IOException {
-      LedgerState s = common.client().fullState();
+      LedgerState s = options.client().fullState();
       LedgerState.Member m = s.members().get(id);
       if (m == null) {
         System.out.println(id + ": " + ResultCode.UNKNOWN_MEMBER.text());
@@ -249,24 +252,25 @@
       LedgerState.Permit out = s.outs().get(id);
       if (out != null) {
         System.out.println(id + ": " + out.phase().name().toLowerCase(java.util.Locale.ROOT) + " by " + out.by() + ": " + out.why()
-            + (out.phase() == Phase.RETURNING ? "; counts as out until it is seen warm" : ""));
+            + (out.phase() == Phase.RETURNING ? "; counts as out until it is observed to be warm" : ""));
         return 0;
       }
       DisruptionLedger copy = new DisruptionLedger();
       copy.restore(s);
       Reply r = copy.apply(s.index() + 1, s.nowMillis(), new Command.Ask("why " + UUID.randomUUID(), id, "why", "", 0, false));
-      System.out.println(id + ": in service" + (m.unwell() ? ", unwell" : "") + "; an ask would be " + (r.isSuccess() ? "granted" : r.word().text()
-          + " " + r.binding() + (r.holders().isEmpty() ? "" : ", held by " + String.join(" ", r.holders()))));
+      System.out.println(id + ": in service" + (m.unwell() ? ", unwell" : "") + "; a request would be " + (r.isSuccess() ? "granted"
+          : r.word().text() + " " + r.binding() + (r.holders().isEmpty() ? "" : ", held by " + String.join(" ", r.holders()))));
       return 0;
     }
   }
 
-  @picocli.CommandLine.Command(name = "halt", mixinStandardHelpOptions = true, description = "Nobody new goes out until it is lifted by its name.")
-  static final class HaltAll implements Callable<Integer> {
+  @picocli.CommandLine.Command(name = "halt", mixinStandardHelpOptions = true,
+      description = "Adds a halt: no further permits are granted until it is lifted by its name.")
+  static final class AddHalt implements Callable<Integer> {
     @Mixin
-    private Common common;
+    private LedgerOptions options;
 
-    @Option(names = "--why", paramLabel = "TEXT", required = true, description = "why")
+    @Option(names = "--why", paramLabel = "TEXT", required = true, description = "the reason")
     private String why;
 
     @Option(names = "--name", paramLabel = "NAME", description = "the halt's name (default: ${DEFAULT-VALUE})", defaultValue = "by-hand")
@@ -274,34 +278,34 @@
 
     @Override
     public Integer call() throws BadFileException, IOException {
-      return say("halt " + name, common.client().command(new Command.Halt(name, common.by, why), TRY_MILLIS));
+      return printReply("halt " + name, options.client().command(new Command.Halt(name, options.by, why), COMMAND_TIMEOUT_MILLIS));
     }
   }
 
-  @picocli.CommandLine.Command(name = "resume", mixinStandardHelpOptions = true, description = "Lifts one halt.")
-  static final class ResumeAll implements Callable<Integer> {
+  @picocli.CommandLine.Command(name = "resume", mixinStandardHelpOptions = true, description = "Lifts a halt.")
+  static final class LiftHalt implements Callable<Integer> {
     @Mixin
-    private Common common;
+    private LedgerOptions options;
 
-    @Parameters(paramLabel = "NAME", description = "the halt's name, as `show` has it")
+    @Parameters(paramLabel = "NAME", description = "the halt's name, as printed by `show`")
     private String name;
 
     @Override
     public Integer call() throws BadFileException, IOException {
-      return say("halt " + name, common.client().command(new Command.Resume(name, common.by), TRY_MILLIS));
+      return printReply("halt " + name, options.client().command(new Command.Resume(name, options.by), COMMAND_TIMEOUT_MILLIS));
     }
   }
 
   @picocli.CommandLine.Command(name = "back", mixinStandardHelpOptions = true,
-      description = "Brings back all that is out, a few at a time. It goes on by itself, whoever asked.")
-  static final class BackAll implements Callable<Integer> {
+      description = "Returns all members that are out, a few at a time. The fleet continues by itself after this command has exited.")
+  static final class ReturnAll implements Callable<Integer> {
     @Mixin
-    private Common common;
+    private LedgerOptions options;
 
-    @Option(names = "--all", description = "of every group")
+    @Option(names = "--all", description = "returns the members of all groups")
     private boolean all;
 
-    @Parameters(paramLabel = "GROUP", arity = "0..1", description = "of this group")
+    @Parameters(paramLabel = "GROUP", arity = "0..1", description = "returns the members of this group")
     private String group;
 
     @Override
@@ -309,18 +313,19 @@
       if (all == (group != null)) {
         throw new picocli.CommandLine.ParameterException(new picocli.CommandLine(this), "expected --all or one GROUP");
       }
-      return say("back " + (all ? "all" : group), common.client().command(new Command.Back(all ? "" : group, common.by), TRY_MILLIS));
+      return printReply("back " + (all ? "all" : group),
+          options.client().command(new Command.Back(all ? "" : group, options.by), COMMAND_TIMEOUT_MILLIS));
     }
   }
 
-  @picocli.CommandLine.Command(name = "history", mixinStandardHelpOptions = true, description = "What changed last.")
+  @picocli.CommandLine.Command(name = "history", mixinStandardHelpOptions = true, description = "Shows the latest changes.")
   static final class History implements Callable<Integer> {
     @Mixin
-    private Common common;
+    private LedgerOptions options;
 
     @Override
     public Integer call() throws BadFileException, IOException {
-      for (LedgerState.HistoryEntry c : common.client().fullState().history()) {
+      for (LedgerState.HistoryEntry c : options.client().fullState().history()) {
         System.out.println(c.index() + " " + Instant.ofEpochMilli(c.atMillis()) + " " + c.what() + " " + c.member()
             + (c.by().isEmpty() ? "" : " by " + c.by()) + (c.why().isEmpty() ? "" : ": " + c.why()));
       }
@@ -328,7 +333,7 @@
     }
   }
 
-  /** Groups of the file's own servers that can never grant. */
+  /** Returns the groups of the file's servers whose limits can never grant a permit. */
   static List<String> neverGrant(OperatorsConfig read) {
     Map<String, Integer> sizes = new TreeMap<>();
     if (read.fleet().isWritten()) {
