--- a/dist/src/test/java/cloverpulley/cli/CommandIT.java
+++ b/dist/src/test/java/cloverpulley/cli/CommandIT.java
@@ -40,11 +40,11 @@
 import org.xbill.DNS.SimpleResolver;
 import org.xbill.DNS.Type;
 
-/** The packaged command, in processes of its own. */
+/** Tests the packaged command in child processes. */
 @Timeout(value = 3, unit = TimeUnit.MINUTES)
 class CommandIT {
 
-  private static final int LIMIT_S = 60;
+  private static final int TIMEOUT_S = 60;
 
   @TempDir
   Path folder;
@@ -52,7 +52,7 @@
   private final List<Process> processes = new ArrayList<>();
 
   @AfterEach
-  void end() {
+  void destroyProcesses() {
     processes.forEach(Process::destroyForcibly);
   }
 
@@ -60,19 +60,19 @@
     List<String> command = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
         "-XX:TieredStopAtLevel=1", "-jar", System.getProperty("jar")));
     command.addAll(Arrays.asList(args));
-    Process process = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.to(err().toFile())).start();
+    Process process = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.to(errFile().toFile())).start();
     processes.add(process);
     return process;
   }
 
-  private Path err() {
+  private Path errFile() {
     return folder.resolve("err" + processes.size());
   }
 
-  private int status(String... args) throws IOException, InterruptedException {
+  private int runForStatus(String... args) throws IOException, InterruptedException {
     Process process = start(args);
     process.getInputStream().readAllBytes();
-    assertTrue(process.waitFor(LIMIT_S, TimeUnit.SECONDS), "it ends");
+    assertTrue(process.waitFor(TIMEOUT_S, TimeUnit.SECONDS), "the process exits");
     return process.exitValue();
   }
 
@@ -80,11 +80,11 @@
     return Files.readString(folder.resolve("err" + (processes.size() - 1)));
   }
 
-  /** Waits until it serves; where. */
-  private static InetSocketAddress listening(Process process) throws IOException {
+  /** Waits until the process listens and returns its address. */
+  private static InetSocketAddress awaitListening(Process process) throws IOException {
     String line =
         new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8)).readLine();
-    assertNotNull(line, "it serves");
+    assertNotNull(line, "the process listens");
     assertTrue(line.matches("(process|dns) listening on 127\\.0\\.0\\.1:\\d+"), line);
     return new InetSocketAddress("127.0.0.1", Integer.parseInt(line.substring(line.lastIndexOf(':') + 1)));
   }
@@ -99,24 +99,24 @@
   }
 
   @Test
-  void wrongCommandLinesAreStatusTwoAndBadFilesOne() throws Exception {
-    assertEquals(2, status("nonsense"));
-    assertEquals(2, status("process"));
-    assertEquals(1, status("check", folder.resolve("none").toString()));
+  void invalidCommandLinesExitWithTwoAndBadFilesWithOne() throws Exception {
+    assertEquals(2, runForStatus("nonsense"));
+    assertEquals(2, runForStatus("process"));
+    assertEquals(1, runForStatus("check", folder.resolve("none").toString()));
     assertEquals(1, lastErr().lines().count(), lastErr());
     Path bad = Files.writeString(folder.resolve("bad.toml"), config(0, "127.0.0.1:1") + "odd = 1\n[processor.odd]\n");
-    assertEquals(1, status("process", "--config", bad.toString()));
+    assertEquals(1, runForStatus("process", "--config", bad.toString()));
     assertTrue(lastErr().contains("bad.toml: line 13: fleet.server[0].odd: unknown key"), lastErr());
-    assertEquals(0, status("check", "deploy/operators.toml"));
-    assertEquals(0, status("--help"));
+    assertEquals(0, runForStatus("check", "deploy/operators.toml"));
+    assertEquals(0, runForStatus("--help"));
     for (String command : List.of("process", "dns", "dnssd", "check", "demo")) {
-      assertEquals(0, status(command, "--help"));
+      assertEquals(0, runForStatus(command, "--help"));
     }
   }
 
-  /** A file that speaks of DNS alone is whole; a file without DNS starts none; the front forwards, and ends with status 0. */
+  /** A file with only DNS is valid; a file without DNS does not start the command; the server forwards queries and exits with status 0. */
   @Test
-  void dnsIsACommandOfItsOwn() throws Exception {
+  void dnsCommandForwardsAndExitsCleanly() throws Exception {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     try (StandInDns server = new StandInDns(group, StandInDns.addresses("10.0.0.1"))) {
       Path file = Files.writeString(folder.resolve("dns.toml"), """
@@ -132,31 +132,31 @@
           id = "d"
           address = "ADDRESS"
           """.replace("ADDRESS", server.hostPort()));
-      assertEquals(0, status("check", file.toString()));
-      assertEquals(1, status("process", "--config", file.toString()));
+      assertEquals(0, runForStatus("check", file.toString()));
+      assertEquals(1, runForStatus("process", "--config", file.toString()));
       Path without = Files.writeString(folder.resolve("without.toml"), config(0, "127.0.0.1:1"));
-      assertEquals(1, status("dns", "--config", without.toString()));
+      assertEquals(1, runForStatus("dns", "--config", without.toString()));
       assertTrue(lastErr().contains("expected a table [dns]"), lastErr());
       Path bad = Files.writeString(folder.resolve("bad-dns.toml"), Files.readString(file) + "[dns.cache]\nmb = -1\nsize = 3\n");
-      assertEquals(1, status("dns", "--config", bad.toString()));
+      assertEquals(1, runForStatus("dns", "--config", bad.toString()));
       assertEquals(2, lastErr().lines().count(), lastErr());
       assertTrue(lastErr().contains("line 13: dns.cache.mb: expected a whole number"), lastErr());
-      Process front = start("dns", "--config", file.toString());
-      SimpleResolver resolver = new SimpleResolver(listening(front));
-      resolver.setTimeout(java.time.Duration.ofSeconds(LIMIT_S));
+      Process dns = start("dns", "--config", file.toString());
+      SimpleResolver resolver = new SimpleResolver(awaitListening(dns));
+      resolver.setTimeout(java.time.Duration.ofSeconds(TIMEOUT_S));
       Message m = resolver.send(Message.newQuery(Record.newRecord(Name.fromString("www.example."), Type.A, 1)));
       assertEquals("10.0.0.1", m.getSection(Section.ANSWER).get(0).rdataToString());
-      signal(front, "-TERM");
-      assertTrue(front.waitFor(LIMIT_S, TimeUnit.SECONDS));
-      assertEquals(0, front.exitValue());
+      sendSignal(dns, "-TERM");
+      assertTrue(dns.waitFor(TIMEOUT_S, TimeUnit.SECONDS));
+      assertEquals(0, dns.exitValue());
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
   }
 
-  /** Whoever looks for the program finds it while it serves, and no more from its SIGTERM on, while it still answers. */
+  /** The process is discoverable while it serves. On SIGTERM it withdraws its registration first, while it still answers calls. */
   @Test
-  void aProgramThatIsRegisteredWithdrawsFirstOfAll() throws Exception {
+  void registrationIsWithdrawnBeforeShutdown() throws Exception {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     try (StandInZone zone = new StandInZone(group, "example.")) {
       zone.server("q1", "h1.example.", 7001, "127.0.0.1", "started=b1");
@@ -164,7 +164,7 @@
           + "[fleet.dnssd]\ndomains = [\"example\"]\n[[fleet.dnssd.resolver]]\naddress = \"" + zone.server().hostPort() + "\"\n"
           + "[publish]\nprimary = \"" + zone.server().hostPort() + "\"\nzone = \"example\"\ninstance = \"me\"\nservice = \"_proxy._tcp\"\n");
       Process process = start("process", "--config", file.toString());
-      InetSocketAddress address = listening(process);
+      InetSocketAddress address = awaitListening(process);
       while (zone.at("_proxy._tcp.example.").isEmpty()) {
         assertTrue(process.isAlive(), lastErr());
         TimeUnit.MILLISECONDS.sleep(5);
@@ -174,13 +174,13 @@
         while (!destination(caller).equals("127.0.0.1:7001")) {
           assertTrue(process.isAlive(), lastErr());
         }
-        signal(process, "-TERM");
+        sendSignal(process, "-TERM");
         while (!zone.at("_proxy._tcp.example.").isEmpty()) {
           TimeUnit.MILLISECONDS.sleep(1);
         }
-        assertEquals("127.0.0.1:7001", destination(caller), "withdrawn, and still serving");
+        assertEquals("127.0.0.1:7001", destination(caller), "withdrawn but still serving");
       }
-      assertTrue(process.waitFor(LIMIT_S, TimeUnit.SECONDS));
+      assertTrue(process.waitFor(TIMEOUT_S, TimeUnit.SECONDS));
       assertEquals(0, process.exitValue(), lastErr());
     } finally {
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
@@ -188,33 +188,33 @@
   }
 
   @Test
-  void aPortThatIsTakenIsOneLine() throws Exception {
-    try (var taken = new java.net.ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
-      Path file = Files.writeString(folder.resolve("o.toml"), config(taken.getLocalPort(), "127.0.0.1:1"));
-      assertEquals(1, status("process", "--config", file.toString()));
+  void portInUseIsReportedInOneLine() throws Exception {
+    try (var socket = new java.net.ServerSocket(0, 1, java.net.InetAddress.getLoopbackAddress())) {
+      Path file = Files.writeString(folder.resolve("o.toml"), config(socket.getLocalPort(), "127.0.0.1:1"));
+      assertEquals(1, runForStatus("process", "--config", file.toString()));
       assertTrue(lastErr().contains("can't listen at"), lastErr());
     }
   }
 
   @Test
-  void sighupReadsTheListAgainAndSigtermEndsInOrder() throws Exception {
+  void sighupReloadsTheListAndSigtermShutsDown() throws Exception {
     Path file = Files.writeString(folder.resolve("o.toml"), config(0, "127.0.0.1:7001"));
     Process process = start("process", "--config", file.toString());
-    try (StandInCaller caller = new StandInCaller(listening(process))) {
+    try (StandInCaller caller = new StandInCaller(awaitListening(process))) {
       assertEquals("127.0.0.1:7001", destination(caller));
       Files.writeString(file, config(0, "127.0.0.1:7002"));
-      signal(process, "-HUP");
+      sendSignal(process, "-HUP");
       while (!destination(caller).equals("127.0.0.1:7002")) {
         assertTrue(process.isAlive());
       }
       Files.writeString(file, "nonsense");
-      signal(process, "-HUP");
+      sendSignal(process, "-HUP");
       while (!lastErr().contains("reload rejected")) {
         TimeUnit.MILLISECONDS.sleep(5);
       }
       assertEquals("127.0.0.1:7002", destination(caller));
       process.destroy();
-      assertTrue(process.waitFor(LIMIT_S, TimeUnit.SECONDS));
+      assertTrue(process.waitFor(TIMEOUT_S, TimeUnit.SECONDS));
       assertEquals(0, process.exitValue(), lastErr());
       assertTrue(lastErr().contains("stopped: calls="), lastErr());
     }
@@ -227,39 +227,39 @@
     return destination == null ? "" : destination;
   }
 
-  private static void signal(Process process, String signal) throws IOException, InterruptedException {
+  private static void sendSignal(Process process, String signal) throws IOException, InterruptedException {
     assertEquals(0, new ProcessBuilder("kill", signal, Long.toString(process.pid())).start().waitFor());
   }
 
-  /** SIGKILL with calls in hand, then a successor on the same port: each client has one answer, none is left without. */
+  /** SIGKILL with calls in progress, then a successor on the same port: every client receives exactly one answer. */
   @Test
-  void afterSigkillASuccessorDecides() throws Exception {
+  void successorTakesOverAfterSigkill() throws Exception {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     HttpClient http = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     try (StandInUpstream a = new StandInUpstream(group, r -> Answer.ok(50));
         StandInUpstream b = new StandInUpstream(group, r -> Answer.ok(50))) {
       Process first =
           start("process", "--config", Files.writeString(folder.resolve("o.toml"), config(0, a.address(), b.address())).toString());
-      InetSocketAddress address = listening(first);
+      InetSocketAddress address = awaitListening(first);
       try (StandInProxy proxy = new StandInProxy(address, new StandInProxy.Config("x-gateway-destination-endpoint", 60, 100, true,
           1000, 10_000, cloverpulley.extproc.ExtProc.ProcessingMode.BodySendMode.NONE,
           cloverpulley.extproc.ExtProc.ProcessingMode.BodySendMode.NONE))) {
-        List<CompletableFuture<HttpResponse<String>>> asked = new ArrayList<>();
+        List<CompletableFuture<HttpResponse<String>>> answers = new ArrayList<>();
         for (int i = 0; i < 100; i++) {
-          asked.add(ask(http, proxy, "a" + i));
+          answers.add(send(http, proxy, "a" + i));
         }
         while (proxy.tally().destinations.get() == 0) {
           TimeUnit.MILLISECONDS.sleep(1);
         }
         first.destroyForcibly();
         for (int i = 0; i < 50; i++) {
-          asked.add(ask(http, proxy, "b" + i));
+          answers.add(send(http, proxy, "b" + i));
         }
-        listening(start("process", "--config", Files.writeString(folder.resolve("o2.toml"),
+        awaitListening(start("process", "--config", Files.writeString(folder.resolve("o2.toml"),
             config(address.getPort(), a.address(), b.address())).toString()));
         int served = 0;
-        for (CompletableFuture<HttpResponse<String>> answer : asked) {
-          served += answer.get(LIMIT_S, TimeUnit.SECONDS).statusCode() == 200 ? 1 : 0;
+        for (CompletableFuture<HttpResponse<String>> answer : answers) {
+          served += answer.get(TIMEOUT_S, TimeUnit.SECONDS).statusCode() == 200 ? 1 : 0;
         }
         assertEquals(150, served);
         assertEquals(150, proxy.tally().answers.get());
@@ -270,7 +270,7 @@
     }
   }
 
-  private static CompletableFuture<HttpResponse<String>> ask(HttpClient http, StandInProxy proxy, String id) {
+  private static CompletableFuture<HttpResponse<String>> send(HttpClient http, StandInProxy proxy, String id) {
     return http.sendAsync(HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + proxy.address().getPort() + "/"))
         .header("x-request-id", id).header("x-qos", "safe").build(), HttpResponse.BodyHandlers.ofString());
   }
--- a/dist/src/test/java/cloverpulley/cli/IncidentIT.java
+++ b/dist/src/test/java/cloverpulley/cli/IncidentIT.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A processor that is killed while it serves: what its records lack is exactly what the report says that they lack. */
+/** A processor is killed while it serves: the report states exactly the records that were lost. */
 @Timeout(value = 3, unit = TimeUnit.MINUTES)
 class IncidentIT {
 
@@ -40,7 +40,7 @@
   private Process process;
 
   @AfterEach
-  void end() {
+  void destroyProcess() {
     if (process != null) {
       process.destroyForcibly();
     }
@@ -53,9 +53,9 @@
     return new ProcessBuilder(command).redirectError(folder.resolve("err").toFile()).start();
   }
 
-  private static String out(Process p) throws IOException, InterruptedException {
+  private static String output(Process p) throws IOException, InterruptedException {
     String text = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-    assertTrue(p.waitFor(60, TimeUnit.SECONDS), "it ends");
+    assertTrue(p.waitFor(60, TimeUnit.SECONDS), "the process exits");
     return text;
   }
 
@@ -92,7 +92,7 @@
       """;
 
   @Test
-  void whatAKillTakesIsExactlyTheStatedUnknown() throws Exception {
+  void recordsLostByAKillAreReportedAsUnknown() throws Exception {
     Path records = folder.resolve("records");
     Path config = Files.writeString(folder.resolve("o.toml"), CONFIG.replace("RECORDS", records.toString()));
     process = start("process", "--config", config.toString());
@@ -108,39 +108,39 @@
         caller.recordCall(id, "safe", null, outcome == Outcome.SERVED ? Entry.SERVED : Entry.GONE, took);
       });
     }
-    assertTrue(killed.get(), "killed in the middle");
-    IncidentAnalysis s = new IncidentAnalysis(new Archive(List.of(records)), IncidentAnalysis.Options.allRecords(), n -> { });
-    long recorded = s.timeline.count(null, null, null, Entry.SERVED);
-    long calledOnly = s.timeline.callerOnly().getOrDefault(Entry.SERVED, 0L);
-    long answeredOnly = s.timeline.calleeOnly().getOrDefault(Entry.SERVED, 0L);
-    assertEquals(served.get(), recorded - answeredOnly + calledOnly);
-    assertTrue(recorded > 0, "some of it was in the file");
-    List<Timeline.Gap> gaps = s.timeline.gaps(s.clocks);
+    assertTrue(killed.get(), "killed during the run");
+    IncidentAnalysis analysis = new IncidentAnalysis(new Archive(List.of(records)), IncidentAnalysis.Options.allRecords(), n -> { });
+    long recorded = analysis.timeline.count(null, null, null, Entry.SERVED);
+    long callerOnly = analysis.timeline.callerOnly().getOrDefault(Entry.SERVED, 0L);
+    long calleeOnly = analysis.timeline.calleeOnly().getOrDefault(Entry.SERVED, 0L);
+    assertEquals(served.get(), recorded - calleeOnly + callerOnly);
+    assertTrue(recorded > 0, "some records were written");
+    List<Timeline.Gap> gaps = analysis.timeline.gaps(analysis.clocks);
     assertTrue(gaps.stream().anyMatch(g -> g.instance().equals("p1") && g.reason().contains("no record of a stop")), gaps.toString());
-    assertTrue(s.audit.findings().stream().noneMatch(Audit.Finding::certain), s.audit.findings().toString());
-    commands(records);
+    assertTrue(analysis.audit.findings().stream().noneMatch(Audit.Finding::certain), analysis.audit.findings().toString());
+    runCommands(records);
   }
 
-  private void commands(Path records) throws Exception {
+  private void runCommands(Path records) throws Exception {
     Path page = folder.resolve("incident.html");
     Process report = start("incident", "report", records.toString(), "-o", page.toString(), "--span", "1");
-    assertTrue(out(report).contains("requests answered"));
+    assertTrue(output(report).contains("requests answered"));
     assertEquals(0, report.exitValue());
     assertTrue(Files.readString(page).contains("no record of a stop"));
-    assertTrue(out(start("incident", "verify", records.toString())).contains("nothing_to_drained"));
-    String listed = out(start("incident", "query", "kind=answered and instance=p1", records.toString(), "--json", "--most", "1"));
+    assertTrue(output(start("incident", "verify", records.toString())).contains("nothing_to_drained"));
+    String listed = output(start("incident", "query", "kind=answered and instance=p1", records.toString(), "--json", "--most", "1"));
     String id = listed.replaceAll("(?s).*\"request\":\"([^\"]+)\".*", "$1");
-    assertTrue(out(start("incident", "why", id, records.toString())).contains("taken as safe"), id);
+    assertTrue(output(start("incident", "why", id, records.toString())).contains("taken as safe"), id);
     Process wrong = start("incident", "query", "kind=", records.toString());
-    out(wrong);
+    output(wrong);
     assertEquals(1, wrong.exitValue());
     assertTrue(Files.readString(folder.resolve("err")).contains("query, character 6"), Files.readString(folder.resolve("err")));
     Process none = start("incident", "report", folder.resolve("none").toString(), "-o", page.toString());
-    out(none);
+    output(none);
     assertEquals(1, none.exitValue());
     Process console = start("incident", "console", records.toString(), "--redraws", "1");
     console.getOutputStream().close();
-    out(console);
+    output(console);
     assertEquals(0, console.exitValue(), Files.readString(folder.resolve("err")));
   }
 }
--- a/dist/src/test/java/cloverpulley/cli/LogsTest.java
+++ b/dist/src/test/java/cloverpulley/cli/LogsTest.java
@@ -25,29 +25,29 @@
 
 class LogsTest {
 
-  private final PrintStream before = System.err;
+  private final PrintStream originalErr = System.err;
 
   @AfterEach
   void restore() {
-    System.setErr(before);
+    System.setErr(originalErr);
     Logs.configure(LogConfig.DEFAULT);
   }
 
-  private static String logged(LogConfig.Format format, LogConfig.Level level, Runnable what) {
+  private static String captureLog(LogConfig.Format format, LogConfig.Level level, Runnable action) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     System.setErr(new PrintStream(out, true, StandardCharsets.UTF_8));
     Logs.configure(new LogConfig(level, format, 3, 60_000));
-    what.run();
+    action.run();
     Logs.stop();
     return out.toString(StandardCharsets.UTF_8);
   }
 
   @Test
-  void anObjectALineWithEventAndFields() throws Exception {
+  void jsonLinesHaveEventAndFields() throws Exception {
     Logger log = Logger.getLogger("cloverpulley.dns.DnsServer");
-    String text = logged(LogConfig.Format.JSON, LogConfig.Level.INFO, () -> {
+    String text = captureLog(LogConfig.Format.JSON, LogConfig.Level.INFO, () -> {
       log.info("stopped: queries=17 over_rate=2 word=a\u001bb queries=3");
-      log.fine("not said");
+      log.fine("below the level");
     });
     assertEquals(1, text.lines().count(), text);
     Map<String, String> fields = new HashMap<>();
@@ -67,15 +67,15 @@
   }
 
   @Test
-  void linesForPeopleMoveNoTerminal() {
-    String text = logged(LogConfig.Format.TEXT, LogConfig.Level.INFO, () -> Logger.getLogger("x.Y").warning("tenant \u001b[2J\r\nnew line"));
+  void textLinesContainNoControlCharacters() {
+    String text = captureLog(LogConfig.Format.TEXT, LogConfig.Level.INFO, () -> Logger.getLogger("x.Y").warning("tenant \u001b[2J\r\nnew line"));
     assertEquals(1, text.lines().count(), text);
     assertTrue(text.contains("WARN tenant ?[2J??new line"), text);
   }
 
   @Test
-  void levelsAreThoseOfTheFile() {
-    String text = logged(LogConfig.Format.TEXT, LogConfig.Level.WARN, () -> {
+  void levelIsConfigurable() {
+    String text = captureLog(LogConfig.Format.TEXT, LogConfig.Level.WARN, () -> {
       Logger.getLogger("x.Y").info("quiet");
       Logger.getLogger("x.Y").severe("loud");
     });
@@ -83,20 +83,20 @@
   }
 
   @Test
-  void repeatsAreCountedToTheLast() {
-    ListAppender<ILoggingEvent> to = new ListAppender<>();
-    to.start();
-    RepeatLimitingAppender r = new RepeatLimitingAppender(to, 3, 1000);
-    r.start();
+  void repeatsAreCountedExactly() {
+    ListAppender<ILoggingEvent> delegate = new ListAppender<>();
+    delegate.start();
+    RepeatLimitingAppender appender = new RepeatLimitingAppender(delegate, 3, 1000);
+    appender.start();
     for (int i = 0; i < 1000; i++) {
-      r.doAppend(event(i, "connection " + i + " fails"));
+      appender.doAppend(event(i, "connection " + i + " fails"));
     }
-    r.doAppend(event(999, "something else"));
-    r.doAppend(event(1000, "connection 5 fails")); // The window has ended: its count is logged and a new window starts.
-    r.stop();
-    List<String> said = to.list.stream().map(ILoggingEvent::getFormattedMessage).toList();
+    appender.doAppend(event(999, "something else"));
+    appender.doAppend(event(1000, "connection 5 fails")); // The window has ended: its count is logged and a new window starts.
+    appender.stop();
+    List<String> messages = delegate.list.stream().map(ILoggingEvent::getFormattedMessage).toList();
     assertEquals(List.of("connection 0 fails", "connection 1 fails", "connection 2 fails", "something else",
-        "repeated=997 similar to: connection 0 fails", "connection 5 fails"), said);
+        "repeated=997 similar to: connection 0 fails", "connection 5 fails"), messages);
   }
 
   private static ILoggingEvent event(long at, String message) {
@@ -109,7 +109,7 @@
   }
 
   @Test
-  void theSectionIsChecked() throws BadFileException {
+  void sectionIsValidated() throws BadFileException {
     assertEquals(LogConfig.Format.JSON, OperatorsFile.parse("f", "[log]\nformat = \"json\"", s -> LogConfig.read(s.table("log"))).format());
     BadFileException e = org.junit.jupiter.api.Assertions.assertThrows(BadFileException.class,
         () -> OperatorsFile.parse("f", "[log]\nlevel = \"loud\"\nwindow_ms = 1\nx = 2", s -> LogConfig.read(s.table("log"))));
--- a/dist/src/test/java/cloverpulley/cli/OutsRig.java
+++ b/dist/src/test/java/cloverpulley/cli/OutsRig.java
@@ -33,18 +33,18 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Five balancers as processes of the built jar, three of them voters joined by relays, six upstreams in two dedup groups, clients at all. */
+/** Five balancer processes of the built jar, three of them voters connected by relays, six upstreams in two dedup groups, clients at each. */
 abstract class OutsRig {
 
   static final int VOTERS = 3;
-  static final int ALL = 5;
-  static final long GRACE_NANOS = TimeUnit.SECONDS.toNanos(2);
+  static final int BALANCERS = 5;
+  static final long DRAIN_GRACE_NANOS = TimeUnit.SECONDS.toNanos(2);
 
   @TempDir
   Path folder;
 
   final EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
-  final ExecutorService threads = Executors.newCachedThreadPool(task -> {
+  final ExecutorService executor = Executors.newCachedThreadPool(task -> {
     Thread t = new Thread(task);
     t.setDaemon(true);
     return t;
@@ -56,17 +56,18 @@
   AgreeClient client;
 
   @BeforeEach
-  void start() throws Exception {
-    List<Upstream> listed = new ArrayList<>();
+  void startFleet() throws Exception {
+    List<Upstream> upstreamSpecs = new ArrayList<>();
     for (int i = 0; i < 6; i++) {
       StandInUpstream u = new StandInUpstream(group, r -> Answer.ok());
       upstreams.put("s" + i, u);
-      listed.add(new Upstream("s" + i, u.address(), i / 3));
+      upstreamSpecs.add(new Upstream("s" + i, u.address(), i / 3));
     }
     String groups = "[[agree.group]]\nname = \"upstreams\"\npart = 0.34\nback = 2\n[[agree.group]]\nname = \"cell:0\"\nmost = 1\n"
         + "[[agree.group]]\nname = \"cell:1\"\nmost = 1\n[[agree.group]]\nname = \"balancers\"\nmost = 1\n";
     fleet = new AgreeingFleet(folder, List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
-        "-XX:TieredStopAtLevel=1", "-Xmx48m", "-jar", System.getProperty("jar")), new Plan(VOTERS, ALL - VOTERS, listed, groups, 300, 50, 1500, true));
+        "-XX:TieredStopAtLevel=1", "-Xmx48m", "-jar", System.getProperty("jar")), new Plan(VOTERS, BALANCERS - VOTERS, upstreamSpecs,
+        groups, 300, 50, 1500, true));
     for (Instance i : fleet.instances()) {
       i.start();
     }
@@ -78,12 +79,12 @@
     for (Instance i : fleet.instances()) {
       asking.at(i);
     }
-    await("all are enrolled", () -> whole().members().size() == 6 + ALL && whole().rules().version() == 1
-        && whole().members().values().stream().noneMatch(LedgerState.Member::unwell));
+    await("all are enrolled", () -> fullState().members().size() == 6 + BALANCERS && fullState().rules().version() == 1
+        && fullState().members().values().stream().noneMatch(LedgerState.Member::unwell));
   }
 
   @AfterEach
-  void stop() throws Exception {
+  void stopFleet() throws Exception {
     asking.close();
     if (fleet != null) {
       for (Instance i : fleet.instances()) {
@@ -94,20 +95,20 @@
       fleet.close();
     }
     upstreams.values().forEach(StandInUpstream::close);
-    threads.shutdownNow();
+    executor.shutdownNow();
     group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
   }
 
-  LedgerState whole() throws IOException {
+  LedgerState fullState() throws IOException {
     return client.fullState();
   }
 
-  static void await(String what, Callable<Boolean> holds) throws Exception {
+  static void await(String description, Callable<Boolean> condition) throws Exception {
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(60);
     Exception last = null;
     while (System.nanoTime() < until) {
       try {
-        if (holds.call()) {
+        if (condition.call()) {
           return;
         }
       } catch (IOException e) {
@@ -115,38 +116,38 @@
       }
       TimeUnit.MILLISECONDS.sleep(20);
     }
-    throw new AssertionError("never: " + what, last);
+    throw new AssertionError("timed out: " + description, last);
   }
 
-  Reply ask(AgreeClient by, String name, String member, long waitMillis) throws IOException {
-    Reply r = by.command(new Command.Ask(name, member, "it", "test", waitMillis, false), 20_000);
+  Reply requestPermit(AgreeClient via, String name, String member, long waitMillis) throws IOException {
+    Reply r = via.command(new Command.Ask(name, member, "it", "test", waitMillis, false), 20_000);
     if (r.isSuccess()) {
       outSince.putIfAbsent(member, System.nanoTime());
     }
     return r;
   }
 
-  void bringBack(String member) throws IOException {
-    assertEquals(ResultCode.DONE, client.command(new Command.Return(member, "it", whole().outs().get(member).epoch()), 20_000).word());
+  void markReturned(String member) throws IOException {
+    assertEquals(ResultCode.DONE, client.command(new Command.Return(member, "it", fullState().outs().get(member).epoch()), 20_000).word());
   }
 
-  AgreeClient at(int voter) {
+  AgreeClient clientOf(int voter) {
     return new AgreeClient(List.of(new VoterAddress("b" + voter, null, fleet.api(voter))));
   }
 
-  int leader() throws Exception {
-    await("somebody leads", () -> !client.leader().isEmpty() && whole() != null && client.leader().startsWith("b"));
+  int awaitLeader() throws Exception {
+    await("there is a leader", () -> !client.leader().isEmpty() && fullState() != null && client.leader().startsWith("b"));
     return Integer.parseInt(client.leader().substring(1));
   }
 
-  /** Nothing new at one that is out later than two seconds after the yes. */
-  void assertQuiet(String member) {
-    long from = outSince.get(member) + GRACE_NANOS;
-    assertEquals(0, upstreams.get(member).seen().stream().filter(s -> s.atNanos() > from).count(), member + " got work after it was out");
+  /** Checks that the member received no requests later than two seconds after the permit was granted. */
+  void assertNoRequestsAfterGrace(String member) {
+    long from = outSince.get(member) + DRAIN_GRACE_NANOS;
+    assertEquals(0, upstreams.get(member).seen().stream().filter(s -> s.atNanos() > from).count(), member + " received requests after it was out");
   }
 
-  void assertNobodyLost() {
-    assertEquals(0, asking.lost(), "answers other than 200 and refusals");
-    assertTrue(asking.answered() > 100, "there were clients");
+  void assertNoRequestLost() {
+    assertEquals(0, asking.lost(), "responses other than 200 and rejections");
+    assertTrue(asking.answered() > 100, "clients were active");
   }
 }
