--- a/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
@@ -93,7 +93,8 @@
     @Override
     public void requestEnded(Exchange x, Completion end, Reason reason) {
       if (follower != null && end != Completion.GONE) {
-        follower.recordRequest(end == Completion.REJECTED && reason != Reason.QUOTA); // An exhausted quota says nothing about the fleet's health.
+        // A rejection because of the client's own quota says nothing about the fleet's health.
+        follower.recordRequest(end == Completion.REJECTED && reason != Reason.QUOTA);
       }
     }
 
--- a/dist/src/test/java/cloverpulley/cli/CommandIT.java
+++ b/dist/src/test/java/cloverpulley/cli/CommandIT.java
@@ -169,7 +169,8 @@
         assertTrue(process.isAlive(), lastErr());
         TimeUnit.MILLISECONDS.sleep(5);
       }
-      assertTrue(zone.at("me._proxy._tcp.example.").toString().contains(" " + address.getPort() + " "), zone.at("me._proxy._tcp.example.").toString());
+      assertTrue(zone.at("me._proxy._tcp.example.").toString().contains(" " + address.getPort() + " "),
+          zone.at("me._proxy._tcp.example.").toString());
       try (StandInCaller caller = new StandInCaller(address)) {
         while (!destination(caller).equals("127.0.0.1:7001")) {
           assertTrue(process.isAlive(), lastErr());
--- a/dist/src/test/java/cloverpulley/cli/VotersIT.java
+++ b/dist/src/test/java/cloverpulley/cli/VotersIT.java
@@ -43,7 +43,8 @@
     asking.at(fleet.instances().get(lost));
     assertTrue(fleet.instances().get(lost).log().contains("does not vote"), "it does not vote with an empty journal");
     assertEquals(ResultCode.DONE, client.command(new Command.Left("s0", epoch), 20_000).word());
-    assertEquals(1, Main.run("outs", "replace", "b" + lost, "b" + lost, "--config", fleet.config(1).toString()), "it can't be replaced under its own name");
+    assertEquals(1, Main.run("outs", "replace", "b" + lost, "b" + lost, "--config", fleet.config(1).toString()),
+        "it can't be replaced under its own name");
     assertEquals(1, Main.run("outs", "replace", "b" + lost, "b3", "--config", fleet.config(1).toString()), "b3 is in no voter's configuration");
 
     fleet.replaceVoter(lost, 3);
@@ -73,7 +74,8 @@
     assertEquals("cell:0", requestPermit(client, "v2", "s1", 0).binding());
     assertEquals(ResultCode.SAME_AGAIN, requestPermit(client, "v", "s0", 0).word());
     long other = requestPermit(client, "v3", "s3", 0).epoch();
-    await("all have acted on it", () -> client.laggingInstances(other).isEmpty()); // Otherwise instances without a majority from now on would not have received it.
+    // Otherwise instances without a majority from now on would not have received it.
+    await("all have acted on it", () -> client.laggingInstances(other).isEmpty());
     fleet.instances().get(1).kill();
     assertThrows(AgreeClient.NoMajorityException.class, () -> client.command(new Command.Ask("v4", "s4", "it", "", 0, false), 2000),
         "one of three is no majority");
