--- a/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
@@ -140,9 +140,9 @@
     FleetSource fleet = operators.fleet();
     EmbeddedBalancer.ListSourceFactory lists = (loop, f, onUpdate) -> openListSource(fleet, cachedList, loop, f, onUpdate);
     // The ledger is synced before clients are accepted: a starting instance must not send to upstreams that are out.
-    EmbeddedBalancer balance = EmbeddedBalancer.start(new EmbeddedBalancer.Options(agree == null ? "balance" : agree.name(), b.listen(), b.management(), b.folder(), b.sockets(),
-        (long) b.memoryMb() << 20, fleet.initialList(), operators.settings(), TimeUnit.MILLISECONDS.toNanos(b.idleMillis()),
-        new SecureRandom().nextLong(), lists, listener, acts -> {
+    EmbeddedBalancer balance = EmbeddedBalancer.start(new EmbeddedBalancer.Options(agree == null ? "balance" : agree.name(), b.listen(),
+        b.management(), b.folder(), b.sockets(), (long) b.memoryMb() << 20, fleet.initialList(), operators.settings(),
+        TimeUnit.MILLISECONDS.toNanos(b.idleMillis()), new SecureRandom().nextLong(), lists, listener, acts -> {
           if (agree == null) {
             return;
           }
