--- a/dnssd/src/main/java/cloverpulley/dnssd/DnsSdProvider.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/DnsSdProvider.java
@@ -13,7 +13,7 @@
   }
 
   @Override
-  public Opener read(Section s) {
+  public SourceFactory read(Section s) {
     DnsSdConfig config = DnsSdConfig.read(s);
     return (loop, cached, revision, updates) -> new DnsSdSource(loop, config, cached, revision, updates, new SecureRandom().nextLong());
   }
