--- a/load/src/main/java/cloverpulley/load/ArchiveTrace.java
+++ b/load/src/main/java/cloverpulley/load/ArchiveTrace.java
@@ -14,8 +14,8 @@
 import java.util.PriorityQueue;
 
 /**
- * Converts the records that {@code [records]} writes to a trace. Each final answer becomes a request at the time of its arrival, with the
- * key hash and the size hint that the engine recorded for it. Records of several instances are merged by their own clocks.
+ * Converts the records that {@code [records]} writes to a trace. Each final answer becomes a request at the time at which the request
+ * arrived, with the key hash and the work hint that the engine recorded for it. Records of several instances are merged by their own clocks.
  */
 public final class ArchiveTrace {
 
--- a/load/src/main/java/cloverpulley/load/Arrivals.java
+++ b/load/src/main/java/cloverpulley/load/Arrivals.java
@@ -40,7 +40,7 @@
   private double now;
   private boolean inBurst;
   private double stateEnd;
-  /** Constant process: number of the next arrival, which is due when the integral of the rate reaches this number less one half. */
+  /** Constant process: number of arrivals generated; arrival n is due when the integral of the rate reaches n - 0.5. */
   private double arrivalsDue;
   /** Integral of the rate from 0 to {@code now}. */
   private double rateIntegral;
--- a/load/src/main/java/cloverpulley/load/Driver.java
+++ b/load/src/main/java/cloverpulley/load/Driver.java
@@ -22,11 +22,11 @@
     BROKEN,
     /** No response within the client's timeout. */
     TIMEOUT,
-    /** No connection was available and the limit on connections had been reached. */
+    /** No connection could take the request: the driver's limits were reached, or it has been closed. */
     NO_ROOM
   }
 
-  /** Receives the outcome of an attempt; {@code retryAfterMillis} is 0 if the server gave no Retry-After. */
+  /** Receives the outcome of an attempt; {@code retryAfterMillis} is 0 if the server gave no retry delay. */
   interface AttemptCallback {
     void onAttemptEnd(Outcome outcome, double retryAfterMillis);
   }
--- a/load/src/main/java/cloverpulley/load/ExtProcDriver.java
+++ b/load/src/main/java/cloverpulley/load/ExtProcDriver.java
@@ -68,11 +68,11 @@
   }
 
   private ProcessingRequest request(PlannedRequest planned, String id, int attempt) {
-    Plan.RequestClass type = plan.classes().get(planned.classIndex());
+    Plan.RequestClass requestClass = plan.classes().get(planned.classIndex());
     HeaderMap.Builder map = HeaderMap.newBuilder()
-        .addHeaders(header(":method", type.effect() == Effect.SAFE ? "GET" : "POST"))
+        .addHeaders(header(":method", requestClass.effect() == Effect.SAFE ? "GET" : "POST"))
         .addHeaders(header(":path", plan.target().path())).addHeaders(header("x-request-id", id))
-        .addHeaders(header("x-envoy-attempt-count", "1")).addHeaders(header("x-qos", type.name()))
+        .addHeaders(header("x-envoy-attempt-count", "1")).addHeaders(header("x-qos", requestClass.name()))
         .addHeaders(header("x-expires-in-ms", Long.toString((long) Math.max(1, planned.timeoutMillis()))));
     String tenant = plan.tenants().get(planned.tenantIndex()).name();
     if (!tenant.isEmpty()) {
@@ -87,7 +87,7 @@
     if (attempt > 0) {
       map.addHeaders(header("x-second-try", "1"));
     }
-    if (type.effect() == Effect.KEYED) {
+    if (requestClass.effect() == Effect.KEYED) {
       map.addHeaders(header("idempotency-key", id.substring(0, id.lastIndexOf('.'))));
     }
     return ProcessingRequest.newBuilder()
--- a/load/src/main/java/cloverpulley/load/HttpDriver.java
+++ b/load/src/main/java/cloverpulley/load/HttpDriver.java
@@ -142,12 +142,12 @@
   }
 
   private FullHttpRequest request(Attempt t) {
-    Plan.RequestClass type = plan.classes().get(t.planned.classIndex());
-    boolean safe = type.effect() == Effect.SAFE;
+    Plan.RequestClass requestClass = plan.classes().get(t.planned.classIndex());
+    boolean safe = requestClass.effect() == Effect.SAFE;
     ByteBuf body = safe || t.planned.bytes() == 0 ? Unpooled.EMPTY_BUFFER : Unpooled.wrappedBuffer(new byte[t.planned.bytes()]);
     FullHttpRequest r = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, safe ? HttpMethod.GET : HttpMethod.POST,
         plan.target().path(), body);
-    r.headers().set(HttpHeaderNames.HOST, host).set("X-Trace-Id", t.id).set("X-Qos", type.name())
+    r.headers().set(HttpHeaderNames.HOST, host).set("X-Trace-Id", t.id).set("X-Qos", requestClass.name())
         .set("X-Expires-In-Ms", (long) Math.max(1, t.planned.timeoutMillis()));
     String tenant = plan.tenants().get(t.planned.tenantIndex()).name();
     if (!tenant.isEmpty()) {
@@ -165,7 +165,7 @@
     if (!safe) {
       r.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
     }
-    if (type.effect() == Effect.KEYED) {
+    if (requestClass.effect() == Effect.KEYED) {
       // All attempts of a request carry the same key, so that the server can recognise a retry.
       r.headers().set("Idempotency-Key", t.id.substring(0, t.id.lastIndexOf('.')));
     }
--- a/load/src/main/java/cloverpulley/load/Plan.java
+++ b/load/src/main/java/cloverpulley/load/Plan.java
@@ -25,7 +25,8 @@
    * A class of requests.
    *
    * @param share weight of the class among all requests; the weights need not add up to 1
-   * @param minHintMicros lower bound of the size hint in microseconds, which is drawn uniformly up to {@code maxHintMicros}; both 0 for no hint
+   * @param minHintMicros lower bound of the work hint, the announced processing time in microseconds, drawn uniformly between it and
+   *     {@code maxHintMicros}; both 0 for no hint
    */
   public record RequestClass(String name, Effect effect, double share, double worth, double aimMillis, double deadlineMillis, int bytes,
       long minHintMicros, long maxHintMicros) {}
@@ -134,15 +135,15 @@
       if (deadline < aim) {
         c.wrong("deadline_ms", "expected no less than aim_ms, got " + deadline);
       }
-      long least = c.whole("hint_least_us", 0, 100_000_000, 0);
-      long most = c.whole("hint_most_us", 0, 100_000_000, least);
-      if (most < least) {
-        c.wrong("hint_most_us", "expected no less than hint_least_us, got " + most);
-        most = least;
+      long minHint = c.whole("hint_least_us", 0, 100_000_000, 0);
+      long maxHint = c.whole("hint_most_us", 0, 100_000_000, minHint);
+      if (maxHint < minHint) {
+        c.wrong("hint_most_us", "expected no less than hint_least_us, got " + maxHint);
+        maxHint = minHint;
       }
       classes.add(new RequestClass(name, effect == null ? Effect.UNSAFE : effect, c.number("share", 0.0001, 1e6, 1),
-          c.number("worth", 0, 1e6, 1), aim, deadline, (int) c.whole("bytes", 0, 65536, effect == Effect.SAFE ? 0 : 200), least,
-          most));
+          c.number("worth", 0, 1e6, 1), aim, deadline, (int) c.whole("bytes", 0, 65536, effect == Effect.SAFE ? 0 : 200), minHint,
+          maxHint));
     }
     if (classes.isEmpty()) {
       s.wrong("class", "expected at least one [[load.class]], got nothing");
--- a/load/src/main/java/cloverpulley/load/RequestGenerator.java
+++ b/load/src/main/java/cloverpulley/load/RequestGenerator.java
@@ -13,7 +13,7 @@
    * @param classIndex index in {@link Plan#classes()}
    * @param tenantIndex index in {@link Plan#tenants()}
    * @param key number of the key, from 0 for the most popular one; -1 for none
-   * @param hintMicros size hint; 0 for none
+   * @param hintMicros work hint; 0 for none
    * @param timeoutMillis the client abandons an attempt after this time
    * @param honoursRetryAfter whether the client waits as long as Retry-After says
    */
--- a/load/src/main/java/cloverpulley/load/Results.java
+++ b/load/src/main/java/cloverpulley/load/Results.java
@@ -15,10 +15,10 @@
  */
 public final class Results {
 
-  /** The histograms hold microseconds, from 1 to ten minutes, with three significant digits. */
+  /** The histograms hold latencies from 1 microsecond to ten minutes with three significant digits, those per second with two. */
   static final long MAX_MICROS = TimeUnit.MINUTES.toMicros(10);
   private static final int SIGNIFICANT_DIGITS = 3;
-  private static final int SIGNIFICANT_DIGITS_PER_SECOND = 2;
+  private static final int SECOND_STATS_SIGNIFICANT_DIGITS = 2;
 
   /** Counters and latencies of one set of requests: all, those of a class or those of a tenant. */
   public static final class RequestStats {
@@ -52,9 +52,9 @@
     }
   }
 
-  /** Counters and latencies of the requests with an intended start within the same second; {@code sent} counts by actual start. */
+  /** Counters and latencies of the requests with an intended start within the same second; {@code sent} counts attempts by the time of sending. */
   public static final class SecondStats {
-    public final Histogram corrected = new PackedHistogram(MAX_MICROS, SIGNIFICANT_DIGITS_PER_SECOND);
+    public final Histogram corrected = new PackedHistogram(MAX_MICROS, SECOND_STATS_SIGNIFICANT_DIGITS);
     public final long[] outcomes = new long[Outcome.values().length];
     public long intended;
     public long sent;
@@ -108,15 +108,15 @@
 
   /** Records the final outcome of a request. */
   public void recordOutcome(PlannedRequest p, Outcome outcome, long correctedNanos, long naiveNanos) {
-    Plan.RequestClass type = plan.classes().get(p.classIndex());
-    boolean withinAim = outcome == Outcome.SERVED && correctedNanos <= type.aimMillis() * 1e6;
+    Plan.RequestClass requestClass = plan.classes().get(p.classIndex());
+    boolean withinAim = outcome == Outcome.SERVED && correctedNanos <= requestClass.aimMillis() * 1e6;
     for (RequestStats t : List.of(all, classes.get(p.classIndex()), tenants.get(p.tenantIndex()))) {
-      t.addOutcome(outcome, correctedNanos / 1000, naiveNanos / 1000, type.worth(), withinAim);
+      t.addOutcome(outcome, correctedNanos / 1000, naiveNanos / 1000, requestClass.worth(), withinAim);
     }
     SecondStats s = second(p.startSeconds());
     s.outcomes[outcome.ordinal()]++;
     s.corrected.recordValue(Math.min(MAX_MICROS, Math.max(0, correctedNanos / 1000)));
-    s.worthInTime += withinAim ? type.worth() : 0;
+    s.worthInTime += withinAim ? requestClass.worth() : 0;
   }
 
   /** Whether the generator fell behind its schedule: the latencies then reflect the generator as well as the server. */
--- a/load/src/main/java/cloverpulley/load/Trace.java
+++ b/load/src/main/java/cloverpulley/load/Trace.java
@@ -29,7 +29,7 @@
  * <p>An N block defines names of classes and tenants in the order of their indexes: a byte C or T, the length (2 bytes) and the name in UTF-8.
  *
  * <p>An R block holds the time of its first record in microseconds (8 bytes) and then the records: the time since the previous record, class,
- * tenant (variable-length integers, 7 bits per byte, low-order bits first), the hash of the key (8 bytes, 0 for none), the size hint in
+ * tenant (variable-length integers, 7 bits per byte, low-order bits first), the hash of the key (8 bytes, 0 for none), the work hint in
  * microseconds, the size in bytes and the latency in microseconds (variable-length integers), and the outcome (one byte).
  *
  * <p>Fixed-size numbers are big-endian. Each R block can be decoded independently once the names are known, and a writer that crashes loses
--- a/load/src/test/java/cloverpulley/load/GoalTest.java
+++ b/load/src/test/java/cloverpulley/load/GoalTest.java
@@ -50,8 +50,8 @@
     }
   }
 
-  private void record(double at, int type, int tenant, Outcome outcome, long millis) {
-    PlannedRequest p = new PlannedRequest(number++, at, type, tenant, -1, 0, 0, 1000, true);
+  private void record(double at, int classIndex, int tenantIndex, Outcome outcome, long millis) {
+    PlannedRequest p = new PlannedRequest(number++, at, classIndex, tenantIndex, -1, 0, 0, 1000, true);
     results.recordIntended(p);
     results.recordSent(p, at, 0);
     results.recordOutcome(p, outcome, millis * 1_000_000, millis * 1_000_000);
--- a/load/src/test/java/cloverpulley/load/HonestyTest.java
+++ b/load/src/test/java/cloverpulley/load/HonestyTest.java
@@ -114,21 +114,21 @@
   /** Whatever the server does, each intended request has one outcome, and the server has received as many requests as were sent. */
   @ParameterizedTest
   @EnumSource(Behaviour.class)
-  void eachRequestHasOneOutcome(Behaviour manner) throws Exception {
-    try (ScriptedHttp server = new ScriptedHttp(group, manner)) {
-      Results r = LoadRun.run(plan(server, 300, 1, manner == Behaviour.NEVER_RESPOND ? CLASSES.replace("20000", "700") : CLASSES), x -> { });
+  void eachRequestHasOneOutcome(Behaviour behaviour) throws Exception {
+    try (ScriptedHttp server = new ScriptedHttp(group, behaviour)) {
+      Results r = LoadRun.run(plan(server, 300, 1, behaviour == Behaviour.NEVER_RESPOND ? CLASSES.replace("20000", "700") : CLASSES), x -> { });
       assertEquals(r.all.requests, r.all.completed());
       assertEquals(r.all.requests, r.classes.stream().mapToLong(RequestStats::completed).sum());
       assertEquals(r.all.requests, r.tenants.stream().mapToLong(RequestStats::completed).sum());
       assertEquals(r.all.requests, r.seconds.stream().mapToLong(s -> s.intended).sum());
       assertEquals(r.attempts, r.seconds.stream().mapToLong(s -> s.sent).sum());
-      Outcome expected = switch (manner) {
+      Outcome expected = switch (behaviour) {
         case SERVE, RESPOND_EARLY -> Outcome.SERVED;
         case NEVER_RESPOND -> Outcome.TIMEOUT;
         case REJECT -> Outcome.REFUSED;
         default -> Outcome.BROKEN;
       };
-      if (manner != Behaviour.RESPOND_EARLY) {
+      if (behaviour != Behaviour.RESPOND_EARLY) {
         assertEquals(r.all.requests, r.all.outcomes[expected.ordinal()], Map.of("requests", r.all.requests, "attempts", r.attempts).toString());
         assertEquals(r.attempts, server.requestCount());
       }
--- a/model/src/main/java/cloverpulley/model/ModelPlan.java
+++ b/model/src/main/java/cloverpulley/model/ModelPlan.java
@@ -16,7 +16,7 @@
  * @param workMillis mean service time, exponentially distributed unless {@code constantWork}
  * @param maxQueue limit on requests queued at a server; beyond it the server reports that it is full
  * @param networkMillis mean one-way delay; the delay of a message is drawn between 0.5 and 1.5 times this value
- * @param endpointListMillis delay until an endpoint update reaches a balancer
+ * @param endpointListMillis delay of an endpoint list that a balancer fetches; a change reaches it after 0.5 to 1 times this value
  */
 public record ModelPlan(Settings settings, long seed, double seconds, double rate, int balancers, int servers, int workers,
     double workMillis, boolean constantWork, int maxQueue, double networkMillis, double endpointListMillis, int keys, List<Fault> faults,
--- a/model/src/main/java/cloverpulley/model/PolicyComparison.java
+++ b/model/src/main/java/cloverpulley/model/PolicyComparison.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.Future;
 import org.apache.commons.statistics.distribution.TDistribution;
 
-/** Compares policies in parallel, one simulation per thread. Simulations are deterministic, so the result does not depend on the threads. */
+/** Compares policies in parallel, one simulation per thread. Each one is deterministic: the number of threads does not change the result. */
 public final class PolicyComparison {
 
   private static final int MIN_PAIRS = 3;
--- a/model/src/main/java/cloverpulley/model/SimulatedBalancer.java
+++ b/model/src/main/java/cloverpulley/model/SimulatedBalancer.java
@@ -38,7 +38,7 @@
     final List<Attempt> attempts = new ArrayList<>(1);
     int inFlight;
     boolean answered;
-    /** How many servers have executed the request. */
+    /** How many times a server has executed the request. */
     int executions;
 
     PendingRequest(RequestClass requestClass, long startedAt, long workNanos) {
--- a/model/src/main/java/cloverpulley/model/SimulationResult.java
+++ b/model/src/main/java/cloverpulley/model/SimulationResult.java
@@ -49,7 +49,7 @@
     return hash;
   }
 
-  /** The goal G: worth delivered as a fraction of the worth requested. */
+  /** G: worth delivered as a fraction of the worth requested; a late answer counts with the late worth of its class. */
   public double g() {
     return worthRequested == 0 ? 0 : worthDelivered / worthRequested;
   }
--- a/model/src/test/java/cloverpulley/model/SimulationTest.java
+++ b/model/src/test/java/cloverpulley/model/SimulationTest.java
@@ -119,8 +119,8 @@
           part = 0.4
           """);
       SimulationResult r = new Simulation(plan, Policy.MODULE, seed).run();
-      assertTrue(r.invariantsHold(), "seed " + seed + ": without " + r.unanswered + ", second " + r.duplicateAnswers + ", unsafe twice "
-          + r.unsafeReexecutions + ", after drain " + r.sentAfterDrain);
+      assertTrue(r.invariantsHold(), "seed " + seed + ": unanswered " + r.unanswered + ", answered twice " + r.duplicateAnswers
+          + ", unsafe executed twice " + r.unsafeReexecutions + ", sent after drain " + r.sentAfterDrain);
       assertTrue(r.allRequestsAccountedFor(), "seed " + seed + ": " + r.outcomes + " of " + r.requests);
       assertTrue(r.served > 0.6 * r.requests, "seed " + seed + ": " + r.outcomes);
     }
