--- a/bench/src/main/java/cloverpulley/bench/Operated.java
+++ b/bench/src/main/java/cloverpulley/bench/BalancerDeployment.java
@@ -18,7 +18,7 @@
 import java.util.stream.Stream;
 
 /** A balancer that operators operate: the processes that the deploy file's {@code run} started, one address, one shared folder. */
-final class Operated implements AutoCloseable {
+final class BalancerDeployment implements AutoCloseable {
 
   private static final int WAIT_MILLIS = 10_000;
   private static final AtomicLong IDS = new AtomicLong();
@@ -33,7 +33,7 @@
   private final int port = freePort();
   private final List<Started> started = new ArrayList<>();
 
-  Operated(List<String> upstreams) throws IOException {
+  BalancerDeployment(List<String> upstreams) throws IOException {
     String members = IntStream.range(0, upstreams.size())
         .mapToObj(i -> "{\"id\":\"s-" + i + "\",\"host_port\":\"" + upstreams.get(i) + "\",\"phase\":\"ready\"}")
         .collect(Collectors.joining(",", "\"members\": [", "]"));
@@ -110,7 +110,7 @@
   double residentMb() throws IOException {
     double sum = 0;
     for (Started s : List.copyOf(started)) {
-      sum += Child.residentMb(s.process.pid());
+      sum += ChildProcess.residentMb(s.process.pid());
     }
     return sum;
   }
--- a/bench/src/main/java/cloverpulley/bench/Platform.java
+++ b/bench/src/main/java/cloverpulley/bench/BalancerProcess.java
@@ -21,7 +21,7 @@
 import java.util.stream.Collectors;
 
 /** One balancer of a checkout, started by its deploy file's {@code run} and healthy. */
-final class Platform implements AutoCloseable {
+final class BalancerProcess implements AutoCloseable {
 
   private static final int MOST_WAIT_S = 30;
   private static final int CLIENTS = 8;
@@ -34,7 +34,7 @@
   final double startMillis;
 
   /** {@code upstreams} are addresses. */
-  Platform(Path root, List<String> upstreams) throws IOException, InterruptedException {
+  BalancerProcess(Path root, List<String> upstreams) throws IOException, InterruptedException {
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       port = free.getLocalPort();
     }
@@ -60,7 +60,7 @@
   }
 
   double residentMb() throws IOException {
-    return Child.residentMb(process.pid());
+    return ChildProcess.residentMb(process.pid());
   }
 
   double cpuMicros() {
--- a/bench/src/main/java/cloverpulley/bench/Child.java
+++ b/bench/src/main/java/cloverpulley/bench/ChildProcess.java
@@ -11,17 +11,17 @@
 import java.util.Locale;
 
 /** A server in a process of its own, and what it costs. */
-final class Child implements AutoCloseable {
+final class ChildProcess implements AutoCloseable {
 
   private final Process process;
   private final BufferedReader out;
 
-  Child(List<String> options, Class<?> main, String... args) throws IOException {
+  ChildProcess(List<String> options, Class<?> main, String... args) throws IOException {
     this(List.of(), options, main, args);
   }
 
   /** {@code before} is put before the command, such as what binds it to a core. */
-  Child(List<String> before, List<String> options, Class<?> main, String... args) throws IOException {
+  ChildProcess(List<String> before, List<String> options, Class<?> main, String... args) throws IOException {
     List<String> command = new ArrayList<>(before);
     command.addAll(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
     command.addAll(options);
--- a/bench/src/main/java/cloverpulley/bench/DnsBench.java
+++ b/bench/src/main/java/cloverpulley/bench/DnsBench.java
@@ -51,7 +51,7 @@
 
   private final int seconds;
   private final int cores = Runtime.getRuntime().availableProcessors();
-  private final List<Child> generators = new ArrayList<>();
+  private final List<ChildProcess> generators = new ArrayList<>();
   private double lost;
   private double doubles;
 
@@ -112,7 +112,7 @@
     double p99 = 0;
     double late = 0;
     double least = Double.MAX_VALUE;
-    for (Child g : generators) {
+    for (ChildProcess g : generators) {
       String line = g.line();
       if (line == null) {
         throw new IOException("a generator has ended");
@@ -155,24 +155,24 @@
     return s.served() < SERVED || s.p50() > MOST_P50_MICROS;
   }
 
-  private Child server(int core, String... args) throws IOException {
-    return new Child(List.of("taskset", "-c", Integer.toString(core)), List.of("-XX:+UseSerialGC", "-Xmx512m", "-Xmn128m"),
+  private ChildProcess server(int core, String... args) throws IOException {
+    return new ChildProcess(List.of("taskset", "-c", Integer.toString(core)), List.of("-XX:+UseSerialGC", "-Xmx512m", "-Xmn128m"),
         DnsServers.class, args);
   }
 
   private void generators() throws IOException {
     for (int i = 0; i < Math.max(1, Math.min(3, cores - 4)); i++) {
-      generators.add(new Child(List.of("taskset", "-c", Integer.toString(cores - 1 - i)), LoadBench.GENERATOR, DnsBench.class,
+      generators.add(new ChildProcess(List.of("taskset", "-c", Integer.toString(cores - 1 - i)), LoadBench.GENERATOR, DnsBench.class,
           "generate"));
     }
   }
 
   private void onlyFlood() throws IOException, InterruptedException {
-    try (Child first = server(1 % cores, "null", "0"); Child second = server(2 % cores, "null", "0")) {
+    try (ChildProcess first = server(1 % cores, "null", "0"); ChildProcess second = server(2 % cores, "null", "0")) {
       double share = flooded(Integer.toString(first.port()), Integer.toString(second.port()));
-      System.out.println(Child.json("good_share_in_flood", Child.figure(share)));
+      System.out.println(ChildProcess.json("good_share_in_flood", ChildProcess.figure(share)));
     } finally {
-      generators.forEach(Child::close);
+      generators.forEach(ChildProcess::close);
     }
   }
 
@@ -188,15 +188,15 @@
     double afterDrain = 0;
     double memory;
     double flooded;
-    try (Child none = server(0, "null", "3600"); Child first = server(1 % cores, "null", "0"); Child second = server(2 % cores, "null", "0");
-        Child lasting = server(1 % cores, "null", "3600")) {
+    try (ChildProcess none = server(0, "null", "3600"); ChildProcess first = server(1 % cores, "null", "0"); ChildProcess second = server(2 % cores, "null", "0");
+        ChildProcess lasting = server(1 % cores, "null", "3600")) {
       int nonePort = none.port();
       String a = Integer.toString(first.port());
       String b = Integer.toString(second.port());
       String c = Integer.toString(lasting.port());
       for (int p = 0; p < protocols.length; p++) {
         double limit = saturation("null", protocols[p], nonePort, CACHED_NAMES);
-        try (Child cached = server(0, "front", "64", c); Child forwards = server(0, "front", "0", a, b)) {
+        try (ChildProcess cached = server(0, "front", "64", c); ChildProcess forwards = server(0, "front", "0", a, b)) {
           int cachedPort = cached.port();
           int forwardsPort = forwards.port();
           double cachedMost = saturation("cached", protocols[p], cachedPort, CACHED_NAMES);
@@ -213,14 +213,14 @@
       memory = memory(c);
       flooded = flooded(a, b);
     } finally {
-      generators.forEach(Child::close);
+      generators.forEach(ChildProcess::close);
     }
-    System.out.println(Child.json("cached_ratio", Child.figure(cachedRatio[0]), "forwarded_ratio", Child.figure(forwardedRatio[0]),
-        "p99_ratio", Child.figure(forwardedLatency[0]), "cached_p99_ratio", Child.figure(cachedLatency[0]), "tcp_cached_ratio",
-        Child.figure(cachedRatio[1]), "tcp_forwarded_ratio", Child.figure(forwardedRatio[1]), "tcp_p99_ratio",
-        Child.figure(forwardedLatency[1]), "double_answers", Long.toString((long) doubles), "lost", Long.toString((long) lost),
+    System.out.println(ChildProcess.json("cached_ratio", ChildProcess.figure(cachedRatio[0]), "forwarded_ratio", ChildProcess.figure(forwardedRatio[0]),
+        "p99_ratio", ChildProcess.figure(forwardedLatency[0]), "cached_p99_ratio", ChildProcess.figure(cachedLatency[0]), "tcp_cached_ratio",
+        ChildProcess.figure(cachedRatio[1]), "tcp_forwarded_ratio", ChildProcess.figure(forwardedRatio[1]), "tcp_p99_ratio",
+        ChildProcess.figure(forwardedLatency[1]), "double_answers", Long.toString((long) doubles), "lost", Long.toString((long) lost),
         "after_drain", Long.toString((long) afterDrain), "ceiling_mb", Integer.toString(CACHE_MB), "resident_mb_at_ceiling",
-        Child.figure(memory), "good_share_in_flood", Child.figure(flooded)));
+        ChildProcess.figure(memory), "good_share_in_flood", ChildProcess.figure(flooded)));
   }
 
   /** The p99 at a rate against the null responder's at the same, the medians of three by turns; what is not answered is lost. */
@@ -240,7 +240,7 @@
   }
 
   /** Questions that a server gets later than two seconds after it was said to drain, under load. */
-  private double drain(Child front, int port, Child drained) throws IOException, InterruptedException {
+  private double drain(ChildProcess front, int port, ChildProcess drained) throws IOException, InterruptedException {
     Thread load = new Thread(() -> {
       try {
         Seen s = play("dns_udp", port, FIRST / 4, 6, 0);
@@ -263,7 +263,7 @@
 
   /** The part of good clients' questions answered at the first try while forged prefixes flood the front at a bounded rate. */
   private double flooded(String first, String second) throws IOException, InterruptedException {
-    try (Child front = new Child(List.of("taskset", "-c", "0"), List.of("-XX:+UseSerialGC", "-Xmx512m", "-Dlimit=" + DEFAULT_LIMIT),
+    try (ChildProcess front = new ChildProcess(List.of("taskset", "-c", "0"), List.of("-XX:+UseSerialGC", "-Xmx512m", "-Dlimit=" + DEFAULT_LIMIT),
         DnsServers.class, "front", "0", first, second)) {
       int port = front.port();
       AtomicBoolean over = new AtomicBoolean();
@@ -305,7 +305,7 @@
 
   /** Memory resident once the cache has been filled past its ceiling. */
   private double memory(String port) throws IOException {
-    try (Child front = server(0, "front", Integer.toString(CACHE_MB), port)) {
+    try (ChildProcess front = server(0, "front", Integer.toString(CACHE_MB), port)) {
       int at = front.port();
       play("dns_udp", at, FIRST / 2, 4.0 * CACHE_MB * (1 << 20) / 500 / FIRST, 0);
       front.say("report");
--- a/bench/src/main/java/cloverpulley/bench/IncidentBench.java
+++ b/bench/src/main/java/cloverpulley/bench/IncidentBench.java
@@ -1,6 +1,6 @@
 package cloverpulley.bench;
 
-import cloverpulley.bench.Caller.Result;
+import cloverpulley.bench.ProcessorClient.Result;
 import cloverpulley.config.BadFileException;
 import cloverpulley.config.OperatorsFile;
 import cloverpulley.incident.Clocks;
@@ -60,10 +60,10 @@
       long mismatches = mismatches(folder.resolve("match"));
       Map<String, Double> day = day(folder.resolve("day"), records);
       double[] clock = clocks();
-      System.out.println(Child.json("cost_ratio", Child.figure(cost[0]), "cpu_ratio", Child.figure(cost[1]), "p99_ratio",
-          Child.figure(cost[2]), "bytes_per_record", Child.figure(day.get("bytes")), "index_speedup", Child.figure(day.get("ten minutes")),
-          "index_speedup_request", Child.figure(day.get("a request")), "write_per_s", Child.figure(day.get("rate")), "report_s",
-          Child.figure(day.get("report")), "mismatches", Long.toString(mismatches), "clock_error_ms", Child.figure(clock[0]),
+      System.out.println(ChildProcess.json("cost_ratio", ChildProcess.figure(cost[0]), "cpu_ratio", ChildProcess.figure(cost[1]), "p99_ratio",
+          ChildProcess.figure(cost[2]), "bytes_per_record", ChildProcess.figure(day.get("bytes")), "index_speedup", ChildProcess.figure(day.get("ten minutes")),
+          "index_speedup_request", ChildProcess.figure(day.get("a request")), "write_per_s", ChildProcess.figure(day.get("rate")), "report_s",
+          ChildProcess.figure(day.get("report")), "mismatches", Long.toString(mismatches), "clock_error_ms", ChildProcess.figure(clock[0]),
           "clock_bound_held", Boolean.toString(clock[1] == 0)));
     } finally {
       try (Stream<Path> all = Files.walk(folder)) {
@@ -89,9 +89,9 @@
     List<Double> rate = new ArrayList<>();
     List<Double> cpu = new ArrayList<>();
     List<Double> p99 = new ArrayList<>();
-    try (Child without = new Child(OPTIONS, Servers.class, "100", "-", REMEMBERED);
-        Child with = new Child(OPTIONS, Servers.class, "100", folder.toString(), REMEMBERED);
-        Caller to = new Caller(without.port(), SEED); Caller recorded = new Caller(with.port(), SEED)) {
+    try (ChildProcess without = new ChildProcess(OPTIONS, Servers.class, "100", "-", REMEMBERED);
+        ChildProcess with = new ChildProcess(OPTIONS, Servers.class, "100", folder.toString(), REMEMBERED);
+        ProcessorClient to = new ProcessorClient(without.port(), SEED); ProcessorClient recorded = new ProcessorClient(with.port(), SEED)) {
       for (int i = 0; i < WARM_UPS; i++) { // Compiled code on both sides, and in the caller, before anything counts.
         to.closed(AT_ONCE, seconds);
         recorded.closed(AT_ONCE, seconds);
@@ -105,8 +105,8 @@
         double[] spent = new double[2];
         for (int turn = 0; turn < 2; turn++) {
           int which = (turn + i) % 2;
-          Caller c = which == 0 ? to : recorded;
-          Child child = which == 0 ? without : with;
+          ProcessorClient c = which == 0 ? to : recorded;
+          ChildProcess child = which == 0 ? without : with;
           full[which] = c.closed(AT_ONCE, seconds);
           TimeUnit.MILLISECONDS.sleep(500); // What is compiled or written behind the full load is not the next run's.
           double before = child.cpuMicros();
@@ -133,7 +133,7 @@
   private static long mismatches(Path folder) throws IOException, InterruptedException, BadFileException {
     Map<String, Long> asked = new TreeMap<>();
     Map<String, Long> counted = new TreeMap<>();
-    try (Child child = new Child(OPTIONS, Servers.class, "100", folder.resolve("p").toString())) {
+    try (ChildProcess child = new ChildProcess(OPTIONS, Servers.class, "100", folder.resolve("p").toString())) {
       Plan plan = OperatorsFile.parse("plan", """
           [load]
           seconds = 4.0
--- a/bench/src/main/java/cloverpulley/bench/LoadBench.java
+++ b/bench/src/main/java/cloverpulley/bench/LoadBench.java
@@ -50,10 +50,10 @@
     double cpuAt2000 = 0;
     System.out.println("seed " + SEED + ", " + seconds + " s each; generator on core " + (cores - 1));
     System.out.printf("%8s %10s %10s %10s %10s %10s%n", "rate", "achieved", "served", "late p50", "late p99", "CPU us");
-    try (Child server = new Child(List.of("taskset", "-c", "0-" + Math.max(0, cores - 2)), List.of("-XX:+UseParallelGC"),
+    try (ChildProcess server = new ChildProcess(List.of("taskset", "-c", "0-" + Math.max(0, cores - 2)), List.of("-XX:+UseParallelGC"),
         Servers.class, "http")) {
       int port = server.port();
-      try (Child generator = new Child(List.of("taskset", "-c", Integer.toString(cores - 1)),
+      try (ChildProcess generator = new ChildProcess(List.of("taskset", "-c", Integer.toString(cores - 1)),
           GENERATOR, LoadBench.class, "generate", "" + port, "" + seconds)) {
         for (String line = generator.line(); line != null; line = generator.line()) {
           String[] f = line.split(" ");
@@ -71,8 +71,8 @@
       }
     }
     double error = stall();
-    System.out.println(Child.json("rate_one_core", Child.figure(best), "lateness_p99_ms", Child.figure(bestLate / 1000),
-        "cpu_us_per_request", Child.figure(cpu), "cpu_us_at_2000", Child.figure(cpuAt2000), "stall_area_error",
+    System.out.println(ChildProcess.json("rate_one_core", ChildProcess.figure(best), "lateness_p99_ms", ChildProcess.figure(bestLate / 1000),
+        "cpu_us_per_request", ChildProcess.figure(cpu), "cpu_us_at_2000", ChildProcess.figure(cpuAt2000), "stall_area_error",
         String.format(Locale.ROOT, "%.5f", error)));
     System.exit(0);
   }
--- a/bench/src/main/java/cloverpulley/bench/LongAnswers.java
+++ b/bench/src/main/java/cloverpulley/bench/LongResponses.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 
 /** Memory of a balancer with many long answers in flight to clients that read slowly. */
-final class LongAnswers {
+final class LongResponses {
 
   private static final int ANSWERS = 100;
   private static final int BYTES = 32 << 20;
@@ -19,12 +19,12 @@
   private static final int LOOKS = 50;
   private static final long PAUSE_MILLIS = 100;
 
-  private LongAnswers() {}
+  private LongResponses() {}
 
   /** The most that was resident, in megabytes. */
   static double residentMb() throws Exception {
     try (ServerSocket upstream = new ServerSocket(0, 256, InetAddress.getLoopbackAddress());
-        Operated operated = new Operated(List.of("127.0.0.1:" + upstream.getLocalPort()))) {
+        BalancerDeployment operated = new BalancerDeployment(List.of("127.0.0.1:" + upstream.getLocalPort()))) {
       thread(() -> {
         while (true) {
           Socket socket = upstream.accept();
--- a/bench/src/main/java/cloverpulley/bench/ModelBench.java
+++ b/bench/src/main/java/cloverpulley/bench/ModelBench.java
@@ -77,8 +77,8 @@
     double all = (System.nanoTime() - start) / 1e9;
     repeatable &= a.mean() == b.mean();
     System.out.printf(Locale.ROOT, "16 pairs: %.2f s on one core, %.2f s on %d; the difference in G %.4f on both%n", single, all, cores, a.mean());
-    System.out.println(Child.json("requests_per_s", Child.figure(rate), "growth", Child.figure(rate / large), "speedup_" + cores,
-        Child.figure(single / all), "repeatable", Boolean.toString(repeatable), "module_cost", Child.figure(shell / rate), "breaks",
+    System.out.println(ChildProcess.json("requests_per_s", ChildProcess.figure(rate), "growth", ChildProcess.figure(rate / large), "speedup_" + cores,
+        ChildProcess.figure(single / all), "repeatable", Boolean.toString(repeatable), "module_cost", ChildProcess.figure(shell / rate), "breaks",
         Long.toString(broken)));
     System.exit(0);
   }
--- a/bench/src/main/java/cloverpulley/bench/OperationsBench.java
+++ b/bench/src/main/java/cloverpulley/bench/OperationsBench.java
@@ -62,11 +62,11 @@
     }
     double two = 0;
     double longRss;
-    OperatedLoad load;
-    try (Operated operated = new Operated(upstreams.stream().map(StandInUpstream::address).toList())) {
+    RequestLoad load;
+    try (BalancerDeployment operated = new BalancerDeployment(upstreams.stream().map(StandInUpstream::address).toList())) {
       operated.start();
       operated.awaitReady(0);
-      load = new OperatedLoad(operated.port());
+      load = new RequestLoad(operated.port());
       Thread idle = idleCallers(operated);
       for (int i = 1; i <= upgrades; i++) {
         for (int n = 0; n < each; n++) {
@@ -82,17 +82,17 @@
       load.close();
       idle.interrupt();
       idle.join();
-      longRss = LongAnswers.residentMb();
+      longRss = LongResponses.residentMb();
     }
     Set<String> ids = new HashSet<>();
     long doubles = upstreams.stream().flatMap(u -> u.seen().stream()).map(Seen::id).filter(id -> !ids.add(id)).count();
     upstreams.forEach(StandInUpstream::close);
-    System.out.println(Child.json("upgrades", Integer.toString(upgrades), "outs", Integer.toString(back.size()), "retunes",
+    System.out.println(ChildProcess.json("upgrades", Integer.toString(upgrades), "outs", Integer.toString(back.size()), "retunes",
         Integer.toString(retunes.size()), "answered", Long.toString(load.answered()), "lost", Long.toString(load.lost()), "reset",
         Long.toString(load.reset()), "double", Long.toString(doubles), "after_out", Integer.toString(afterOut), "back_within_s",
-        Child.figure(Collections.max(back)), "door_p99_ms", Child.figure(part(door, 0.99)), "retune_p99_ms",
-        Child.figure(part(retunes, 0.99)), "wrong_settings_taken", Integer.toString(wrongTaken), "rss_two_mb", Child.figure(two),
-        "long_rss_mb", Child.figure(longRss)));
+        ChildProcess.figure(Collections.max(back)), "door_p99_ms", ChildProcess.figure(part(door, 0.99)), "retune_p99_ms",
+        ChildProcess.figure(part(retunes, 0.99)), "wrong_settings_taken", Integer.toString(wrongTaken), "rss_two_mb", ChildProcess.figure(two),
+        "long_rss_mb", ChildProcess.figure(longRss)));
   }
 
   private static double part(List<Double> values, double part) {
@@ -101,7 +101,7 @@
   }
 
   /** Callers that connect and say nothing, anew each time they are let go. */
-  private static Thread idleCallers(Operated operated) {
+  private static Thread idleCallers(BalancerDeployment operated) {
     Thread thread = new Thread(() -> {
       try {
         while (true) {
@@ -128,7 +128,7 @@
     return thread;
   }
 
-  private void call(Operated operated, String call) throws IOException {
+  private void call(BalancerDeployment operated, String call) throws IOException {
     long begun = System.nanoTime();
     String status = operated.call(call);
     door.add((System.nanoTime() - begun) / 1e6);
@@ -137,7 +137,7 @@
     }
   }
 
-  private void outAndBack(Operated operated, StandInUpstream upstream, int number) throws Exception {
+  private void outAndBack(BalancerDeployment operated, StandInUpstream upstream, int number) throws Exception {
     call(operated, "POST /control/upstreams/s-" + number + "/offline");
     long out = System.nanoTime() + ON_ITS_WAY_NANOS;
     TimeUnit.MILLISECONDS.sleep(OUT_MILLIS);
@@ -153,7 +153,7 @@
   }
 
   /** Spoilt settings, which have to change nothing, then good ones; how long until a request of the new class is served. */
-  private void retune(Operated operated) throws Exception {
+  private void retune(BalancerDeployment operated) throws Exception {
     String name = "v" + ++classes;
     operated.settings("bad" + name, "0");
     operated.hangUp();
--- a/bench/src/main/java/cloverpulley/bench/OutsBench.java
+++ b/bench/src/main/java/cloverpulley/bench/OutsBench.java
@@ -123,7 +123,7 @@
       upstreams.values().forEach(StandInUpstream::close);
       group.shutdownGracefully(0, 1, TimeUnit.SECONDS);
     }
-    System.out.println(Child.json(figures.toArray(String[]::new)));
+    System.out.println(ChildProcess.json(figures.toArray(String[]::new)));
   }
 
   /** Starts one balancer, and keeps an archive of the classes that it loads. */
@@ -180,10 +180,10 @@
     double loss = leaderLoss(fleet, client);
     asking.close();
     figures.addAll(List.of("processes", "" + processes, "histories", "" + histories, "states", "" + states, "over_limit", "" + overLimit,
-        "after_out", "" + afterOut, "lost", "" + asking.lost(), "answered", "" + asking.answered(), "permit_p50_ms", Child.figure(at(permit, 0.5)),
-        "permit_p99_ms", Child.figure(at(permit, 0.99)), "acted_on_all_p50_ms", Child.figure(at(acted, 0.5)), "acted_on_all_p99_ms",
-        Child.figure(at(acted, 0.99)), "halt_all_p99_ms", Child.figure(at(halts, 0.99)), "leader_loss_s", Child.figure(loss),
-        "rolling_over_least", Child.figure(rolling), "bytes_per_s_instance", Child.figure(bytes), "resident_mb", Child.figure(resident)));
+        "after_out", "" + afterOut, "lost", "" + asking.lost(), "answered", "" + asking.answered(), "permit_p50_ms", ChildProcess.figure(at(permit, 0.5)),
+        "permit_p99_ms", ChildProcess.figure(at(permit, 0.99)), "acted_on_all_p50_ms", ChildProcess.figure(at(acted, 0.5)), "acted_on_all_p99_ms",
+        ChildProcess.figure(at(acted, 0.99)), "halt_all_p99_ms", ChildProcess.figure(at(halts, 0.99)), "leader_loss_s", ChildProcess.figure(loss),
+        "rolling_over_least", ChildProcess.figure(rolling), "bytes_per_s_instance", ChildProcess.figure(bytes), "resident_mb", ChildProcess.figure(resident)));
   }
 
   /** Out, acted on by all, quiet, back and warm. */
--- a/bench/src/main/java/cloverpulley/bench/PlatformBench.java
+++ b/bench/src/main/java/cloverpulley/bench/PlatformBench.java
@@ -67,10 +67,10 @@
       System.out.println(p.root.getFileName() + ": start " + p.millis + " ms, resident " + p.resident + " MB, CPU a request " + p.few
           + " us with " + FEW + " upstreams, " + p.many + " with " + MANY);
       figures.addAll(List.of(at + "jar_bytes", Long.toString(Files.size(jar(p.root))), at + "start_ms",
-          Child.figure(median(p.millis)), at + "resident_mb", Child.figure(median(p.resident)), at + "cpu_us",
-          Child.figure(median(p.many)), at + "growth", Child.figure(median(p.many) / median(p.few))));
+          ChildProcess.figure(median(p.millis)), at + "resident_mb", ChildProcess.figure(median(p.resident)), at + "cpu_us",
+          ChildProcess.figure(median(p.many)), at + "growth", ChildProcess.figure(median(p.many) / median(p.few))));
     }
-    System.out.println(Child.json(figures.toArray(String[]::new)));
+    System.out.println(ChildProcess.json(figures.toArray(String[]::new)));
   }
 
   private static int number(List<String> given, String option, int otherwise) {
@@ -91,7 +91,7 @@
   }
 
   private void start() throws IOException, InterruptedException {
-    try (Platform p = new Platform(root, List.of("127.0.0.1:1"))) {
+    try (BalancerProcess p = new BalancerProcess(root, List.of("127.0.0.1:1"))) {
       millis.add(rounded(p.startMillis));
       resident.add(rounded(p.residentMb()));
     }
@@ -104,7 +104,7 @@
       for (int i = 0; i < upstreams; i++) {
         servers.add(new StandInUpstream(group, r -> Answer.ok()));
       }
-      try (Platform p = new Platform(root, servers.stream().map(StandInUpstream::address).toList())) {
+      try (BalancerProcess p = new BalancerProcess(root, servers.stream().map(StandInUpstream::address).toList())) {
         p.ask(FIRST);
         double before = p.cpuMicros();
         int served = p.ask(COUNTED);
--- a/bench/src/main/java/cloverpulley/bench/ProcessorBench.java
+++ b/bench/src/main/java/cloverpulley/bench/ProcessorBench.java
@@ -1,6 +1,6 @@
 package cloverpulley.bench;
 
-import cloverpulley.bench.Caller.Result;
+import cloverpulley.bench.ProcessorClient.Result;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -44,16 +44,16 @@
 
   private static void measure(int rounds, int seconds) throws IOException, InterruptedException {
     System.out.println("seed " + SEED + ", " + rounds + " rounds of " + seconds + " s; a fleet of 0 is the null processor");
-    Map<Integer, Child> children = new LinkedHashMap<>();
-    Map<Integer, Caller> callers = new LinkedHashMap<>();
+    Map<Integer, ChildProcess> children = new LinkedHashMap<>();
+    Map<Integer, ProcessorClient> callers = new LinkedHashMap<>();
     Map<String, List<Double>> figures = new LinkedHashMap<>();
     long lost = 0;
     long late = 0;
     try {
       for (int fleet : FLEETS) {
-        Child child = new Child(OPTIONS, Servers.class, Integer.toString(fleet));
+        ChildProcess child = new ChildProcess(OPTIONS, Servers.class, Integer.toString(fleet));
         children.put(fleet, child);
-        callers.put(fleet, new Caller(child.port(), SEED + fleet));
+        callers.put(fleet, new ProcessorClient(child.port(), SEED + fleet));
         callers.get(fleet).closed(AT_ONCE, seconds); // Compiled code on both sides before anything counts.
         callers.get(fleet).open(RATES[1], seconds);
       }
@@ -79,8 +79,8 @@
         }
       }
     } finally {
-      callers.values().forEach(Caller::close);
-      children.values().forEach(Child::close);
+      callers.values().forEach(ProcessorClient::close);
+      children.values().forEach(ChildProcess::close);
     }
     System.out.printf("%6s %10s | %5s %8s %8s %8s %9s %8s %6s%n", "fleet", "calls/s", "at/s", "p50 us", "p99 us", "p99.9 us",
         "late p99", "CPU us", "sent");
@@ -92,15 +92,15 @@
             of(figures, fleet + " cpu " + rate), of(figures, fleet + " sent " + rate));
       }
     }
-    System.out.println(Child.json(
-        "throughput_ratio", Child.figure(of(figures, "100 rate") / of(figures, "0 rate")),
-        "p50_ratio", Child.figure(of(figures, "100 p50.0 5000") / of(figures, "0 p50.0 5000")),
-        "p99_ratio", Child.figure(of(figures, "100 p99.0 5000") / of(figures, "0 p99.0 5000")),
-        "p99_us", Child.figure(of(figures, "100 p99.0 5000")),
-        "cpu_ratio", Child.figure(of(figures, "100 cpu 5000") / of(figures, "0 cpu 5000")),
-        "fleet_growth", Child.figure(of(figures, "1000 cpu 5000") / of(figures, "10 cpu 5000")),
-        "fleet_growth_rate", Child.figure(of(figures, "10 rate") / of(figures, "1000 rate")),
-        "sent_at_saturation", Child.figure(least(figures, " full sent")), "sent_at_5000", Child.figure(least(figures, " sent 5000")),
+    System.out.println(ChildProcess.json(
+        "throughput_ratio", ChildProcess.figure(of(figures, "100 rate") / of(figures, "0 rate")),
+        "p50_ratio", ChildProcess.figure(of(figures, "100 p50.0 5000") / of(figures, "0 p50.0 5000")),
+        "p99_ratio", ChildProcess.figure(of(figures, "100 p99.0 5000") / of(figures, "0 p99.0 5000")),
+        "p99_us", ChildProcess.figure(of(figures, "100 p99.0 5000")),
+        "cpu_ratio", ChildProcess.figure(of(figures, "100 cpu 5000") / of(figures, "0 cpu 5000")),
+        "fleet_growth", ChildProcess.figure(of(figures, "1000 cpu 5000") / of(figures, "10 cpu 5000")),
+        "fleet_growth_rate", ChildProcess.figure(of(figures, "10 rate") / of(figures, "1000 rate")),
+        "sent_at_saturation", ChildProcess.figure(least(figures, " full sent")), "sent_at_5000", ChildProcess.figure(least(figures, " sent 5000")),
         "lost", Long.toString(lost), "late", Long.toString(late)));
   }
 
@@ -124,8 +124,8 @@
     long lost = 0;
     long calls = 0;
     List<Double> resident = new ArrayList<>();
-    try (Child child = new Child(List.of("-XX:+UseParallelGC", "-Xmx128m", "-Xms128m", "-XX:+AlwaysPreTouch"), Servers.class, "100");
-        Caller caller = new Caller(child.port(), SEED)) {
+    try (ChildProcess child = new ChildProcess(List.of("-XX:+UseParallelGC", "-Xmx128m", "-Xms128m", "-XX:+AlwaysPreTouch"), Servers.class, "100");
+        ProcessorClient caller = new ProcessorClient(child.port(), SEED)) {
       for (int i = 0; i < minutes * 4; i++) {
         Result r = caller.open(RATES[0], 15);
         calls += r.calls();
@@ -136,8 +136,8 @@
     }
     double half = resident.get(resident.size() / 2);
     double end = resident.get(resident.size() - 1);
-    System.out.println(Child.json("minutes", Integer.toString(minutes), "calls", Long.toString(calls), "lost",
-        Long.toString(lost), "resident_half_mb", Child.figure(half), "resident_end_mb", Child.figure(end),
-        "second_half_growth_mb", Child.figure(end - half)));
+    System.out.println(ChildProcess.json("minutes", Integer.toString(minutes), "calls", Long.toString(calls), "lost",
+        Long.toString(lost), "resident_half_mb", ChildProcess.figure(half), "resident_end_mb", ChildProcess.figure(end),
+        "second_half_growth_mb", ChildProcess.figure(end - half)));
   }
 }
--- a/bench/src/main/java/cloverpulley/bench/Caller.java
+++ b/bench/src/main/java/cloverpulley/bench/ProcessorClient.java
@@ -28,7 +28,7 @@
  * Calls a processor as a proxy does: headers, a verdict, the answer's head, the end. In an open loop the latency of a verdict
  * runs from the call's intended start, so that a server that stalls is charged for all that waits.
  */
-final class Caller implements AutoCloseable {
+final class ProcessorClient implements AutoCloseable {
 
   private static final int CONNECTIONS = 2;
   private static final long MOST_MICROS = TimeUnit.SECONDS.toMicros(60);
@@ -45,7 +45,7 @@
   private final SplittableRandom random;
   private final AtomicLong ids = new AtomicLong();
 
-  Caller(int port, long seed) {
+  ProcessorClient(int port, long seed) {
     random = new SplittableRandom(seed);
     for (int i = 0; i < CONNECTIONS; i++) {
       channels[i] = NettyChannelBuilder.forAddress("127.0.0.1", port).eventLoopGroup(group).channelType(NioSocketChannel.class)
--- a/bench/src/main/java/cloverpulley/bench/QuotaBench.java
+++ b/bench/src/main/java/cloverpulley/bench/QuotaBench.java
@@ -65,10 +65,10 @@
     }
     double[] month = monthEnd();
     double recovery = recovery();
-    System.out.println(Child.json("cost_ratio", Child.figure(median(trees.get(1)) / median(bucket)), "growth",
-        Child.figure(median(trees.get(2)) / median(trees.get(0))), "decisions_per_s", Child.figure(1e9 / median(trees.get(1))),
-        "bytes_per_decision", Child.figure(allocated), "worst_share", Child.figure(month[0]), "utilisation", Child.figure(month[1]),
-        "lent_back_ms", Child.figure(month[2]), "recovery_s", Child.figure(recovery)));
+    System.out.println(ChildProcess.json("cost_ratio", ChildProcess.figure(median(trees.get(1)) / median(bucket)), "growth",
+        ChildProcess.figure(median(trees.get(2)) / median(trees.get(0))), "decisions_per_s", ChildProcess.figure(1e9 / median(trees.get(1))),
+        "bytes_per_decision", ChildProcess.figure(allocated), "worst_share", ChildProcess.figure(month[0]), "utilisation", ChildProcess.figure(month[1]),
+        "lent_back_ms", ChildProcess.figure(month[2]), "recovery_s", ChildProcess.figure(recovery)));
   }
 
   private static long allocatedBytes() {
--- a/bench/src/main/java/cloverpulley/bench/OperatedLoad.java
+++ b/bench/src/main/java/cloverpulley/bench/RequestLoad.java
@@ -18,7 +18,7 @@
  * Clients that ask without end, on kept connections and on ever new ones, and count what becomes of each request. A kept connection that
  * ends before the first octet of an answer is asked anew once, as HTTP has it, and counted as reset; anything else without a whole answer is lost.
  */
-final class OperatedLoad implements AutoCloseable {
+final class RequestLoad implements AutoCloseable {
 
   private static final int KEEPING = 12;
   private static final int FRESH = 4;
@@ -32,7 +32,7 @@
   private final List<Thread> threads = new ArrayList<>();
   private volatile boolean over;
 
-  OperatedLoad(int port) {
+  RequestLoad(int port) {
     this.port = port;
     for (int i = 0; i < KEEPING + FRESH; i++) {
       int client = i;
