--- a/bench/src/main/java/cloverpulley/bench/BalancerDeployment.java
+++ b/bench/src/main/java/cloverpulley/bench/BalancerDeployment.java
@@ -17,30 +17,30 @@
 import java.util.stream.IntStream;
 import java.util.stream.Stream;
 
-/** A balancer that operators operate: the processes that the deploy file's {@code run} started, one address, one shared folder. */
+/** A balancer service as deployed: processes started by the deploy file's {@code run}, which share one address and one folder. */
 final class BalancerDeployment implements AutoCloseable {
 
-  private static final int WAIT_MILLIS = 10_000;
-  private static final AtomicLong IDS = new AtomicLong();
+  private static final int TIMEOUT_MILLIS = 10_000;
+  private static final AtomicLong REQUEST_IDS = new AtomicLong();
 
-  private record Started(Process process, int door) {}
+  private record RunningProcess(Process process, int managementPort) {}
 
   private final Path folder = Files.createTempDirectory("operated");
   private final Path config = folder.resolve("config.json");
-  private final Path shared = Files.createDirectory(folder.resolve("tmp"));
-  private final String run = Files.readString(Path.of("deploy/balancer.toml")).replaceAll("(?s).*\\nrun = '''(.*?)'''.*", "$1");
-  private final String text;
+  private final Path sharedFolder = Files.createDirectory(folder.resolve("tmp"));
+  private final String startCommand = Files.readString(Path.of("deploy/balancer.toml")).replaceAll("(?s).*\\nrun = '''(.*?)'''.*", "$1");
+  private final String configTemplate;
   private final int port = freePort();
-  private final List<Started> started = new ArrayList<>();
+  private final List<RunningProcess> running = new ArrayList<>();
 
   BalancerDeployment(List<String> upstreams) throws IOException {
     String members = IntStream.range(0, upstreams.size())
         .mapToObj(i -> "{\"id\":\"s-" + i + "\",\"host_port\":\"" + upstreams.get(i) + "\",\"phase\":\"ready\"}")
         .collect(Collectors.joining(",", "\"members\": [", "]"));
-    text = Files.readString(Path.of("deploy/example.json")).replaceFirst("\"listen\": *\"[^\"]*\"", "\"listen\": \"127.0.0.1:" + port + "\"")
+    configTemplate = Files.readString(Path.of("deploy/example.json")).replaceFirst("\"listen\": *\"[^\"]*\"", "\"listen\": \"127.0.0.1:" + port + "\"")
         .replaceFirst("\"memory_mb\": *[0-9]+", "\"memory_mb\": 208").replaceFirst("\"management\": *\"[^\"]*\",", "")
         .replace("\"members\": []", members);
-    settings("first", "2000000000");
+    writeSettings("first", "2000000000");
   }
 
   private static int freePort() throws IOException {
@@ -53,103 +53,103 @@
     return port;
   }
 
-  /** Writes settings with one more class. */
-  synchronized void settings(String name, String deadline) throws IOException {
-    Path made = folder.resolve("made.json");
-    Files.writeString(made, text.replaceFirst("\"categories\": *\\[", "\"categories\": [{\"name\":\"" + name
+  /** Writes the settings with an additional request class. */
+  synchronized void writeSettings(String name, String deadline) throws IOException {
+    Path newConfig = folder.resolve("made.json");
+    Files.writeString(newConfig, configTemplate.replaceFirst("\"categories\": *\\[", "\"categories\": [{\"name\":\"" + name
         + "\",\"effect\":\"idempotent\",\"aim-ns\":400000000,\"deadline-ns\":" + deadline + "},"));
-    Files.move(made, config, StandardCopyOption.ATOMIC_MOVE);
+    Files.move(newConfig, config, StandardCopyOption.ATOMIC_MOVE);
   }
 
-  /** Starts a process beside those that are. */
+  /** Starts another process next to those already running. */
   synchronized void start() throws IOException {
-    int door = freePort();
-    ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", run).redirectOutput(ProcessBuilder.Redirect.DISCARD)
+    int managementPort = freePort();
+    ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", startCommand).redirectOutput(ProcessBuilder.Redirect.DISCARD)
         .redirectError(ProcessBuilder.Redirect.appendTo(folder.resolve("log").toFile()));
     builder.environment().put("ROUTER_CONFIG", config.toString());
-    builder.environment().put("ROUTER_MANAGEMENT", "127.0.0.1:" + door);
-    builder.environment().put("TMPDIR", shared.toString());
-    started.add(new Started(builder.start(), door));
+    builder.environment().put("ROUTER_MANAGEMENT", "127.0.0.1:" + managementPort);
+    builder.environment().put("TMPDIR", sharedFolder.toString());
+    running.add(new RunningProcess(builder.start(), managementPort));
   }
 
-  private synchronized Started newest() {
-    return started.get(started.size() - 1);
+  private synchronized RunningProcess newest() {
+    return running.get(running.size() - 1);
   }
 
-  /** Waits until the newest says yes. */
+  /** Waits until the newest process reports ready. */
   void awaitReady(int number) throws IOException, InterruptedException {
-    for (int i = 0; i < WAIT_MILLIS / 10; i++) {
+    for (int i = 0; i < TIMEOUT_MILLIS / 10; i++) {
       try {
-        if (call("GET /control/ready").equals("200")) {
+        if (request("GET /control/ready").equals("200")) {
           return;
         }
       } catch (IOException e) {
-        // It does not listen yet.
+        // The process does not listen yet.
       }
       TimeUnit.MILLISECONDS.sleep(10);
     }
-    throw new IOException("process " + number + " did not get ready");
+    throw new IOException("process " + number + " did not become ready");
   }
 
-  /** Ends the oldest as a platform does; its status has to be 0. */
+  /** Terminates the oldest process with SIGTERM, as the platform does; its exit status must be 0. */
   void stopOldest() throws IOException, InterruptedException {
-    Started oldest;
+    RunningProcess oldest;
     synchronized (this) {
-      oldest = started.remove(0);
+      oldest = running.remove(0);
     }
     oldest.process.destroy();
-    if (!oldest.process.waitFor(WAIT_MILLIS, TimeUnit.MILLISECONDS) || oldest.process.exitValue() != 0) {
-      throw new IOException("the old process did not end well");
+    if (!oldest.process.waitFor(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS) || oldest.process.exitValue() != 0) {
+      throw new IOException("the oldest process did not exit with status 0");
     }
   }
 
-  void hangUp() throws IOException, InterruptedException {
+  void reloadSettings() throws IOException, InterruptedException {
     new ProcessBuilder("kill", "-HUP", Long.toString(newest().process.pid())).start().waitFor();
   }
 
   double residentMb() throws IOException {
     double sum = 0;
-    for (Started s : List.copyOf(started)) {
+    for (RunningProcess s : List.copyOf(running)) {
       sum += ChildProcess.residentMb(s.process.pid());
     }
     return sum;
   }
 
-  /** A caller at the newest's door. */
-  Socket caller() throws IOException {
-    Socket socket = new Socket(InetAddress.getLoopbackAddress(), newest().door);
-    socket.setSoTimeout(WAIT_MILLIS);
+  /** Opens a connection to the management port of the newest process. */
+  Socket connectToManagement() throws IOException {
+    Socket socket = new Socket(InetAddress.getLoopbackAddress(), newest().managementPort);
+    socket.setSoTimeout(TIMEOUT_MILLIS);
     return socket;
   }
 
-  /** A call at the newest's door; its status. */
-  String call(String call) throws IOException {
-    try (Socket socket = caller()) {
-      return Integer.toString(status(socket, call + " HTTP/1.1\r\nHost: x\r\n\r\n"));
+  /** Sends a request to the management port of the newest process and returns its status. */
+  String request(String request) throws IOException {
+    try (Socket socket = connectToManagement()) {
+      return Integer.toString(status(socket, request + " HTTP/1.1\r\nHost: x\r\n\r\n"));
     }
   }
 
-  /** A request of a class; its status. */
-  int ask(String className) throws IOException {
+  /** Sends a client request of the given class and returns its status. */
+  int requestOfClass(String className) throws IOException {
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
-      socket.setSoTimeout(WAIT_MILLIS);
-      return status(socket, "GET /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: b" + IDS.incrementAndGet() + "\r\nX-Qos: " + className
+      socket.setSoTimeout(TIMEOUT_MILLIS);
+      return status(socket, "GET /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: b" + REQUEST_IDS.incrementAndGet() + "\r\nX-Qos: " + className
           + "\r\nConnection: close\r\n\r\n");
     }
   }
 
-  private static int status(Socket socket, String text) throws IOException {
-    socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
+  private static int status(Socket socket, String request) throws IOException {
+    socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
     String line = new String(socket.getInputStream().readNBytes(12), StandardCharsets.US_ASCII);
     if (line.length() < 12) {
-      throw new IOException("no answer");
+      throw new IOException("incomplete response");
     }
     return Integer.parseInt(line.substring(9));
   }
 
   @Override
   public void close() throws IOException {
-    for (Started s : started) {
+    for (RunningProcess s : running) {
       s.process.destroyForcibly();
     }
     try (Stream<Path> files = Files.walk(folder)) {
--- a/bench/src/main/java/cloverpulley/bench/BalancerProcess.java
+++ b/bench/src/main/java/cloverpulley/bench/BalancerProcess.java
@@ -20,43 +20,43 @@
 import java.util.concurrent.TimeUnit;
 import java.util.stream.Collectors;
 
-/** One balancer of a checkout, started by its deploy file's {@code run} and healthy. */
+/** A balancer process of a checkout, started by the deploy file's {@code run}; the constructor returns once it is healthy. */
 final class BalancerProcess implements AutoCloseable {
 
-  private static final int MOST_WAIT_S = 30;
+  private static final int MAX_START_SECONDS = 30;
   private static final int CLIENTS = 8;
-  private static final int KEYS = 500;
+  private static final int SESSION_KEYS = 500;
 
   private final Process process;
   private final Path config;
   private final int port;
-  /** From its start until it was healthy. */
+  /** Time from process start until healthy. */
   final double startMillis;
 
-  /** {@code upstreams} are addresses. */
+  /** {@code upstreams} are {@code host:port} addresses. */
   BalancerProcess(Path root, List<String> upstreams) throws IOException, InterruptedException {
     try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
       port = free.getLocalPort();
     }
-    String run = Files.readString(root.resolve("deploy/balancer.toml")).replaceAll("(?s).*\\nrun = '''(.*?)'''.*", "$1");
+    String startCommand = Files.readString(root.resolve("deploy/balancer.toml")).replaceAll("(?s).*\\nrun = '''(.*?)'''.*", "$1");
     config = Files.createTempFile("platform", ".json");
     String members = upstreams.stream().map(a -> "{\"id\":\"s-" + a + "\",\"host_port\":\"" + a + "\",\"phase\":\"ready\"}")
         .collect(Collectors.joining(",", "\"members\": [", "]"));
     Files.writeString(config, Files.readString(root.resolve("deploy/example.json")).replaceFirst("\"management\": *\"[^\"]*\",", "").replace("127.0.0.1:0", "127.0.0.1:" + port)
         .replace("\"members\": []", members));
-    ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", run).directory(root.toFile())
+    ProcessBuilder builder = new ProcessBuilder("/bin/sh", "-c", startCommand).directory(root.toFile())
         .redirectError(ProcessBuilder.Redirect.DISCARD).redirectOutput(ProcessBuilder.Redirect.DISCARD);
     builder.environment().put("ROUTER_CONFIG", config.toString());
-    long begun = System.nanoTime();
+    long startNanos = System.nanoTime();
     process = builder.start();
-    while (!healthy()) {
-      if (!process.isAlive() || System.nanoTime() - begun > TimeUnit.SECONDS.toNanos(MOST_WAIT_S)) {
+    while (!isHealthy()) {
+      if (!process.isAlive() || System.nanoTime() - startNanos > TimeUnit.SECONDS.toNanos(MAX_START_SECONDS)) {
         close();
         throw new IOException("the balancer of " + root + " did not start");
       }
       TimeUnit.MILLISECONDS.sleep(2);
     }
-    startMillis = (System.nanoTime() - begun) / 1e6;
+    startMillis = (System.nanoTime() - startNanos) / 1e6;
   }
 
   double residentMb() throws IOException {
@@ -67,29 +67,29 @@
     return process.info().totalCpuDuration().orElseThrow().toNanos() / 1e3;
   }
 
-  private boolean healthy() {
+  private boolean isHealthy() {
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
       OutputStream out = socket.getOutputStream();
       out.write("GET /healthz HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
       InputStream in = socket.getInputStream();
       return new String(in.readNBytes(12), StandardCharsets.US_ASCII).equals("HTTP/1.1 200");
     } catch (IOException e) {
-      return false; // Not there yet.
+      return false; // Not listening yet.
     }
   }
 
-  /** So many requests by clients that each ask again as soon as they are answered; how many of them were served. */
-  int ask(int requests) throws Exception {
+  /** Sends this many requests in a closed loop of several clients and returns how many were served. */
+  int sendRequests(int requests) throws Exception {
     ExecutorService threads = Executors.newFixedThreadPool(CLIENTS);
     try {
-      List<Future<Integer>> all = new ArrayList<>();
+      List<Future<Integer>> results = new ArrayList<>();
       for (int c = 0; c < CLIENTS; c++) {
         int client = c;
-        Callable<Integer> asks = () -> ask(client, requests / CLIENTS);
-        all.add(threads.submit(asks));
+        Callable<Integer> task = () -> sendRequests(client, requests / CLIENTS);
+        results.add(threads.submit(task));
       }
       int served = 0;
-      for (Future<Integer> f : all) {
+      for (Future<Integer> f : results) {
         served += f.get();
       }
       return served;
@@ -98,25 +98,25 @@
     }
   }
 
-  private int ask(int client, int requests) throws IOException {
+  private int sendRequests(int client, int requests) throws IOException {
     int served = 0;
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
       socket.setTcpNoDelay(true);
       InputStream in = new BufferedInputStream(socket.getInputStream());
       for (int i = 0; i < requests; i++) {
         String text = "GET /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: " + client + "-" + i + "-" + System.nanoTime()
-            + "\r\nX-Qos: lookup\r\nX-Expires-In-Ms: 2000\r\nCookie: sid=k" + (client * 31 + i) % KEYS + "\r\n\r\n";
+            + "\r\nX-Qos: lookup\r\nX-Expires-In-Ms: 2000\r\nCookie: sid=k" + (client * 31 + i) % SESSION_KEYS + "\r\n\r\n";
         socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
-        served += served(in) ? 1 : 0;
+        served += isServed(in) ? 1 : 0;
       }
     }
     return served;
   }
 
-  private static boolean served(InputStream in) throws IOException {
-    boolean ok = line(in).startsWith("HTTP/1.1 200");
+  private static boolean isServed(InputStream in) throws IOException {
+    boolean ok = readLine(in).startsWith("HTTP/1.1 200");
     int length = 0;
-    for (String header = line(in); !header.isEmpty(); header = line(in)) {
+    for (String header = readLine(in); !header.isEmpty(); header = readLine(in)) {
       String lower = header.toLowerCase(Locale.ROOT);
       length = lower.startsWith("content-length:") ? Integer.parseInt(lower.substring(15).trim()) : length;
     }
@@ -124,7 +124,7 @@
     return ok;
   }
 
-  private static String line(InputStream in) throws IOException {
+  private static String readLine(InputStream in) throws IOException {
     StringBuilder s = new StringBuilder();
     for (int b = in.read(); b != '\n'; b = in.read()) {
       if (b < 0) {
--- a/bench/src/main/java/cloverpulley/bench/ChildProcess.java
+++ b/bench/src/main/java/cloverpulley/bench/ChildProcess.java
@@ -10,53 +10,53 @@
 import java.util.List;
 import java.util.Locale;
 
-/** A server in a process of its own, and what it costs. */
+/** A server or load generator in a separate JVM, with its CPU time and resident memory. */
 final class ChildProcess implements AutoCloseable {
 
   private final Process process;
   private final BufferedReader out;
 
-  ChildProcess(List<String> options, Class<?> main, String... args) throws IOException {
-    this(List.of(), options, main, args);
+  ChildProcess(List<String> jvmOptions, Class<?> main, String... args) throws IOException {
+    this(List.of(), jvmOptions, main, args);
   }
 
-  /** {@code before} is put before the command, such as what binds it to a core. */
-  ChildProcess(List<String> before, List<String> options, Class<?> main, String... args) throws IOException {
-    List<String> command = new ArrayList<>(before);
+  /** {@code commandPrefix} is put before the command, for example {@code taskset} to bind the process to a core. */
+  ChildProcess(List<String> commandPrefix, List<String> jvmOptions, Class<?> main, String... args) throws IOException {
+    List<String> command = new ArrayList<>(commandPrefix);
     command.addAll(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
-    command.addAll(options);
+    command.addAll(jvmOptions);
     command.addAll(List.of("-cp", System.getProperty("java.class.path"), main.getName()));
     command.addAll(List.of(args));
     process = new ProcessBuilder(command).redirectError(ProcessBuilder.Redirect.DISCARD).start();
     out = new BufferedReader(new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
   }
 
-  /** The port that it prints. */
-  int port() throws IOException {
+  /** Reads the port that the process prints as its first line. */
+  int readPort() throws IOException {
     String line = out.readLine();
     if (line == null || !line.startsWith("port ")) {
-      throw new IOException("a server did not start: " + line);
+      throw new IOException("server did not start: " + line);
     }
     return Integer.parseInt(line.substring(5));
   }
 
-  /** Tells it a line. */
-  void say(String line) throws IOException {
+  /** Writes a line to the standard input of the process. */
+  void writeLine(String line) throws IOException {
     process.getOutputStream().write((line + "\n").getBytes(StandardCharsets.UTF_8));
     process.getOutputStream().flush();
   }
 
-  /** The next line that it prints; null at its end. */
-  String line() throws IOException {
+  /** The next line that the process prints; null at the end of its output. */
+  String readLine() throws IOException {
     return out.readLine();
   }
 
-  /** CPU time spent so far, in microseconds. */
+  /** Total CPU time so far, in microseconds. */
   double cpuMicros() {
     return process.info().totalCpuDuration().orElseThrow().toNanos() / 1e3;
   }
 
-  /** Memory resident now, in megabytes. */
+  /** Resident memory in megabytes. */
   double residentMb() throws IOException {
     return residentMb(process.pid());
   }
@@ -67,7 +67,7 @@
         return Long.parseLong(line.replaceAll("\\D", "")) / 1024.0;
       }
     }
-    throw new IOException("no VmRSS");
+    throw new IOException("VmRSS is missing from /proc/PID/status");
   }
 
   @Override
--- a/bench/src/main/java/cloverpulley/bench/DnsBench.java
+++ b/bench/src/main/java/cloverpulley/bench/DnsBench.java
@@ -103,7 +103,7 @@
 
   private Seen play(String protocol, int port, double rate, double length, int names) throws IOException {
     for (int i = 0; i < generators.size(); i++) {
-      generators.get(i).say(protocol + " " + port + " " + rate / generators.size() + " " + length + " " + names + " " + (SEED + i));
+      generators.get(i).writeLine(protocol + " " + port + " " + rate / generators.size() + " " + length + " " + names + " " + (SEED + i));
     }
     double asked = 0;
     double served = 0;
@@ -113,7 +113,7 @@
     double late = 0;
     double least = Double.MAX_VALUE;
     for (ChildProcess g : generators) {
-      String line = g.line();
+      String line = g.readLine();
       if (line == null) {
         throw new IOException("a generator has ended");
       }
@@ -169,7 +169,7 @@
 
   private void onlyFlood() throws IOException, InterruptedException {
     try (ChildProcess first = server(1 % cores, "null", "0"); ChildProcess second = server(2 % cores, "null", "0")) {
-      double share = flooded(Integer.toString(first.port()), Integer.toString(second.port()));
+      double share = flooded(Integer.toString(first.readPort()), Integer.toString(second.readPort()));
       System.out.println(ChildProcess.json("good_share_in_flood", ChildProcess.figure(share)));
     } finally {
       generators.forEach(ChildProcess::close);
@@ -190,15 +190,15 @@
     double flooded;
     try (ChildProcess none = server(0, "null", "3600"); ChildProcess first = server(1 % cores, "null", "0"); ChildProcess second = server(2 % cores, "null", "0");
         ChildProcess lasting = server(1 % cores, "null", "3600")) {
-      int nonePort = none.port();
-      String a = Integer.toString(first.port());
-      String b = Integer.toString(second.port());
-      String c = Integer.toString(lasting.port());
+      int nonePort = none.readPort();
+      String a = Integer.toString(first.readPort());
+      String b = Integer.toString(second.readPort());
+      String c = Integer.toString(lasting.readPort());
       for (int p = 0; p < protocols.length; p++) {
         double limit = saturation("null", protocols[p], nonePort, CACHED_NAMES);
         try (ChildProcess cached = server(0, "front", "64", c); ChildProcess forwards = server(0, "front", "0", a, b)) {
-          int cachedPort = cached.port();
-          int forwardsPort = forwards.port();
+          int cachedPort = cached.readPort();
+          int forwardsPort = forwards.readPort();
           double cachedMost = saturation("cached", protocols[p], cachedPort, CACHED_NAMES);
           double forwardsMost = saturation("forwarded", protocols[p], forwardsPort, 0);
           cachedRatio[p] = cachedMost / limit;
@@ -251,21 +251,21 @@
     });
     load.start();
     TimeUnit.SECONDS.sleep(1);
-    front.say("drain");
-    front.line();
+    front.writeLine("drain");
+    front.readLine();
     TimeUnit.SECONDS.sleep(2);
-    drained.say("count");
-    long then = Long.parseLong(drained.line());
+    drained.writeLine("count");
+    long then = Long.parseLong(drained.readLine());
     load.join();
-    drained.say("count");
-    return Long.parseLong(drained.line()) - then;
+    drained.writeLine("count");
+    return Long.parseLong(drained.readLine()) - then;
   }
 
   /** The part of good clients' questions answered at the first try while forged prefixes flood the front at a bounded rate. */
   private double flooded(String first, String second) throws IOException, InterruptedException {
     try (ChildProcess front = new ChildProcess(List.of("taskset", "-c", "0"), List.of("-XX:+UseSerialGC", "-Xmx512m", "-Dlimit=" + DEFAULT_LIMIT),
         DnsServers.class, "front", "0", first, second)) {
-      int port = front.port();
+      int port = front.readPort();
       AtomicBoolean over = new AtomicBoolean();
       Thread flood = new Thread(() -> flood(port, over));
       flood.start();
@@ -274,8 +274,8 @@
       flood.join();
       System.out.printf("flood of %d/s from %d prefixes: %.4f of %d/s good ones served, p50 %.0f us, p99 %.0f us%n", FLOOD_RATE,
           FLOOD_PREFIXES, s.served(), GOOD_RATE, s.p50(), s.p99());
-      front.say("report");
-      System.out.println(front.line());
+      front.writeLine("report");
+      System.out.println(front.readLine());
       return s.served();
     }
   }
@@ -306,10 +306,10 @@
   /** Memory resident once the cache has been filled past its ceiling. */
   private double memory(String port) throws IOException {
     try (ChildProcess front = server(0, "front", Integer.toString(CACHE_MB), port)) {
-      int at = front.port();
+      int at = front.readPort();
       play("dns_udp", at, FIRST / 2, 4.0 * CACHE_MB * (1 << 20) / 500 / FIRST, 0);
-      front.say("report");
-      System.out.println(front.line());
+      front.writeLine("report");
+      System.out.println(front.readLine());
       return front.residentMb();
     }
   }
--- a/bench/src/main/java/cloverpulley/bench/DnsServers.java
+++ b/bench/src/main/java/cloverpulley/bench/DnsServers.java
@@ -37,31 +37,32 @@
 import java.util.List;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** What {@link DnsBench} measures, in processes of their own: the front, and the null responder on the same library. */
+/** Servers that {@link DnsBench} measures, each in its own process: the DNS server, and a null responder on the same library. */
 public final class DnsServers {
 
-  private static final int READS = 256;
-  private static final int MOST_DATAGRAM = 4096;
-  private static final int BUFFER = 1 << 20;
-  /** As many as let the compiler come to its end on one core. */
-  private static final int WARM_UP = 100_000;
+  private static final int MAX_READS_PER_LOOP = 256;
+  private static final int MAX_DATAGRAM = 4096;
+  private static final int RECEIVE_BUFFER = 1 << 20;
+  /** Enough for the JIT compiler to finish on one core. */
+  private static final int WARM_UP_QUERIES = 100_000;
   private static final byte[] OPT = new Edns.Writer(1232, 0, false).bytes();
 
   private DnsServers() {}
 
   /**
-   * The property {@code limit} is the front's answers a second to one prefix over UDP.
+   * {@code null TTL} runs the null responder, which answers every query with one address immediately; {@code front MB PORT...} runs the
+   * DNS server with the given cache size and upstream servers at these ports. Prints its port, then one line for each line of input: the
+   * null responder its query count, the DNS server its report. On {@code drain} the DNS server first sets its first upstream to draining.
    *
-   * <p>{@code null TTL}: answers every question with one address at once; or {@code front MB PORT...}: the front before servers at these
-   * ports. Prints its port; then does what each line of its input says: {@code count}, {@code drain}, {@code report}.
+   * <p>The property {@code limit} is the DNS server's limit of answers per second to one prefix over UDP.
    */
   public static void main(String[] args) throws IOException, BadFileException {
     BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
     if (args[0].equals("null")) {
-      Null server = new Null(Integer.parseInt(args[1]));
+      NullResponder server = new NullResponder(Integer.parseInt(args[1]));
       System.out.println("port " + server.port());
       for (String line = in.readLine(); line != null; line = in.readLine()) {
-        System.out.println(server.questions);
+        System.out.println(server.queryCount);
       }
     } else {
       List<Server> servers = new ArrayList<>();
@@ -70,7 +71,7 @@
         text.append("[[dns.fleet.server]]\nid = \"d").append(i).append("\"\naddress = \"127.0.0.1:").append(args[i]).append("\"\nzone = \"a\"\n");
       }
       DnsConfig config = OperatorsFile.parse("bench", text.toString(), f -> DnsConfig.read(f.table("dns"), null));
-      Warmup.run(config, WARM_UP);
+      Warmup.run(config, WARM_UP_QUERIES);
       DnsServer server = DnsServer.start(config, null, 1);
       System.out.println("port " + server.address().getPort());
       for (String line = in.readLine(); line != null; line = in.readLine()) {
@@ -115,19 +116,19 @@
       attempt_ms = 400
       """;
 
-  /** Reads each question strictly, as the front does, and answers it from nothing. */
-  private static final class Null {
+  /** Parses each query strictly, as the DNS server does, and answers it with a fixed address. */
+  private static final class NullResponder {
 
     private final int ttl;
     private final Channel udp;
-    final AtomicLong questions = new AtomicLong();
+    final AtomicLong queryCount = new AtomicLong();
 
-    Null(int ttl) {
+    NullResponder(int ttl) {
       this.ttl = ttl;
       EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
-      InetAddress here = InetAddress.getLoopbackAddress();
-      udp = new Bootstrap().group(group).channel(NioDatagramChannel.class).option(ChannelOption.SO_RCVBUF, BUFFER)
-          .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MOST_DATAGRAM).maxMessagesPerRead(READS))
+      InetAddress loopback = InetAddress.getLoopbackAddress();
+      udp = new Bootstrap().group(group).channel(NioDatagramChannel.class).option(ChannelOption.SO_RCVBUF, RECEIVE_BUFFER)
+          .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(MAX_DATAGRAM).maxMessagesPerRead(MAX_READS_PER_LOOP))
           .handler(new SimpleChannelInboundHandler<DatagramPacket>() {
             @Override
             protected void channelRead0(ChannelHandlerContext context, DatagramPacket packet) {
@@ -142,7 +143,7 @@
             public void channelReadComplete(ChannelHandlerContext context) {
               context.flush();
             }
-          }).bind(here, 0).syncUninterruptibly().channel();
+          }).bind(loopback, 0).syncUninterruptibly().channel();
       new ServerBootstrap().group(group).channel(NioServerSocketChannel.class).option(ChannelOption.SO_BACKLOG, 1024)
           .childOption(ChannelOption.TCP_NODELAY, true).childHandler(new ChannelInitializer<Channel>() {
             @Override
@@ -164,7 +165,7 @@
                     }
                   });
             }
-          }).bind(here, port()).syncUninterruptibly();
+          }).bind(loopback, port()).syncUninterruptibly();
     }
 
     int port() {
@@ -172,27 +173,27 @@
     }
 
     private byte[] answer(ByteBuf content) {
-      byte[] octets = new byte[content.readableBytes()];
-      content.readBytes(octets);
+      byte[] query = new byte[content.readableBytes()];
+      content.readBytes(query);
       try {
-        Message m = Message.read(octets);
-        questions.incrementAndGet();
-        int end = m.questionEnd();
-        byte[] to = new byte[end + 16 + (m.edns() == null ? 0 : OPT.length)];
-        System.arraycopy(octets, 0, to, 0, end);
-        Message.put16(to, 2, 0x8000 | m.flags() & Message.RD | Message.RA);
-        to[7] = 1;
-        to[11] = (byte) (m.edns() == null ? 0 : 1);
-        Message.put16(to, end, 0xC000 | Message.HEADER_LENGTH);
-        Message.put16(to, end + 2, 1);
-        Message.put16(to, end + 4, Message.IN);
-        Message.put32(to, end + 6, ttl);
-        Message.put16(to, end + 10, 4);
-        to[end + 12] = 10;
-        if (m.edns() != null) {
-          System.arraycopy(OPT, 0, to, end + 16, OPT.length);
+        Message message = Message.read(query);
+        queryCount.incrementAndGet();
+        int end = message.questionEnd();
+        byte[] response = new byte[end + 16 + (message.edns() == null ? 0 : OPT.length)];
+        System.arraycopy(query, 0, response, 0, end);
+        Message.put16(response, 2, 0x8000 | message.flags() & Message.RD | Message.RA);
+        response[7] = 1;
+        response[11] = (byte) (message.edns() == null ? 0 : 1);
+        Message.put16(response, end, 0xC000 | Message.HEADER_LENGTH);
+        Message.put16(response, end + 2, 1);
+        Message.put16(response, end + 4, Message.IN);
+        Message.put32(response, end + 6, ttl);
+        Message.put16(response, end + 10, 4);
+        response[end + 12] = 10;
+        if (message.edns() != null) {
+          System.arraycopy(OPT, 0, response, end + 16, OPT.length);
         }
-        return to;
+        return response;
       } catch (MalformedException e) {
         return null;
       }
--- a/bench/src/main/java/cloverpulley/bench/IncidentBench.java
+++ b/bench/src/main/java/cloverpulley/bench/IncidentBench.java
@@ -91,7 +91,7 @@
     List<Double> p99 = new ArrayList<>();
     try (ChildProcess without = new ChildProcess(OPTIONS, Servers.class, "100", "-", REMEMBERED);
         ChildProcess with = new ChildProcess(OPTIONS, Servers.class, "100", folder.toString(), REMEMBERED);
-        ProcessorClient to = new ProcessorClient(without.port(), SEED); ProcessorClient recorded = new ProcessorClient(with.port(), SEED)) {
+        ProcessorClient to = new ProcessorClient(without.readPort(), SEED); ProcessorClient recorded = new ProcessorClient(with.readPort(), SEED)) {
       for (int i = 0; i < WARM_UPS; i++) { // Compiled code on both sides, and in the caller, before anything counts.
         to.closed(AT_ONCE, seconds);
         recorded.closed(AT_ONCE, seconds);
@@ -150,7 +150,7 @@
           name = "quote-issue"
           effect = "keyed"
           deadline_ms = 3000.0
-          """.formatted(child.port()), Plan::read);
+          """.formatted(child.readPort()), Plan::read);
       LoadRun.run(plan, r -> { }, (planned, id, outcome, took) -> asked.merge(plan.classes().get(planned.classIndex()).name() + " "
           + (outcome == Outcome.SERVED ? Entry.SERVED : outcome == Outcome.REFUSED ? Entry.REFUSED : Entry.FAILED), 1L, Long::sum));
       TimeUnit.SECONDS.sleep(2); // What waits is flushed twice a second.
--- a/bench/src/main/java/cloverpulley/bench/LoadBench.java
+++ b/bench/src/main/java/cloverpulley/bench/LoadBench.java
@@ -52,10 +52,10 @@
     System.out.printf("%8s %10s %10s %10s %10s %10s%n", "rate", "achieved", "served", "late p50", "late p99", "CPU us");
     try (ChildProcess server = new ChildProcess(List.of("taskset", "-c", "0-" + Math.max(0, cores - 2)), List.of("-XX:+UseParallelGC"),
         Servers.class, "http")) {
-      int port = server.port();
+      int port = server.readPort();
       try (ChildProcess generator = new ChildProcess(List.of("taskset", "-c", Integer.toString(cores - 1)),
           GENERATOR, LoadBench.class, "generate", "" + port, "" + seconds)) {
-        for (String line = generator.line(); line != null; line = generator.line()) {
+        for (String line = generator.readLine(); line != null; line = generator.readLine()) {
           String[] f = line.split(" ");
           double rate = Double.parseDouble(f[0]);
           double late = Double.parseDouble(f[4]);
--- a/bench/src/main/java/cloverpulley/bench/LongResponses.java
+++ b/bench/src/main/java/cloverpulley/bench/LongResponses.java
@@ -10,58 +10,58 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** Memory of a balancer with many long answers in flight to clients that read slowly. */
+/** Measures the memory of a balancer with many long responses in flight to slow readers. */
 final class LongResponses {
 
-  private static final int ANSWERS = 100;
-  private static final int BYTES = 32 << 20;
-  private static final int PIECE = 64 * 1024;
-  private static final int LOOKS = 50;
+  private static final int RESPONSES = 100;
+  private static final int RESPONSE_BYTES = 32 << 20;
+  private static final int CHUNK_BYTES = 64 * 1024;
+  private static final int SAMPLES = 50;
   private static final long PAUSE_MILLIS = 100;
 
   private LongResponses() {}
 
-  /** The most that was resident, in megabytes. */
-  static double residentMb() throws Exception {
+  /** Peak resident memory in megabytes. */
+  static double peakResidentMb() throws Exception {
     try (ServerSocket upstream = new ServerSocket(0, 256, InetAddress.getLoopbackAddress());
-        BalancerDeployment operated = new BalancerDeployment(List.of("127.0.0.1:" + upstream.getLocalPort()))) {
-      thread(() -> {
+        BalancerDeployment deployment = new BalancerDeployment(List.of("127.0.0.1:" + upstream.getLocalPort()))) {
+      startThread(() -> {
         while (true) {
           Socket socket = upstream.accept();
-          thread(() -> serve(socket));
+          startThread(() -> serve(socket));
         }
       });
-      operated.start();
-      operated.awaitReady(0);
+      deployment.start();
+      deployment.awaitReady(0);
       List<Socket> clients = new ArrayList<>();
-      for (int i = 0; i < ANSWERS; i++) {
-        Socket client = new Socket(InetAddress.getLoopbackAddress(), operated.port());
-        client.setReceiveBufferSize(PIECE);
+      for (int i = 0; i < RESPONSES; i++) {
+        Socket client = new Socket(InetAddress.getLoopbackAddress(), deployment.port());
+        client.setReceiveBufferSize(CHUNK_BYTES);
         client.getOutputStream().write(("GET /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: l" + i + "\r\nX-Qos: lookup\r\n\r\n")
             .getBytes(StandardCharsets.US_ASCII));
         clients.add(client);
         TimeUnit.MILLISECONDS.sleep(5);
       }
-      double most = 0;
-      byte[] piece = new byte[PIECE];
-      for (int i = 0; i < LOOKS; i++) {
+      double peak = 0;
+      byte[] chunk = new byte[CHUNK_BYTES];
+      for (int i = 0; i < SAMPLES; i++) {
         for (Socket client : clients) {
           if (client.getInputStream().available() > 0) {
-            client.getInputStream().read(piece);
+            client.getInputStream().read(chunk);
           }
         }
-        most = Math.max(most, operated.residentMb());
+        peak = Math.max(peak, deployment.residentMb());
         TimeUnit.MILLISECONDS.sleep(PAUSE_MILLIS);
       }
-      int flowing = 0;
+      int active = 0;
       for (Socket client : clients) {
-        flowing += client.getInputStream().available() > 0 ? 1 : 0;
+        active += client.getInputStream().available() > 0 ? 1 : 0;
         client.close();
       }
-      if (flowing < ANSWERS / 2) {
-        throw new IOException("only " + flowing + " answers were in flight: the figure would not be that of " + ANSWERS);
+      if (active < RESPONSES / 2) {
+        throw new IOException("only " + active + " responses were in flight, too few to measure " + RESPONSES);
       }
-      return most;
+      return peak;
     }
   }
 
@@ -69,7 +69,7 @@
     void run() throws IOException;
   }
 
-  private static void thread(Task task) {
+  private static void startThread(Task task) {
     Thread thread = new Thread(() -> {
       try {
         task.run();
@@ -84,14 +84,14 @@
   private static void serve(Socket socket) throws IOException {
     try (socket) {
       InputStream in = socket.getInputStream();
-      int ends = 0;
+      int lineEndCharacters = 0;
       for (int b = in.read(); b >= 0; b = in.read()) {
-        ends = b == '\r' || b == '\n' ? ends + 1 : 0;
-        if (ends == 4) {
-          socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + BYTES + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
-          byte[] piece = new byte[PIECE];
-          for (int at = 0; at < BYTES; at += PIECE) {
-            socket.getOutputStream().write(piece);
+        lineEndCharacters = b == '\r' || b == '\n' ? lineEndCharacters + 1 : 0;
+        if (lineEndCharacters == 4) {
+          socket.getOutputStream().write(("HTTP/1.1 200 OK\r\nContent-Length: " + RESPONSE_BYTES + "\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+          byte[] chunk = new byte[CHUNK_BYTES];
+          for (int written = 0; written < RESPONSE_BYTES; written += CHUNK_BYTES) {
+            socket.getOutputStream().write(chunk);
           }
         }
       }
--- a/bench/src/main/java/cloverpulley/bench/ModelBench.java
+++ b/bench/src/main/java/cloverpulley/bench/ModelBench.java
@@ -9,7 +9,10 @@
 import cloverpulley.model.SimulationResult;
 import java.util.Locale;
 
-/** How much the model plays in a second around the real module, what size costs, what cores gain, and whether a seed is a play. */
+/**
+ * Measures the simulated requests per second around the real decision module, how the rate falls with the size of the fleet, the
+ * speed-up from several cores, and whether a seed always gives the same run.
+ */
 public final class ModelBench {
 
   private ModelBench() {}
@@ -40,46 +43,46 @@
         """.formatted(servers, balancers, rate, seconds, seconds / 2), ModelPlan::read);
   }
 
-  private static double perSecond(ModelPlan plan, Policy policy, SimulationResult[] into) {
-    long start = System.nanoTime();
-    into[0] = new Simulation(plan, policy, 1).run();
-    return into[0].requests / ((System.nanoTime() - start) / 1e9);
+  private static double requestsPerSecond(ModelPlan plan, Policy policy, SimulationResult[] result) {
+    long startNanos = System.nanoTime();
+    result[0] = new Simulation(plan, policy, 1).run();
+    return result[0].requests / ((System.nanoTime() - startNanos) / 1e9);
   }
 
-  /** No options. */
+  /** Takes no options. */
   public static void main(String[] args) throws Exception {
-    SimulationResult[] r = new SimulationResult[1];
-    ModelPlan hundred = plan(100, 20_000, 20, 1);
-    perSecond(hundred, Policy.MODULE, r); // Compiled code before anything counts.
+    SimulationResult[] result = new SimulationResult[1];
+    ModelPlan smallPlan = plan(100, 20_000, 20, 1);
+    requestsPerSecond(smallPlan, Policy.MODULE, result); // JIT warm-up, not counted.
     double rate = 0;
     long hash = 0;
     boolean repeatable = true;
-    long broken = 0;
+    long violations = 0;
     for (int i = 0; i < 3; i++) {
-      rate = Math.max(rate, perSecond(hundred, Policy.MODULE, r));
-      repeatable &= i == 0 || hash == r[0].hash();
-      hash = r[0].hash();
-      broken += r[0].invariantsHold() && r[0].allRequestsAccountedFor() ? 0 : 1;
+      rate = Math.max(rate, requestsPerSecond(smallPlan, Policy.MODULE, result));
+      repeatable &= i == 0 || hash == result[0].hash();
+      hash = result[0].hash();
+      violations += result[0].invariantsHold() && result[0].allRequestsAccountedFor() ? 0 : 1;
     }
-    double shell = perSecond(hundred, Policy.TWO_CHOICES, r);
-    System.out.printf(Locale.ROOT, "100 servers: %.0f requests a second of the module, %.0f of two choices%n", rate, shell);
-    // The same load to each server, a hundred times as many; the time of the start is in it.
-    double large = perSecond(plan(10_000, 1_000_000, 0.6, 1), Policy.MODULE, r);
-    broken += r[0].invariantsHold() && r[0].allRequestsAccountedFor() ? 0 : 1;
-    System.out.printf(Locale.ROOT, "10,000 servers: %.0f requests a second%n", large);
-    ModelPlan one = plan(50, 10_000, 6, 1);
-    long start = System.nanoTime();
-    PolicyComparison.Difference a = PolicyComparison.compare(one, Policy.MODULE, Policy.TWO_CHOICES, 16, 1e-12, 1);
-    double single = (System.nanoTime() - start) / 1e9;
-    start = System.nanoTime();
+    double twoChoicesRate = requestsPerSecond(smallPlan, Policy.TWO_CHOICES, result);
+    System.out.printf(Locale.ROOT, "100 servers: %.0f requests/s with the module, %.0f with two choices%n", rate, twoChoicesRate);
+    // The same load per server with a hundred times as many servers; includes the start-up time of the simulation.
+    double largeRate = requestsPerSecond(plan(10_000, 1_000_000, 0.6, 1), Policy.MODULE, result);
+    violations += result[0].invariantsHold() && result[0].allRequestsAccountedFor() ? 0 : 1;
+    System.out.printf(Locale.ROOT, "10,000 servers: %.0f requests/s%n", largeRate);
+    ModelPlan pairPlan = plan(50, 10_000, 6, 1);
+    long startNanos = System.nanoTime();
+    PolicyComparison.Difference singleCore = PolicyComparison.compare(pairPlan, Policy.MODULE, Policy.TWO_CHOICES, 16, 1e-12, 1);
+    double singleCoreSeconds = (System.nanoTime() - startNanos) / 1e9;
+    startNanos = System.nanoTime();
     int cores = Math.min(8, Runtime.getRuntime().availableProcessors());
-    PolicyComparison.Difference b = PolicyComparison.compare(one, Policy.MODULE, Policy.TWO_CHOICES, 16, 1e-12, cores);
-    double all = (System.nanoTime() - start) / 1e9;
-    repeatable &= a.mean() == b.mean();
-    System.out.printf(Locale.ROOT, "16 pairs: %.2f s on one core, %.2f s on %d; the difference in G %.4f on both%n", single, all, cores, a.mean());
-    System.out.println(ChildProcess.json("requests_per_s", ChildProcess.figure(rate), "growth", ChildProcess.figure(rate / large), "speedup_" + cores,
-        ChildProcess.figure(single / all), "repeatable", Boolean.toString(repeatable), "module_cost", ChildProcess.figure(shell / rate), "breaks",
-        Long.toString(broken)));
+    PolicyComparison.Difference multiCore = PolicyComparison.compare(pairPlan, Policy.MODULE, Policy.TWO_CHOICES, 16, 1e-12, cores);
+    double multiCoreSeconds = (System.nanoTime() - startNanos) / 1e9;
+    repeatable &= singleCore.mean() == multiCore.mean();
+    System.out.printf(Locale.ROOT, "16 pairs: %.2f s on one core, %.2f s on %d; the difference in G %.4f on both%n", singleCoreSeconds, multiCoreSeconds, cores, singleCore.mean());
+    System.out.println(ChildProcess.json("requests_per_s", ChildProcess.figure(rate), "growth", ChildProcess.figure(rate / largeRate), "speedup_" + cores,
+        ChildProcess.figure(singleCoreSeconds / multiCoreSeconds), "repeatable", Boolean.toString(repeatable), "module_cost", ChildProcess.figure(twoChoicesRate / rate), "breaks",
+        Long.toString(violations)));
     System.exit(0);
   }
 }
--- a/bench/src/main/java/cloverpulley/bench/ProcessorBench.java
+++ b/bench/src/main/java/cloverpulley/bench/ProcessorBench.java
@@ -53,7 +53,7 @@
       for (int fleet : FLEETS) {
         ChildProcess child = new ChildProcess(OPTIONS, Servers.class, Integer.toString(fleet));
         children.put(fleet, child);
-        callers.put(fleet, new ProcessorClient(child.port(), SEED + fleet));
+        callers.put(fleet, new ProcessorClient(child.readPort(), SEED + fleet));
         callers.get(fleet).closed(AT_ONCE, seconds); // Compiled code on both sides before anything counts.
         callers.get(fleet).open(RATES[1], seconds);
       }
@@ -125,7 +125,7 @@
     long calls = 0;
     List<Double> resident = new ArrayList<>();
     try (ChildProcess child = new ChildProcess(List.of("-XX:+UseParallelGC", "-Xmx128m", "-Xms128m", "-XX:+AlwaysPreTouch"), Servers.class, "100");
-        ProcessorClient caller = new ProcessorClient(child.port(), SEED)) {
+        ProcessorClient caller = new ProcessorClient(child.readPort(), SEED)) {
       for (int i = 0; i < minutes * 4; i++) {
         Result r = caller.open(RATES[0], 15);
         calls += r.calls();
--- a/bench/src/main/java/cloverpulley/bench/RequestLoad.java
+++ b/bench/src/main/java/cloverpulley/bench/RequestLoad.java
@@ -15,28 +15,29 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Clients that ask without end, on kept connections and on ever new ones, and count what becomes of each request. A kept connection that
- * ends before the first octet of an answer is asked anew once, as HTTP has it, and counted as reset; anything else without a whole answer is lost.
+ * Clients that send requests until closed, on keep-alive and on single-use connections, and count the outcome of each. A connection that is
+ * closed before the first byte of the response counts as reset; if it was reused, the request is retried once on a new connection, as HTTP
+ * allows. Any other request without a complete response counts as lost.
  */
 final class RequestLoad implements AutoCloseable {
 
-  private static final int KEEPING = 12;
-  private static final int FRESH = 4;
+  private static final int KEEP_ALIVE_CLIENTS = 12;
+  private static final int SINGLE_USE_CLIENTS = 4;
   private static final long PAUSE_MILLIS = 20;
-  private static final int WAIT_MILLIS = 10_000;
+  private static final int TIMEOUT_MILLIS = 10_000;
 
   private final int port;
   private final AtomicLong answered = new AtomicLong();
   private final AtomicLong lost = new AtomicLong();
   private final AtomicLong reset = new AtomicLong();
   private final List<Thread> threads = new ArrayList<>();
-  private volatile boolean over;
+  private volatile boolean stopped;
 
   RequestLoad(int port) {
     this.port = port;
-    for (int i = 0; i < KEEPING + FRESH; i++) {
+    for (int i = 0; i < KEEP_ALIVE_CLIENTS + SINGLE_USE_CLIENTS; i++) {
       int client = i;
-      Thread t = new Thread(() -> ask(client, client < KEEPING), "client " + i);
+      Thread t = new Thread(() -> runClient(client, client < KEEP_ALIVE_CLIENTS), "client " + i);
       t.setDaemon(true);
       t.start();
       threads.add(t);
@@ -55,18 +56,18 @@
     return reset.get();
   }
 
-  private void ask(int client, boolean keeps) {
+  private void runClient(int client, boolean keepAlive) {
     Socket socket = null;
-    for (long n = 0; !over; n++) {
+    for (long n = 0; !stopped; n++) {
       String text = "GET /api HTTP/1.1\r\nHost: x\r\nX-Trace-Id: c" + client + "-" + n + "\r\nX-Qos: lookup\r\nX-Expires-In-Ms: 2000\r\n"
           + "Cookie: sid=k" + (client * 31 + n) % 500 + "\r\n\r\n";
-      boolean kept = socket != null;
+      boolean reused = socket != null;
       try {
-        socket = once(socket, text, keeps);
+        socket = sendRequest(socket, text, keepAlive);
         answered.incrementAndGet();
       } catch (EOFException e) {
         reset.incrementAndGet();
-        socket = kept ? again(text, keeps) : null;
+        socket = reused ? retry(text, keepAlive) : null;
       } catch (IOException e) {
         lost.incrementAndGet();
         socket = null;
@@ -79,9 +80,9 @@
     }
   }
 
-  private Socket again(String text, boolean keeps) {
+  private Socket retry(String text, boolean keepAlive) {
     try {
-      Socket socket = once(null, text, keeps);
+      Socket socket = sendRequest(null, text, keepAlive);
       answered.incrementAndGet();
       return socket;
     } catch (IOException e) {
@@ -90,46 +91,46 @@
     }
   }
 
-  /** The connection to ask on next; null where it ends. */
-  private Socket once(Socket on, String text, boolean keeps) throws IOException {
-    Socket socket = on == null ? new Socket(InetAddress.getLoopbackAddress(), port) : on;
+  /** Sends a request and returns the connection for the next one; null if it was closed. */
+  private Socket sendRequest(Socket connection, String text, boolean keepAlive) throws IOException {
+    Socket socket = connection == null ? new Socket(InetAddress.getLoopbackAddress(), port) : connection;
     try {
-      socket.setSoTimeout(WAIT_MILLIS);
+      socket.setSoTimeout(TIMEOUT_MILLIS);
       socket.setTcpNoDelay(true);
       try {
         socket.getOutputStream().write(text.getBytes(StandardCharsets.US_ASCII));
       } catch (IOException e) {
         throw new EOFException();
       }
-      boolean stays = answer(new BufferedInputStream(socket.getInputStream())) && keeps;
-      if (!stays) {
+      boolean keptOpen = readResponse(new BufferedInputStream(socket.getInputStream())) && keepAlive;
+      if (!keptOpen) {
         socket.close();
       }
-      return stays ? socket : null;
+      return keptOpen ? socket : null;
     } catch (IOException e) {
       socket.close();
       throw e;
     }
   }
 
-  /** Reads one; whether the connection stays. */
-  private static boolean answer(InputStream in) throws IOException {
-    String status = line(in);
+  /** Reads a response and returns whether the connection stays open. */
+  private static boolean readResponse(InputStream in) throws IOException {
+    String status = readLine(in);
     int length = 0;
-    boolean stays = true;
-    for (String header = line(in); !header.isEmpty(); header = line(in)) {
+    boolean keptOpen = true;
+    for (String header = readLine(in); !header.isEmpty(); header = readLine(in)) {
       String lower = header.toLowerCase(Locale.ROOT);
       length = lower.startsWith("content-length:") ? Integer.parseInt(lower.substring(15).trim()) : length;
-      stays &= !lower.equals("connection: close");
+      keptOpen &= !lower.equals("connection: close");
     }
     in.skipNBytes(length);
     if (!status.startsWith("HTTP/1.1 200") && !status.startsWith("HTTP/1.1 429")) {
       throw new IOException(status);
     }
-    return stays;
+    return keptOpen;
   }
 
-  private static String line(InputStream in) throws IOException {
+  private static String readLine(InputStream in) throws IOException {
     StringBuilder s = new StringBuilder();
     int b;
     try {
@@ -139,7 +140,7 @@
     }
     for (; b != '\n'; b = in.read()) {
       if (b < 0) {
-        throw s.isEmpty() ? new EOFException() : new IOException("cut off");
+        throw s.isEmpty() ? new EOFException() : new IOException("response truncated");
       } else if (b != '\r') {
         s.append((char) b);
       }
@@ -149,7 +150,7 @@
 
   @Override
   public void close() throws InterruptedException {
-    over = true;
+    stopped = true;
     for (Thread t : threads) {
       t.join();
     }
