--- a/bench/src/main/java/cloverpulley/bench/IncidentBench.java
+++ b/bench/src/main/java/cloverpulley/bench/IncidentBench.java
@@ -31,28 +31,29 @@
 import java.util.stream.Stream;
 
 /**
- * What records cost and give: the processor with and without them by turns; a day of ten million records written, asked by index and by
- * plain scan, and made into a report; the counts of a short load against its generator's; clocks against a known truth.
+ * Measures the cost and the use of records: the processor with and without recording, alternately; a day of ten million records written,
+ * queried by index and by full scan, and rendered as a report; the counts in the records of a short load compared with those of its generator;
+ * and the estimate of clock offsets against known offsets.
  */
 public final class IncidentBench {
 
   private static final long SEED = 20261201;
-  private static final int AT_ONCE = 256;
-  private static final long DAY = 1_764_547_200_000_000L;
+  private static final int CONCURRENCY = 256;
+  private static final long DAY_START_MICROS = 1_764_547_200_000_000L;
   private static final long DAY_MICROS = 86_400_000_000L;
-  private static final int BACKLOG = 30_000;
-  private static final List<String> OPTIONS = List.of("-XX:+UseParallelGC", "-Xmx1g", "-Xms1g");
-  private static final String REMEMBERED = "1000000";
-  private static final int WARM_UPS = 3;
+  private static final int MAX_QUEUED = 30_000;
+  private static final List<String> JVM_OPTIONS = List.of("-XX:+UseParallelGC", "-Xmx1g", "-Xms1g");
+  private static final String REMEMBERED_REQUESTS = "1000000";
+  private static final int WARM_UP_ROUNDS = 3;
 
   private IncidentBench() {}
 
   /** {@code --rounds N}, {@code --seconds N} of each run, {@code --records N} of the day. */
   public static void main(String[] args) throws IOException, InterruptedException, BadFileException {
-    List<String> given = Arrays.asList(args);
-    int rounds = (int) option(given, "--rounds", 5);
-    int seconds = (int) option(given, "--seconds", 3);
-    long records = option(given, "--records", 10_000_000);
+    List<String> arguments = Arrays.asList(args);
+    int rounds = (int) option(arguments, "--rounds", 5);
+    int seconds = (int) option(arguments, "--seconds", 3);
+    long records = option(arguments, "--records", 10_000_000);
     Path folder = Files.createTempDirectory("ashdeck-incident-bench");
     try {
       System.out.println("seed " + SEED + ", " + rounds + " rounds of " + seconds + " s, a day of " + records + " records");
@@ -73,67 +74,68 @@
     System.exit(0);
   }
 
-  private static long option(List<String> given, String name, long absent) {
-    int at = given.indexOf(name);
-    return at < 0 ? absent : Long.parseLong(given.get(at + 1));
+  private static long option(List<String> arguments, String name, long defaultValue) {
+    int at = arguments.indexOf(name);
+    return at < 0 ? defaultValue : Long.parseLong(arguments.get(at + 1));
   }
 
-  // ---- Beside the service --------------------------------------------------------------------------------
+  // ---- Overhead in the processor --------------------------------------------------------------------------------
 
   private static double median(List<Double> values) {
     return values.stream().sorted().toList().get(values.size() / 2);
   }
 
-  /** Throughput with records over that without, CPU a call and p99 likewise: medians of the rounds' own ratios. */
+  /** Ratios with recording to without it, of throughput, CPU time per call and p99: the median of the ratios of the rounds. */
   private static double[] cost(Path folder, int rounds, int seconds) throws IOException, InterruptedException {
     List<Double> rate = new ArrayList<>();
     List<Double> cpu = new ArrayList<>();
     List<Double> p99 = new ArrayList<>();
-    try (ChildProcess without = new ChildProcess(OPTIONS, Servers.class, "100", "-", REMEMBERED);
-        ChildProcess with = new ChildProcess(OPTIONS, Servers.class, "100", folder.toString(), REMEMBERED);
-        ProcessorClient to = new ProcessorClient(without.readPort(), SEED); ProcessorClient recorded = new ProcessorClient(with.readPort(), SEED)) {
-      for (int i = 0; i < WARM_UPS; i++) { // Compiled code on both sides, and in the caller, before anything counts.
-        to.closed(AT_ONCE, seconds);
-        recorded.closed(AT_ONCE, seconds);
-        to.open(5000, seconds);
-        recorded.open(5000, seconds);
+    try (ChildProcess without = new ChildProcess(JVM_OPTIONS, Servers.class, "100", "-", REMEMBERED_REQUESTS);
+        ChildProcess with = new ChildProcess(JVM_OPTIONS, Servers.class, "100", folder.toString(), REMEMBERED_REQUESTS);
+        ProcessorClient plainClient = new ProcessorClient(without.readPort(), SEED);
+        ProcessorClient recordingClient = new ProcessorClient(with.readPort(), SEED)) {
+      for (int i = 0; i < WARM_UP_ROUNDS; i++) { // JIT warm-up of both servers and of the clients, not counted.
+        plainClient.runClosedLoop(CONCURRENCY, seconds);
+        recordingClient.runClosedLoop(CONCURRENCY, seconds);
+        plainClient.runOpenLoop(5000, seconds);
+        recordingClient.runOpenLoop(5000, seconds);
       }
       for (int i = 0; i < rounds; i++) {
-        // Who goes first changes from round to round.
-        Result[] full = new Result[2];
-        Result[] open = new Result[2];
-        double[] spent = new double[2];
+        // The order alternates from round to round.
+        Result[] closedLoop = new Result[2];
+        Result[] openLoop = new Result[2];
+        double[] cpuMicrosPerCall = new double[2];
         for (int turn = 0; turn < 2; turn++) {
           int which = (turn + i) % 2;
-          ProcessorClient c = which == 0 ? to : recorded;
+          ProcessorClient c = which == 0 ? plainClient : recordingClient;
           ChildProcess child = which == 0 ? without : with;
-          full[which] = c.closed(AT_ONCE, seconds);
-          TimeUnit.MILLISECONDS.sleep(500); // What is compiled or written behind the full load is not the next run's.
+          closedLoop[which] = c.runClosedLoop(CONCURRENCY, seconds);
+          TimeUnit.MILLISECONDS.sleep(500); // Keeps compilation and writes left over from the full load out of the next run.
           double before = child.cpuMicros();
-          open[which] = c.open(5000, seconds);
-          spent[which] = (child.cpuMicros() - before) / open[which].calls();
+          openLoop[which] = c.runOpenLoop(5000, seconds);
+          cpuMicrosPerCall[which] = (child.cpuMicros() - before) / openLoop[which].calls();
         }
-        rate.add(sent(full[1]) / sent(full[0]));
-        cpu.add(spent[1] / spent[0]);
-        p99.add((double) open[1].verdicts().getValueAtPercentile(99) / open[0].verdicts().getValueAtPercentile(99));
-        System.out.printf("round %d: %.0f and %.0f calls a second without and with records, CPU %.1f and %.1f us a call%n", i + 1,
-            sent(full[0]), sent(full[1]), spent[0], spent[1]);
-        System.out.printf("         sent of all %.3f and %.3f%n", full[0].destinations() / (double) full[0].calls(),
-            full[1].destinations() / (double) full[1].calls());
+        rate.add(destinationsPerSecond(closedLoop[1]) / destinationsPerSecond(closedLoop[0]));
+        cpu.add(cpuMicrosPerCall[1] / cpuMicrosPerCall[0]);
+        p99.add((double) openLoop[1].verdictMicros().getValueAtPercentile(99) / openLoop[0].verdictMicros().getValueAtPercentile(99));
+        System.out.printf("round %d: %.0f and %.0f calls/s without and with records, CPU %.1f and %.1f us per call%n", i + 1,
+            destinationsPerSecond(closedLoop[0]), destinationsPerSecond(closedLoop[1]), cpuMicrosPerCall[0], cpuMicrosPerCall[1]);
+        System.out.printf("         sent to a destination %.3f and %.3f%n", closedLoop[0].destinations() / (double) closedLoop[0].calls(),
+            closedLoop[1].destinations() / (double) closedLoop[1].calls());
       }
     }
     return new double[] {median(rate), median(cpu), median(p99)};
   }
 
-  /** Destinations a second: a refusal is a cheap verdict. */
-  private static double sent(Result r) {
+  /** Destinations per second: rejections are cheap verdicts and are not counted. */
+  private static double destinationsPerSecond(Result r) {
     return r.rate() * r.destinations() / r.calls();
   }
 
   private static long mismatches(Path folder) throws IOException, InterruptedException, BadFileException {
-    Map<String, Long> asked = new TreeMap<>();
-    Map<String, Long> counted = new TreeMap<>();
-    try (ChildProcess child = new ChildProcess(OPTIONS, Servers.class, "100", folder.resolve("p").toString())) {
+    Map<String, Long> generatorCounts = new TreeMap<>();
+    Map<String, Long> recordCounts = new TreeMap<>();
+    try (ChildProcess child = new ChildProcess(JVM_OPTIONS, Servers.class, "100", folder.resolve("p").toString())) {
       Plan plan = OperatorsFile.parse("plan", """
           [load]
           seconds = 4.0
@@ -151,21 +153,21 @@
           effect = "keyed"
           deadline_ms = 3000.0
           """.formatted(child.readPort()), Plan::read);
-      LoadRun.run(plan, r -> { }, (planned, id, outcome, took) -> asked.merge(plan.classes().get(planned.classIndex()).name() + " "
+      LoadRun.run(plan, r -> { }, (planned, id, outcome, took) -> generatorCounts.merge(plan.classes().get(planned.classIndex()).name() + " "
           + (outcome == Outcome.SERVED ? Entry.SERVED : outcome == Outcome.REFUSED ? Entry.REFUSED : Entry.FAILED), 1L, Long::sum));
-      TimeUnit.SECONDS.sleep(2); // What waits is flushed twice a second.
+      TimeUnit.SECONDS.sleep(2); // Queued records are flushed twice a second.
     }
-    IncidentAnalysis s = new IncidentAnalysis(new Archive(List.of(folder)), IncidentAnalysis.Options.allRecords(), n -> { });
-    s.timeline.answerCounts().forEach((c, n) -> counted.merge(c.className() + " " + c.answer(), n, Long::sum));
-    System.out.println("the generator counted " + asked + ", the records " + counted);
-    long off = 0;
-    for (String k : Stream.concat(asked.keySet().stream(), counted.keySet().stream()).distinct().toList()) {
-      off += Math.abs(asked.getOrDefault(k, 0L) - counted.getOrDefault(k, 0L));
+    IncidentAnalysis analysis = new IncidentAnalysis(new Archive(List.of(folder)), IncidentAnalysis.Options.allRecords(), n -> { });
+    analysis.timeline.answerCounts().forEach((c, n) -> recordCounts.merge(c.className() + " " + c.answer(), n, Long::sum));
+    System.out.println("the generator counted " + generatorCounts + ", the records " + recordCounts);
+    long difference = 0;
+    for (String k : Stream.concat(generatorCounts.keySet().stream(), recordCounts.keySet().stream()).distinct().toList()) {
+      difference += Math.abs(generatorCounts.getOrDefault(k, 0L) - recordCounts.getOrDefault(k, 0L));
     }
-    return off;
+    return difference;
   }
 
-  // ---- A day ---------------------------------------------------------------------------------------------
+  // ---- A day of records ---------------------------------------------------------------------------------------------
 
   private static Map<String, Double> day(Path folder, long records) throws IOException {
     Map<String, Double> figures = new TreeMap<>();
@@ -174,58 +176,58 @@
     Archive archive = new Archive(List.of(folder));
     figures.put("rate", records / ((System.nanoTime() - start) / 1e9));
     figures.put("bytes", archive.bytes() / (double) records);
-    System.out.printf("written: %.0f records a second, %.1f octets each%n", figures.get("rate"), figures.get("bytes"));
-    long from = DAY / 1_000_000 + 43_200;
-    Map<String, String> questions = new TreeMap<>(Map.of("ten minutes", "at>=" + from + " and at<" + (from + 600)
+    System.out.printf("written: %.0f records/s, %.1f bytes each%n", figures.get("rate"), figures.get("bytes"));
+    long from = DAY_START_MICROS / 1_000_000 + 43_200;
+    Map<String, String> queries = new TreeMap<>(Map.of("ten minutes", "at>=" + from + " and at<" + (from + 600)
         + " and tenant=t3 and answer=refused", "a request", "request=q" + records / 8, "a server that was there for a while",
         "server=rare", "a tenant with few", "tenant=seldom and kind=answered", "every tenth answer", "kind=answered and tenant=t1"));
-    for (Map.Entry<String, String> q : questions.entrySet()) {
+    for (Map.Entry<String, String> q : queries.entrySet()) {
       double[] best = {Double.MAX_VALUE, Double.MAX_VALUE};
-      long[] found = new long[2];
+      long[] matches = new long[2];
       int[] blocks = new int[2];
       for (int i = 0; i < 3; i++) {
         long t0 = System.nanoTime();
-        Archive.Read by = archive.read(Query.of(q.getValue()), e -> { }, n -> { });
+        Archive.Read indexed = archive.read(Query.of(q.getValue()), e -> { }, n -> { });
         long t1 = System.nanoTime();
         best[0] = Math.min(best[0], (t1 - t0) / 1e9);
-        found[0] = by.matching();
-        blocks[0] = by.blocks();
-        if (i == 0) { // The scan is long and steady: once.
+        matches[0] = indexed.matching();
+        blocks[0] = indexed.blocks();
+        if (i == 0) { // The scan takes long and varies little, so it runs once.
           Archive.Read scan = archive.scan(Query.of(q.getValue()), e -> { });
           best[1] = (System.nanoTime() - t1) / 1e9;
-          found[1] = scan.matching();
+          matches[1] = scan.matching();
           blocks[1] = scan.blocks();
         }
       }
-      if (found[0] != found[1]) {
-        throw new IllegalStateException(q.getKey() + ": " + found[0] + " by index, " + found[1] + " by scan");
+      if (matches[0] != matches[1]) {
+        throw new IllegalStateException(q.getKey() + ": " + matches[0] + " by index, " + matches[1] + " by scan");
       }
       figures.put(q.getKey(), best[1] / best[0]);
-      System.out.printf("%-36s %8d found, index %.3f s in %d blocks, scan %.3f s in %d: %.1f times%n", q.getKey(), found[0], best[0],
+      System.out.printf("%-36s %8d found, index %.3f s in %d blocks, scan %.3f s in %d: %.1f times%n", q.getKey(), matches[0], best[0],
           blocks[0], best[1], blocks[1], best[1] / best[0]);
     }
     long t = System.nanoTime();
-    IncidentAnalysis s = new IncidentAnalysis(archive, new IncidentAnalysis.Options(Long.MIN_VALUE, Long.MAX_VALUE, 600_000_000L, null,
+    IncidentAnalysis analysis = new IncidentAnalysis(archive, new IncidentAnalysis.Options(Long.MIN_VALUE, Long.MAX_VALUE, 600_000_000L, null,
         cloverpulley.incident.Audit.Limits.DEFAULT), n -> { });
-    int page = new HtmlReport(s).html().length();
+    int htmlLength = new HtmlReport(analysis).html().length();
     figures.put("report", (System.nanoTime() - t) / 1e9);
-    System.out.printf("report of the day: %.1f s, %d octets, %d findings%n", figures.get("report"), page, s.audit.findings().size());
+    System.out.printf("report of the day: %.1f s, %d characters, %d findings%n", figures.get("report"), htmlLength, analysis.audit.findings().size());
     return figures;
   }
 
-  /** Four records a request, spread over a day; a tenth of the requests is refused for a while at noon. */
+  /** Writes four records per served request, spread over a day; at noon a tenth of the requests is rejected for a while. */
   private static void write(Path folder, long records) {
-    RecordsConfig usual = RecordsConfig.of(folder, "day");
-    Recorder r = Recorder.open(new RecordsConfig(folder, "day", usual.segmentBytes(), 1L << 40, 500, 1 << 16, usual.sync()), "process",
+    RecordsConfig defaults = RecordsConfig.of(folder, "day");
+    Recorder r = Recorder.open(new RecordsConfig(folder, "day", defaults.segmentBytes(), 1L << 40, 500, 1 << 16, defaults.sync()), "process",
         null);
     SplittableRandom random = new SplittableRandom(SEED);
     Origin o = r.origin();
     long requests = records / 4;
     for (long i = 0; i < requests; i++) {
-      while (r.queueSize() > BACKLOG) {
+      while (r.queueSize() > MAX_QUEUED) {
         LockSupport.parkNanos(100_000);
       }
-      long at = DAY + i * (DAY_MICROS / requests);
+      long at = DAY_START_MICROS + i * (DAY_MICROS / requests);
       String id = "q" + i;
       String type = i % 3 == 0 ? "quote-issue" : "rate-lookup";
       String tenant = i % 100_000 == 7 ? "seldom" : "t" + random.nextInt(10);
@@ -236,49 +238,52 @@
       Entry base = Entry.of(o, 0, at, Kind.TAKEN).withRequest(i + 1, id, type, tenant);
       r.record(base.withDetails(null, 2_000_000, 0));
       if (!refused) {
-        r.record(kind(base, Kind.SENT, at + 50).withAttempt(0, 1000 + server).withServer(1000 + server, name));
-        r.record(kind(base, Kind.OUTCOME, at + 50 + latency).withAttempt(0, 1000 + server).withServer(1000 + server, name)
+        r.record(entryAt(base, Kind.SENT, at + 50).withAttempt(0, 1000 + server).withServer(1000 + server, name));
+        r.record(entryAt(base, Kind.OUTCOME, at + 50 + latency).withAttempt(0, 1000 + server).withServer(1000 + server, name)
             .withDetails("served", latency, 0));
       }
-      r.record(kind(base, Kind.ENDED, at + 60 + latency).withDetails(refused ? "over_rate" : "served", 0, refused ? 1 : 0));
-      r.record(kind(base, Kind.ANSWERED, at + 70).withDetails(refused ? "over_rate" : "served", 70, refused ? 1 : 0));
+      r.record(entryAt(base, Kind.ENDED, at + 60 + latency).withDetails(refused ? "over_rate" : "served", 0, refused ? 1 : 0));
+      r.record(entryAt(base, Kind.ANSWERED, at + 70).withDetails(refused ? "over_rate" : "served", 70, refused ? 1 : 0));
     }
     r.close();
   }
 
-  private static Entry kind(Entry e, Kind kind, long at) {
+  private static Entry entryAt(Entry e, Kind kind, long at) {
     return new Entry(e.origin(), 0, at, kind, e.request(), e.id(), e.className(), e.tenant(), 0, 0, 0, null, null, 0, 0);
   }
 
   // ---- Clocks --------------------------------------------------------------------------------------------
 
-  /** The largest error of the middle in milliseconds over ten minutes, 40 s apart with a drift of 200 ppm; and how often a bound broke. */
+  /**
+   * The largest error of the midpoint in milliseconds over ten minutes, for clocks 40 s apart with a drift of 200 ppm, and how often the true
+   * offset was outside the bounds.
+   */
   private static double[] clocks() {
     SplittableRandom random = new SplittableRandom(SEED);
-    List<Clocks.Correlation> ties = new ArrayList<>();
+    List<Clocks.Correlation> correlations = new ArrayList<>();
     long seconds = 600;
     for (int i = 0; i < 20_000; i++) {
-      long at = DAY + random.nextLong(seconds * 1_000_000);
-      long there = 100 + random.nextLong(2000);
-      long back = 100 + random.nextLong(2000);
-      ties.add(new Clocks.Correlation("a", at, "b", shown(at + there), 0, there + back, "call"));
+      long at = DAY_START_MICROS + random.nextLong(seconds * 1_000_000);
+      long requestDelay = 100 + random.nextLong(2000);
+      long responseDelay = 100 + random.nextLong(2000);
+      correlations.add(new Clocks.Correlation("a", at, "b", skewedMicros(at + requestDelay), 0, requestDelay + responseDelay, "call"));
     }
-    Map<String, long[]> spans = new TreeMap<>(Map.of("a", new long[] {DAY, DAY + seconds * 1_000_000}, "b",
-        new long[] {shown(DAY), shown(DAY + seconds * 1_000_000)}));
-    Clocks c = new Clocks("a", spans, ties);
+    Map<String, long[]> spans = new TreeMap<>(Map.of("a", new long[] {DAY_START_MICROS, DAY_START_MICROS + seconds * 1_000_000}, "b",
+        new long[] {skewedMicros(DAY_START_MICROS), skewedMicros(DAY_START_MICROS + seconds * 1_000_000)}));
+    Clocks c = new Clocks("a", spans, correlations);
     double worst = 0;
-    double broken = 0;
-    for (long t = DAY; t < DAY + seconds * 1_000_000; t += 997_000) {
-      Clocks.Offset o = c.offset("b", shown(t));
-      long truth = t - shown(t);
+    double violations = 0;
+    for (long t = DAY_START_MICROS; t < DAY_START_MICROS + seconds * 1_000_000; t += 997_000) {
+      Clocks.Offset o = c.offset("b", skewedMicros(t));
+      long truth = t - skewedMicros(t);
       worst = Math.max(worst, Math.abs(o.midpoint() - truth) / 1000.0);
-      broken += truth < o.min() || truth > o.max() ? 1 : 0;
+      violations += truth < o.min() || truth > o.max() ? 1 : 0;
     }
-    System.out.printf("clocks: worst error %.2f ms, bounds broken %.0f times%n", worst, broken);
-    return new double[] {worst, broken};
+    System.out.printf("clocks: worst error %.2f ms, true offset out of bounds %.0f times%n", worst, violations);
+    return new double[] {worst, violations};
   }
 
-  private static long shown(long truth) {
-    return truth - 40_000_000 + (truth - DAY) / 5000;
+  private static long skewedMicros(long truth) {
+    return truth - 40_000_000 + (truth - DAY_START_MICROS) / 5000;
   }
 }
--- a/bench/src/main/java/cloverpulley/bench/LoadBench.java
+++ b/bench/src/main/java/cloverpulley/bench/LoadBench.java
@@ -19,19 +19,19 @@
 import org.HdrHistogram.HistogramIterationValue;
 
 /**
- * The load generator against a null HTTP server: the highest rate on one core at which its own lateness stays under a
- * millisecond (p99), its CPU for each request, and how exactly a stall of known times is measured. The generator runs in a process
- * that {@code taskset} binds to one core, the server in another on other cores.
+ * Measures the load generator against a null HTTP server: the highest rate on one core at which its own lateness stays under a
+ * millisecond (p99), its CPU time per request, and how accurately it measures a stall of known length. The generator runs in a process
+ * that {@code taskset} binds to one core, the server in another process on the other cores.
  */
 public final class LoadBench {
 
   private static final int[] RATES = {2000, 5000, 10_000, 12_500, 15_000, 20_000, 25_000, 30_000, 40_000};
-  private static final double MOST_LATE_MICROS = 1000;
+  private static final double MAX_LATENESS_MICROS = 1000;
   private static final long SEED = 20261201;
-  /** Rounds before anything counts: on the one core the compiler takes the generator's time until it has nothing left to compile. */
-  private static final int WARM_UPS = 8;
-  /** Room for a whole run without a collection, which would take the one core for tens of milliseconds. */
-  static final List<String> GENERATOR = List.of("-XX:+UseSerialGC", "-Xmx1600m", "-Xmn1300m");
+  /** Runs before the measurement: on a single core the JIT compiler competes with the generator until it has finished. */
+  private static final int WARM_UP_RUNS = 8;
+  /** Heap for a whole run without a collection, which would occupy the single core for tens of milliseconds. */
+  static final List<String> GENERATOR_JVM_OPTIONS = List.of("-XX:+UseSerialGC", "-Xmx1600m", "-Xmn1300m");
 
   private LoadBench() {}
 
@@ -41,11 +41,11 @@
       generate(Integer.parseInt(args[1]), Integer.parseInt(args[2]));
       System.exit(0);
     }
-    List<String> given = Arrays.asList(args);
-    int seconds = given.contains("--seconds") ? Integer.parseInt(given.get(given.indexOf("--seconds") + 1)) : 5;
+    List<String> arguments = Arrays.asList(args);
+    int seconds = arguments.contains("--seconds") ? Integer.parseInt(arguments.get(arguments.indexOf("--seconds") + 1)) : 5;
     int cores = Runtime.getRuntime().availableProcessors();
     double best = 0;
-    double bestLate = 0;
+    double bestLateness = 0;
     double cpu = 0;
     double cpuAt2000 = 0;
     System.out.println("seed " + SEED + ", " + seconds + " s each; generator on core " + (cores - 1));
@@ -54,24 +54,24 @@
         Servers.class, "http")) {
       int port = server.readPort();
       try (ChildProcess generator = new ChildProcess(List.of("taskset", "-c", Integer.toString(cores - 1)),
-          GENERATOR, LoadBench.class, "generate", "" + port, "" + seconds)) {
+          GENERATOR_JVM_OPTIONS, LoadBench.class, "generate", "" + port, "" + seconds)) {
         for (String line = generator.readLine(); line != null; line = generator.readLine()) {
           String[] f = line.split(" ");
           double rate = Double.parseDouble(f[0]);
-          double late = Double.parseDouble(f[4]);
+          double latenessP99 = Double.parseDouble(f[4]);
           System.out.printf("%8.0f %10.0f %10.4f %10.0f %10.0f %10.1f%n", rate, Double.parseDouble(f[1]),
-              Double.parseDouble(f[2]), Double.parseDouble(f[3]), late, Double.parseDouble(f[5]));
+              Double.parseDouble(f[2]), Double.parseDouble(f[3]), latenessP99, Double.parseDouble(f[5]));
           cpuAt2000 = rate == RATES[0] ? Double.parseDouble(f[5]) : cpuAt2000;
-          if (late < MOST_LATE_MICROS && Double.parseDouble(f[2]) > 0.9999) {
+          if (latenessP99 < MAX_LATENESS_MICROS && Double.parseDouble(f[2]) > 0.9999) {
             best = rate;
-            bestLate = late;
+            bestLateness = latenessP99;
             cpu = Double.parseDouble(f[5]);
           }
         }
       }
     }
     double error = stall();
-    System.out.println(ChildProcess.json("rate_one_core", ChildProcess.figure(best), "lateness_p99_ms", ChildProcess.figure(bestLate / 1000),
+    System.out.println(ChildProcess.json("rate_one_core", ChildProcess.figure(best), "lateness_p99_ms", ChildProcess.figure(bestLateness / 1000),
         "cpu_us_per_request", ChildProcess.figure(cpu), "cpu_us_at_2000", ChildProcess.figure(cpuAt2000), "stall_area_error",
         String.format(Locale.ROOT, "%.5f", error)));
     System.exit(0);
@@ -84,9 +84,9 @@
         + "\"127.0.0.1:" + port + "\"\n", Plan::read);
   }
 
-  /** In the generator's process: each rate in turn; a line for each with rate, achieved, part served, lateness, CPU. */
+  /** Runs in the generator's process: prints a line for each rate, with rate, achieved rate, served ratio, p50 and p99 lateness, CPU time per request. */
   private static void generate(int port, int seconds) throws BadFileException, InterruptedException {
-    for (int i = 0; i < WARM_UPS; i++) {
+    for (int i = 0; i < WARM_UP_RUNS; i++) {
       LoadRun.run(plan(port, i % 2 == 0 ? 3000 : 10_000, seconds, "poisson"), r -> { });
     }
     for (int rate : RATES) {
@@ -98,8 +98,8 @@
       System.out.println(rate + " " + r.all.requests / took + " " + (double) r.all.outcomes[Outcome.SERVED.ordinal()] / r.all.requests
           + " " + r.lateness.getValueAtPercentile(50) + " " + r.lateness.getValueAtPercentile(99) + " "
           + (cpuMicros() - before) / r.all.requests);
-      if (r.lateness.getValueAtPercentile(50) > 100 * MOST_LATE_MICROS) {
-        return; // Far behind: higher rates tell no more.
+      if (r.lateness.getValueAtPercentile(50) > 100 * MAX_LATENESS_MICROS) {
+        return; // Saturated: higher rates would add nothing.
       }
     }
   }
@@ -108,7 +108,7 @@
     return ProcessHandle.current().info().totalCpuDuration().orElseThrow().toNanos() / 1e3;
   }
 
-  /** The part by which the measured waiting in a stall of two seconds differs from the true one. */
+  /** Returns the relative error of the measured waiting time in a stall of two seconds. */
   private static double stall() throws BadFileException, InterruptedException {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     try (ScriptedHttp server = new ScriptedHttp(group, ScriptedHttp.Behaviour.SERVE)) {
@@ -120,20 +120,20 @@
           server.stall(2000);
         }
       });
-      double truth = 0;
+      double expectedNanos = 0;
       RequestGenerator generator = new RequestGenerator(plan);
       for (RequestGenerator.PlannedRequest p = generator.next(); p != null; p = generator.next()) {
         long intended = r.startNanos + (long) (p.startSeconds() * 1e9);
-        truth += intended >= server.stallBegan() && intended < server.stallEnded() ? server.stallEnded() - intended : 0;
+        expectedNanos += intended >= server.stallBegan() && intended < server.stallEnded() ? server.stallEnded() - intended : 0;
       }
-      double measured = 0;
-      double usual = r.all.corrected.getValueAtPercentile(25);
+      double measuredNanos = 0;
+      double baselineMicros = r.all.corrected.getValueAtPercentile(25);
       for (HistogramIterationValue v : r.all.corrected.recordedValues()) {
-        measured += (v.getValueIteratedTo() - usual) * v.getCountAddedInThisIterationStep() * 1000;
+        measuredNanos += (v.getValueIteratedTo() - baselineMicros) * v.getCountAddedInThisIterationStep() * 1000;
       }
-      System.out.printf("stall of %.3f s: %.1f request seconds waited, %.1f measured%n",
-          (server.stallEnded() - server.stallBegan()) / 1e9, truth / 1e9, measured / 1e9);
-      return Math.abs(measured - truth) / truth;
+      System.out.printf("stall of %.3f s: %.1f request seconds of waiting, %.1f measured%n",
+          (server.stallEnded() - server.stallBegan()) / 1e9, expectedNanos / 1e9, measuredNanos / 1e9);
+      return Math.abs(measuredNanos - expectedNanos) / expectedNanos;
     } finally {
       group.shutdownGracefully();
     }
--- a/bench/src/main/java/cloverpulley/bench/OperationsBench.java
+++ b/bench/src/main/java/cloverpulley/bench/OperationsBench.java
@@ -81,7 +81,7 @@
         deployment.awaitReady(i);
         twoProcessesMb = Math.max(twoProcessesMb, deployment.residentMb());
         deployment.stopOldest();
-        System.offlineNanos.println("upgrade " + i + ": " + load);
+        System.out.println("upgrade " + i + ": " + load);
       }
       load.close();
       idle.interrupt();
@@ -91,7 +91,7 @@
     Set<String> ids = new HashSet<>();
     long duplicates = upstreams.stream().flatMap(u -> u.seen().stream()).map(Seen::id).filter(id -> !ids.add(id)).count();
     upstreams.forEach(StandInUpstream::close);
-    System.offlineNanos.println(ChildProcess.json("upgrades", Integer.toString(upgrades), "outs", Integer.toString(returnSeconds.size()), "retunes",
+    System.out.println(ChildProcess.json("upgrades", Integer.toString(upgrades), "outs", Integer.toString(returnSeconds.size()), "retunes",
         Integer.toString(reloadMillis.size()), "answered", Long.toString(load.answered()), "lost", Long.toString(load.lost()), "reset",
         Long.toString(load.reset()), "double", Long.toString(duplicates), "after_out", Integer.toString(sentWhileOffline), "back_within_s",
         ChildProcess.figure(Collections.max(returnSeconds)), "door_p99_ms", ChildProcess.figure(percentile(managementMillis, 0.99)), "retune_p99_ms",
--- a/bench/src/main/java/cloverpulley/bench/ProcessorClient.java
+++ b/bench/src/main/java/cloverpulley/bench/ProcessorClient.java
@@ -25,16 +25,16 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Calls a processor as a proxy does: headers, a verdict, the answer's head, the end. In an open loop the latency of a verdict
- * runs from the call's intended start, so that a server that stalls is charged for all that waits.
+ * Calls a processor as a proxy does: sends the request headers, receives a verdict, sends the response headers and half-closes. In an open
+ * loop the latency of a verdict counts from the intended start of the call, so that a stall is charged to every call that waits in it.
  */
 final class ProcessorClient implements AutoCloseable {
 
   private static final int CONNECTIONS = 2;
-  private static final long MOST_MICROS = TimeUnit.SECONDS.toMicros(60);
+  private static final long MAX_MICROS = TimeUnit.SECONDS.toMicros(60);
 
-  /** What came of a run; times in microseconds. */
-  record Result(long calls, long decided, long destinations, long lost, double seconds, Histogram verdicts, Histogram lateness) {
+  /** The result of a run; times in microseconds. */
+  record Result(long calls, long decided, long destinations, long lost, double seconds, Histogram verdictMicros, Histogram lateness) {
     double rate() {
       return decided / seconds;
     }
@@ -53,61 +53,61 @@
     }
   }
 
-  /** A run in hand. */
+  /** Counters of a run in progress. */
   private static final class Run {
     final AtomicLong started = new AtomicLong();
     final AtomicLong decided = new AtomicLong();
     final AtomicLong destinations = new AtomicLong();
     final AtomicLong ended = new AtomicLong();
-    final ConcurrentHistogram verdicts = new ConcurrentHistogram(MOST_MICROS, 3);
-    Runnable next = () -> { };
+    final ConcurrentHistogram verdictMicros = new ConcurrentHistogram(MAX_MICROS, 3);
+    Runnable onCallEnd = () -> { };
   }
 
-  /** So many calls a second, at times drawn ahead (Poisson), for so long. */
-  Result open(double rate, double seconds) throws InterruptedException {
+  /** Open loop: starts calls at this rate per second, at Poisson arrival times that do not depend on the responses. */
+  Result runOpenLoop(double rate, double seconds) throws InterruptedException {
     Run run = new Run();
-    Histogram lateness = new Histogram(MOST_MICROS, 3);
+    Histogram lateness = new Histogram(MAX_MICROS, 3);
     long start = System.nanoTime();
-    double at = 0;
+    double offsetSeconds = 0;
     while (true) {
-      at += -Math.log(1 - random.nextDouble()) / rate;
-      if (at >= seconds) {
+      offsetSeconds += -Math.log(1 - random.nextDouble()) / rate;
+      if (offsetSeconds >= seconds) {
         break;
       }
-      long intended = start + (long) (at * 1e9);
-      long left = intended - System.nanoTime();
-      while (left > 0) {
-        if (left > 200_000) {
-          LockSupport.parkNanos(left - 100_000); // A sleep would be rounded up to whole milliseconds.
+      long intended = start + (long) (offsetSeconds * 1e9);
+      long remainingNanos = intended - System.nanoTime();
+      while (remainingNanos > 0) {
+        if (remainingNanos > 200_000) {
+          LockSupport.parkNanos(remainingNanos - 100_000); // A sleep would be rounded up to whole milliseconds.
         } else {
           Thread.onSpinWait();
         }
-        left = intended - System.nanoTime();
+        remainingNanos = intended - System.nanoTime();
       }
-      lateness.recordValue(Math.min(MOST_MICROS, -left / 1000));
+      lateness.recordValue(Math.min(MAX_MICROS, -remainingNanos / 1000));
       call(run, intended);
     }
-    return finish(run, start, lateness);
+    return awaitCompletion(run, start, lateness);
   }
 
-  /** So many calls at one time, each followed by the next, for so long: what the server can do at most. */
-  Result closed(int atOnce, double seconds) throws InterruptedException {
+  /** Closed loop: keeps this many calls in flight, each followed by the next, which measures the highest throughput of the server. */
+  Result runClosedLoop(int concurrency, double seconds) throws InterruptedException {
     Run run = new Run();
     long start = System.nanoTime();
     long end = start + (long) (seconds * 1e9);
-    run.next = () -> {
+    run.onCallEnd = () -> {
       if (System.nanoTime() < end) {
         call(run, System.nanoTime());
       }
     };
-    for (int i = 0; i < atOnce; i++) {
+    for (int i = 0; i < concurrency; i++) {
       call(run, System.nanoTime());
     }
     TimeUnit.NANOSECONDS.sleep(end - System.nanoTime());
-    return finish(run, start, new Histogram(MOST_MICROS, 3));
+    return awaitCompletion(run, start, new Histogram(MAX_MICROS, 3));
   }
 
-  private static Result finish(Run run, long start, Histogram lateness) throws InterruptedException {
+  private static Result awaitCompletion(Run run, long start, Histogram lateness) throws InterruptedException {
     double seconds = (System.nanoTime() - start) / 1e9;
     long decided = run.decided.get();
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(10);
@@ -115,7 +115,7 @@
       TimeUnit.MILLISECONDS.sleep(1);
     }
     return new Result(run.started.get(), decided, run.destinations.get(), run.started.get() - run.decided.get(), seconds,
-        run.verdicts, lateness);
+        run.verdictMicros, lateness);
   }
 
   private void call(Run run, long intended) {
@@ -130,30 +130,30 @@
           call.halfClose();
           return;
         }
-        run.verdicts.recordValue(Math.max(0, Math.min(MOST_MICROS, (System.nanoTime() - intended) / 1000)));
+        run.verdictMicros.recordValue(Math.max(0, Math.min(MAX_MICROS, (System.nanoTime() - intended) / 1000)));
         run.decided.incrementAndGet();
         if (reply.hasRequestHeaders()) {
           run.destinations.incrementAndGet();
-          call.sendMessage(ANSWER);
+          call.sendMessage(RESPONSE_HEADERS);
         }
       }
 
       @Override
       public void onClose(Status status, Metadata trailers) {
         run.ended.incrementAndGet();
-        run.next.run();
+        run.onCallEnd.run();
       }
     }, new Metadata());
     call.request(3);
-    call.sendMessage(headers(id));
+    call.sendMessage(requestHeaders(id));
   }
 
-  private static final ProcessingRequest ANSWER = ProcessingRequest.newBuilder().setResponseHeaders(HttpHeaders.newBuilder()
+  private static final ProcessingRequest RESPONSE_HEADERS = ProcessingRequest.newBuilder().setResponseHeaders(HttpHeaders.newBuilder()
       .setEndOfStream(true).setHeaders(HeaderMap.newBuilder().addHeaders(header(":status", "200"))
           .addHeaders(header("content-type", "application/json")))).build();
 
-  /** A request as proxies show it: what the processor reads among what it does not. */
-  private static ProcessingRequest headers(long id) {
+  /** Request headers as a proxy sends them: those that the processor reads among others that it ignores. */
+  private static ProcessingRequest requestHeaders(long id) {
     boolean keyed = id % 2 == 0;
     HeaderMap.Builder map = HeaderMap.newBuilder().addHeaders(header(":method", keyed ? "POST" : "GET"))
         .addHeaders(header(":path", "/api?q=" + id)).addHeaders(header(":authority", "backend.local"))
--- a/bench/src/main/java/cloverpulley/bench/Servers.java
+++ b/bench/src/main/java/cloverpulley/bench/Servers.java
@@ -31,20 +31,19 @@
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
 
-/** What is measured, in a process of its own: the processor over so many upstreams, or the null processor. */
+/** Servers under measurement, each in its own process: the processor with a number of upstreams, a null processor, or a null HTTP server. */
 public final class Servers {
 
   private Servers() {}
 
-  private static final ProcessingResponse GO_ON =
+  private static final ProcessingResponse CONTINUE_REQUEST =
       ProcessingResponse.newBuilder().setRequestHeaders(HeadersResponse.getDefaultInstance()).build();
-  private static final ProcessingResponse ANSWER_GOES_ON =
+  private static final ProcessingResponse CONTINUE_RESPONSE =
       ProcessingResponse.newBuilder().setResponseHeaders(HeadersResponse.getDefaultInstance()).build();
 
   /**
-   * Prints its port and serves until it is ended; the argument is a number of upstreams, 0 for the null processor, or
-   * {@code http} for a null HTTP server; a second one is the folder of the processor's records, or -; a
-   * third one how many requests it remembers.
+   * Prints its port and serves until terminated. The first argument is the number of upstreams, 0 for the null processor, or {@code http}
+   * for a null HTTP server; the second the folder of the processor's records, or -; the third how many requests it remembers.
    */
   public static void main(String[] args) throws IOException, BadFileException, InterruptedException {
     if (args[0].equals("http")) {
@@ -54,27 +53,27 @@
       System.exit(0);
     }
     int upstreams = Integer.parseInt(args[0]);
-    int port = upstreams == 0 ? nothing() : processor(upstreams, args.length > 1 && !args[1].equals("-") ? Path.of(args[1]) : null,
+    int port = upstreams == 0 ? startNullProcessor() : processor(upstreams, args.length > 1 && !args[1].equals("-") ? Path.of(args[1]) : null,
         args.length > 2 ? Integer.parseInt(args[2]) : 0);
     System.out.println("port " + port);
-    System.in.read(); // Ends with the process that started it.
+    System.in.read(); // Returns when the parent process ends.
     System.exit(0);
   }
 
-  /** Same library, same threads to read and write: answers CONTINUE at once. */
-  private static int nothing() throws IOException {
+  /** Uses the same library and the same I/O threads as the processor and responds CONTINUE immediately. */
+  private static int startNullProcessor() throws IOException {
     EventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     Server server = NettyServerBuilder.forAddress(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
         .bossEventLoopGroup(group).workerEventLoopGroup(group).channelType(NioServerSocketChannel.class).directExecutor()
         .addService(ServerServiceDefinition.builder(ExternalProcessor.SERVICE)
-            .addMethod(ExternalProcessor.PROCESS, (call, headers) -> new Null(call)).build()).build().start();
+            .addMethod(ExternalProcessor.PROCESS, (call, headers) -> new NullProcessor(call)).build()).build().start();
     return server.getPort();
   }
 
-  private static final class Null extends ServerCall.Listener<ProcessingRequest> {
+  private static final class NullProcessor extends ServerCall.Listener<ProcessingRequest> {
     private final ServerCall<ProcessingRequest, ProcessingResponse> call;
 
-    Null(ServerCall<ProcessingRequest, ProcessingResponse> call) {
+    NullProcessor(ServerCall<ProcessingRequest, ProcessingResponse> call) {
       this.call = call;
       call.sendHeaders(new Metadata());
       call.request(1);
@@ -82,7 +81,7 @@
 
     @Override
     public void onMessage(ProcessingRequest message) {
-      call.sendMessage(message.hasRequestHeaders() ? GO_ON : ANSWER_GOES_ON);
+      call.sendMessage(message.hasRequestHeaders() ? CONTINUE_REQUEST : CONTINUE_RESPONSE);
       call.request(1);
     }
 
@@ -95,8 +94,8 @@
   private record Told(Settings settings, ProcessorConfig processor, FleetSource fleet) {
     static Told read(Section file) {
       Settings settings = ServiceSection.read(file);
-      long longest = settings.classes().stream().mapToLong(RequestClass::deadlineNanos).max().orElse(0);
-      return new Told(settings, ProcessorConfig.read(file.table("processor"), 2 * longest), FleetSource.read(file.table("fleet")));
+      long longestDeadlineNanos = settings.classes().stream().mapToLong(RequestClass::deadlineNanos).max().orElse(0);
+      return new Told(settings, ProcessorConfig.read(file.table("processor"), 2 * longestDeadlineNanos), FleetSource.read(file.table("fleet")));
     }
   }
 
@@ -120,7 +119,7 @@
         listen = "127.0.0.1:0"
         """);
     if (remembered > 0) {
-      // As many as come in their time: a full table refuses, which is cheap and no work done.
+      // Large enough for all requests within keep_ms: a full table rejects requests, which is cheap and would distort the measurement.
       text.append("[processor.repeats]\nmost = ").append(remembered).append("\nkeep_ms = 6000\n");
     }
     for (int i = 0; i < upstreams; i++) {
--- a/bench/src/main/java/cloverpulley/bench/SoakBench.java
+++ b/bench/src/main/java/cloverpulley/bench/SoakBench.java
@@ -14,25 +14,25 @@
 import java.util.concurrent.Future;
 import java.util.stream.Collectors;
 
-/** Plays the soak with one seed after another, several at one time, and adds up what was counted. */
+/** Runs the soak test with consecutive seeds, several in parallel, and sums the results. */
 public final class SoakBench {
 
   private SoakBench() {}
 
   /**
-   * {@code [--seed N] [--seeds N] [--seconds N] [--nodes N] [--memory-mb N] [--clients N] [--crowd N] [--parallel N] [--root FOLDER]}: so many seeds from the first
-   * one on, of the checkout in the folder.
+   * {@code [--seed N] [--seeds N] [--seconds N] [--nodes N] [--memory-mb N] [--clients N] [--crowd N] [--parallel N] [--root FOLDER]}: the
+   * first seed, the number of seeds, options of each run, and the folder of the checkout that is tested.
    */
   public static void main(String[] args) throws Exception {
-    List<String> given = Arrays.asList(args);
-    Path root = Path.of(given.contains("--root") ? given.get(given.indexOf("--root") + 1) : ".").toAbsolutePath();
-    int seed = number(given, "--seed", 1);
-    int seeds = number(given, "--seeds", 1);
-    ExecutorService threads = Executors.newFixedThreadPool(number(given, "--parallel", 1));
+    List<String> arguments = Arrays.asList(args);
+    Path root = Path.of(arguments.contains("--root") ? arguments.get(arguments.indexOf("--root") + 1) : ".").toAbsolutePath();
+    int seed = number(arguments, "--seed", 1);
+    int seeds = number(arguments, "--seeds", 1);
+    ExecutorService threads = Executors.newFixedThreadPool(number(arguments, "--parallel", 1));
     List<Future<Result>> runs = new ArrayList<>();
     for (int i = 0; i < seeds; i++) {
-      Plan plan = new Plan(root, seed + i, number(given, "--seconds", 20), number(given, "--nodes", 1), number(given, "--memory-mb", 192),
-          number(given, "--clients", 0), number(given, "--crowd", 0));
+      Plan plan = new Plan(root, seed + i, number(arguments, "--seconds", 20), number(arguments, "--nodes", 1), number(arguments, "--memory-mb", 192),
+          number(arguments, "--clients", 0), number(arguments, "--crowd", 0));
       runs.add(threads.submit(() -> Soak.run(plan)));
     }
     List<Result> results = new ArrayList<>();
@@ -45,8 +45,8 @@
     System.out.println(json(results));
   }
 
-  private static int number(List<String> given, String option, int otherwise) {
-    return given.contains(option) ? Integer.parseInt(given.get(given.indexOf(option) + 1)) : otherwise;
+  private static int number(List<String> arguments, String option, int defaultValue) {
+    return arguments.contains(option) ? Integer.parseInt(arguments.get(arguments.indexOf(option) + 1)) : defaultValue;
   }
 
   private static void print(Result r) {
--- a/bench/src/main/java/cloverpulley/bench/TimersBench.java
+++ b/bench/src/main/java/cloverpulley/bench/TimersBench.java
@@ -7,34 +7,34 @@
 import java.util.SplittableRandom;
 import java.util.function.LongSupplier;
 
-/** The wheel of refreshes against a priority queue: things that come due and are put again, as many as a fleet's records. */
+/** Compares the timing wheel for refreshes with a priority queue: as many timers as a fleet has records, each rescheduled when it fires. */
 final class TimersBench {
 
-  private static final int TURNS = 20_000;
-  private static final long TICK = 10;
+  private static final int TICKS = 20_000;
+  private static final long TICK_LENGTH = 10;
   private static final int ROUNDS = 7;
 
-  private record Due(long at, int thing) {}
+  private record Timer(long at, int id) {}
 
   private TimersBench() {}
 
-  /** The queue's time over the wheel's, the median of some rounds by turns. */
-  static double ratio(int things) {
+  /** Returns the ratio of the queue's time to the wheel's, the median of alternating rounds. */
+  static double ratio(int timers) {
     double[] ratios = new double[ROUNDS];
-    long check = 0;
+    long totalFired = 0;
     for (int i = 0; i < ROUNDS; i++) {
       int seed = i;
-      long[] handed = new long[2];
-      double queue = timed(() -> handed[0] = queue(things, seed));
-      double wheel = timed(() -> handed[1] = wheel(things, seed));
-      if (handed[0] != handed[1]) {
-        throw new IllegalStateException("the queue handed out " + handed[0] + ", the wheel " + handed[1]);
+      long[] fired = new long[2];
+      double queue = timed(() -> fired[0] = queue(timers, seed));
+      double wheel = timed(() -> fired[1] = wheel(timers, seed));
+      if (fired[0] != fired[1]) {
+        throw new IllegalStateException("the queue fired " + fired[0] + " timers, the wheel " + fired[1]);
       }
-      check += handed[0];
+      totalFired += fired[0];
       ratios[i] = queue / wheel;
     }
     Arrays.sort(ratios);
-    System.out.printf("timers: %d things, %d came due, queue over wheel %.2f (%.2f to %.2f)%n", things, check, ratios[ROUNDS / 2],
+    System.out.printf("timers: %d scheduled, %d fired, queue over wheel %.2f (%.2f to %.2f)%n", timers, totalFired, ratios[ROUNDS / 2],
         ratios[0], ratios[ROUNDS - 1]);
     return ratios[ROUNDS / 2];
   }
@@ -45,43 +45,43 @@
     return System.nanoTime() - start;
   }
 
-  private static long after(SplittableRandom random, long now) {
-    return now - now % TICK + TICK * (100 + random.nextInt(10_000));
+  private static long nextDue(SplittableRandom random, long now) {
+    return now - now % TICK_LENGTH + TICK_LENGTH * (100 + random.nextInt(10_000));
   }
 
-  private static long queue(int things, int seed) {
+  private static long queue(int timers, int seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    PriorityQueue<Due> queue = new PriorityQueue<>(Comparator.comparingLong(Due::at));
-    for (int i = 0; i < things; i++) {
-      queue.add(new Due(after(random, 0), i));
+    PriorityQueue<Timer> queue = new PriorityQueue<>(Comparator.comparingLong(Timer::at));
+    for (int i = 0; i < timers; i++) {
+      queue.add(new Timer(nextDue(random, 0), i));
     }
-    long handed = 0;
-    for (long turn = 1; turn <= TURNS; turn++) {
-      while (!queue.isEmpty() && queue.peek().at <= turn * TICK) {
-        Due due = queue.poll();
-        handed++;
-        queue.add(new Due(after(random, turn * TICK), due.thing));
+    long fired = 0;
+    for (long tick = 1; tick <= TICKS; tick++) {
+      while (!queue.isEmpty() && queue.peek().at <= tick * TICK_LENGTH) {
+        Timer timer = queue.poll();
+        fired++;
+        queue.add(new Timer(nextDue(random, tick * TICK_LENGTH), timer.id));
       }
     }
-    return handed;
+    return fired;
   }
 
-  private static long wheel(int things, int seed) {
+  private static long wheel(int timers, int seed) {
     SplittableRandom random = new SplittableRandom(seed);
-    TimingWheel<Due> wheel = new TimingWheel<>(0, TICK);
-    for (int i = 0; i < things; i++) {
-      Due due = new Due(after(random, 0), i);
-      wheel.schedule(due.at, due);
+    TimingWheel<Timer> wheel = new TimingWheel<>(0, TICK_LENGTH);
+    for (int i = 0; i < timers; i++) {
+      Timer timer = new Timer(nextDue(random, 0), i);
+      wheel.schedule(timer.at, timer);
     }
-    long[] handed = new long[1];
-    for (long turn = 1; turn <= TURNS; turn++) {
-      long now = turn * TICK;
-      wheel.advance(now, due -> {
-        handed[0]++;
-        Due next = new Due(after(random, now), due.thing);
+    long[] fired = new long[1];
+    for (long tick = 1; tick <= TICKS; tick++) {
+      long now = tick * TICK_LENGTH;
+      wheel.advance(now, timer -> {
+        fired[0]++;
+        Timer next = new Timer(nextDue(random, now), timer.id);
         wheel.schedule(next.at, next);
       });
     }
-    return handed[0];
+    return fired[0];
   }
 }
