--- a/bench/src/main/java/cloverpulley/bench/BalancerDeployment.java
+++ b/bench/src/main/java/cloverpulley/bench/BalancerDeployment.java
@@ -37,7 +37,8 @@
     String members = IntStream.range(0, upstreams.size())
         .mapToObj(i -> "{\"id\":\"s-" + i + "\",\"host_port\":\"" + upstreams.get(i) + "\",\"phase\":\"ready\"}")
         .collect(Collectors.joining(",", "\"members\": [", "]"));
-    configTemplate = Files.readString(Path.of("deploy/example.json")).replaceFirst("\"listen\": *\"[^\"]*\"", "\"listen\": \"127.0.0.1:" + port + "\"")
+    configTemplate = Files.readString(Path.of("deploy/example.json")).replaceFirst("\"listen\": *\"[^\"]*\"", "\"listen\": \"127.0.0.1:" + port
+        + "\"")
         .replaceFirst("\"memory_mb\": *[0-9]+", "\"memory_mb\": 208").replaceFirst("\"management\": *\"[^\"]*\",", "")
         .replace("\"members\": []", members);
     writeSettings("first", "2000000000");
--- a/bench/src/main/java/cloverpulley/bench/DnsBench.java
+++ b/bench/src/main/java/cloverpulley/bench/DnsBench.java
@@ -79,7 +79,10 @@
 
   // ---- The generator, in its own process --------------------------------------------------------------
 
-  /** Input line: protocol, port, rate, seconds, names, seed. Output line: requests, served, timed out, p50 and p99 in us, duplicates, p99 lateness. */
+  /**
+   * Input line: protocol, port, rate, seconds, names, seed. Output line: requests, served, timed out, p50 and p99 in us, duplicates, p99
+   * lateness.
+   */
   private static void generate() throws IOException, InterruptedException, BadFileException {
     BufferedReader in = new BufferedReader(new InputStreamReader(System.in, StandardCharsets.UTF_8));
     for (String line = in.readLine(); line != null; line = in.readLine()) {
@@ -188,7 +191,8 @@
     double afterDrain = 0;
     double memory;
     double goodShareInFlood;
-    try (ChildProcess nullServer = server(0, "null", "3600"); ChildProcess upstream1 = server(1 % cores, "null", "0"); ChildProcess upstream2 = server(2 % cores, "null", "0");
+    try (ChildProcess nullServer = server(0, "null", "3600"); ChildProcess upstream1 = server(1 % cores, "null", "0");
+        ChildProcess upstream2 = server(2 % cores, "null", "0");
         ChildProcess cacheableUpstream = server(1 % cores, "null", "3600")) {
       int nullPort = nullServer.readPort();
       String a = Integer.toString(upstream1.readPort());
@@ -215,7 +219,8 @@
     } finally {
       generators.forEach(ChildProcess::close);
     }
-    System.out.println(ChildProcess.json("cached_ratio", ChildProcess.figure(cachedRatio[0]), "forwarded_ratio", ChildProcess.figure(forwardedRatio[0]),
+    System.out.println(ChildProcess.json("cached_ratio", ChildProcess.figure(cachedRatio[0]), "forwarded_ratio",
+        ChildProcess.figure(forwardedRatio[0]),
         "p99_ratio", ChildProcess.figure(forwardedLatency[0]), "cached_p99_ratio", ChildProcess.figure(cachedLatency[0]), "tcp_cached_ratio",
         ChildProcess.figure(cachedRatio[1]), "tcp_forwarded_ratio", ChildProcess.figure(forwardedRatio[1]), "tcp_p99_ratio",
         ChildProcess.figure(forwardedLatency[1]), "double_answers", Long.toString((long) duplicates), "lost", Long.toString((long) unanswered),
@@ -261,7 +266,7 @@
     return Long.parseLong(drained.readLine()) - earlierCount;
   }
 
-  /** Returns the ratio of good clients' queries that are served while a flood from other prefixes arrives at a fixed rate. */
+  /** Returns the ratio of good clients' queries served at the first attempt during a flood from other prefixes at a fixed rate. */
   private double goodShareInFlood(String upstream1, String upstream2) throws IOException, InterruptedException {
     try (ChildProcess front = new ChildProcess(List.of("taskset", "-c", "0"), List.of("-XX:+UseSerialGC", "-Xmx512m", "-Dlimit=" + DEFAULT_LIMIT),
         DnsServers.class, "front", "0", upstream1, upstream2)) {
--- a/bench/src/main/java/cloverpulley/bench/DnsSdBench.java
+++ b/bench/src/main/java/cloverpulley/bench/DnsSdBench.java
@@ -43,14 +43,14 @@
 import org.xbill.DNS.Type;
 
 /**
- * A fleet of ten domains found through DNS-SD, with the engine and the decision module behind it: how long a first list takes, what
- * it costs at rest, and how long after a change in the zone the last request goes to a server that was withdrawn.
+ * Measures DNS-SD discovery of a fleet in ten domains, with the engine and the decision module behind it: the time to the first endpoint
+ * list, the cost at rest, and how long after a change of the zone the last request is sent to a withdrawn server.
  */
 public final class DnsSdBench {
 
   private static final int DOMAINS = 10;
   private static final int RATE = 4000;
-  private static final int WITHDRAWN = 100;
+  private static final int WITHDRAWN_INSTANCES = 100;
   private static final long GRACE_NANOS = TimeUnit.SECONDS.toNanos(2);
   private static final int REST_SECONDS = 20;
   private static final int CHANGE_SECONDS = 6;
@@ -66,10 +66,10 @@
 
   private DnsSdBench() {}
 
-  /** Runs it; {@code --instances N} for other than 10,000. */
+  /** {@code [--instances N]}: the size of the fleet, 10,000 by default. */
   public static void main(String[] args) throws Exception {
     int instances = args.length == 2 && args[0].equals("--instances") ? Integer.parseInt(args[1]) : 10_000;
-    run(100, 0, false); // Compiles what the others measure.
+    run(100, 0, false); // JIT warm-up for the measured runs.
     run(1000, 0, false);
     run(1000, 0, false);
     Figures small = run(100, 0, false);
@@ -86,7 +86,7 @@
 
   // ---- The zones -----------------------------------------------------------------------------------------
 
-  /** Ten zones behind one address, answered from maps. */
+  /** Ten zones at one address, answered from maps. */
   private static final class Zones {
     final Map<String, List<String>> records = new ConcurrentHashMap<>();
     final Map<String, Long> serials = new ConcurrentHashMap<>();
@@ -111,26 +111,26 @@
       return "127." + (1 + i / 62_500) + '.' + i / 250 % 250 + '.' + (1 + i % 250);
     }
 
-    /** The first so many of a domain leave its list. */
-    void withdraw(String zone, int most) {
-      records.computeIfPresent("_quote._tcp." + zone + " PTR", (n, all) -> List.copyOf(all.subList(most, all.size())));
+    /** Removes the first {@code count} instances of a domain from its list. */
+    void withdraw(String zone, int count) {
+      records.computeIfPresent("_quote._tcp." + zone + " PTR", (n, all) -> List.copyOf(all.subList(count, all.size())));
       serials.merge(zone, 1L, Long::sum);
     }
 
-    void answer(StandInDns.ReceivedQuery a) {
+    void answer(StandInDns.ReceivedQuery query) {
       try {
-        Record q = a.message().getQuestion();
-        String name = a.name();
+        Record q = query.message().getQuestion();
+        String name = query.name();
         String type = Type.string(q.getType());
-        Message m = a.answer(Rcode.NOERROR);
+        Message m = query.answer(Rcode.NOERROR);
         m.getHeader().setFlag(Flags.AA);
-        List<String> found = type.equals("SOA") && serials.containsKey(name)
+        List<String> matchingData = type.equals("SOA") && serials.containsKey(name)
             ? List.of("ns." + name + " admin." + name + ' ' + serials.get(name) + " 60 10 3600 5") : records.getOrDefault(name + ' ' + type, List.of());
-        for (String data : found) {
+        for (String data : matchingData) {
           m.addRecord(Record.fromString(q.getName(), q.getType(), 1, 120, data, Name.root), org.xbill.DNS.Section.ANSWER);
         }
         byte[] wire = m.toWire(65_535);
-        a.reply(!a.isTcp() && wire.length > 1232 ? a.truncated() : wire);
+        query.reply(!query.isTcp() && wire.length > 1232 ? query.truncated() : wire);
       } catch (IOException e) {
         throw new IllegalStateException(e);
       }
@@ -139,7 +139,7 @@
 
   // ---- One run -------------------------------------------------------------------------------------------
 
-  private static <T> T on(EventLoop loop, Callable<T> task) throws InterruptedException, ExecutionException {
+  private static <T> T runOn(EventLoop loop, Callable<T> task) throws InterruptedException, ExecutionException {
     return loop.submit(task).get();
   }
 
@@ -155,23 +155,24 @@
     EventLoop loop = group.next();
     Zones zones = new Zones(instances);
     try (StandInDns server = new StandInDns(serving, zones::answer)) {
-      Told told = told(server);
+      Told config = told(server);
       long heapBefore = heap();
-      long thread = on(loop, () -> Thread.currentThread().getId());
+      long thread = runOn(loop, () -> Thread.currentThread().getId());
       var threads = ManagementFactory.getThreadMXBean();
       long cpuBefore = threads.getThreadCpuTime(thread);
       long start = System.nanoTime();
-      Rig rig = on(loop, () -> new Rig(loop, told));
-      int wanted = instances;
-      while (on(loop, () -> rig.fleet.list().members().size()) < wanted) {
+      Fixture fixture = runOn(loop, () -> new Fixture(loop, config));
+      int expectedMembers = instances;
+      while (runOn(loop, () -> fixture.fleet.list().members().size()) < expectedMembers) {
         if (System.nanoTime() - start > TimeUnit.SECONDS.toNanos(120)) {
-          throw new IllegalStateException("no list of " + wanted + " in two minutes: " + on(loop, () -> rig.fleet.list().members().size()));
+          throw new IllegalStateException("no list of " + expectedMembers + " in two minutes: " + runOn(loop,
+              () -> fixture.fleet.list().members().size()));
         }
         TimeUnit.MILLISECONDS.sleep(5);
       }
       double first = (System.nanoTime() - start) / 1e6;
       double cpu = (threads.getThreadCpuTime(thread) - cpuBefore) / 1e6;
-      long queries = on(loop, () -> rig.source.queryCounts()[0]);
+      long queries = runOn(loop, () -> fixture.source.queryCounts()[0]);
       double perMinute = 0;
       double atRest = 0;
       double heap = 0;
@@ -179,27 +180,27 @@
         heap = (heap() - heapBefore) / 1e6;
         long cpuAt = threads.getThreadCpuTime(thread);
         long restAt = System.nanoTime();
-        long asked = on(loop, () -> rig.source.queryCounts()[0]);
+        long queriesBefore = runOn(loop, () -> fixture.source.queryCounts()[0]);
         TimeUnit.SECONDS.sleep(restSeconds);
-        perMinute = (on(loop, () -> rig.source.queryCounts()[0]) - asked) * 60e9 / (System.nanoTime() - restAt);
+        perMinute = (runOn(loop, () -> fixture.source.queryCounts()[0]) - queriesBefore) * 60e9 / (System.nanoTime() - restAt);
         atRest = (threads.getThreadCpuTime(thread) - cpuAt) / (double) (System.nanoTime() - restAt);
       }
       double last = 0;
-      long late = 0;
+      long sentAfterGrace = 0;
       if (change) {
-        rig.load(TimeUnit.SECONDS.toMillis(3));
+        fixture.generateLoad(TimeUnit.SECONDS.toMillis(3));
         long changedAt = System.nanoTime();
-        zones.withdraw("d3.test.", WITHDRAWN);
-        rig.load(TimeUnit.SECONDS.toMillis(CHANGE_SECONDS));
-        for (int k = 0; k < WITHDRAWN; k++) {
-          long at = rig.lastSend.getOrDefault(Zones.address(3 + k * DOMAINS), 0L);
+        zones.withdraw("d3.test.", WITHDRAWN_INSTANCES);
+        fixture.generateLoad(TimeUnit.SECONDS.toMillis(CHANGE_SECONDS));
+        for (int k = 0; k < WITHDRAWN_INSTANCES; k++) {
+          long at = fixture.lastSend.getOrDefault(Zones.address(3 + k * DOMAINS), 0L);
           last = Math.max(last, (at - changedAt) / 1e6);
-          late += at > changedAt + GRACE_NANOS ? 1 : 0;
+          sentAfterGrace += at > changedAt + GRACE_NANOS ? 1 : 0;
         }
       }
-      Figures f = new Figures(first, cpu, perMinute, atRest, heap, last, late, rig.sent.get(), queries);
-      on(loop, () -> {
-        rig.source.close();
+      Figures f = new Figures(first, cpu, perMinute, atRest, heap, last, sentAfterGrace, fixture.sent.get(), queries);
+      runOn(loop, () -> {
+        fixture.source.close();
         return null;
       });
       return f;
@@ -230,8 +231,8 @@
         """.formatted(domains, server.address().getPort()), Told::read);
   }
 
-  /** The source with an engine and the module behind it, and requests that are served after a while wherever they go. */
-  private static final class Rig {
+  /** The source with an engine and the module behind it; every request is served after a fixed delay by whichever server it is sent to. */
+  private static final class Fixture {
     final EventLoop loop;
     final Clock clock = new Clock();
     final Fleet fleet = new Fleet(clock);
@@ -241,29 +242,30 @@
     final Map<String, Long> lastSend = new ConcurrentHashMap<>();
     final AtomicLong sent = new AtomicLong();
 
-    Rig(EventLoop loop, Told told) {
+    Fixture(EventLoop loop, Told config) {
       this.loop = loop;
-      settings = told.settings;
-      Engine[] made = new Engine[1];
-      source = new DnsSdSource(loop, told.dnssd, ServerList.EMPTY, fleet::revision, (kind, list) -> made[0].serverListUpdated(kind, list), 7);
+      settings = config.settings;
+      Engine[] engineHolder = new Engine[1];
+      source = new DnsSdSource(loop, config.dnssd, ServerList.EMPTY, fleet::revision, (kind, list) -> engineHolder[0].serverListUpdated(kind, list),
+          7);
       engine = new Engine(loop, clock, settings, n -> new Logic(settings, 7 + n), fleet, source, (to, data) -> { });
-      made[0] = engine;
+      engineHolder[0] = engine;
       engine.serverListUpdated(ListKind.CACHED, ServerList.EMPTY);
     }
 
-    /** Requests at an even rate, a hundredth of a second's at a time. */
-    void load(long millis) throws InterruptedException {
+    /** Sends requests at a constant rate, in batches of 10 ms. */
+    void generateLoad(long millis) throws InterruptedException {
       for (long slice = 0; slice < millis / 10; slice++) {
         loop.execute(() -> {
           for (int i = 0; i < RATE / 100; i++) {
-            take();
+            sendRequest();
           }
         });
         TimeUnit.MILLISECONDS.sleep(10);
       }
     }
 
-    private void take() {
+    private void sendRequest() {
       long now = clock.now();
       engine.accept(new Exchange(new Exchange.RequestInfo(settings.classes().get(0), null, null, 0, false, now + TimeUnit.SECONDS.toNanos(2), 0,
           List.of())) {
@@ -280,8 +282,8 @@
         }
 
         @Override
-        protected void respond(LocalReply verdict) {
-          // A refusal is no send.
+        protected void respond(LocalReply reply) {
+          // A rejected request is not sent.
         }
       });
     }
--- a/bench/src/main/java/cloverpulley/bench/IncidentBench.java
+++ b/bench/src/main/java/cloverpulley/bench/IncidentBench.java
@@ -62,7 +62,8 @@
       Map<String, Double> day = day(folder.resolve("day"), records);
       double[] clock = clocks();
       System.out.println(ChildProcess.json("cost_ratio", ChildProcess.figure(cost[0]), "cpu_ratio", ChildProcess.figure(cost[1]), "p99_ratio",
-          ChildProcess.figure(cost[2]), "bytes_per_record", ChildProcess.figure(day.get("bytes")), "index_speedup", ChildProcess.figure(day.get("ten minutes")),
+          ChildProcess.figure(cost[2]), "bytes_per_record", ChildProcess.figure(day.get("bytes")), "index_speedup",
+          ChildProcess.figure(day.get("ten minutes")),
           "index_speedup_request", ChildProcess.figure(day.get("a request")), "write_per_s", ChildProcess.figure(day.get("rate")), "report_s",
           ChildProcess.figure(day.get("report")), "mismatches", Long.toString(mismatches), "clock_error_ms", ChildProcess.figure(clock[0]),
           "clock_bound_held", Boolean.toString(clock[1] == 0)));
--- a/bench/src/main/java/cloverpulley/bench/LoadBench.java
+++ b/bench/src/main/java/cloverpulley/bench/LoadBench.java
@@ -84,7 +84,10 @@
         + "\"127.0.0.1:" + port + "\"\n", Plan::read);
   }
 
-  /** Runs in the generator's process: prints a line for each rate, with rate, achieved rate, served ratio, p50 and p99 lateness, CPU time per request. */
+  /**
+   * Runs in the generator's process: prints a line for each rate, with rate, achieved rate, served ratio, p50 and p99 lateness, CPU time per
+   * request.
+   */
   private static void generate(int port, int seconds) throws BadFileException, InterruptedException {
     for (int i = 0; i < WARM_UP_RUNS; i++) {
       LoadRun.run(plan(port, i % 2 == 0 ? 3000 : 10_000, seconds, "poisson"), r -> { });
--- a/bench/src/main/java/cloverpulley/bench/ModelBench.java
+++ b/bench/src/main/java/cloverpulley/bench/ModelBench.java
@@ -79,9 +79,12 @@
     PolicyComparison.Difference multiCore = PolicyComparison.compare(pairPlan, Policy.MODULE, Policy.TWO_CHOICES, 16, 1e-12, cores);
     double multiCoreSeconds = (System.nanoTime() - startNanos) / 1e9;
     repeatable &= singleCore.mean() == multiCore.mean();
-    System.out.printf(Locale.ROOT, "16 pairs: %.2f s on one core, %.2f s on %d; the difference in G %.4f on both%n", singleCoreSeconds, multiCoreSeconds, cores, singleCore.mean());
-    System.out.println(ChildProcess.json("requests_per_s", ChildProcess.figure(rate), "growth", ChildProcess.figure(rate / largeRate), "speedup_" + cores,
-        ChildProcess.figure(singleCoreSeconds / multiCoreSeconds), "repeatable", Boolean.toString(repeatable), "module_cost", ChildProcess.figure(twoChoicesRate / rate), "breaks",
+    System.out.printf(Locale.ROOT, "16 pairs: %.2f s on one core, %.2f s on %d; the difference in G %.4f on both%n", singleCoreSeconds,
+        multiCoreSeconds, cores, singleCore.mean());
+    System.out.println(ChildProcess.json("requests_per_s", ChildProcess.figure(rate), "growth", ChildProcess.figure(rate / largeRate), "speedup_"
+        + cores,
+        ChildProcess.figure(singleCoreSeconds / multiCoreSeconds), "repeatable", Boolean.toString(repeatable), "module_cost",
+        ChildProcess.figure(twoChoicesRate / rate), "breaks",
         Long.toString(violations)));
     System.exit(0);
   }
--- a/bench/src/main/java/cloverpulley/bench/OperationsBench.java
+++ b/bench/src/main/java/cloverpulley/bench/OperationsBench.java
@@ -95,7 +95,8 @@
         Integer.toString(reloadMillis.size()), "answered", Long.toString(load.answered()), "lost", Long.toString(load.lost()), "reset",
         Long.toString(load.reset()), "double", Long.toString(duplicates), "after_out", Integer.toString(sentWhileOffline), "back_within_s",
         ChildProcess.figure(Collections.max(returnSeconds)), "door_p99_ms", ChildProcess.figure(percentile(managementMillis, 0.99)), "retune_p99_ms",
-        ChildProcess.figure(percentile(reloadMillis, 0.99)), "wrong_settings_taken", Integer.toString(invalidSettingsAccepted), "rss_two_mb", ChildProcess.figure(twoProcessesMb),
+        ChildProcess.figure(percentile(reloadMillis, 0.99)), "wrong_settings_taken", Integer.toString(invalidSettingsAccepted), "rss_two_mb",
+        ChildProcess.figure(twoProcessesMb),
         "long_rss_mb", ChildProcess.figure(longResponsesMb)));
   }
 
--- a/bench/src/main/java/cloverpulley/bench/PlatformBench.java
+++ b/bench/src/main/java/cloverpulley/bench/PlatformBench.java
@@ -64,11 +64,13 @@
     for (int i = 0; i < checkouts.size(); i++) {
       PlatformBench p = checkouts.get(i);
       String prefix = i == 0 ? "" : "against_";
-      System.out.println(p.root.getFileName() + ": start " + p.startMillis + " ms, resident " + p.residentMb + " MB, CPU per request " + p.smallFleetMicros
+      System.out.println(p.root.getFileName() + ": start " + p.startMillis + " ms, resident " + p.residentMb + " MB, CPU per request "
+          + p.smallFleetMicros
           + " us with " + SMALL_FLEET + " upstreams, " + p.largeFleetMicros + " with " + LARGE_FLEET);
       figures.addAll(List.of(prefix + "jar_bytes", Long.toString(Files.size(jar(p.root))), prefix + "start_ms",
           ChildProcess.figure(median(p.startMillis)), prefix + "resident_mb", ChildProcess.figure(median(p.residentMb)), prefix + "cpu_us",
-          ChildProcess.figure(median(p.largeFleetMicros)), prefix + "growth", ChildProcess.figure(median(p.largeFleetMicros) / median(p.smallFleetMicros))));
+          ChildProcess.figure(median(p.largeFleetMicros)), prefix + "growth",
+          ChildProcess.figure(median(p.largeFleetMicros) / median(p.smallFleetMicros))));
     }
     System.out.println(ChildProcess.json(figures.toArray(String[]::new)));
   }
--- a/bench/src/main/java/cloverpulley/bench/ProcessorBench.java
+++ b/bench/src/main/java/cloverpulley/bench/ProcessorBench.java
@@ -100,7 +100,8 @@
         "cpu_ratio", ChildProcess.figure(median(figures, "100 cpu 5000") / median(figures, "0 cpu 5000")),
         "fleet_growth", ChildProcess.figure(median(figures, "1000 cpu 5000") / median(figures, "10 cpu 5000")),
         "fleet_growth_rate", ChildProcess.figure(median(figures, "10 rate") / median(figures, "1000 rate")),
-        "sent_at_saturation", ChildProcess.figure(minimum(figures, " full sent")), "sent_at_5000", ChildProcess.figure(minimum(figures, " sent 5000")),
+        "sent_at_saturation", ChildProcess.figure(minimum(figures, " full sent")), "sent_at_5000",
+        ChildProcess.figure(minimum(figures, " sent 5000")),
         "lost", Long.toString(lost), "late", Long.toString(late)));
   }
 
--- a/bench/src/main/java/cloverpulley/bench/QuotaBench.java
+++ b/bench/src/main/java/cloverpulley/bench/QuotaBench.java
@@ -19,8 +19,9 @@
 import java.util.SplittableRandom;
 
 /**
- * What a decision costs at depth 4 beside a single token bucket of a well-kept library (Bucket4j), by turns in one run, with 10, 1,000 and
- * 100,000 active leaves; what it allocates; the shares of a month end on a virtual clock; a journal of a million entries read again.
+ * Compares the cost of a decision at depth 4 with a single token bucket of a well-maintained library (Bucket4j), alternately in one run, with
+ * 10, 1,000 and 100,000 active leaves; measures its allocation, the shares at a month end on a virtual clock, and the time to restore a journal
+ * of a million entries.
  */
 public final class QuotaBench {
 
@@ -33,41 +34,43 @@
 
   /** {@code --rounds N}. */
   public static void main(String[] args) throws IOException {
-    List<String> given = Arrays.asList(args);
-    int at = given.indexOf("--rounds");
-    int rounds = at < 0 ? 7 : Integer.parseInt(given.get(at + 1));
+    List<String> arguments = Arrays.asList(args);
+    int at = arguments.indexOf("--rounds");
+    int rounds = at < 0 ? 7 : Integer.parseInt(arguments.get(at + 1));
     System.out.println("seed " + SEED + ", " + rounds + " rounds of " + DECISIONS + " decisions");
     List<Double> bucket = new ArrayList<>();
-    List<List<Double>> trees = new ArrayList<>();
-    Tree[] made = new Tree[LEAVES.length];
+    List<List<Double>> treeNanos = new ArrayList<>();
+    Tree[] treeFixtures = new Tree[LEAVES.length];
     for (int i = 0; i < LEAVES.length; i++) {
-      trees.add(new ArrayList<>());
-      made[i] = new Tree(LEAVES[i]);
+      treeNanos.add(new ArrayList<>());
+      treeFixtures[i] = new Tree(LEAVES[i]);
     }
     double allocated = 0;
-    for (int round = -2; round < rounds; round++) { // Two to warm up.
+    for (int round = -2; round < rounds; round++) { // Two rounds of warm-up.
       double b = bucket();
       if (round >= 0) {
         bucket.add(b);
       }
       for (int i = 0; i < LEAVES.length; i++) {
         long before = allocatedBytes();
-        double t = made[i].play();
+        double t = treeFixtures[i].nanosPerDecision();
         allocated = (allocatedBytes() - before) / (double) DECISIONS;
         if (round >= 0) {
-          trees.get(i).add(t);
+          treeNanos.get(i).add(t);
         }
       }
     }
     for (int i = 0; i < LEAVES.length; i++) {
-      System.out.printf(Locale.ROOT, "%7d leaves: %6.1f ns a decision (%d nodes kept); one bucket %.1f ns%n", LEAVES[i],
-          median(trees.get(i)), made[i].quotas.nodeCount(), median(bucket));
+      System.out.printf(Locale.ROOT, "%7d leaves: %6.1f ns per decision (%d nodes in memory); one bucket %.1f ns%n", LEAVES[i],
+          median(treeNanos.get(i)), treeFixtures[i].quotas.nodeCount(), median(bucket));
     }
     double[] month = monthEnd();
     double recovery = recovery();
-    System.out.println(ChildProcess.json("cost_ratio", ChildProcess.figure(median(trees.get(1)) / median(bucket)), "growth",
-        ChildProcess.figure(median(trees.get(2)) / median(trees.get(0))), "decisions_per_s", ChildProcess.figure(1e9 / median(trees.get(1))),
-        "bytes_per_decision", ChildProcess.figure(allocated), "worst_share", ChildProcess.figure(month[0]), "utilisation", ChildProcess.figure(month[1]),
+    System.out.println(ChildProcess.json("cost_ratio", ChildProcess.figure(median(treeNanos.get(1)) / median(bucket)), "growth",
+        ChildProcess.figure(median(treeNanos.get(2)) / median(treeNanos.get(0))), "decisions_per_s",
+        ChildProcess.figure(1e9 / median(treeNanos.get(1))),
+        "bytes_per_decision", ChildProcess.figure(allocated), "worst_share", ChildProcess.figure(month[0]), "utilisation",
+        ChildProcess.figure(month[1]),
         "lent_back_ms", ChildProcess.figure(month[2]), "recovery_s", ChildProcess.figure(recovery)));
   }
 
@@ -86,14 +89,14 @@
     for (int i = 0; i < DECISIONS; i++) {
       passed += b.tryConsume(1) ? 1 : 0;
     }
-    double took = (System.nanoTime() - start) / (double) DECISIONS;
+    double elapsed = (System.nanoTime() - start) / (double) DECISIONS;
     if (passed == 0) {
-      throw new IllegalStateException("nothing passed");
+      throw new IllegalStateException("no request passed the bucket");
     }
-    return took;
+    return elapsed;
   }
 
-  /** Organisation, partners, groups and teams: half of the requests are their node's own, half are lent or refused. */
+  /** A tree of organisation, partners, groups and teams; half of the requests use their node's guarantee, half are lent or rejected. */
   private static final class Tree {
     final Quotas quotas;
     final String[] paths;
@@ -127,33 +130,33 @@
         order[i] = r.nextInt(paths.length);
       }
       for (String p : paths) {
-        quotas.tryAcquire(now, p, cost); // All are there before anything counts.
+        quotas.tryAcquire(now, p, cost); // Creates all nodes before the measurement.
       }
     }
 
-    double play() {
+    double nanosPerDecision() {
       long start = System.nanoTime();
-      long given = 0;
+      long granted = 0;
       for (int i = 0; i < DECISIONS; i++) {
-        now += 500; // Two million a second, twice what there is.
+        now += 500; // Two million requests per second, twice the capacity.
         String path = paths[(order[i & order.length - 1] + i) % paths.length];
         long grant = quotas.tryAcquire(now, path, cost);
         if (!Quotas.isRejected(grant)) {
-          given++;
+          granted++;
           quotas.release(now, path, grant);
         }
       }
-      if (given < DECISIONS / 4) {
-        throw new IllegalStateException("given " + given);
+      if (granted < DECISIONS / 4) {
+        throw new IllegalStateException("granted only " + granted);
       }
       return (System.nanoTime() - start) / (double) DECISIONS;
     }
   }
 
   /**
-   * Ten minutes of three partners on a virtual clock: one never goes quiet, one comes and goes, one is modest. The worst part of a due
-   * share in any second of demand, use while there is demand, and the longest time in milliseconds from a lender's return until it has had
-   * 97 % of its guarantee's pace.
+   * Simulates three partners for ten minutes on a virtual clock: one with constant high demand, one intermittent, one with low demand. Returns
+   * the worst ratio of received to guaranteed share in any second with demand, the utilisation, and the longest time in milliseconds from
+   * the return of a lender until it receives 97 % of its guaranteed rate.
    */
   private static double[] monthEnd() {
     QuotaPlan plan = new QuotaPlan.Builder(List.of(new Lane(Dimension.REQUESTS, SECOND)), new double[] {3000})
@@ -164,22 +167,22 @@
     Quotas q = new Quotas(plan, 10, SECOND);
     SplittableRandom r = new SplittableRandom(SEED);
     int slots = 6000;
-    double[][] asked = new double[3][slots];
-    double[][] given = new double[3][slots];
+    double[][] requested = new double[3][slots];
+    double[][] granted = new double[3][slots];
     double[] rates = {0, 15_000, 300};
-    double sum = 20_000;
+    double totalRate = 20_000;
     for (double t = 0; t < 600;) {
-      t += -Math.log(1 - r.nextDouble()) / sum;
+      t += -Math.log(1 - r.nextDouble()) / totalRate;
       int slot = (int) (t * 10);
       rates[0] = (int) (t / 31) % 2 == 1 ? 4000 : 0;
-      double pick = r.nextDouble() * sum;
+      double pick = r.nextDouble() * totalRate;
       for (int i = 0; i < 3 && slot < slots; i++) {
         pick -= rates[i];
         if (pick < 0) {
-          asked[i][slot]++;
+          requested[i][slot]++;
           long grant = q.tryAcquire(SECOND + (long) (t * SECOND), names[i], new double[] {1});
           if (!Quotas.isRejected(grant)) {
-            given[i][slot]++;
+            granted[i][slot]++;
             q.release(SECOND + (long) (t * SECOND), names[i], grant);
           }
           break;
@@ -189,29 +192,29 @@
     double worst = 1;
     for (int i = 0; i < 3; i++) {
       for (int s = 10; s + 10 <= slots; s++) {
-        double due = 0;
-        double had = 0;
+        double guaranteed = 0;
+        double received = 0;
         for (int k = s; k < s + 10; k++) {
-          due += Math.min(asked[i][k], guarantee[i] / 10);
-          had += given[i][k];
+          guaranteed += Math.min(requested[i][k], guarantee[i] / 10);
+          received += granted[i][k];
         }
-        worst = due >= 50 && due >= guarantee[i] / 4 ? Math.min(worst, had / due) : worst;
+        worst = guaranteed >= 50 && guaranteed >= guarantee[i] / 4 ? Math.min(worst, received / guaranteed) : worst;
       }
     }
-    double used = 0;
-    double back = 0;
+    double servedTotal = 0;
+    double slowestReturnMillis = 0;
     for (int s = 100; s < slots; s++) {
-      used += given[0][s] + given[1][s] + given[2][s];
+      servedTotal += granted[0][s] + granted[1][s] + granted[2][s];
     }
     for (int from = 310; from < slots - 10; from += 620) {
-      double had = 0;
+      double received = 0;
       int s = from;
       do {
-        had = given[0][s++];
-      } while (had < 0.97 * guarantee[0] / 10 && s < slots);
-      back = Math.max(back, (s - from) * 100.0);
+        received = granted[0][s++];
+      } while (received < 0.97 * guarantee[0] / 10 && s < slots);
+      slowestReturnMillis = Math.max(slowestReturnMillis, (s - from) * 100.0);
     }
-    return new double[] {worst, used / ((slots - 100) / 10.0) / 3000, back};
+    return new double[] {worst, servedTotal / ((slots - 100) / 10.0) / 3000, slowestReturnMillis};
   }
 
   private static double recovery() throws IOException {
@@ -237,10 +240,10 @@
         q.restore(SECOND, 0, List.of(t.snapshot()));
       }
     }
-    double took = (System.nanoTime() - start) / 1e9;
-    System.out.printf(Locale.ROOT, "journal of 1,000,000 entries, %d octets, %d nodes: %.2f s%n", Files.size(file), q.nodeCount(), took);
+    double elapsed = (System.nanoTime() - start) / 1e9;
+    System.out.printf(Locale.ROOT, "journal of 1,000,000 entries, %d bytes, %d nodes: %.2f s%n", Files.size(file), q.nodeCount(), elapsed);
     Files.delete(file);
     Files.delete(folder);
-    return took;
+    return elapsed;
   }
 }
