--- a/dnssd/src/main/java/cloverpulley/dnssd/DnsSdConfig.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/DnsSdConfig.java
@@ -96,13 +96,13 @@
         millis(trust, "longest_ttl_ms", 1000, defaultRules.longestTtlMillis()),
         trust.integer("stale_ms", 0, 30 * MILLIS_PER_DAY, defaultRules.staleMillis()),
         millis(trust, "clock_skew_ms", 0, defaultRules.clockSkewMillis()), millis(trust, "first_wait_ms", 0, defaultRules.firstWaitMillis()),
-        millis(trust, "lone_wait_ms", 0, defaultRules.loneWaitMillis()), (int) trust.integer("reserve_below", 1, 100_000, defaultRules.reserveBelow()),
-        (int) trust.integer("instances", 1, 1_000_000, defaultRules.maxInstances()));
+        millis(trust, "lone_wait_ms", 0, defaultRules.loneWaitMillis()),
+        (int) trust.integer("reserve_below", 1, 100_000, defaultRules.reserveBelow()), (int) trust.integer("instances", 1, 1_000_000, defaultRules.maxInstances()));
     Section textTable = s.table("text");
     TextKeys defaultKeys = TextKeys.DEFAULT;
     TextKeys keys = new TextKeys(textTable.string("locality", defaultKeys.locality()), textTable.string("flavor", defaultKeys.flavor()),
-        textTable.string("cell", defaultKeys.cell()),
-        textTable.string("size", defaultKeys.size()), textTable.string("phase", defaultKeys.phase()), textTable.string("started", defaultKeys.started()));
+        textTable.string("cell", defaultKeys.cell()), textTable.string("size", defaultKeys.size()),
+        textTable.string("phase", defaultKeys.phase()), textTable.string("started", defaultKeys.started()));
     String recordsPath = s.string("records_file", "");
     long pollMillis = millis(s, "poll_ms", 10, 1000);
     return new DnsSdConfig(browses, resolvers, rules, keys, pollMillis, millis(s, "least_ttl_ms", 10, 1000),
--- a/model/src/main/java/cloverpulley/model/ModelPlan.java
+++ b/model/src/main/java/cloverpulley/model/ModelPlan.java
@@ -64,8 +64,8 @@
     double gigabytes = (double) balancers * servers * 20_000 / (1 << 30);
     double available = Runtime.getRuntime().maxMemory() / (double) (1 << 30);
     if (gigabytes > available) {
-      s.reportError("balancers", String.format(Locale.ROOT, "would need about %.1f GB with %d servers, but only %.1f GB are available", gigabytes, servers,
-          available));
+      s.reportError("balancers", String.format(Locale.ROOT, "would need about %.1f GB with %d servers, but only %.1f GB are available", gigabytes,
+          servers, available));
     }
     return new ModelPlan(settings, s.integer("seed", Long.MIN_VALUE, Long.MAX_VALUE, 1), seconds, rate, balancers, servers,
         (int) s.integer("workers", 1, 10_000, 4), s.number("work_ms", 0.001, 100_000, 10), s.bool("steady", false),
