--- a/dnssd/src/main/java/cloverpulley/dnssd/DnsSdConfig.java
+++ b/dnssd/src/main/java/cloverpulley/dnssd/DnsSdConfig.java
@@ -97,7 +97,8 @@
         trust.integer("stale_ms", 0, 30 * MILLIS_PER_DAY, defaultRules.staleMillis()),
         millis(trust, "clock_skew_ms", 0, defaultRules.clockSkewMillis()), millis(trust, "first_wait_ms", 0, defaultRules.firstWaitMillis()),
         millis(trust, "lone_wait_ms", 0, defaultRules.loneWaitMillis()),
-        (int) trust.integer("reserve_below", 1, 100_000, defaultRules.reserveBelow()), (int) trust.integer("instances", 1, 1_000_000, defaultRules.maxInstances()));
+        (int) trust.integer("reserve_below", 1, 100_000, defaultRules.reserveBelow()),
+        (int) trust.integer("instances", 1, 1_000_000, defaultRules.maxInstances()));
     Section textTable = s.table("text");
     TextKeys defaultKeys = TextKeys.DEFAULT;
     TextKeys keys = new TextKeys(textTable.string("locality", defaultKeys.locality()), textTable.string("flavor", defaultKeys.flavor()),
