--- a/bench/src/main/java/cloverpulley/bench/DnsBench.java
+++ b/bench/src/main/java/cloverpulley/bench/DnsBench.java
@@ -44,7 +44,7 @@
   private static final int CACHED_NAMES = 5000;
   private static final int CACHE_MB = 16;
   private static final int GOOD_RATE = 500;
-  /** The default of the configuration file. */
+  /** The limit that applies when the configuration file sets none. */
   private static final int DEFAULT_LIMIT = 1000;
   private static final int FLOOD_RATE = 40_000;
   private static final int FLOOD_PREFIXES = 16;
--- a/bench/src/main/java/cloverpulley/bench/OperationsBench.java
+++ b/bench/src/main/java/cloverpulley/bench/OperationsBench.java
@@ -26,7 +26,7 @@
   private static final int UPSTREAMS = 4;
   private static final int IDLE_CONNECTIONS = 8;
   private static final long IDLE_MILLIS = 4000;
-  /** How long an upstream stays offline; for IN_FLIGHT_NANOS after the confirmation it may still receive requests that were in flight. */
+  /** How long an upstream stays offline; for {@code IN_FLIGHT_NANOS} after the confirmation it may still receive requests that were in flight. */
   private static final long OFFLINE_MILLIS = 60;
   private static final long IN_FLIGHT_NANOS = TimeUnit.MILLISECONDS.toNanos(20);
 
@@ -96,8 +96,7 @@
         Long.toString(load.reset()), "double", Long.toString(duplicates), "after_out", Integer.toString(sentWhileOffline), "back_within_s",
         ChildProcess.figure(Collections.max(returnSeconds)), "door_p99_ms", ChildProcess.figure(percentile(managementMillis, 0.99)), "retune_p99_ms",
         ChildProcess.figure(percentile(reloadMillis, 0.99)), "wrong_settings_taken", Integer.toString(invalidSettingsAccepted), "rss_two_mb",
-        ChildProcess.figure(twoProcessesMb),
-        "long_rss_mb", ChildProcess.figure(longResponsesMb)));
+        ChildProcess.figure(twoProcessesMb), "long_rss_mb", ChildProcess.figure(longResponsesMb)));
   }
 
   private static double percentile(List<Double> values, double percentile) {
--- a/bench/src/main/java/cloverpulley/bench/OutsBench.java
+++ b/bench/src/main/java/cloverpulley/bench/OutsBench.java
@@ -54,7 +54,7 @@
 
   private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(2, NioIoHandler.newFactory());
   private final Map<String, StandInUpstream> upstreams = new HashMap<>();
-  private final Map<String, Long> outSince = new HashMap<>();
+  private final Map<String, Long> offlineSince = new HashMap<>();
   private final ContinuousClients clients = new ContinuousClients(20);
   private int overLimit;
   private int sentWhileOffline;
--- a/bench/src/main/java/cloverpulley/bench/QuotaBench.java
+++ b/bench/src/main/java/cloverpulley/bench/QuotaBench.java
@@ -70,8 +70,7 @@
         ChildProcess.figure(median(treeNanos.get(2)) / median(treeNanos.get(0))), "decisions_per_s",
         ChildProcess.figure(1e9 / median(treeNanos.get(1))),
         "bytes_per_decision", ChildProcess.figure(allocated), "worst_share", ChildProcess.figure(month[0]), "utilisation",
-        ChildProcess.figure(month[1]),
-        "lent_back_ms", ChildProcess.figure(month[2]), "recovery_s", ChildProcess.figure(recovery)));
+        ChildProcess.figure(month[1]), "lent_back_ms", ChildProcess.figure(month[2]), "recovery_s", ChildProcess.figure(recovery)));
   }
 
   private static long allocatedBytes() {
