--- a/load/src/main/java/cloverpulley/load/Arrivals.java
+++ b/load/src/main/java/cloverpulley/load/Arrivals.java
@@ -37,12 +37,16 @@
   private final Shape shape;
   private final double durationSeconds;
   private final SplittableRandom random;
+  /**
+   * In seconds since the start of the run. Poisson and bursty process: the last candidate. Constant process: start of the integration step
+   * that contains the last arrival, so that the next arrival may be found in the same step.
+   */
   private double now;
   private boolean inBurst;
   private double stateEnd;
-  /** Constant process: number of arrivals generated; arrival n is due when the integral of the rate reaches n - 0.5. */
-  private double arrivalsDue;
-  /** Integral of the rate from 0 to {@code now}. */
+  /** Constant process: number of the last arrival generated, from 1; arrival n is due when the integral of the rate reaches n - 0.5. */
+  private double arrivalNumber;
+  /** Constant process: integral of the rate from 0 to {@code now}. */
   private double rateIntegral;
 
   /**
@@ -70,8 +74,9 @@
 
   /** Integrates the rate by the midpoint rule in small steps: exact for flat shapes, an approximation within a step for others. */
   private double nextConstant() {
-    arrivalsDue += 1;
-    double target = arrivalsDue - 0.5; // Starts half a gap in, so that every second contains its full number of arrivals.
+    arrivalNumber += 1;
+    // The first arrival is half an interval after the start, so that every second contains its full number of arrivals.
+    double target = arrivalNumber - 0.5;
     double step = Math.min(0.001, durationSeconds / 1000);
     // A remainder far below one step is a rounding error; it must not produce an arrival.
     while (durationSeconds - now > step / 1000) {
--- a/load/src/main/java/cloverpulley/load/Plan.java
+++ b/load/src/main/java/cloverpulley/load/Plan.java
@@ -12,21 +12,29 @@
 /**
  * The configuration of a load run, read from the {@code [load]} section of a plan file and the tables within it.
  *
+ * @param seconds duration of the run
  * @param rate requests per second at shape factor 1
- * @param maxLatenessMillis the run counts as fallen behind when the p99 of the generator's own lateness exceeds this
+ * @param maxLatenessMillis setting {@code late_ms}: the run counts as fallen behind when the p99 of the generator's own lateness exceeds this
  */
 public record Plan(long seed, double seconds, double rate, Arrivals.Process process, Arrivals.Bursts bursts, Shape shape,
     List<RequestClass> classes, List<Tenant> tenants, Keys keys, Target target, Clients clients, double maxLatenessMillis) {
 
-  /** Whether a request may be executed more than once; the driver expresses it by method and headers. */
+  /**
+   * Whether a request may be executed more than once: a safe one may; a keyed one has an idempotency key, by which the server recognizes
+   * repeats; an unsafe one may not. The driver expresses it by method and headers, in DNS by a query, a NOTIFY and an UPDATE.
+   */
   public enum Effect { SAFE, KEYED, UNSAFE }
 
   /**
    * A class of requests.
    *
    * @param share weight of the class among all requests; the weights need not add up to 1
-   * @param minHintMicros lower bound of the work hint, the announced processing time in microseconds, drawn uniformly between it and
-   *     {@code maxHintMicros}; both 0 for no hint
+   * @param worth points that a request scores when it is served within the target latency
+   * @param aimMillis target latency, measured from the intended start
+   * @param bytes length of the request body; 0 for none
+   * @param minHintMicros setting {@code hint_least_us}: lower bound of the work hint, the announced processing time in microseconds, which is
+   *     drawn uniformly between it and {@code maxHintMicros}; both 0 for no hint
+   * @param maxHintMicros setting {@code hint_most_us}
    */
   public record RequestClass(String name, Effect effect, double share, double worth, double aimMillis, double deadlineMillis, int bytes,
       long minHintMicros, long maxHintMicros) {}
@@ -34,12 +42,18 @@
   /**
    * A tenant.
    *
-   * @param share weight of the tenant among all requests
-   * @param portion fraction of the fleet's capacity that the tenant is entitled to
+   * @param share weight of the tenant among all requests, which decides how much it requests
+   * @param portion fraction of the fleet's capacity, 0 to 1, that the tenant is entitled to; {@link Goal} applies it to the total worth requested.
+   *     0 if everything that it requests counts
    */
   public record Tenant(String name, double share, double portion) {}
 
-  /** Keys with Zipf popularity: the k-th key is requested in proportion to 1/k^exponent. */
+  /**
+   * Keys with Zipf popularity: the k-th key is requested in proportion to 1/k^exponent.
+   *
+   * @param count number of keys; 0 for requests without a key
+   * @param exponent setting {@code zipf}
+   */
   public record Keys(int count, double exponent) {}
 
   /** The protocol spoken with the target. */
@@ -48,7 +62,8 @@
   /**
    * The server under load.
    *
-   * @param maxConnections limit on connections open at the same time
+   * @param maxConnections setting {@code connections}: limit on connections open at the same time
+   * @param connectMillis setting {@code connect_ms}: connect timeout
    * @param domain parent domain of the DNS names that are queried, with a trailing dot
    */
   public record Target(Protocol protocol, InetSocketAddress address, String path, int maxConnections, long connectMillis,
@@ -58,9 +73,10 @@
    * How clients behave.
    *
    * @param retries maximum number of attempts after the first
-   * @param backOffMillis delay before a retry, drawn between half of it and all of it, doubled with each retry
-   * @param honourRatio fraction of the clients that wait as long as Retry-After says
-   * @param minTimeoutRatio an attempt times out after a fraction of the class's deadline, drawn between this and 1
+   * @param backOffMillis setting {@code back_off_ms}: delay before a retry, drawn between half of it and all of it, doubled with each retry
+   * @param honourRatio setting {@code honour_retry_after}: fraction of the clients that wait as long as Retry-After says
+   * @param minTimeoutRatio setting {@code patience_least}: an attempt times out after a fraction of the class's deadline, drawn between this
+   *     and 1
    */
   public record Clients(int retries, double backOffMillis, double honourRatio, double minTimeoutRatio) {}
 
@@ -76,7 +92,10 @@
   private static final double DAY_S = 86_400;
   private static final double DAY_MS = DAY_S * 1000;
 
-  /** Parses a plan file; errors are reported to the section that they belong to. */
+  /**
+   * Parses a plan file. Errors do not stop it: {@link Section#reportError} collects them with the section that they belong to, and
+   * parsing continues with a replacement for the faulty value.
+   */
   public static Plan read(Section file) {
     Section s = file.table("load");
     double seconds = s.number("seconds", 0.1, DAY_S, 30);
--- a/load/src/main/java/cloverpulley/load/Results.java
+++ b/load/src/main/java/cloverpulley/load/Results.java
@@ -20,7 +20,11 @@
   private static final int SIGNIFICANT_DIGITS = 3;
   private static final int SECOND_STATS_SIGNIFICANT_DIGITS = 2;
 
-  /** Counters and latencies of one set of requests: all, those of a class or those of a tenant. */
+  /**
+   * Counters and latencies of one set of requests: all, those of a class or those of a tenant. A request is in time if it was served within
+   * its class's target latency, measured from its intended start. The worth of a request is the number of points that its class scores for
+   * each request served in time ({@link Plan.RequestClass}).
+   */
   public static final class RequestStats {
     public final long[] outcomes = new long[Outcome.values().length];
     public final Histogram corrected = new PackedHistogram(MAX_MICROS, SIGNIFICANT_DIGITS);
@@ -52,7 +56,10 @@
     }
   }
 
-  /** Counters and latencies of the requests with an intended start within the same second; {@code sent} counts attempts by the time of sending. */
+  /**
+   * Counters and latencies of the requests with an intended start within the same second; {@code sent} counts attempts, including retries, by
+   * the second in which they were sent.
+   */
   public static final class SecondStats {
     public final Histogram corrected = new PackedHistogram(MAX_MICROS, SECOND_STATS_SIGNIFICANT_DIGITS);
     public final long[] outcomes = new long[Outcome.values().length];
@@ -81,6 +88,7 @@
     plan.tenants().forEach(t -> tenants.add(new RequestStats()));
   }
 
+  /** The statistics of the second that contains this time, in seconds since the start of the run. */
   private SecondStats second(double at) {
     while (seconds.size() <= (int) at) {
       seconds.add(new SecondStats());
@@ -99,19 +107,24 @@
     s.worthRequested += worth;
   }
 
-  /** Records that an attempt was sent {@code lateNanos} after it was due. */
+  /**
+   * Records that an attempt was sent.
+   *
+   * @param sinceStart when it was sent, in seconds since the start of the run
+   * @param lateNanos how long after it was due it was sent
+   */
   public void recordSent(PlannedRequest p, double sinceStart, long lateNanos) {
     attempts++;
     lateness.recordValue(Math.min(MAX_MICROS, Math.max(0, lateNanos / 1000)));
     second(Math.max(0, sinceStart)).sent++;
   }
 
-  /** Records the final outcome of a request. */
+  /** Records the final outcome of a request, with its latency from the intended start and from the actual start of the first attempt. */
   public void recordOutcome(PlannedRequest p, Outcome outcome, long correctedNanos, long naiveNanos) {
     Plan.RequestClass requestClass = plan.classes().get(p.classIndex());
     boolean withinAim = outcome == Outcome.SERVED && correctedNanos <= requestClass.aimMillis() * 1e6;
-    for (RequestStats t : List.of(all, classes.get(p.classIndex()), tenants.get(p.tenantIndex()))) {
-      t.addOutcome(outcome, correctedNanos / 1000, naiveNanos / 1000, requestClass.worth(), withinAim);
+    for (RequestStats stats : List.of(all, classes.get(p.classIndex()), tenants.get(p.tenantIndex()))) {
+      stats.addOutcome(outcome, correctedNanos / 1000, naiveNanos / 1000, requestClass.worth(), withinAim);
     }
     SecondStats s = second(p.startSeconds());
     s.outcomes[outcome.ordinal()]++;
--- a/load/src/main/java/cloverpulley/load/Shape.java
+++ b/load/src/main/java/cloverpulley/load/Shape.java
@@ -11,7 +11,7 @@
   /** The factor at a point in time; never negative. */
   double at(double seconds);
 
-  /** An upper bound of the factor over the whole run, used for thinning. */
+  /** An upper bound of the factor over the whole run; thinning in {@link Arrivals} draws candidates at the base rate times this. */
   double max();
 
   /** Constant base rate. */
@@ -27,7 +27,14 @@
     }
   }
 
-  /** Changes linearly from one factor to another between two times and is constant before and after. */
+  /**
+   * Changes linearly from one factor to another between two times and is constant before and after.
+   *
+   * @param from factor until {@code start}
+   * @param to factor from {@code end} on
+   * @param start in seconds since the start of the run
+   * @param end in seconds since the start of the run
+   */
   record Ramp(double from, double to, double start, double end) implements Shape {
     public Ramp {
       Checks.require(from >= 0 && to >= 0, "a ramp's factors must not be negative");
@@ -46,7 +53,13 @@
     }
   }
 
-  /** A sine wave around 1, such as the cycle of day and night. */
+  /**
+   * A sine wave around 1, such as the cycle of day and night.
+   *
+   * @param amplitude greatest difference from 1
+   * @param period length of a cycle in seconds
+   * @param phase position in the cycle at the start of the run, as a fraction of the period
+   */
   record Wave(double amplitude, double period, double phase) implements Shape {
     public Wave {
       Checks.require(amplitude >= 0 && amplitude <= 1, "a wave's amplitude must be 0 to 1");
@@ -66,16 +79,19 @@
 
   /**
    * The last working days of a month, scaled to the length of the run: the rate rises from day to day, grows within each day towards
-   * closing time, and peaks in the last hours of the last day.
+   * closing time, and peaks in the last hours of the last day. Within a day the rate follows a quarter of a sine wave, which reaches its top
+   * after 90% of the day.
    *
    * @param days number of working days that the run represents
    * @param rise factor of the last day relative to the first
-   * @param peak additional factor at the end of the last day, reached by a linear rise over the last fifth of that day
+   * @param peak factor at the end of the last day, by which the others are multiplied; it rises linearly from 1 over the last fifth of that day
+   * @param length duration of the run in seconds, into which the days are scaled
    */
   record MonthEnd(int days, double rise, double peak, double length) implements Shape {
 
     private static final double OPENING_FACTOR = 0.6;
-    private static final double FINAL_PEAK_RATIO = 0.2;
+    /** Fraction of the last day, up to its end, in which the final peak builds up. */
+    private static final double PEAK_DAY_FRACTION = 0.2;
 
     public MonthEnd {
       Checks.require(days >= 1, "a month end must have at least one day");
@@ -90,8 +106,8 @@
       double dayFraction = at - day;
       double dayFactor = days == 1 ? rise : 1 + (rise - 1) * day / (days - 1);
       double hourFactor = OPENING_FACTOR + (1 - OPENING_FACTOR) * Math.sin(Math.PI * Math.min(1, dayFraction / 0.9) / 2);
-      double peakFactor = day < days - 1 || dayFraction < 1 - FINAL_PEAK_RATIO ? 1
-          : 1 + (peak - 1) * (dayFraction - (1 - FINAL_PEAK_RATIO)) / FINAL_PEAK_RATIO;
+      double peakFactor = day < days - 1 || dayFraction < 1 - PEAK_DAY_FRACTION ? 1
+          : 1 + (peak - 1) * (dayFraction - (1 - PEAK_DAY_FRACTION)) / PEAK_DAY_FRACTION;
       return dayFactor * hourFactor * peakFactor;
     }
 
@@ -101,7 +117,12 @@
     }
   }
 
-  /** A seasonal peak: the rate rises to its maximum in the middle of the run and falls again, as before the field work in spring. */
+  /**
+   * A seasonal peak: the rate rises to its maximum in the middle of the run and falls again, for example before spring field work in farming.
+   *
+   * @param top factor in the middle of the run; 1 at its start and end
+   * @param length duration of the run in seconds
+   */
   record Season(double top, double length) implements Shape {
     public Season {
       Checks.require(top >= 1, "a season's top must be 1 or more");
@@ -121,7 +142,13 @@
     }
   }
 
-  /** A flash crowd: the rate jumps at one time and then decays exponentially with the given half-life. */
+  /**
+   * A flash crowd: the rate jumps at one time and then decays exponentially to 1.
+   *
+   * @param start time of the jump, in seconds since the start of the run
+   * @param factor factor at the jump; 1 before it
+   * @param halfLife time in seconds in which the excess over 1 halves
+   */
   record Flash(double start, double factor, double halfLife) implements Shape {
     public Flash {
       Checks.require(factor >= 1, "a flash crowd's factor must be 1 or more");
@@ -160,7 +187,10 @@
     }
   }
 
-  /** The mean factor over an interval by the midpoint rule, so that a jump exactly at its end does not count. */
+  /**
+   * The mean factor over an interval by the midpoint rule. It samples no end point, so a jump at the very end of the interval has no effect on
+   * the mean.
+   */
   default double mean(double from, double to) {
     int steps = (int) Math.min(200_000, Math.max(1000, (to - from) * 1000));
     double step = (to - from) / steps;
