--- a/dns/src/main/java/cloverpulley/dns/wire/Edns.java
+++ b/dns/src/main/java/cloverpulley/dns/wire/Edns.java
@@ -8,10 +8,11 @@
  * @param udpSize the sender's UDP payload size, at least 512
  * @param extendedRcode the upper bits of the response code
  * @param dnssecOk the DO bit
- * @param cookie option 10 (RFC 7873); null if absent
+ * @param cookie option 10 (RFC 7873), the first if there are several; null if absent
  * @param keepalive whether option 11 is present (RFC 7828)
- * @param at the start of the record
- * @param end the end of the record
+ * @param tenant the data of the configured tenant option, the last if there are several; null if absent
+ * @param at offset of the record in the message
+ * @param end offset after the record
  */
 public record Edns(int udpSize, int extendedRcode, int version, boolean dnssecOk, byte[] cookie, boolean keepalive, byte[] tenant,
     int at, int end) {
@@ -25,7 +26,11 @@
   private static final int MIN_UDP_SIZE = 512;
   private static final int DO = 0x8000;
 
-  /** Reads the record at {@code at}, whose bounds have been checked. */
+  /**
+   * Reads the record at {@code at}, whose bounds have been checked.
+   *
+   * @param tenantOption the code of the option that names a tenant; 0 for none
+   */
   static Edns read(byte[] b, int at, int end, int tenantOption) throws MalformedException {
     byte[] cookie = null;
     byte[] tenant = null;
@@ -49,9 +54,9 @@
       }
       i += 4 + length;
     }
-    int ttl = at + 5;
-    return new Edns(Math.max(MIN_UDP_SIZE, Message.get16(b, at + 3)), b[ttl] & 0xFF, b[ttl + 1] & 0xFF,
-        (Message.get16(b, ttl + 2) & DO) != 0, cookie, keepalive, tenant, at, end);
+    int ttlOffset = at + 5;
+    return new Edns(Math.max(MIN_UDP_SIZE, Message.get16(b, at + 3)), b[ttlOffset] & 0xFF, b[ttlOffset + 1] & 0xFF,
+        (Message.get16(b, ttlOffset + 2) & DO) != 0, cookie, keepalive, tenant, at, end);
   }
 
   /** Builds an OPT record. */
--- a/dns/src/main/java/cloverpulley/dns/wire/Question.java
+++ b/dns/src/main/java/cloverpulley/dns/wire/Question.java
@@ -2,7 +2,10 @@
 
 import java.util.Arrays;
 
-/** A question: name, type and class. Names are compared case-insensitively. */
+/**
+ * A question: name, type and class. Names are compared case-insensitively. Immutable and safe for use by several threads as long as nobody
+ * modifies the arrays, which are neither copied on construction nor by the accessors.
+ */
 public final class Question {
 
   private final byte[] originalName;
@@ -38,12 +41,12 @@
     return dnsClass;
   }
 
-  /** The length in wire format. */
+  /** The length in wire format, in octets: the name, and two octets each for type and class. */
   public int length() {
     return originalName.length + 4;
   }
 
-  /** Writes the question and returns the position after it. */
+  /** Writes the question uncompressed at {@code at} and returns the position after it. */
   public int write(byte[] to, int at) {
     System.arraycopy(originalName, 0, to, at, originalName.length);
     int i = at + originalName.length;
@@ -52,7 +55,7 @@
     return i + 4;
   }
 
-  /** Whether the names have the same letter case (draft-vixie-dnsext-dns0x20). */
+  /** Whether the names are equal including their letter case (draft-vixie-dnsext-dns0x20); type and class are not compared. */
   public boolean hasSameCase(Question other) {
     return Arrays.equals(originalName, other.originalName);
   }
--- a/http/src/main/java/cloverpulley/serve/IdleConnections.java
+++ b/http/src/main/java/cloverpulley/serve/IdleConnections.java
@@ -7,11 +7,12 @@
 import java.util.Map;
 import java.util.function.LongPredicate;
 
-/** Idle connections to upstreams, the most recently used first. Confined to the event loop. */
+/** Idle connections by upstream, the most recently used first. Upstreams are identified by their number. Confined to the event loop. */
 final class IdleConnections<C extends IdleConnections.Idle> {
 
-  /** A connection that may be idle. */
+  /** A connection as this class needs it; it is idle from {@link #add} to {@link #remove} or its closing. */
   interface Idle {
+    /** Number of the upstream that it leads to. */
     long upstream();
 
     /** When it became idle, as {@link System#nanoTime}. */
@@ -39,7 +40,7 @@
     return List.copyOf(byUpstream.getOrDefault(upstream, new ArrayDeque<>()));
   }
 
-  /** Closes all connections to the matching upstreams. */
+  /** Closes all idle connections to the upstreams whose numbers match. Connections in use are not affected. */
   void close(LongPredicate upstreams) {
     for (Long upstream : List.copyOf(byUpstream.keySet())) {
       if (upstreams.test(upstream)) {
--- a/wire/src/main/java/cloverpulley/wire/SchemaValidator.java
+++ b/wire/src/main/java/cloverpulley/wire/SchemaValidator.java
@@ -5,14 +5,19 @@
 import java.util.Set;
 
 /**
- * Checks an object that is to replace a reference object: values may differ and keys may be added, but no key may be missing or have a value
- * of another type. Guards against a file that was truncated and repaired, or written by hand, in which missing keys would silently get defaults.
+ * Checks a JSON object that is to replace a reference object: values may differ and keys may be added, but no key may be missing or have a
+ * value of another type. A key whose reference value is null is not checked. Guards against a file that was truncated and repaired, or written by
+ * hand, in which missing keys would silently get defaults.
  */
 public final class SchemaValidator {
 
   private SchemaValidator() {}
 
-  /** Throws a {@link WireException} that names the first key that is missing or has a value of another type; {@code ignoredKeys} are skipped. */
+  /**
+   * Throws a {@link WireException} that names the first key that is missing or has a value of another type.
+   *
+   * @param ignoredKeys keys of the outermost object that are skipped; keys of nested objects are always checked
+   */
   public static void check(Fields reference, Fields replacement, Set<String> ignoredKeys) {
     for (Map.Entry<?, ?> e : reference.values().entrySet()) {
       if (!ignoredKeys.contains(e.getKey()) && e.getValue() != null) {
@@ -54,7 +59,7 @@
       String elementPath = path + "[" + i + "]";
       Fields element = Fields.object(elementPath, replacement.get(i));
       for (Map.Entry<?, ?> e : first.entrySet()) {
-        boolean common = e.getValue() != null && reference.stream().allMatch(b -> ((Map<?, ?>) b).get(e.getKey()) != null);
+        boolean common = e.getValue() != null && reference.stream().allMatch(object -> ((Map<?, ?>) object).get(e.getKey()) != null);
         if (common) {
           check(elementPath + "." + e.getKey(), e.getValue(), element.values().get(e.getKey()));
         }
