--- a/decision/src/main/java/cloverpulley/quota/Leases.java
+++ b/decision/src/main/java/cloverpulley/quota/Leases.java
@@ -7,16 +7,20 @@
 import java.util.Map;
 
 /**
- * Divides each node's guarantee among the instances of an installation, in leases that follow demand and expire. The sum of what instances
- * may use never exceeds the guarantee: a lease grows only by what other instances are known to have released, and an instance that does not
- * report is assumed to use its even share, to which it falls back by itself ({@link LeaseHolder}). The division is max-min fair: an
- * instance that overstates its demand gets no more than what the others leave of their even shares.
+ * Divides the guarantee of each node of the quota tree ({@link QuotaPlan}) among the instances of an installation, in leases that follow
+ * demand and expire. The sum of what instances may use never exceeds the guarantee: a lease grows only by what other instances are known to
+ * have released, and an instance that does not report is assumed to use its even share, to which it falls back by itself
+ * ({@link LeaseHolder}). The division is max-min fair: an instance that overstates its demand gets no more than what the others leave of
+ * their even shares.
  *
- * <p>Several coordinators may be active at a time, because each instance uses the first that it can reach. A coordinator without reports
- * from a majority of the instances gives none of them more than an even share; one that has just gained a majority lets no lease grow until
- * all older leases must have fallen back.
+ * <p>An installation is the set of instances that share one quota plan. A node is identified by its path in the tree; a lane is one
+ * dimension over one window, and has a guarantee of its own in each node ({@link Lane}).
  *
- * <p>Pure logic: reports in, leases out. Not thread-safe.
+ * <p>A coordinator is a process that runs this class and receives the instances' reports. Several coordinators may be active at a time, because
+ * each instance uses the first that it can reach. A coordinator without reports from a majority of the instances gives none of them more than
+ * an even share; one that has just gained a majority lets no lease grow until all older leases must have fallen back.
+ *
+ * <p>Pure logic: reports in, leases out. Times are nanoseconds of one monotonic clock of the coordinator. Not thread-safe.
  */
 public final class Leases {
 
@@ -24,6 +28,7 @@
   static final double MIN_SHARE_RATIO = 0.2;
   /** A lease exceeds the demand by this factor where enough is available. */
   private static final double HEADROOM = 1.2;
+  /** Relative tolerance for rounding errors in a sum of allowances. */
   private static final double ROUNDING_TOLERANCE = 1e-9;
 
   /**
@@ -31,7 +36,7 @@
    *
    * @param instances number of instances, reporting or not
    * @param validNanos validity of a lease
-   * @param fallNanos time after that in which an allowance falls linearly to the even share
+   * @param fallNanos fall-back time: after the validity an allowance above the even share falls linearly to it in this time
    * @param reclaimNanos time without a report after which an instance's even share is given to others; 0 for never. The sum then exceeds
    *     the guarantee by that share if the instance is not dead but partitioned
    */
@@ -50,16 +55,17 @@
    *
    * @param seq grows with each report since the instance's start; a report that is not newer is ignored
    * @param heldLease number of the lease that it holds; 0 for none
-   * @param demand by node: units requested per window, in the order of the lanes
-   * @param allowances by node: what it may use at present, by its lease or its fall-back
+   * @param demand by path of the node: units requested per window of the lane, in the order of the lanes
+   * @param allowances by path of the node: units that it may use per window at present, by its lease or its fall-back
    */
   public record Report(String instance, long seq, long heldLease, Map<String, double[]> demand, Map<String, double[]> allowances) {}
 
-  /** What an instance may use: by node one value per lane, valid for a time from the report that it answers. */
+  /** What an instance may use: by path of the node one value per lane, valid for a time from the sending of the report that it answers. */
   public record Lease(long number, long validNanos, Map<String, double[]> allowances) {}
 
   private static final class InstanceState {
     long seq;
+    /** When its last report was processed. */
     long reportedAt;
     long heldLease;
     Map<String, double[]> demand = Map.of();
@@ -73,7 +79,7 @@
   private final Terms terms;
   private final Map<String, InstanceState> instances = new HashMap<>();
   private final long startedAt;
-  /** Start of the time in which a majority of the instances has been reporting. */
+  /** Since when a majority of the instances has been reporting; the grace period of {@link #issueLease} starts then. */
   private long majoritySince;
   private long lastNumber;
 
@@ -119,7 +125,7 @@
 
   private static Map<String, double[]> copy(Map<String, double[]> of) {
     Map<String, double[]> copy = new HashMap<>();
-    of.forEach((path, f) -> copy.put(path, f.clone()));
+    of.forEach((path, values) -> copy.put(path, values.clone()));
     return copy;
   }
 
@@ -150,6 +156,7 @@
     return evenShare;
   }
 
+  /** Removes the instances whose last leases must have expired and fallen back. */
   private void removeExpired(long now) {
     long expiryNanos = terms.validNanos + terms.fallNanos;
     instances.values().removeIf(state -> now - state.reportedAt > expiryNanos);
@@ -159,7 +166,7 @@
   private double maxInUse(InstanceState state, long now, String path, int lane, double evenShare) {
     double maxAllowance = state.maxAllowances.containsKey(path) ? state.maxAllowances.get(path)[lane] : evenShare;
     long past = now - state.reportedAt - terms.validNanos;
-    // Its lease may have arrived late by up to its validity; it falls after that.
+    // The lease may have reached the instance up to one validity late. It counts in full for twice the validity, then falls back linearly.
     double remaining = past <= terms.validNanos ? 1 : terms.fallNanos == 0 ? 0
         : Math.max(0, 1 - (past - terms.validNanos) / (double) terms.fallNanos);
     return maxAllowance > evenShare ? evenShare + (maxAllowance - evenShare) * remaining
@@ -169,6 +176,7 @@
   private Lease issueLease(long now, String instance, InstanceState state) {
     Map<String, double[]> allowances = new HashMap<>();
     boolean hasMajority = hasMajority(now);
+    // Twice the validity and the fall-back time is how long maxInUse takes a lease to last: those that other coordinators issued are over then.
     boolean inGracePeriod = now - majoritySince < 2 * terms.validNanos + terms.fallNanos;
     for (QuotaPlan.NodeSpec s : plan.nodes().values()) {
       double[] allowance = new double[s.guarantee().length];
@@ -180,7 +188,7 @@
     state.lastAllowances = allowances;
     state.lastLease = ++lastNumber;
     // Until it confirms the new lease, it may be using either.
-    allowances.forEach((path, f) -> state.maxAllowances.merge(path, f, Leases::elementwiseMax));
+    allowances.forEach((path, values) -> state.maxAllowances.merge(path, values, Leases::elementwiseMax));
     return new Lease(state.lastLease, terms.validNanos, copy(allowances));
   }
 
@@ -193,8 +201,9 @@
     List<Double> demands = new ArrayList<>();
     for (Map.Entry<String, InstanceState> e : instances.entrySet()) {
       InstanceState other = e.getValue();
-      boolean expired = terms.reclaimNanos > 0 && now - other.reportedAt > terms.reclaimNanos;
-      if (!expired) {
+      // Without reports for that long, an instance counts as missing.
+      boolean unresponsive = terms.reclaimNanos > 0 && now - other.reportedAt > terms.reclaimNanos;
+      if (!unresponsive) {
         reporting++;
         demands.add(demand(other, s.path(), lane, evenShare));
         others += e.getKey().equals(instance) ? 0 : maxInUse(other, now, s.path(), lane, evenShare);
@@ -202,18 +211,23 @@
     }
     // Instances that never reported use their even share. During the grace period it is unknown which instances exist.
     int missing = terms.instances - reporting;
-    boolean reclaimed = terms.reclaimNanos > 0 && now - startedAt > terms.reclaimNanos;
-    double available = total - (reclaimed ? 0 : missing * evenShare);
+    // The even shares of missing instances are given to others once the coordinator has run long enough to have heard from them.
+    boolean reclaimsMissing = terms.reclaimNanos > 0 && now - startedAt > terms.reclaimNanos;
+    // Divided among the reporting instances by demand; unclaimed is what of it the others can't be using now.
+    double available = total - (reclaimsMissing ? 0 : missing * evenShare);
     double target = maxMinShare(demands, demand(state, s.path(), lane, evenShare), available);
     double current = state.maxAllowances.containsKey(s.path()) ? state.maxAllowances.get(s.path())[lane] : evenShare;
-    double capacity = Math.max(0, total - (reclaimed ? 0 : missing * evenShare) - others);
+    double unclaimed = Math.max(0, total - (reclaimsMissing ? 0 : missing * evenShare) - others);
     // An instance that has not reported may hold more than its even share from another coordinator, so no lease grows during the grace
     // period. Without a majority another coordinator may have it, so no instance gets more than its even share.
     double allowed = !hasMajority ? Math.min(Math.min(target, current), evenShare) : inGracePeriod ? Math.min(target, current) : target;
-    return Math.max(0, Math.min(allowed, capacity));
+    return Math.max(0, Math.min(allowed, unclaimed));
   }
 
-  /** Whether more than half of all instances reported within the validity. Two coordinators can't both see that for long. */
+  /**
+   * Whether more than half of all instances reported within the validity; restarts the grace period if not. Two coordinators can't both see
+   * that for long.
+   */
   private boolean hasMajority(long now) {
     int recent = 0;
     for (InstanceState state : instances.values()) {
@@ -249,7 +263,7 @@
     return Math.min(own, level) + surplus;
   }
 
-  /** Returns the upper bound of what all known instances may be using of a node, for tests and metrics. */
+  /** Returns the upper bound of what all known instances may be using of a node in a lane, with a tolerance for rounding errors. */
   public double allocatedUpperBound(String path, int lane, long now) {
     double evenShare = plan.nodes().get(path).guarantee()[lane] / terms.instances;
     double sum = 0;
