--- a/standins/src/main/java/cloverpulley/standins/StandInCaller.java
+++ b/standins/src/main/java/cloverpulley/standins/StandInCaller.java
@@ -21,7 +21,11 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** An external processor client that sends the given messages one by one and queues the replies. */
+/**
+ * An external processor client that stands in for Envoy in tests: it sends the given messages one by one and queues the replies. Replies and
+ * the end of a stream arrive on the thread that delivers them, as a rule the channel's event loop (direct executor), and are handed to the test
+ * through a queue and a future, so the methods may be called from a test's thread.
+ */
 public final class StandInCaller implements AutoCloseable {
 
   /** A generous timeout for events that must happen; reaching it fails the test. */
@@ -67,7 +71,10 @@
     return ProcessingRequest.newBuilder().setRequestHeaders(HttpHeaders.newBuilder().setHeaders(headers(namesAndValues)));
   }
 
-  /** Builds a response headers message. */
+  /**
+   * Builds a response headers message. It is a {@link ProcessingRequest} because it, too, asks the processor to process something; it ends the
+   * response, which thus has no body.
+   */
   public static ProcessingRequest.Builder response(int status, String... namesAndValues) {
     HeaderMap.Builder withStatus = headers(namesAndValues).toBuilder();
     withStatus.addHeaders(HeaderValue.newBuilder().setKey(":status").setRawValue(ByteString.copyFromUtf8(Integer.toString(status))));
@@ -88,7 +95,7 @@
     return map.build();
   }
 
-  /** Returns the value to which a reply sets a header; null if it does not set it. */
+  /** Returns the value to which a reply sets the header {@code name}; null if it does not set it. Reads no reply to response headers. */
   public static String sets(ProcessingResponse reply, String name) {
     var mutation = reply.hasRequestBody() ? reply.getRequestBody().getResponse().getHeaderMutation()
         : reply.hasImmediateResponse() ? reply.getImmediateResponse().getHeaders()
