--- a/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/BalanceCommand.java
@@ -142,12 +142,12 @@
     // The ledger is synced before clients are accepted: a starting instance must not send to upstreams that are out.
     EmbeddedBalancer balance = EmbeddedBalancer.start(new EmbeddedBalancer.Options(agree == null ? "balance" : agree.name(), b.listen(),
         b.management(), b.folder(), b.sockets(), (long) b.memoryMb() << 20, fleet.initialList(), operators.settings(),
-        TimeUnit.MILLISECONDS.toNanos(b.idleMillis()), new SecureRandom().nextLong(), lists, listener, acts -> {
+        TimeUnit.MILLISECONDS.toNanos(b.idleMillis()), new SecureRandom().nextLong(), lists, listener, offlineControl -> {
           if (agree == null) {
             return;
           }
-          Follower f = new Follower(agree, upstreams(acts), TimeUnit.NANOSECONDS.toMillis(operators.settings().contract().slowStartNanos()),
-              b.agreeMillis());
+          Follower f = new Follower(agree, upstreams(offlineControl),
+              TimeUnit.NANOSECONDS.toMillis(operators.settings().contract().slowStartNanos()), b.agreeMillis());
           agreementListener.follower = f;
           try {
             f.firstSync().get(b.agreeMillis(), TimeUnit.MILLISECONDS);
--- a/incident/src/test/java/cloverpulley/incident/tool/SanitizerTest.java
+++ b/incident/src/test/java/cloverpulley/incident/tool/SanitizerTest.java
@@ -33,7 +33,7 @@
     for (String h : HOSTILE) {
       r.recordAnswer(0, h, h, h, h, Entry.FAILED, 1000);
       r.recordCall(h + "2", h, h, Entry.SERVED, 2000);
-      r.replaced(h);
+      r.moduleReplaced(h);
     }
     r.close();
     IncidentAnalysis s = new IncidentAnalysis(new Archive(List.of(folder)), IncidentAnalysis.Options.allRecords(), n -> { });
--- a/processor/src/main/java/cloverpulley/processor/Warmup.java
+++ b/processor/src/main/java/cloverpulley/processor/Warmup.java
@@ -68,8 +68,8 @@
     return decidedCalls.get();
   }
 
-  private static void startCall(ManagedChannel channel, ProcessorConfig.HeaderNames names, Settings settings, AtomicInteger startedCalls, int maxCalls,
-      CountDownLatch finished, AtomicInteger decidedCalls) {
+  private static void startCall(ManagedChannel channel, ProcessorConfig.HeaderNames names, Settings settings, AtomicInteger startedCalls,
+      int maxCalls, CountDownLatch finished, AtomicInteger decidedCalls) {
     int number = startedCalls.getAndIncrement();
     if (number >= maxCalls) {
       return;
--- a/records/src/test/java/cloverpulley/records/RecorderTest.java
+++ b/records/src/test/java/cloverpulley/records/RecorderTest.java
@@ -104,7 +104,7 @@
       r.recordAnswer(i, "id" + i, "c", "t", "served", Entry.SERVED, 1000);
     }
     for (int i = 0; i < sent; i++) {
-      r.replaced("x"); // Highest priority: dropped only if the queue is full.
+      r.moduleReplaced("x"); // Highest priority: dropped only if the queue is full.
     }
     assertTrue(r.unreportedDrops() > 0);
     diskResumes.countDown();
