--- a/config/src/main/java/cloverpulley/config/Section.java
+++ b/config/src/main/java/cloverpulley/config/Section.java
@@ -219,7 +219,7 @@
     }
     try {
       int port = Integer.parseInt(text.substring(colon + 1));
-      // Never resolves a host name: the text is an IP literal, and getByName would resolve one with an octet above 255.
+      // Never looks a name up: an address with an octet above 255, which getByName would resolve as a host name, is rejected.
       return port > MAX_PORT || hasOctetAbove255(text.substring(0, colon)) ? null
           : new InetSocketAddress(InetAddress.getByName(text.substring(0, colon)), port);
     } catch (UnknownHostException e) {
--- a/dist/src/main/java/cloverpulley/cli/DemoReport.java
+++ b/dist/src/main/java/cloverpulley/cli/DemoReport.java
@@ -11,7 +11,7 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** The incident report of the demo, made from the records of its servers. */
+/** The incident report of the demo, made from the event records of the ashdeck processes that it ran. */
 final class DemoReport {
 
   private static final long INTERVAL_MICROS = 1_000_000L;
--- a/processor/src/main/java/cloverpulley/processor/ProcessorConfig.java
+++ b/processor/src/main/java/cloverpulley/processor/ProcessorConfig.java
@@ -16,7 +16,7 @@
  * @param messageTimeoutNanos the callers' {@code message_timeout}: every decision is sent within it
  * @param ioThreads number of I/O threads; decisions are made on a thread of their own
  * @param askForResponses whether callers are asked by {@code mode_override} to send the response headers
- * @param lameDuckMillis how long new connections are still accepted after SIGTERM, until a successor is up
+ * @param lameDuckMillis how long new connections are still accepted after SIGTERM, so that a successor can start meanwhile
  * @param drainMillis how long open streams may continue after that
  * @param warmUpCalls number of warm-up calls before it listens
  * @param recordsFile file to which a line is written for each call; null for none
--- a/processor/src/main/java/cloverpulley/processor/ProcessorServer.java
+++ b/processor/src/main/java/cloverpulley/processor/ProcessorServer.java
@@ -290,9 +290,9 @@
   }
 
   /**
-   * Shuts down gracefully: the health service reports it first; new connections are still accepted for a while, until a successor is up;
-   * then clients are asked to reconnect, and open streams may continue for the drain time; calls that are undecided after it get a final
-   * reply. Returns when the processor has stopped.
+   * Shuts down gracefully: the health service reports it first; new connections are still accepted for a fixed time, in which a
+   * successor can start; then clients are asked to reconnect, and open streams may continue for the drain time; calls that are undecided
+   * after it get a final reply. Returns when the processor has stopped.
    */
   public void stop() throws InterruptedException {
     LOG.info("stopping");
