--- a/agree/src/main/java/cloverpulley/agree/AgreeApi.java
+++ b/agree/src/main/java/cloverpulley/agree/AgreeApi.java
@@ -76,7 +76,7 @@
       x.getResponseHeaders().set(LEADER_HEADER, voter.leader());
       Map<String, String> query = parseQuery(x.getRequestURI().getRawQuery());
       if (!voter.isActive()) {
-        respond(x, 503, "this voter's journal could not be written, it is inactive");
+        respond(x, 503, "this voter's file could not be written, it takes no part");
       } else if (x.getRequestMethod().equals("POST") && x.getRequestURI().getPath().equals(PATH)) {
         handleCommand(x, Command.class, voter::command);
       } else if (x.getRequestMethod().equals("POST") && x.getRequestURI().getPath().equals(VOTERS_PATH)) {
@@ -98,26 +98,26 @@
   private <T> void handleCommand(HttpExchange x, Class<T> type, Function<T, CompletableFuture<?>> handler) throws IOException {
     byte[] body = readBody(x.getRequestBody());
     if (body == null) {
-      respond(x, 413, "longer than " + MAX_BODY_BYTES + " bytes");
+      respond(x, 413, "longer than " + MAX_BODY_BYTES + " octets");
       return;
     }
     T c;
     try {
       c = Json.read(body, type);
     } catch (IOException e) {
-      respond(x, 400, "invalid command: " + e.getMessage().lines().findFirst().orElse(""));
+      respond(x, 400, "no command: " + e.getMessage().lines().findFirst().orElse(""));
       return;
     }
     try {
       respond(x, 200, Json.write(handler.apply(c).get(COMMAND_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)));
     } catch (TimeoutException e) {
-      respond(x, 504, "no majority answers: the outcome is unknown, repeat the same command");
+      respond(x, 504, "no majority answers: not known whether it came through, ask the same again");
     } catch (ExecutionException e) {
       boolean notLeader = e.getCause() instanceof NotLeaderException;
       boolean overloaded = e.getCause() instanceof CannotReplicateException;
       respond(x, notLeader ? voter.leader().isEmpty() ? 503 : 421 : overloaded ? 503 : 504,
-          notLeader ? "this voter is not the leader" : overloaded ? "too many commands are waiting for a majority"
-              : "the outcome is unknown, repeat the same command");
+          notLeader ? "this voter does not lead" : overloaded ? "too much waits for a majority"
+              : "not known whether it came through, ask the same again");
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
--- a/agree/src/main/java/cloverpulley/agree/Voter.java
+++ b/agree/src/main/java/cloverpulley/agree/Voter.java
@@ -174,7 +174,7 @@
   CompletableFuture<VoterReplacement.Next> replace(String from, String to) {
     if (config.voters().stream().noneMatch(v -> v.name().equals(to))) {
       return CompletableFuture.completedFuture(new VoterReplacement.Next(VoterReplacement.Step.NO, to,
-          to + " is not an agree.voter in the file that " + config.name() + " was started with"));
+          to + " is no agree.voter of the file that " + config.name() + " was started with"));
     }
     RaftGroupMembers group = node.getCommittedMembers();
     VoterReplacement.Next next = VoterReplacement.next(names(group.getMembers()), names(group.getVotingMembers()), leader(), from, to);
--- a/decision/src/main/java/cloverpulley/outs/Heartbeat.java
+++ b/decision/src/main/java/cloverpulley/outs/Heartbeat.java
@@ -16,7 +16,7 @@
   public Heartbeat {
     groups = List.copyOf(groups);
     if (!(refused >= 0 && refused <= 1)) {
-      throw new IllegalArgumentException("expected a ratio from 0 to 1, got " + refused);
+      throw new IllegalArgumentException("expected a part from 0 to 1, got " + refused);
     }
   }
 }
--- a/decision/src/main/java/cloverpulley/outs/VoterReplacement.java
+++ b/decision/src/main/java/cloverpulley/outs/VoterReplacement.java
@@ -35,18 +35,18 @@
    */
   public static Next next(Set<String> members, Set<String> voting, String leader, String from, String to) {
     if (from.equals(to)) {
-      return reject(from, "a voter that lost its journal must come back under another name: under its own it could vote twice in one term");
+      return reject(from, "a voter that lost its file comes back under another name: under its own it could vote twice");
     } else if (!members.contains(from)) {
-      return voting.contains(to) ? new Next(Step.DONE, to, "") : reject(from, from + " is not a voter");
+      return voting.contains(to) ? new Next(Step.DONE, to, "") : reject(from, from + " is no voter");
     } else if (leader.equals(from)) {
-      return reject(from, from + " is the leader: stop it first, so that another voter is elected");
+      return reject(from, from + " leads: stop it first, so that another does");
     }
     Set<String> learners = new TreeSet<>(members);
     learners.removeAll(voting);
     learners.remove(to);
     if (!learners.isEmpty()) {
       // Two unfinished changes could need a larger majority than there are live voters.
-      return reject(from, "another membership change is in progress: " + String.join(" ", learners));
+      return reject(from, "another change is under way: " + String.join(" ", learners));
     }
     return !members.contains(to) ? new Next(Step.ADD, to, "") : !voting.contains(to) ? new Next(Step.PROMOTE, to, "")
         : new Next(Step.REMOVE, from, "");
--- a/decision/src/main/java/cloverpulley/quota/Leases.java
+++ b/decision/src/main/java/cloverpulley/quota/Leases.java
@@ -100,7 +100,7 @@
         removeExpired(now);
       }
       if (instances.size() >= terms.instances) {
-        throw new IllegalArgumentException("quota leases: " + r.instance + " exceeds the configured number of " + terms.instances + " instances");
+        throw new IllegalArgumentException("quota leases: " + r.instance + " is one more than the " + terms.instances + " instances there are");
       }
       state = new InstanceState();
       instances.put(r.instance, state);
--- a/processor/src/main/java/cloverpulley/processor/CallDispatcher.java
+++ b/processor/src/main/java/cloverpulley/processor/CallDispatcher.java
@@ -87,7 +87,7 @@
       return null;
     } else if (history instanceof AttemptTracker.InProgress) {
       counts.countLocalReply(Reason.IN_HAND);
-      listener.onInvalid(409, "a request with the same id is in progress", Reason.IN_HAND.code());
+      listener.onInvalid(409, "the request's id is that of a call in hand", Reason.IN_HAND.code());
       return null;
     }
     long quotaGrant = 0;
--- a/processor/src/main/java/cloverpulley/processor/ProcessorStream.java
+++ b/processor/src/main/java/cloverpulley/processor/ProcessorStream.java
@@ -105,13 +105,13 @@
       if (state == State.NEW) {
         requestHeaders(message.getRequestHeaders());
       } else {
-        protocolError(io.grpc.Status.INVALID_ARGUMENT, "duplicate request_headers");
+        protocolError(io.grpc.Status.INVALID_ARGUMENT, "request_headers came twice");
       }
     } else if (phase == RequestCase.REQUEST_NOT_SET) {
-      protocolError(io.grpc.Status.UNIMPLEMENTED, "unknown phase");
+      protocolError(io.grpc.Status.UNIMPLEMENTED, "a phase that is not known here");
     } else if (state == State.NEW) {
       // Without the request headers nothing is known of the request and no safe decision is possible.
-      protocolError(io.grpc.Status.FAILED_PRECONDITION, "request_headers must come first: the processing mode must send them");
+      protocolError(io.grpc.Status.FAILED_PRECONDITION, "request_headers have to come first: the processing mode must send them");
     } else {
       switch (phase) {
         case REQUEST_BODY -> requestBody(message.getRequestBody());
@@ -391,7 +391,7 @@
       return;
     }
     if (noMessageYet) {
-      protocolError(io.grpc.Status.DEADLINE_EXCEEDED, "no message received on this stream");
+      protocolError(io.grpc.Status.DEADLINE_EXCEEDED, "nothing came on this stream");
     } else {
       close(io.grpc.Status.OK); // The caller has its decision and proceeds without the processor.
       notifyCallerGone();
--- a/processor/src/main/java/cloverpulley/processor/RequestParser.java
+++ b/processor/src/main/java/cloverpulley/processor/RequestParser.java
@@ -59,7 +59,7 @@
     }
     String id = id(headers);
     if (id != null && id.length() > MAX_NAME_LENGTH) {
-      return new InvalidRequest(400, "the request id is too long");
+      return new InvalidRequest(400, "the request's id is too long");
     }
     String name = headers.get(names.className());
     RequestClass requestClass = classes.get(name == null || !classes.containsKey(name) ? names.defaultClass() : name);
@@ -78,7 +78,7 @@
     String attemptCountText = headers.get(names.attemptCount());
     long attemptCount = attemptCountText == null ? 0 : wholeNumber(attemptCountText);
     if (attemptCount < 0 || attemptCountText != null && attemptCount == 0) {
-      return new InvalidRequest(400, names.attemptCount() + " must be a number of 1 or more");
+      return new InvalidRequest(400, names.attemptCount() + " is no count from 1");
     }
     if (requestClass.effect() != Effect.SAFE && (id == null || attemptCountText == null && config.attemptCountRequired())) {
       // A retry could not be told from a first attempt, and the request might take effect twice.
@@ -90,7 +90,7 @@
       if (value != null) {
         long nanos = header.equals(GRPC_TIMEOUT) ? grpcTimeout(value) : TimeUnit.MILLISECONDS.toNanos(wholeNumber(value));
         if (nanos < 0) {
-          return new InvalidRequest(400, header + " is not a valid time");
+          return new InvalidRequest(400, header + " is no time");
         }
         // Envoy writes 0 for no time-out; in the other headers 0 is a deadline that has passed.
         waitNanos = nanos == 0 && header.equals(ENVOY_TIMEOUT) ? waitNanos : Math.min(waitNanos, nanos);
--- a/quota/src/main/java/cloverpulley/quota/service/LeaseLink.java
+++ b/quota/src/main/java/cloverpulley/quota/service/LeaseLink.java
@@ -175,7 +175,7 @@
   private void handleReport(LeaseReport report, StreamObserver<LeaseAnswer> observer) {
     if (!report.getInstallation().equals(installation) || report.getAskedCount() > MAX_NODES || report.getUsesCount() > MAX_NODES
         || report.getInstance().isEmpty() || report.getInstance().length() > 64) {
-      observer.onError(new StatusRuntimeException(Status.INVALID_ARGUMENT.withDescription("invalid report, or report of another installation")));
+      observer.onError(new StatusRuntimeException(Status.INVALID_ARGUMENT.withDescription("a report of another installation's quotas")));
       return;
     }
     try {
@@ -184,7 +184,7 @@
           Leases.Lease lease = coordinator.handleReport(nanos.getAsLong(), new Leases.Report(report.getInstance(),
               report.getSeq(), report.getHolds(), toMap(report.getAskedList()), toMap(report.getUsesList())));
           if (lease == null) {
-            observer.onError(new StatusRuntimeException(Status.ABORTED.withDescription("outdated report")));
+            observer.onError(new StatusRuntimeException(Status.ABORTED.withDescription("an older report")));
             return;
           }
           LeaseAnswer.Builder a = LeaseAnswer.newBuilder().setNumber(lease.number()).setValidNanos(lease.validNanos());
