--- a/bench/src/main/java/cloverpulley/bench/IncidentBench.java
+++ b/bench/src/main/java/cloverpulley/bench/IncidentBench.java
@@ -155,8 +155,8 @@
           + (outcome == Outcome.SERVED ? Entry.SERVED : outcome == Outcome.REFUSED ? Entry.REFUSED : Entry.FAILED), 1L, Long::sum));
       TimeUnit.SECONDS.sleep(2); // What waits is flushed twice a second.
     }
-    IncidentAnalysis s = new IncidentAnalysis(new Archive(List.of(folder)), IncidentAnalysis.Wanted.everything(), n -> { });
-    s.course.answerCounts().forEach((c, n) -> counted.merge(c.className() + " " + c.answer(), n, Long::sum));
+    IncidentAnalysis s = new IncidentAnalysis(new Archive(List.of(folder)), IncidentAnalysis.Options.allRecords(), n -> { });
+    s.timeline.answerCounts().forEach((c, n) -> counted.merge(c.className() + " " + c.answer(), n, Long::sum));
     System.out.println("the generator counted " + asked + ", the records " + counted);
     long off = 0;
     for (String k : Stream.concat(asked.keySet().stream(), counted.keySet().stream()).distinct().toList()) {
@@ -205,8 +205,8 @@
           blocks[0], best[1], blocks[1], best[1] / best[0]);
     }
     long t = System.nanoTime();
-    IncidentAnalysis s = new IncidentAnalysis(archive, new IncidentAnalysis.Wanted(Long.MIN_VALUE, Long.MAX_VALUE, 600_000_000L, null,
-        cloverpulley.incident.Audit.Limits.USUAL), n -> { });
+    IncidentAnalysis s = new IncidentAnalysis(archive, new IncidentAnalysis.Options(Long.MIN_VALUE, Long.MAX_VALUE, 600_000_000L, null,
+        cloverpulley.incident.Audit.Limits.DEFAULT), n -> { });
     int page = new HtmlReport(s).html().length();
     figures.put("report", (System.nanoTime() - t) / 1e9);
     System.out.printf("report of the day: %.1f s, %d octets, %d findings%n", figures.get("report"), page, s.audit.findings().size());
--- a/decision/src/main/java/cloverpulley/incident/Audit.java
+++ b/decision/src/main/java/cloverpulley/incident/Audit.java
@@ -21,15 +21,15 @@
   public enum Check { ONE_ANSWER, NO_EFFECT_TWICE, NOTHING_TO_DRAINED, COLD_NOT_PUSHED_OVER, SUMS }
 
   /** One break; {@code certain} is false where missing records could explain it. */
-  public record Finding(Check check, Origin origin, long at, String request, String what, boolean certain) {}
+  public record Finding(Check check, Origin origin, long at, String request, String description, boolean certain) {}
 
   /**
    * The figures of the rules.
    *
    * @param answerSlack microseconds past its time at which an answer counts as late
    */
-  public record Limits(long drainGrace, double coldFrom, long warmWithin, double fallMultiple, long fallWindow, long answerSlack) {
-    public static final Limits USUAL = new Limits(2_000_000, 0.32, 8_500_000, 3, 3_000_000, 50_000);
+  public record Limits(long drainGrace, double initialCapacity, long warmUpTime, double overloadFactor, long overloadWindow, long answerSlack) {
+    public static final Limits DEFAULT = new Limits(2_000_000, 0.32, 8_500_000, 3, 3_000_000, 50_000);
   }
 
   private static final int MOST_FINDINGS = 1000;
@@ -76,15 +76,15 @@
     }
   };
   private final List<Finding> findings = new ArrayList<>();
-  private final Map<Check, Long> checked = new TreeMap<>();
-  private long more;
+  private final Map<Check, Long> checkCounts = new TreeMap<>();
+  private long omittedFindings;
 
   /** @param whole whether all records come: without, no sums are drawn, and what is not there may be just that */
   public Audit(Limits limits, boolean whole) {
     this.limits = limits;
     this.whole = whole;
     for (Check c : Check.values()) {
-      checked.put(c, 0L);
+      checkCounts.put(c, 0L);
     }
   }
 
@@ -117,14 +117,14 @@
   }
 
   private void count(Check check) {
-    checked.merge(check, 1L, Long::sum);
+    checkCounts.merge(check, 1L, Long::sum);
   }
 
   private void found(Check check, Entry e, String what, boolean certain) {
     if (findings.size() < MOST_FINDINGS) {
       findings.add(new Finding(check, e.origin(), e.at(), e.requestId(), what, certain));
     } else {
-      more++;
+      omittedFindings++;
     }
   }
 
@@ -240,7 +240,7 @@
     forget(s.all, e.at());
     long started = to == null ? 0 : to.started * 1000;
     long age = e.at() - started;
-    if (to == null || started == 0 || age < 0 || age >= limits.warmWithin || s.coldTold.contains(e.upstream())) {
+    if (to == null || started == 0 || age < 0 || age >= limits.warmUpTime || s.coldTold.contains(e.upstream())) {
       return;
     }
     count(Check.COLD_NOT_PUSHED_OVER);
@@ -249,17 +249,17 @@
       return; // There is nothing to measure it against.
     }
     double warm = (s.all.size() - own.size()) / (double) (ready - 1);
-    double can = limits.coldFrom + (1 - limits.coldFrom) * age / limits.warmWithin;
-    double most = Math.max(COLD_LEAST, limits.fallMultiple * can * warm);
+    double can = limits.initialCapacity + (1 - limits.initialCapacity) * age / limits.warmUpTime;
+    double most = Math.max(COLD_LEAST, limits.overloadFactor * can * warm);
     if (s.all.size() >= ENOUGH && own.size() > most) {
       s.coldTold.add(e.upstream());
-      found(Check.COLD_NOT_PUSHED_OVER, e, own.size() + " sends to " + to.name + " within " + limits.fallWindow / 1000 + " ms, "
+      found(Check.COLD_NOT_PUSHED_OVER, e, own.size() + " sends to " + to.name + " within " + limits.overloadWindow / 1000 + " ms, "
           + age / 1000 + " ms after its start; " + (int) most + " push it over", s.dropped == 0);
     }
   }
 
   private void forget(Deque<Long> times, long now) {
-    while (!times.isEmpty() && times.peek() < now - limits.fallWindow) {
+    while (!times.isEmpty() && times.peek() < now - limits.overloadWindow) {
       times.poll();
     }
   }
@@ -270,7 +270,7 @@
   public List<Finding> findings() {
     List<Finding> all = new ArrayList<>(findings);
     sides.forEach((origin, s) -> {
-      checked.merge(Check.SUMS, 1L, Long::sum);
+      checkCounts.merge(Check.SUMS, 1L, Long::sum);
       if (!s.fromStart) {
         return; // Its beginning is not here: the sums can't hold.
       }
@@ -292,12 +292,12 @@
   }
 
   /** How often each was checked: a rule that was never put to the test was not kept, but not seen. */
-  public Map<Check, Long> checked() {
-    return checked;
+  public Map<Check, Long> checkCounts() {
+    return checkCounts;
   }
 
   /** Findings beyond those that are kept. */
-  public long more() {
-    return more;
+  public long omittedFindings() {
+    return omittedFindings;
   }
 }
--- a/decision/src/main/java/cloverpulley/incident/ChangePointAnalysis.java
+++ b/decision/src/main/java/cloverpulley/incident/ChangePointAnalysis.java
@@ -28,12 +28,12 @@
   private static final int PLACE = 1;
 
   /** A rise: when, from which part of bad answers to which, and the chance that the same part gives both sides. */
-  public record Rise(long at, double before, double after, long answers, double chance) {}
+  public record Rise(long at, double ratioBefore, double ratioAfter, long answers, double pValue) {}
 
-  /** A change that came before a rise; {@code byChance} is the chance of one of its kind as near without any tie between them. */
-  public record Cause(Rise rise, long at, String what, String instance, double byChance) {}
+  /** A change that came before a rise; {@code pValue} is the chance of one of its kind as near without any tie between them. */
+  public record CandidateCause(Rise rise, long at, String description, String instance, double pValue) {}
 
-  private record Change(long at, String kind, String what, String instance) {}
+  private record Change(long at, String kind, String description, String instance) {}
 
   private final TreeMap<Long, long[]> seconds = new TreeMap<>();
   private final List<Change> changes = new ArrayList<>();
@@ -152,24 +152,24 @@
   }
 
   /** For each rise the changes that came before it, the least likely by chance first; a rise without any is told by nothing. */
-  public List<Cause> causes() {
-    List<Cause> causes = new ArrayList<>();
+  public List<CandidateCause> candidateCauses() {
+    List<CandidateCause> candidateCauses = new ArrayList<>();
     double span = Math.max(1, last - first);
     Map<String, Long> kinds = new TreeMap<>();
     changes.forEach(c -> kinds.merge(c.kind, 1L, Long::sum));
     for (Rise rise : rises()) {
-      List<Cause> mine = new ArrayList<>();
+      List<CandidateCause> mine = new ArrayList<>();
       for (Change c : changes) {
         long distance = rise.at - c.at;
         if (distance >= -PLACE * SECOND && distance <= REACH) {
           // The chance that at least one of so many of its kind, spread evenly over all the time, lies this near before.
           double expected = kinds.get(c.kind) * (Math.max(0, distance) + 2 * PLACE * SECOND) / span;
-          mine.add(new Cause(rise, c.at, c.what, c.instance, PoissonDistribution.of(expected).survivalProbability(0)));
+          mine.add(new CandidateCause(rise, c.at, c.description, c.instance, PoissonDistribution.of(expected).survivalProbability(0)));
         }
       }
-      mine.sort(Comparator.comparingDouble(Cause::byChance).thenComparing(Cause::what));
-      causes.addAll(mine);
+      mine.sort(Comparator.comparingDouble(CandidateCause::pValue).thenComparing(CandidateCause::description));
+      candidateCauses.addAll(mine);
     }
-    return causes;
+    return candidateCauses;
   }
 }
--- a/decision/src/main/java/cloverpulley/incident/Query.java
+++ b/decision/src/main/java/cloverpulley/incident/Query.java
@@ -22,10 +22,10 @@
 public final class Query {
 
   /** A field of which an index may know. */
-  public enum Term { KIND, WORD, CLASS, TENANT, SERVER, UPSTREAM, REQUEST }
+  public enum IndexedField { KIND, WORD, CLASS, TENANT, SERVER, UPSTREAM, REQUEST }
 
   /** All of them have to hold for a record to fit. */
-  public record Needs(long from, long to, Map<Term, String> equal) {}
+  public record Constraints(long from, long to, Map<IndexedField, String> equalities) {}
 
   private static final int MOST_LENGTH = 4096;
   private static final int MOST_DEPTH = 50;
@@ -40,7 +40,7 @@
   private static final class Bounds {
     long from = Long.MIN_VALUE;
     long to = Long.MAX_VALUE;
-    final Map<Term, String> equal = new HashMap<>();
+    final Map<IndexedField, String> equal = new HashMap<>();
   }
 
   private final String text;
@@ -76,10 +76,10 @@
   }
 
   /** What has to hold for any record that fits. */
-  public Needs needs() {
+  public Constraints constraints() {
     Bounds b = new Bounds();
     root.need(b);
-    return new Needs(b.from, b.to, Map.copyOf(b.equal));
+    return new Constraints(b.from, b.to, Map.copyOf(b.equal));
   }
 
   private IllegalArgumentException wrong(String what) {
@@ -229,7 +229,7 @@
   }
 
   /** Microseconds of Unix time. */
-  public static long micros(String value) {
+  public static long parseTime(String value) {
     try {
       if (value.matches("\\d{1,12}(\\.\\d{1,6})?")) {
         return Math.round(Double.parseDouble(value) * 1e6);
@@ -243,7 +243,7 @@
 
   private long time(String value) {
     try {
-      return micros(value);
+      return parseTime(value);
     } catch (IllegalArgumentException e) {
       throw wrong(e.getMessage());
     }
@@ -272,9 +272,9 @@
     if (!operator.equals("=")) {
       return operator.equals("~") ? e -> field(field, e) != null && field(field, e).contains(value) : e -> !value.equals(field(field, e));
     }
-    Term term = switch (field) {
+    IndexedField term = switch (field) {
       case "instance", "answer" -> null;
-      default -> Term.valueOf(field.toUpperCase(Locale.ROOT));
+      default -> IndexedField.valueOf(field.toUpperCase(Locale.ROOT));
     };
     return new Node() {
       @Override
--- a/decision/src/test/java/cloverpulley/incident/ClocksTest.java
+++ b/decision/src/test/java/cloverpulley/incident/ClocksTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import cloverpulley.incident.Clocks.Offset;
 import cloverpulley.incident.Clocks.Correlation;
+import cloverpulley.incident.Clocks.Offset;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
--- a/dist/src/main/java/cloverpulley/cli/DemoRecords.java
+++ b/dist/src/main/java/cloverpulley/cli/DemoRecords.java
@@ -21,14 +21,14 @@
   /** Makes the report, and says in a line what it counts. */
   static void tell(PrintStream out, Path folder) throws IOException {
     IncidentAnalysis s = new IncidentAnalysis(new Archive(List.of(folder.resolve("records"))),
-        new IncidentAnalysis.Wanted(Long.MIN_VALUE, Long.MAX_VALUE, SPAN_MICROS, null, Audit.Limits.USUAL), n -> { });
+        new IncidentAnalysis.Options(Long.MIN_VALUE, Long.MAX_VALUE, SPAN_MICROS, null, Audit.Limits.DEFAULT), n -> { });
     Path file = folder.resolve("incident.html");
     Files.writeString(file, new HtmlReport(s).html());
     List<Audit.Finding> findings = s.audit.findings();
     out.printf("by the fronts' records: %d answered, %d of them served, %d with an end that is not known; rules broken: %d%n",
-        s.course.count(null, null, null, null), s.course.count(null, null, null, Entry.SERVED), s.course.unresolvedRequests(),
+        s.timeline.count(null, null, null, null), s.timeline.count(null, null, null, Entry.SERVED), s.timeline.unresolvedRequests(),
         findings.stream().filter(Audit.Finding::certain).count());
-    findings.stream().limit(5).forEach(f -> out.println("  " + f.check() + ": " + f.what()));
+    findings.stream().limit(5).forEach(f -> out.println("  " + f.check() + ": " + f.description()));
     out.println("report: " + file);
   }
 }
--- a/dist/src/main/java/cloverpulley/cli/IncidentCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/IncidentCommand.java
@@ -78,10 +78,10 @@
 
     IncidentAnalysis study(double spanSeconds) throws IOException {
       Archive archive = open();
-      IncidentAnalysis.Wanted wanted = new IncidentAnalysis.Wanted(from == null ? Long.MIN_VALUE : from, to == null ? Long.MAX_VALUE : to,
-          (long) (spanSeconds * 1e6), reference, Audit.Limits.USUAL);
+      IncidentAnalysis.Options options = new IncidentAnalysis.Options(from == null ? Long.MIN_VALUE : from, to == null ? Long.MAX_VALUE : to,
+          (long) (spanSeconds * 1e6), reference, Audit.Limits.DEFAULT);
       try (Progress progress = new Progress(archive.octets())) {
-        return new IncidentAnalysis(archive, wanted, progress);
+        return new IncidentAnalysis(archive, options, progress);
       }
     }
   }
@@ -116,7 +116,7 @@
     @Override
     public Long convert(String text) {
       try {
-        return Query.micros(text);
+        return Query.parseTime(text);
       } catch (IllegalArgumentException e) {
         throw new CommandLine.TypeConversionException(e.getMessage());
       }
@@ -142,8 +142,8 @@
       }
       IncidentAnalysis study = source.study(span);
       Files.writeString(file, new HtmlReport(study).html());
-      System.out.println(file + ": " + study.read.records() + " records, " + study.course.count(null, null, null, null)
-          + " requests answered, " + study.course.unresolvedRequests() + " of which the end is not known, " + study.audit.findings().size()
+      System.out.println(file + ": " + study.read.records() + " records, " + study.timeline.count(null, null, null, null)
+          + " requests answered, " + study.timeline.unresolvedRequests() + " of which the end is not known, " + study.audit.findings().size()
           + " findings");
       return 0;
     }
@@ -207,7 +207,7 @@
     public Integer call() throws IOException {
       Source source = new Source();
       source.places = places;
-      if (!new RequestExplainer(source.open(), request).tell(System.out::println)) {
+      if (!new RequestExplainer(source.open(), request).explain(System.out::println)) {
         throw new IOException("no record of it");
       }
       return 0;
@@ -222,17 +222,17 @@
     @Override
     public Integer call() throws IOException {
       IncidentAnalysis s = source.study(1);
-      List<ChangePointAnalysis.Cause> causes = s.causes.causes();
-      List<ChangePointAnalysis.Rise> rises = s.causes.rises();
+      List<ChangePointAnalysis.CandidateCause> causes = s.changePoints.candidateCauses();
+      List<ChangePointAnalysis.Rise> rises = s.changePoints.rises();
       if (rises.isEmpty()) {
         System.out.println("no rise of bad answers");
       }
       for (ChangePointAnalysis.Rise r : rises) {
-        System.out.printf(Locale.ROOT, "%s  %.2f%% to %.2f%% of %d answers, by chance %.2g%n", instant(r.at()), 100 * r.before(),
-            100 * r.after(), r.answers(), r.chance());
+        System.out.printf(Locale.ROOT, "%s  %.2f%% to %.2f%% of %d answers, by chance %.2g%n", instant(r.at()), 100 * r.ratioBefore(),
+            100 * r.ratioAfter(), r.answers(), r.pValue());
         causes.stream().filter(c -> c.rise().equals(r)).limit(8).forEach(c -> System.out.printf(Locale.ROOT,
             "    %.1f s before it came: %s (told to %s; one as near by chance: %.2g)%n", (r.at() - c.at()) / 1e6,
-            Sanitizer.plain(c.what()), Sanitizer.plain(c.instance()), c.byChance()));
+            Sanitizer.printable(c.description()), Sanitizer.printable(c.instance()), c.pValue()));
       }
       return 0;
     }
@@ -252,13 +252,13 @@
     public Integer call() throws IOException {
       IncidentAnalysis s = source.study(10);
       List<Audit.Finding> findings = s.audit.findings();
-      s.audit.checked().forEach((check, n) -> System.out.printf("%-22s checked %9d, broken %d, unsettled %d%n",
+      s.audit.checkCounts().forEach((check, n) -> System.out.printf("%-22s checked %9d, broken %d, unsettled %d%n",
           check.name().toLowerCase(Locale.ROOT), n, findings.stream().filter(f -> f.check() == check && f.certain()).count(),
           findings.stream().filter(f -> f.check() == check && !f.certain()).count()));
-      findings.stream().limit(50).forEach(f -> System.out.println(Sanitizer.plain((f.certain() ? "BROKEN " : "unsettled ")
+      findings.stream().limit(50).forEach(f -> System.out.println(Sanitizer.printable((f.certain() ? "BROKEN " : "unsettled ")
           + f.check().name().toLowerCase(Locale.ROOT) + " " + f.origin().instance() + " " + (f.request() == null ? "" : f.request() + " ")
-          + f.what())));
-      s.course.gaps(s.clocks).forEach(g -> System.out.println(Sanitizer.plain("not known: " + g.instance() + ", " + g.reason())));
+          + f.description())));
+      s.timeline.gaps(s.clocks).forEach(g -> System.out.println(Sanitizer.printable("not known: " + g.instance() + ", " + g.reason())));
       if (s.read.spoiltBlocks() > 0 || s.read.tornOctets() > 0) {
         System.out.println("not known: " + s.read.spoiltBlocks() + " spoilt blocks, " + s.read.tornOctets() + " octets cut off at ends");
       }
--- a/dist/src/main/java/cloverpulley/cli/Logs.java
+++ b/dist/src/main/java/cloverpulley/cli/Logs.java
@@ -104,7 +104,7 @@
   static String event(String logger, String message) {
     String by = logger == null ? "" : logger.substring(logger.lastIndexOf('.') + 1).toLowerCase(Locale.ROOT);
     StringBuilder words = new StringBuilder();
-    for (char c : Sanitizer.plain(message).toCharArray()) {
+    for (char c : Sanitizer.printable(message).toCharArray()) {
       if (Character.isLetter(c)) {
         words.append(Character.toLowerCase(c));
       } else if (c == ' ' || c == '\'') {
--- a/dist/src/main/java/cloverpulley/cli/QuotaCommand.java
+++ b/dist/src/main/java/cloverpulley/cli/QuotaCommand.java
@@ -75,7 +75,7 @@
       q.each(SECOND, s -> {
         for (int i = 0; i < lanes.size(); i++) {
           System.out.printf(Locale.ROOT, "%-32s %-26s %12.1f %12.1f %12.1f%n", i > 0 ? "" : s.path().isEmpty() ? "(all)"
-              : Sanitizer.plain(s.path()), lanes.get(i), s.guarantee()[i], s.tokens()[i], s.owed()[i]);
+              : Sanitizer.printable(s.path()), lanes.get(i), s.guarantee()[i], s.tokens()[i], s.owed()[i]);
         }
       });
       return 0;
@@ -149,7 +149,7 @@
         }
       }
       System.out.printf("%-32s %10s %10s %10s %10s%n", "node", "asked/s", "given/s", "own/s", "lent/s");
-      counts.forEach((path, c) -> System.out.printf(Locale.ROOT, "%-32s %10.1f %10.1f %10.1f %10.1f%n", Sanitizer.plain(path),
+      counts.forEach((path, c) -> System.out.printf(Locale.ROOT, "%-32s %10.1f %10.1f %10.1f %10.1f%n", Sanitizer.printable(path),
           c.asked / (double) seconds, (c.own + c.lent) / (double) seconds, c.own / (double) seconds, c.lent / (double) seconds));
       return 0;
     }
--- a/incident/src/main/java/cloverpulley/incident/tool/Console.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/Console.java
@@ -70,14 +70,14 @@
   /** The screen, at a time of this machine's clock. */
   List<AttributedString> draw(int width, long now) throws IOException {
     long second = 1_000_000L;
-    IncidentAnalysis.Wanted wanted = new IncidentAnalysis.Wanted(now - windowMicros, now + windowMicros, second, null, Audit.Limits.USUAL);
-    IncidentAnalysis s = new IncidentAnalysis(new Archive(places), wanted, n -> { });
+    IncidentAnalysis.Options options = new IncidentAnalysis.Options(now - windowMicros, now + windowMicros, second, null, Audit.Limits.DEFAULT);
+    IncidentAnalysis s = new IncidentAnalysis(new Archive(places), options, n -> { });
     List<AttributedString> out = new ArrayList<>();
     AttributedStyle plain = AttributedStyle.DEFAULT;
     AttributedStyle bold = AttributedStyle.BOLD;
     AttributedStyle red = AttributedStyle.DEFAULT.foreground(AttributedStyle.RED);
     AttributedStyle yellow = AttributedStyle.DEFAULT.foreground(AttributedStyle.YELLOW);
-    Timeline c = s.course;
+    Timeline c = s.timeline;
     out.add(line(String.format(Locale.ROOT, "ashdeck, the last %d s: %d answered, %d served, %d refused, %d failed, %d not known",
         windowMicros / second, c.count(null, null, null, null), c.count(null, null, null, Entry.SERVED),
         c.count(null, null, null, Entry.REFUSED), c.count(null, null, null, Entry.FAILED), c.unresolvedRequests()), bold, width));
@@ -87,16 +87,16 @@
     }
     out.add(line("", plain, width));
     for (Timeline.Incarnation l : c.incarnations()) {
-      out.add(line(String.format(Locale.ROOT, "%-20s %-8s %s, taken %d, sent %d, dropped records %d", Sanitizer.plain(l.origin.instance()),
-          Sanitizer.plain(l.frontend), l.stopped ? "stopped" : "runs", l.accepted, l.sent, l.droppedTotal()), l.droppedTotal() > 0 ? yellow : plain,
-          width));
+      out.add(line(String.format(Locale.ROOT, "%-20s %-8s %s, taken %d, sent %d, dropped records %d", Sanitizer.printable(l.origin.instance()),
+          Sanitizer.printable(l.frontend), l.stopped ? "stopped" : "runs", l.accepted, l.sent, l.droppedTotal()),
+          l.droppedTotal() > 0 ? yellow : plain, width));
     }
     out.add(line("", plain, width));
     s.audit.findings().stream().filter(Audit.Finding::certain).limit(5)
-        .forEach(f -> out.add(line("BROKEN " + f.check() + " " + Sanitizer.plain(f.what()), red, width)));
-    for (Swimlanes.Lane lane : Swimlanes.of(c, now, wanted.limits().warmWithin())) {
-      Swimlanes.Piece last = lane.pieces().get(lane.pieces().size() - 1);
-      out.add(line(String.format("%-24s %-20s %s", Sanitizer.plain(lane.server()), Sanitizer.plain(lane.instance()), last.state()),
+        .forEach(f -> out.add(line("BROKEN " + f.check() + " " + Sanitizer.printable(f.description()), red, width)));
+    for (Swimlanes.Lane lane : Swimlanes.of(c, now, options.limits().warmUpTime())) {
+      Swimlanes.StateInterval last = lane.intervals().get(lane.intervals().size() - 1);
+      out.add(line(String.format("%-24s %-20s %s", Sanitizer.printable(lane.server()), Sanitizer.printable(lane.instance()), last.state()),
           last.state().equals("ready") ? plain : yellow, width));
     }
     return out;
--- a/incident/src/main/java/cloverpulley/incident/tool/EntryFormatter.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/EntryFormatter.java
@@ -16,7 +16,7 @@
 
   /** For a person; nothing in it moves a terminal. */
   public static String text(Entry e) {
-    StringBuilder t = new StringBuilder(HtmlReport.time(e.at())).append(' ').append(Sanitizer.plain(e.origin().instance())).append(' ')
+    StringBuilder t = new StringBuilder(HtmlReport.time(e.at())).append(' ').append(Sanitizer.printable(e.origin().instance())).append(' ')
         .append(e.kind().name().toLowerCase(Locale.ROOT));
     add(t, "request", e.requestId());
     add(t, "class", e.className());
@@ -39,7 +39,7 @@
 
   private static void add(StringBuilder t, String name, String value) {
     if (value != null) {
-      t.append(' ').append(name).append('=').append(Sanitizer.plain(value));
+      t.append(' ').append(name).append('=').append(Sanitizer.printable(value));
     }
   }
 
--- a/incident/src/main/java/cloverpulley/incident/tool/HtmlReport.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/HtmlReport.java
@@ -47,7 +47,7 @@
 
   public HtmlReport(IncidentAnalysis study) {
     s = study;
-    c = study.course;
+    c = study.timeline;
     List<Long> all = c.intervals();
     spans = all.size() > MOST_SPANS ? all.subList(0, MOST_SPANS) : all;
     gaps = c.gaps(s.clocks);
@@ -58,8 +58,8 @@
       least = Math.min(least, l.first + o);
       most = Math.max(most, l.last + o);
     }
-    from = Math.max(least, s.wanted.from());
-    to = Math.max(from + 1, Math.min(most, s.wanted.to()));
+    from = Math.max(least, s.options.from());
+    to = Math.max(from + 1, Math.min(most, s.options.to()));
   }
 
   private static String say(String format, Object... args) {
@@ -145,7 +145,7 @@
     h.append("<h2>The four rules, from the records alone</h2><table><tr><th>rule</th><th>checked</th><th>broken</th><th>unsettled"
         + "</th></tr>");
     List<Audit.Finding> findings = s.audit.findings();
-    s.audit.checked().forEach((check, n) -> {
+    s.audit.checkCounts().forEach((check, n) -> {
       long broken = findings.stream().filter(f -> f.check() == check && f.certain()).count();
       long unsure = findings.stream().filter(f -> f.check() == check && !f.certain()).count();
       h.append("<tr><td>").append(word(check)).append("</td><td>").append(n == 0 ? "never put to the test" : n).append("</td><td")
@@ -157,7 +157,7 @@
       h.append("<details><summary>").append(findings.size()).append(" findings</summary><table>");
       findings.stream().limit(MOST_ROWS).forEach(f -> h.append("<tr><td>").append(f.at() == 0 ? "" : time(f.at())).append("</td><td>")
           .append(Sanitizer.html(f.origin().instance())).append("</td><td><code>").append(Sanitizer.html(f.request())).append("</code></td><td>")
-          .append(Sanitizer.html(f.what())).append(f.certain() ? "" : " (records are missing that could explain it)").append("</td></tr>"));
+          .append(Sanitizer.html(f.description())).append(f.certain() ? "" : " (records are missing that could explain it)").append("</td></tr>"));
       h.append("</table></details>");
     }
   }
@@ -328,14 +328,14 @@
 
   private void lanes() {
     h.append("<h2>The fleet, as each instance was told</h2>");
-    List<Swimlanes.Lane> all = Swimlanes.of(c, to, s.wanted.limits().warmWithin());
+    List<Swimlanes.Lane> all = Swimlanes.of(c, to, s.options.limits().warmUpTime());
     Map<String, List<Swimlanes.Lane>> byServer = all.stream().collect(Collectors.groupingBy(Swimlanes.Lane::server, TreeMap::new,
         Collectors.toList()));
     // Where all were told the same, one lane stands for all.
     List<Swimlanes.Lane> shown = new ArrayList<>();
     byServer.forEach((server, lanes) -> {
-      if (lanes.size() > 1 && !Swimlanes.disagree(lanes, s.wanted.limits().drainGrace())) {
-        shown.add(new Swimlanes.Lane(server, "all " + lanes.size(), lanes.get(0).pieces()));
+      if (lanes.size() > 1 && !Swimlanes.differ(lanes, s.options.limits().drainGrace())) {
+        shown.add(new Swimlanes.Lane(server, "all " + lanes.size(), lanes.get(0).intervals()));
       } else {
         shown.addAll(lanes);
       }
@@ -346,7 +346,7 @@
       Swimlanes.Lane lane = shown.get(i);
       int y = i * LANE;
       h.append(say("<text x=\"0\" y=\"%d\">%s</text>", y + 12, Sanitizer.html(clip(lane.server()) + ", " + clip(lane.instance()))));
-      for (Swimlanes.Piece p : lane.pieces()) {
+      for (Swimlanes.StateInterval p : lane.intervals()) {
         if (p.to() >= from && p.from() <= to) {
           h.append(say("<rect x=\"%.1f\" y=\"%d\" width=\"%.1f\" height=\"%d\" fill=\"%s\"><title>%s %s to %s</title></rect>", x(p.from()),
               y + 2, Math.max(0.5, x(p.to()) - x(p.from())), LANE - 4, STATE_COLOURS.getOrDefault(p.state(), "#999"),
@@ -370,24 +370,24 @@
 
   private void causes() {
     h.append("<h2>What came before the rises of bad answers</h2>");
-    List<ChangePointAnalysis.Rise> rises = s.causes.rises();
+    List<ChangePointAnalysis.Rise> rises = s.changePoints.rises();
     if (rises.isEmpty()) {
       h.append("<p>No rise.</p>");
       return;
     }
-    List<ChangePointAnalysis.Cause> causes = s.causes.causes();
+    List<ChangePointAnalysis.CandidateCause> causes = s.changePoints.candidateCauses();
     for (ChangePointAnalysis.Rise r : rises) {
-      h.append(say("<p>%s: from %.2f%% to %.2f%% of %d answers (by chance: %.2g).</p>", time(r.at()), 100 * r.before(), 100 * r.after(),
-          r.answers(), r.chance()));
-      List<ChangePointAnalysis.Cause> mine = causes.stream().filter(x -> x.rise().equals(r)).limit(8).toList();
+      h.append(say("<p>%s: from %.2f%% to %.2f%% of %d answers (by chance: %.2g).</p>", time(r.at()), 100 * r.ratioBefore(),
+          100 * r.ratioAfter(), r.answers(), r.pValue()));
+      List<ChangePointAnalysis.CandidateCause> mine = causes.stream().filter(x -> x.rise().equals(r)).limit(8).toList();
       if (mine.isEmpty()) {
         h.append("<p class=\"unsure\">Nothing that is recorded came before it.</p>");
         continue;
       }
       h.append("<table><tr><th>came before</th><th>told to</th><th>before it by</th><th>one as near by chance</th></tr>");
-      for (ChangePointAnalysis.Cause x : mine) {
-        h.append("<tr><td>").append(Sanitizer.html(x.what())).append("</td><td>").append(Sanitizer.html(x.instance())).append("</td><td>")
-            .append(seconds(r.at() - x.at())).append(say("</td><td>%.2g</td></tr>", x.byChance()));
+      for (ChangePointAnalysis.CandidateCause x : mine) {
+        h.append("<tr><td>").append(Sanitizer.html(x.description())).append("</td><td>").append(Sanitizer.html(x.instance())).append("</td><td>")
+            .append(seconds(r.at() - x.at())).append(say("</td><td>%.2g</td></tr>", x.pValue()));
       }
       h.append("</table>");
     }
--- a/incident/src/main/java/cloverpulley/incident/tool/IncidentAnalysis.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/IncidentAnalysis.java
@@ -29,27 +29,27 @@
   private static final List<String> STATE = List.of("start", "class", "tenant", "server");
 
   /** What to read, and how. */
-  public record Wanted(long from, long to, long spanMicros, String reference, Audit.Limits limits) {
-    public static Wanted everything() {
-      return new Wanted(Long.MIN_VALUE, Long.MAX_VALUE, 10_000_000L, null, Audit.Limits.USUAL);
+  public record Options(long from, long to, long intervalMicros, String reference, Audit.Limits limits) {
+    public static Options allRecords() {
+      return new Options(Long.MIN_VALUE, Long.MAX_VALUE, 10_000_000L, null, Audit.Limits.DEFAULT);
     }
   }
 
   public final Clocks clocks;
-  public final Timeline course;
+  public final Timeline timeline;
   public final Audit audit;
-  public final ChangePointAnalysis causes = new ChangePointAnalysis();
+  public final ChangePointAnalysis changePoints = new ChangePointAnalysis();
   public final Archive.Read read;
   public final Archive archive;
-  public final Wanted wanted;
+  public final Options options;
 
-  public IncidentAnalysis(Archive archive, Wanted wanted, LongConsumer octetsDone) throws IOException {
+  public IncidentAnalysis(Archive archive, Options options, LongConsumer octetsDone) throws IOException {
     this.archive = archive;
-    this.wanted = wanted;
-    clocks = clocks(archive, wanted.reference);
-    boolean whole = wanted.from == Long.MIN_VALUE && wanted.to == Long.MAX_VALUE;
-    course = new Timeline(wanted.spanMicros, whole);
-    audit = new Audit(wanted.limits, whole);
+    this.options = options;
+    clocks = clocks(archive, options.reference);
+    boolean whole = options.from == Long.MIN_VALUE && options.to == Long.MAX_VALUE;
+    timeline = new Timeline(options.intervalMicros, whole);
+    audit = new Audit(options.limits, whole);
     if (whole) {
       read = archive.all(this::take, octetsDone);
     } else {
@@ -57,7 +57,7 @@
       for (String kind : STATE) {
         archive.read(Query.of("kind=" + kind), this::takeState, n -> { });
       }
-      read = archive.between(wanted.from, wanted.to, this::shift, this::take, octetsDone);
+      read = archive.between(options.from, options.to, this::shift, this::take, octetsDone);
     }
   }
 
@@ -67,16 +67,16 @@
 
   private void takeState(Entry e) {
     long at = e.at() + clocks.offset(e.origin().instance(), e.at()).midpoint();
-    if (at < wanted.from) {
+    if (at < options.from) {
       audit.add(e);
-      course.add(e, clocks);
+      timeline.add(e, clocks);
     }
   }
 
   private void take(Entry e) {
-    course.add(e, clocks);
+    timeline.add(e, clocks);
     audit.add(e);
-    causes.add(e, e.at() + clocks.offset(e.origin().instance(), e.at()).midpoint());
+    changePoints.add(e, e.at() + clocks.offset(e.origin().instance(), e.at()).midpoint());
   }
 
   /** The clocks of all instances with records, against that of {@code reference}, or of the first that has a caller's records, or the first. */
--- a/incident/src/main/java/cloverpulley/incident/tool/RequestExplainer.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/RequestExplainer.java
@@ -40,7 +40,7 @@
   }
 
   /** Tells it, a line a decision; whether anything was found. */
-  public boolean tell(Consumer<String> line) throws IOException {
+  public boolean explain(Consumer<String> line) throws IOException {
     List<Entry> own = new ArrayList<>();
     int hash = request.indexOf('#');
     Query q = Query.of(hash < 0 ? "request=\"" + request.replace("\"", "") + "\"" : "");
@@ -63,14 +63,15 @@
     });
     for (Origin o : order) {
       List<Entry> mine = lives.get(o);
-      line.accept(Sanitizer.plain(o.instance()) + ", started " + HtmlReport.time(o.start()) + ":");
+      line.accept(Sanitizer.printable(o.instance()) + ", started " + HtmlReport.time(o.start()) + ":");
       life(o, mine, line);
     }
     for (int i = 1; i < order.size(); i++) {
       Origin a = order.get(i - 1);
       Origin b = order.get(i);
       if (clocks.order(a.instance(), lives.get(a).get(0).at(), b.instance(), lives.get(b).get(0).at()) == 0) {
-        line.accept("the order of " + Sanitizer.plain(a.instance()) + " and " + Sanitizer.plain(b.instance()) + " is not settled by their clocks");
+        line.accept("the order of " + Sanitizer.printable(a.instance()) + " and " + Sanitizer.printable(b.instance())
+            + " is not settled by their clocks");
       }
     }
     return true;
@@ -134,15 +135,15 @@
     long ready = k.servers.values().stream().filter(s -> s.word().equals("ready")).count();
     String after = String.format(Locale.ROOT, "+%.1f ms: ", (e.at() - first) / 1000.0);
     return after + switch (e.kind()) {
-      case TAKEN -> "taken as " + Sanitizer.plain(e.className()) + (e.tenant() == null ? "" : " of " + Sanitizer.plain(e.tenant())) + ", good for "
-          + e.value() / 1000 + " ms; " + ready + " servers ready, " + k.allOut + " attempts out";
+      case TAKEN -> "taken as " + Sanitizer.printable(e.className()) + (e.tenant() == null ? "" : " of " + Sanitizer.printable(e.tenant()))
+          + ", good for " + e.value() / 1000 + " ms; " + ready + " servers ready, " + k.allOut + " attempts out";
       case SENT -> "attempt " + e.attempt() + " to " + server(e, k) + "; " + k.out.getOrDefault(e.upstream(), 0) + " out there, "
           + k.allOut + " in all, " + ready + " ready";
-      case OUTCOME -> "attempt " + e.attempt() + " at " + server(e, k) + " ended " + Sanitizer.plain(e.word()) + " after " + e.value() / 1000.0
+      case OUTCOME -> "attempt " + e.attempt() + " at " + server(e, k) + " ended " + Sanitizer.printable(e.word()) + " after " + e.value() / 1000.0
           + " ms";
-      case ENDED -> "ended by the module: " + Entry.answerName(e.other()) + ", " + Sanitizer.plain(e.word());
+      case ENDED -> "ended by the module: " + Entry.answerName(e.other()) + ", " + Sanitizer.printable(e.word());
       case ANSWERED -> "caller".equals(e.word()) ? "its caller had it: " + Entry.answerName(e.other()) + " after " + e.value() / 1000.0 + " ms"
-          : "answered: " + Entry.answerName(e.other()) + ", " + Sanitizer.plain(e.word()) + "; of " + k.recentAnswers
+          : "answered: " + Entry.answerName(e.other()) + ", " + Sanitizer.printable(e.word()) + "; of " + k.recentAnswers
           + " answers in the minute before " + k.recentRefusals + " were refusals";
       default -> e.kind().name().toLowerCase(Locale.ROOT);
     };
@@ -150,11 +151,11 @@
 
   private static String server(Entry e, Known k) {
     Entry s = k.servers.get(e.upstream());
-    String name = Sanitizer.plain(e.name() == null ? Long.toHexString(e.upstream()) : e.name());
+    String name = Sanitizer.printable(e.name() == null ? Long.toHexString(e.upstream()) : e.name());
     if (s == null) {
       return name + " (nothing told of it)";
     }
     long age = e.at() / 1000 - s.other();
-    return name + " (" + Sanitizer.plain(s.word()) + (s.other() > 0 ? ", up for " + age / 1000 + " s" : "") + ")";
+    return name + " (" + Sanitizer.printable(s.word()) + (s.other() > 0 ? ", up for " + age / 1000 + " s" : "") + ")";
   }
 }
--- a/incident/src/main/java/cloverpulley/incident/tool/Sanitizer.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/Sanitizer.java
@@ -10,7 +10,7 @@
   /** For HTML, in text and in attributes within quotes. */
   static String html(String s) {
     StringBuilder t = new StringBuilder();
-    for (char c : plain(s).toCharArray()) {
+    for (char c : printable(s).toCharArray()) {
       switch (c) {
         case '&' -> t.append("&amp;");
         case '<' -> t.append("&lt;");
@@ -24,7 +24,7 @@
   }
 
   /** For a terminal: nothing that moves the cursor, colours, or turns the direction of writing. */
-  public static String plain(String s) {
+  public static String printable(String s) {
     if (s == null) {
       return "";
     }
--- a/incident/src/main/java/cloverpulley/incident/tool/Swimlanes.java
+++ b/incident/src/main/java/cloverpulley/incident/tool/Swimlanes.java
@@ -12,47 +12,47 @@
 final class Swimlanes {
 
   /** A piece of a lane. */
-  record Piece(long from, long to, String state) {}
+  record StateInterval(long from, long to, String state) {}
 
   /** What one instance was told of one server. */
-  record Lane(String server, String instance, List<Piece> pieces) {}
+  record Lane(String server, String instance, List<StateInterval> intervals) {}
 
   private Swimlanes() {}
 
   /** Lanes up to {@code end}; a server is cold for {@code warmWithin} microseconds from its start. */
-  static List<Lane> of(Timeline course, long end, long warmWithin) {
+  static List<Lane> of(Timeline timeline, long end, long warmWithin) {
     Map<String, Map<String, List<ServerUpdate>>> by = new TreeMap<>();
-    for (ServerUpdate t : course.serverUpdates()) {
+    for (ServerUpdate t : timeline.serverUpdates()) {
       by.computeIfAbsent(t.server(), s -> new TreeMap<>()).computeIfAbsent(t.instance(), i -> new ArrayList<>()).add(t);
     }
     List<Lane> lanes = new ArrayList<>();
     by.forEach((server, instances) -> instances.forEach((instance, told) -> {
       told.sort(Comparator.comparingLong(ServerUpdate::at));
-      List<Piece> pieces = new ArrayList<>();
+      List<StateInterval> intervals = new ArrayList<>();
       for (int i = 0; i < told.size(); i++) {
         ServerUpdate t = told.get(i);
         long to = i + 1 < told.size() ? told.get(i + 1).at() : Math.max(end, t.at());
         long warm = t.startedMillis() * 1000 + warmWithin;
         if (t.state().equals("ready") && t.startedMillis() > 0 && warm > t.at()) {
-          pieces.add(new Piece(t.at(), Math.min(to, warm), "cold"));
+          intervals.add(new StateInterval(t.at(), Math.min(to, warm), "cold"));
           if (warm < to) {
-            pieces.add(new Piece(warm, to, "ready"));
+            intervals.add(new StateInterval(warm, to, "ready"));
           }
         } else {
-          pieces.add(new Piece(t.at(), to, t.state()));
+          intervals.add(new StateInterval(t.at(), to, t.state()));
         }
       }
-      lanes.add(new Lane(server, instance, pieces));
+      lanes.add(new Lane(server, instance, intervals));
     }));
     return lanes;
   }
 
   /** Whether the instances were told different things of a server at some time, for longer than so many microseconds. */
-  static boolean disagree(List<Lane> ofOne, long longer) {
+  static boolean differ(List<Lane> ofOne, long longer) {
     for (int i = 0; i < ofOne.size(); i++) {
       for (int j = i + 1; j < ofOne.size(); j++) {
-        for (Piece a : ofOne.get(i).pieces()) {
-          for (Piece b : ofOne.get(j).pieces()) {
+        for (StateInterval a : ofOne.get(i).intervals()) {
+          for (StateInterval b : ofOne.get(j).intervals()) {
             long both = Math.min(a.to, b.to) - Math.max(a.from, b.from);
             if (both > longer && !a.state.equals(b.state)) {
               return true;
--- a/records/src/main/java/cloverpulley/records/Archive.java
+++ b/records/src/main/java/cloverpulley/records/Archive.java
@@ -3,7 +3,7 @@
 import cloverpulley.incident.Entry;
 import cloverpulley.incident.Origin;
 import cloverpulley.incident.Query;
-import cloverpulley.incident.Query.Needs;
+import cloverpulley.incident.Query.Constraints;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -20,7 +20,7 @@
 public final class Archive {
 
   private static final int MOST_SEGMENTS = 100_000;
-  private static final Needs ALL = new Needs(Long.MIN_VALUE, Long.MAX_VALUE, Map.of());
+  private static final Constraints ALL = new Constraints(Long.MIN_VALUE, Long.MAX_VALUE, Map.of());
 
   /** One file that could be opened, or why it could not ({@code origin} is null then). */
   public record Segment(Path file, long octets, Origin origin, String front, boolean whole, String problem) {}
@@ -75,7 +75,7 @@
 
   /** What fits a question, by the index where there is one. */
   public Read read(Query query, Consumer<Entry> to, LongConsumer octetsDone) throws IOException {
-    return read(query.needs(), query::test, o -> 0, true, to, octetsDone);
+    return read(query.constraints(), query::test, o -> 0, true, to, octetsDone);
   }
 
   /** The same without looking into any index: what a plain reader would do. */
@@ -86,7 +86,7 @@
   /** What lies between two times of a reference clock; {@code shift} says what is to be added to an origin's own times. */
   public Read between(long from, long to, ToLongFunction<Origin> shift, Consumer<Entry> give, LongConsumer octetsDone)
       throws IOException {
-    return read(new Needs(from, to, Map.of()), e -> {
+    return read(new Constraints(from, to, Map.of()), e -> {
       long at = e.at() + shift.applyAsLong(e.origin());
       return at >= from && at <= to;
     }, shift, true, give, octetsDone);
@@ -96,7 +96,7 @@
     boolean fits(Entry e);
   }
 
-  private Read read(Needs needs, Test test, ToLongFunction<Origin> shift, boolean useIndex, Consumer<Entry> to, LongConsumer octetsDone)
+  private Read read(Constraints needs, Test test, ToLongFunction<Origin> shift, boolean useIndex, Consumer<Entry> to, LongConsumer octetsDone)
       throws IOException {
     long[] counts = new long[2];
     int blocks = 0;
--- a/records/src/main/java/cloverpulley/records/SegmentIndex.java
+++ b/records/src/main/java/cloverpulley/records/SegmentIndex.java
@@ -1,8 +1,8 @@
 package cloverpulley.records;
 
 import cloverpulley.incident.Entry;
-import cloverpulley.incident.Query.Needs;
-import cloverpulley.incident.Query.Term;
+import cloverpulley.incident.Query.Constraints;
+import cloverpulley.incident.Query.IndexedField;
 import com.google.common.hash.BloomFilter;
 import com.google.common.hash.Funnels;
 import java.io.ByteArrayInputStream;
@@ -39,8 +39,8 @@
 
   private final List<Block> blocks = new ArrayList<>();
   private final List<BloomFilter<CharSequence>> names = new ArrayList<>();
-  private final Map<Term, Map<String, RoaringBitmap>> values = new HashMap<>();
-  private final Set<Term> tooMany = new HashSet<>();
+  private final Map<IndexedField, Map<String, RoaringBitmap>> values = new HashMap<>();
+  private final Set<IndexedField> tooMany = new HashSet<>();
   private final Set<String> namesNow = new HashSet<>();
 
   // ---- Building ------------------------------------------------------------------------------------------
@@ -48,20 +48,20 @@
   /** A record of the block that is being written. */
   void add(Entry e) {
     int block = blocks.size();
-    put(Term.KIND, e.kind().name().toLowerCase(Locale.ROOT), block);
-    put(Term.WORD, e.word(), block);
-    put(Term.CLASS, e.className(), block);
-    put(Term.TENANT, e.tenant(), block);
-    put(Term.SERVER, e.name(), block);
+    put(IndexedField.KIND, e.kind().name().toLowerCase(Locale.ROOT), block);
+    put(IndexedField.WORD, e.word(), block);
+    put(IndexedField.CLASS, e.className(), block);
+    put(IndexedField.TENANT, e.tenant(), block);
+    put(IndexedField.SERVER, e.name(), block);
     if (e.upstream() != 0) {
-      put(Term.UPSTREAM, Long.toHexString(e.upstream()), block);
+      put(IndexedField.UPSTREAM, Long.toHexString(e.upstream()), block);
     }
     if (e.id() != null) {
       namesNow.add(e.id());
     }
   }
 
-  private void put(Term term, String value, int block) {
+  private void put(IndexedField term, String value, int block) {
     if (value == null || tooMany.contains(term)) {
       return;
     }
@@ -102,7 +102,7 @@
   // ---- Asking --------------------------------------------------------------------------------------------
 
   /** The blocks that may hold what fits; {@code shift} is added to the records' times before they are compared. */
-  RoaringBitmap fitting(Needs needs, long shift) {
+  RoaringBitmap fitting(Constraints needs, long shift) {
     RoaringBitmap fit = new RoaringBitmap();
     for (int i = 0; i < blocks.size(); i++) {
       Block b = blocks.get(i);
@@ -110,8 +110,8 @@
         fit.add(i);
       }
     }
-    needs.equal().forEach((term, value) -> {
-      if (term == Term.REQUEST) {
+    needs.equalities().forEach((term, value) -> {
+      if (term == IndexedField.REQUEST) {
         if (value.indexOf('#') < 0) { // Numbers of requests without a name are not in the filters.
           for (int i : fit.toArray()) {
             if (!names.get(i).mightContain(value)) {
@@ -145,11 +145,11 @@
       filter.writeTo(out);
     }
     out.writeByte(tooMany.size());
-    for (Term t : tooMany) {
+    for (IndexedField t : tooMany) {
       out.writeUTF(t.name());
     }
     out.writeByte(values.size());
-    for (Map.Entry<Term, Map<String, RoaringBitmap>> e : new TreeMap<>(values).entrySet()) {
+    for (Map.Entry<IndexedField, Map<String, RoaringBitmap>> e : new TreeMap<>(values).entrySet()) {
       out.writeUTF(e.getKey().name());
       out.writeInt(e.getValue().size());
       for (Map.Entry<String, RoaringBitmap> v : new TreeMap<>(e.getValue()).entrySet()) {
@@ -175,10 +175,10 @@
         index.names.add(BloomFilter.readFrom(new ByteArrayInputStream(filter), Funnels.stringFunnel(StandardCharsets.UTF_8)));
       }
       for (int i = in.readUnsignedByte(); i > 0; i--) {
-        index.tooMany.add(Term.valueOf(in.readUTF()));
+        index.tooMany.add(IndexedField.valueOf(in.readUTF()));
       }
       for (int i = in.readUnsignedByte(); i > 0; i--) {
-        Term term = Term.valueOf(in.readUTF());
+        IndexedField term = IndexedField.valueOf(in.readUTF());
         int count = bounded(in.readInt(), MOST_VALUES);
         Map<String, RoaringBitmap> of = new HashMap<>();
         for (int j = 0; j < count; j++) {
--- a/records/src/main/java/cloverpulley/records/SegmentReader.java
+++ b/records/src/main/java/cloverpulley/records/SegmentReader.java
@@ -2,7 +2,7 @@
 
 import cloverpulley.incident.Entry;
 import cloverpulley.incident.Origin;
-import cloverpulley.incident.Query.Needs;
+import cloverpulley.incident.Query.Constraints;
 import com.github.luben.zstd.Zstd;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -136,7 +136,7 @@
    * @param shift added to the records' times before they are compared
    * @return blocks read
    */
-  int read(Needs needs, long shift, boolean useIndex, Consumer<Entry> to) throws IOException {
+  int read(Constraints needs, long shift, boolean useIndex, Consumer<Entry> to) throws IOException {
     if (index == null || !useIndex) {
       return scan(needs, shift, to);
     }
@@ -173,7 +173,7 @@
     }
   }
 
-  private int scan(Needs needs, long shift, Consumer<Entry> to) throws IOException {
+  private int scan(Constraints needs, long shift, Consumer<Entry> to) throws IOException {
     int blocks = 0;
     long at = dataAt;
     while (at < length) {
